--- a/src/main/kotlin/plankwall/access/Policy.kt
+++ b/src/main/kotlin/plankwall/access/Policy.kt
@@ -92,7 +92,13 @@
             if (!rule.allows) return Verdict(false, rule.name, rule.withdraw ?: false)
             if (allowing == null) allowing = rule
         }
-        return if (allowing == null) Verdict(false, NOTHING_ALLOWS) else Verdict(true, allowing.name, allowing.withdraw ?: false)
+        return if (allowing ==
+            null
+        ) {
+            Verdict(false, NOTHING_ALLOWS)
+        } else {
+            Verdict(true, allowing.name, allowing.withdraw ?: false)
+        }
     }
 
     /** Whether some rule that denies it to [principal] says what becomes of a job that runs. */
@@ -107,7 +113,10 @@
             val standing = when {
                 action !in rule.actions -> Standing.OTHER_ACTION
                 !holds(rule.condition, principal, job) -> Standing.CONDITION_FAILS
-                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> Standing.DECIDES.also { decided = true }
+                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> Standing.DECIDES.also {
+                    decided =
+                        true
+                }
                 else -> Standing.APPLIES
             }
             Explained(rule, standing)
@@ -119,7 +128,8 @@
         const val UNKNOWN = "nobody of that name"
         const val DISABLED = "disabled"
 
-        private fun holds(c: Condition?, principal: String, job: JobFacts?): Boolean = c == null || truth(c, principal, job) == true
+        private fun holds(c: Condition?, principal: String, job: JobFacts?): Boolean =
+            c == null || truth(c, principal, job) == true
 
         /** Null: what it asks about is not known. */
         private fun truth(c: Condition, principal: String, job: JobFacts?): Boolean? = when (c) {
@@ -133,10 +143,12 @@
 
         private fun combine(parts: List<Condition>, principal: String, job: JobFacts?, decisive: Boolean): Boolean? {
             var unknown = false
-            for (part in parts) when (truth(part, principal, job)) {
-                decisive -> return decisive
-                null -> unknown = true
-                else -> Unit
+            for (part in parts) {
+                when (truth(part, principal, job)) {
+                    decisive -> return decisive
+                    null -> unknown = true
+                    else -> Unit
+                }
             }
             return if (unknown) null else !decisive
         }
--- a/src/main/kotlin/plankwall/access/RightsReader.kt
+++ b/src/main/kotlin/plankwall/access/RightsReader.kt
@@ -18,7 +18,8 @@
 import java.time.Instant
 
 /** Something wrong with a text of rights. [line] counts from 1, [column] too. */
-class BadRights(val line: Int, val column: Int, reason: String) : Exception("line $line, column $column: $reason", null, false, false)
+class BadRights(val line: Int, val column: Int, reason: String) :
+    Exception("line $line, column $column: $reason", null, false, false)
 
 /** Reads a text of rights into a [Policy]. Throws [BadRights] for the first thing that is wrong. */
 object RightsReader {
@@ -33,9 +34,14 @@
     fun read(text: String, version: Long): Policy {
         if (text.length > LONGEST) throw BadRights(1, 1, "the text has ${text.length} characters, more than $LONGEST")
         val stop = object : BaseErrorListener() {
-            override fun syntaxError(r: Recognizer<*, *>?, offending: Any?, line: Int, column: Int, msg: String, e: RecognitionException?) {
-                throw BadRights(line, column + 1, plain(r, offending as? Token, msg))
-            }
+            override fun syntaxError(
+                r: Recognizer<*, *>?,
+                offending: Any?,
+                line: Int,
+                column: Int,
+                msg: String,
+                e: RecognitionException?,
+            ): Unit = throw BadRights(line, column + 1, plain(r, offending as? Token, msg))
         }
         val lexer = RightsLexer(CharStreams.fromString(text))
         lexer.removeErrorListeners()
@@ -60,15 +66,36 @@
                 ";" -> open = 0
             }
             nots = if (t.text == "not") nots + 1 else 0
-            if (open + nots > DEEPEST) throw BadRights(t.line, t.charPositionInLine + 1, "nested more than $DEEPEST deep")
+            if (open + nots >
+                DEEPEST
+            ) {
+                throw BadRights(t.line, t.charPositionInLine + 1, "nested more than $DEEPEST deep")
+            }
         }
     }
 
     private fun plain(r: Recognizer<*, *>?, offending: Token?, msg: String): String {
-        if (r !is RightsParser || offending == null) return if ('"' in msg) "a text in quotes has no end on its line" else "a character that means nothing here"
+        if (r !is RightsParser ||
+            offending == null
+        ) {
+            return if ('"' in
+                msg
+            ) {
+                "a text in quotes has no end on its line"
+            } else {
+                "a character that means nothing here"
+            }
+        }
         val expected = r.expectedTokens.toList().map { r.vocabulary.getDisplayName(it).trim('\'') }
-            
-            .map { if (it == "WORD" || it == "STRING") "a name" else if (it == "EOF" || it == "<EOF>") "the end" else it }.distinct()
+            .map {
+                if (it == "WORD" || it == "STRING") {
+                    "a name"
+                } else if (it == "EOF" || it == "<EOF>") {
+                    "the end"
+                } else {
+                    it
+                }
+            }.distinct()
             // Where a name may stand, so may a score of words; only the name is worth telling.
             .let { all -> if ("a name" in all) all.filter { it !in soft } else all }
         val met = if (offending.type == Token.EOF) "the text ends" else "'${offending.text.take(40)}' stands"
@@ -79,7 +106,9 @@
     internal fun nearest(word: String, known: Collection<String>): String {
         val most = maxOf(1, minOf(word.length, 40) / 3)
         val distance = LevenshteinDistance(most)
-        return known.map { it to distance.apply(word.take(60), it) }.filter { it.second in 0..most }.minByOrNull { it.second }
+        return known.map {
+            it to distance.apply(word.take(60), it)
+        }.filter { it.second in 0..most }.minByOrNull { it.second }
             ?.let { "; did you mean '${it.first}'?" }.orEmpty()
     }
 }
@@ -97,7 +126,13 @@
         val statements = document.statement()
         statements.mapNotNull { it.principal() }.forEach(::principal)
         statements.mapNotNull { it.group() }.forEach { g -> once(groups, g.name(0), "group") { g.name().drop(1) } }
-        groups.values.flatten().forEach { if (it.text() !in principals) it.unknown("person, service or node", principals.keys) }
+        groups.values.flatten().forEach {
+            if (it.text() !in
+                principals
+            ) {
+                it.unknown("person, service or node", principals.keys)
+            }
+        }
         statements.mapNotNull { it.role() }.forEach(::role)
         for (s in statements) {
             s.grant()?.let(::grant)
@@ -111,10 +146,16 @@
         val keys = ArrayList<PublicKey>()
         var networks: Networks? = null
         var disabled = false
-        for (item in p.principalItem()) when (item.start.text) {
-            "key" -> keys.add(key(item).also { k -> if (keys.any { it.id == k.id }) item.bad("key '${k.id}' stands twice") })
-            "network" -> networks = networks(item, item.STRING().map { it.symbol })
-            else -> disabled = true
+        for (item in p.principalItem()) {
+            when (item.start.text) {
+                "key" -> keys.add(
+                    key(item).also { k ->
+                        if (keys.any { it.id == k.id }) item.bad("key '${k.id}' stands twice")
+                    },
+                )
+                "network" -> networks = networks(item, item.STRING().map { it.symbol })
+                else -> disabled = true
+            }
         }
         once(principals, p.name(), "principal") {
             Principal(p.name().text(), PrincipalKind.valueOf(p.kind.text.uppercase()), keys, networks, disabled)
@@ -123,8 +164,10 @@
 
     private fun key(item: RightsParser.PrincipalItemContext): PublicKey = try {
         PublicKey.of(
-            item.name().text(), unquoted(item.STRING(0).symbol),
-            item.since?.let(::instant) ?: (Long.MIN_VALUE / 2), item.until?.let(::instant) ?: (Long.MAX_VALUE / 2),
+            item.name().text(),
+            unquoted(item.STRING(0).symbol),
+            item.since?.let(::instant) ?: (Long.MIN_VALUE / 2),
+            item.until?.let(::instant) ?: (Long.MAX_VALUE / 2),
         )
     } catch (e: BadKey) {
         throw at(item.STRING(0).symbol, e.message.orEmpty())
@@ -138,10 +181,11 @@
         throw at(t, "not a time such as \"2026-12-31T18:00:00Z\"")
     }
 
-    private fun networks(where: ParserRuleContext, texts: List<Token>): Networks = Networks.of(texts.map(::unquoted)) { wrong ->
-        val t = texts.find { unquoted(it) == wrong } ?: where.start
-        throw at(t, "not a network such as \"10.2.0.0/16\" or \"2001:db8::/32\", host bits zero")
-    }
+    private fun networks(where: ParserRuleContext, texts: List<Token>): Networks =
+        Networks.of(texts.map(::unquoted)) { wrong ->
+            val t = texts.find { unquoted(it) == wrong } ?: where.start
+            throw at(t, "not a network such as \"10.2.0.0/16\" or \"2001:db8::/32\", host bits zero")
+        }
 
     private fun role(r: RightsParser.RoleContext) = once(roles, r.name(), "role") {
         r.permission().map { p ->
@@ -156,11 +200,26 @@
         actions: RightsParser.ActionsContext,
         where: RightsParser.WhereContext?,
         revoke: RightsParser.RevokeContext?,
-    ) = Rule(name, at.start.line, effect.ALLOW != null, actions(actions), where?.let { condition(it.condition()) }, revoke?.let { it.what.text == "withdraw" })
+    ) = Rule(
+        name,
+        at.start.line,
+        effect.ALLOW != null,
+        actions(actions),
+        where?.let {
+            condition(it.condition())
+        },
+        revoke?.let {
+            it.what.text ==
+                "withdraw"
+        },
+    )
 
     private fun actions(a: RightsParser.ActionsContext): Set<Action> {
         if (a.name().isEmpty()) return Action.entries.toSet()
-        return a.name().map { n -> Action.entries.find { it.word == n.text() } ?: n.unknown("action", Action.entries.map { it.word }) }.toSet()
+        return a.name().map { n ->
+            Action.entries.find { it.word == n.text() }
+                ?: n.unknown("action", Action.entries.map { it.word })
+        }.toSet()
     }
 
     private fun grant(g: RightsParser.GrantContext) {
@@ -175,7 +234,11 @@
 
     private fun members(s: RightsParser.SubjectContext): Collection<String> {
         val name = s.name() ?: return principals.keys
-        if (s.start.text == "group") return (groups[name.text()] ?: name.unknown("group", groups.keys)).map { it.text() }
+        if (s.start.text ==
+            "group"
+        ) {
+            return (groups[name.text()] ?: name.unknown("group", groups.keys)).map { it.text() }
+        }
         if (name.text() !in principals) name.unknown("person, service or node", principals.keys)
         return listOf(name.text())
     }
@@ -196,7 +259,9 @@
     private fun term(t: RightsParser.TermContext): Condition {
         t.condition()?.let { return condition(it) }
         t.term()?.let { return Condition.Not(term(it)) }
-        val attribute = Attribute.entries.find { it.word == t.name(0).text() } ?: t.name(0).unknown("property of a job", Attribute.entries.map { it.word })
+        val attribute =
+            Attribute.entries.find { it.word == t.name(0).text() }
+                ?: t.name(0).unknown("property of a job", Attribute.entries.map { it.word })
         val values = t.name().drop(1)
         if (values.isEmpty()) {
             if (attribute != Attribute.OWNER) t.bad("only an owner can be 'self'")
--- a/src/main/kotlin/plankwall/audit/ChainEnd.kt
+++ b/src/main/kotlin/plankwall/audit/ChainEnd.kt
@@ -19,7 +19,13 @@
 
         /** The ids of entries behind [known]; all of this segment's if that is unknown or lies in an earlier one. */
         fun idsSince(known: End?): Set<String> {
-            val skip = if (known != null && known.segment == segment) (known.next - first).toInt().coerceIn(0, lines.size) else 0
+            val skip = if (known != null &&
+                known.segment == segment
+            ) {
+                (known.next - first).toInt().coerceIn(0, lines.size)
+            } else {
+                0
+            }
             return lines.drop(skip).mapNotNullTo(HashSet()) { line ->
                 try {
                     TrailLines.read(line).entry.id
--- a/src/main/kotlin/plankwall/audit/LastNumbered.kt
+++ b/src/main/kotlin/plankwall/audit/LastNumbered.kt
@@ -16,7 +16,9 @@
     /** [then] gets null if the store can't be read. [from]: a number known to be there, or 0. */
     fun find(from: Long, then: (Found?) -> Unit) = gallop(from, 1, null, then)
 
-    private fun get(number: Long, then: (StateResult.Item?) -> Unit): Unit = ctx.out.state(StateOp.Get(key(number))) { then(it as? StateResult.Item) }
+    private fun get(number: Long, then: (StateResult.Item?) -> Unit): Unit = ctx.out.state(StateOp.Get(key(number))) {
+        then(it as? StateResult.Item)
+    }
 
     private fun gallop(at: Long, step: Long, last: Found?, then: (Found?) -> Unit): Unit = get(at) { result ->
         val item = result?.item
--- a/src/main/kotlin/plankwall/audit/Sealer.kt
+++ b/src/main/kotlin/plankwall/audit/Sealer.kt
@@ -35,9 +35,13 @@
         busy = true
         nextAt = ctx.now + everyS
         val known = last
-        if (known != null) collect(known, key) else seals.find { found ->
-            last = found
-            if (found == null) busy = false else collect(found, key)
+        if (known != null) {
+            collect(known, key)
+        } else {
+            seals.find { found ->
+                last = found
+                if (found == null) busy = false else collect(found, key)
+            }
         }
     }
 
@@ -46,14 +50,16 @@
         val heads = HashMap<String, ChainHead>(before.heads)
         var left = nodes.size
         var readable = true
-        for (node in nodes) ChainEnd(ctx, node).find(ends[node]) { end ->
-            if (end == null) readable = false
-            if (end != null && end.version > 0) {
-                ends[node] = end
-                heads[node] = ChainHead(end.segment, end.next, end.hash)
-            }
-            if (--left == 0) {
-                if (readable && heads != before.heads) write(before, heads, key) else busy = false
+        for (node in nodes) {
+            ChainEnd(ctx, node).find(ends[node]) { end ->
+                if (end == null) readable = false
+                if (end != null && end.version > 0) {
+                    ends[node] = end
+                    heads[node] = ChainHead(end.segment, end.next, end.hash)
+                }
+                if (--left == 0) {
+                    if (readable && heads != before.heads) write(before, heads, key) else busy = false
+                }
             }
         }
     }
@@ -65,8 +71,18 @@
         ctx.out.state(StateOp.Txn(guards, listOf(Write.Put(AccessKeys.seal(seal.number), TrailSeal(jws))))) { result ->
             busy = false
             // Unanswered: it may stand there already, so the end is looked for anew.
-            last = if (result is StateResult.Committed) SealEnd.End(seal.number + 1, TrailLines.hash(jws), heads) else null
-            if (result is StateResult.Committed) log.info("seal {}: {} chains, {} entries", seal.number, heads.size, heads.values.sumOf { it.next })
+            last =
+                if (result is StateResult.Committed) SealEnd.End(seal.number + 1, TrailLines.hash(jws), heads) else null
+            if (result is StateResult.Committed) {
+                log.info(
+                    "seal {}: {} chains, {} entries",
+                    seal.number,
+                    heads.size,
+                    heads.values.sumOf {
+                        it.next
+                    },
+                )
+            }
         }
     }
 }
--- a/src/main/kotlin/plankwall/audit/Seals.kt
+++ b/src/main/kotlin/plankwall/audit/Seals.kt
@@ -14,7 +14,14 @@
 data class ChainHead(val segment: Long, val next: Long, val hash: String)
 
 /** A checkpoint over all chains. [before]: the hash of the seal before it. */
-data class Seal(val number: Long, val before: String, val atMs: Long, val epoch: Long, val by: String, val heads: Map<String, ChainHead>)
+data class Seal(
+    val number: Long,
+    val before: String,
+    val atMs: Long,
+    val epoch: Long,
+    val by: String,
+    val heads: Map<String, ChainHead>,
+)
 
 /** Seals are written as a signed compact JWS, so that they can be kept and checked by themselves. */
 object Seals {
@@ -29,7 +36,9 @@
             put("e", seal.epoch)
             put("d", seal.by)
             val heads = putObject("heads")
-            seal.heads.toSortedMap().forEach { (node, h) -> heads.putArray(node).add(h.segment).add(h.next).add(h.hash) }
+            seal.heads.toSortedMap().forEach { (node, h) ->
+                heads.putArray(node).add(h.segment).add(h.next).add(h.hash)
+            }
         }.toString()
         return signatureOf(payload, key, TYPE)
     }
@@ -41,7 +50,10 @@
     fun isSigned(jws: String, keyOf: (node: String, key: String) -> PublicKey?): Boolean = try {
         val signature = JsonWebSignature().also { parse(it, jws) }
         val key = signature.keyIdHeaderValue?.let { keyOf(decode(signature.unverifiedPayload).by, it) }
-        key != null && signature.getHeader("typ") == TYPE && signature.algorithmHeaderValue == AlgorithmIdentifiers.EDDSA && key.hasSigned(jws)
+        key != null &&
+            signature.getHeader("typ") == TYPE &&
+            signature.algorithmHeaderValue == AlgorithmIdentifiers.EDDSA &&
+            key.hasSigned(jws)
     } catch (_: BadLine) {
         false
     } catch (_: JoseException) {
@@ -67,8 +79,10 @@
             if (h.size() != 3) throw BadLine("a seal's head of $node")
             heads[node] = ChainHead(h[0].asLong(), h[1].asLong(), h[2].asText())
         }
-        fun number(name: String): Long = o.get(name)?.takeIf { it.isIntegralNumber }?.longValue() ?: throw BadLine("a seal without $name")
-        fun text(name: String): String = o.get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("a seal without $name")
+        fun number(name: String): Long =
+            o.get(name)?.takeIf { it.isIntegralNumber }?.longValue() ?: throw BadLine("a seal without $name")
+        fun text(name: String): String =
+            o.get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("a seal without $name")
         return Seal(number("n"), text("b"), number("t"), number("e"), text("d"), heads)
     }
 }
--- a/src/main/kotlin/plankwall/audit/TrailEntry.kt
+++ b/src/main/kotlin/plankwall/audit/TrailEntry.kt
@@ -69,19 +69,26 @@
             throw BadLine("not JSON")
         }
         return TrailLine(
-            o.whole("n"), o.text("b"), o.text("d"),
+            o.whole("n"),
+            o.text("b"),
+            o.text("d"),
             TrailEntry(
-                o.text("i"), o.whole("t"), o.whole("e"), o.text("w"), o.text("k"), o.text("f"), o.text("a"), o.text("s"),
+                o.text(
+                    "i",
+                ),
+                o.whole("t"), o.whole("e"), o.text("w"), o.text("k"), o.text("f"), o.text("a"), o.text("s"),
                 o.whole("ok") == 1L, o.text("r"), o.whole("v"), o.whole("o").toInt(),
                 o.get("q")?.asText().orEmpty(), o.get("x")?.asText().orEmpty(),
             ),
         )
     }
 
-    private fun ObjectNode.text(name: String): String = get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("$name: no text")
+    private fun ObjectNode.text(name: String): String =
+        get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("$name: no text")
 
     private fun ObjectNode.whole(name: String): Long =
-        get(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue() ?: throw BadLine("$name: no whole number")
+        get(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()
+            ?: throw BadLine("$name: no whole number")
 
     /** A line as one that people and programs read: with names in full. */
     fun export(l: TrailLine): String = json.createObjectNode().apply {
--- a/src/main/kotlin/plankwall/audit/TrailWriter.kt
+++ b/src/main/kotlin/plankwall/audit/TrailWriter.kt
@@ -34,7 +34,9 @@
     private var valueBytes = (limits.valueKb * 1024 * NEARLY).toInt()
 
     /** Changes that this chain may cost; a busy node has more than the equal part. */
-    private val budget = (limits.writeRps * share / ctx.settings.nodes * UNEVEN).let { Budget(ctx.time, it, maxOf(it, 1.0)) }
+    private val budget = (limits.writeRps * share / ctx.settings.nodes * UNEVEN).let {
+        Budget(ctx.time, it, maxOf(it, 1.0))
+    }
     private val half = maxOf(1.0, limits.writeRps * share / ctx.settings.nodes)
     private val finder = ChainEnd(ctx, node)
 
@@ -59,12 +61,18 @@
     /** Keeps a decision that was told already until it can be stored. False: too many are kept, so it must not be told. */
     fun noteLater(entry: TrailEntry): Boolean {
         if (notes.size >= MAX_LATER) return false
-        queue(notes, Item(entry, null, ctx.now, LATER_S) { if (it !is StateResult.Committed) log.error("decision {} could not be stored", entry.id) })
+        queue(
+            notes,
+            Item(entry, null, ctx.now, LATER_S) {
+                if (it !is StateResult.Committed) log.error("decision {} could not be stored", entry.id)
+            },
+        )
         return true
     }
 
     /** Stores a change and its decision, or neither. */
-    fun change(entry: TrailEntry, txn: StateOp.Txn, then: (StateResult) -> Unit) = queue(changes, Item(entry, txn, ctx.now, PATIENCE_S, then))
+    fun change(entry: TrailEntry, txn: StateOp.Txn, then: (StateResult) -> Unit) =
+        queue(changes, Item(entry, txn, ctx.now, PATIENCE_S, then))
 
     private fun queue(to: ArrayDeque<Item>, item: Item) {
         if (changes.size + notes.size >= MAX_QUEUED) {
@@ -111,10 +119,12 @@
     /** What was sent and not answered: stored if it is in the chain; else nobody can say yet, and a note is tried again. */
     private fun unresolved(sent: List<Item>, landed: Set<String>) {
         busy = false
-        for (item in sent.asReversed()) when {
-            item.entry.id in landed -> item.then(StateResult.Committed(end?.version ?: 0L))
-            item.txn == null -> notes.addFirst(item)
-            else -> item.then(StateResult.Unknown)
+        for (item in sent.asReversed()) {
+            when {
+                item.entry.id in landed -> item.then(StateResult.Committed(end?.version ?: 0L))
+                item.txn == null -> notes.addFirst(item)
+                else -> item.then(StateResult.Unknown)
+            }
         }
     }
 
@@ -125,7 +135,11 @@
         val waited = notes.firstOrNull()?.let { ctx.now - it.since } ?: 0.0
         // The first note after a quiet moment goes at once. Those behind it wait for company, longer while the budget is low, so
         // that a flood of them costs a few changes a second.
-        if (room < 1 || (changes.isEmpty() && (ctx.now < lastNotes + NOTE_GAP_S || room < half && waited < NOTE_WAIT_S))) return
+        if (room < 1 ||
+            (changes.isEmpty() && (ctx.now < lastNotes + NOTE_GAP_S || room < half && waited < NOTE_WAIT_S))
+        ) {
+            return
+        }
         val batch = Batch(e)
         fill(batch, changes)
         if (!alone || batch.items.isEmpty()) fill(batch, notes)
@@ -160,18 +174,33 @@
             val moreBytes = txn?.let { StateCodec.txn(it).size } ?: 0
             if (size + lineSize > valueBytes) {
                 // A segment is turned only by the first entry of a transaction; the others wait for the next one.
-                if (items.isNotEmpty() || end.version == 0L) return items.isEmpty() && take(item, line, lineSize, moreOps, moreGuards, moreBytes)
+                if (items.isNotEmpty() ||
+                    end.version == 0L
+                ) {
+                    return items.isEmpty() &&
+                        take(item, line, lineSize, moreOps, moreGuards, moreBytes)
+                }
                 turned = true
                 size = EMPTY_SEGMENT
             }
             if (items.isNotEmpty()) {
-                val full = ops + moreOps > limits.txnOps || guards + moreGuards > limits.txnOps * 4 || bytes + size + lineSize + moreBytes > MAX_BYTES
+                val full =
+                    ops + moreOps > limits.txnOps ||
+                        guards + moreGuards > limits.txnOps * 4 ||
+                        bytes + size + lineSize + moreBytes > MAX_BYTES
                 if (full || txn != null && txn.writes.any { keyOf(it) in touched }) return false
             }
             return take(item, line, lineSize, moreOps, moreGuards, moreBytes)
         }
 
-        private fun take(item: Item, line: String, lineSize: Int, moreOps: Int, moreGuards: Int, moreBytes: Int): Boolean {
+        private fun take(
+            item: Item,
+            line: String,
+            lineSize: Int,
+            moreOps: Int,
+            moreGuards: Int,
+            moreBytes: Int,
+        ): Boolean {
             items.add(item)
             lines.add(line)
             hash = TrailLines.hash(line)
@@ -192,9 +221,11 @@
                 Guard(AccessKeys.segment(node, end.segment + 1), 0),
             )
 
-        fun segment(): TrailSegment =
-            if (turned || end.version == 0L) TrailSegment(end.next, end.hash, lines.toList())
-            else TrailSegment(end.first, end.before, end.lines + lines)
+        fun segment(): TrailSegment = if (turned || end.version == 0L) {
+            TrailSegment(end.next, end.hash, lines.toList())
+        } else {
+            TrailSegment(end.first, end.before, end.lines + lines)
+        }
 
         fun write(): Write = Write.Put(AccessKeys.segment(node, number), segment())
 
@@ -234,16 +265,29 @@
         val rest = batch.items - theirs.toSet()
         requeue(rest)
         busy = false
-        theirs.forEach { item -> item.then(StateResult.Conflict(failed.filterTo(HashSet()) { key -> item.txn?.guards.orEmpty().any { it.key == key } })) }
+        theirs.forEach { item ->
+            item.then(
+                StateResult.Conflict(
+                    failed.filterTo(HashSet()) { key ->
+                        item.txn?.guards.orEmpty().any {
+                            it.key ==
+                                key
+                        }
+                    },
+                ),
+            )
+        }
         // Something of ours that was given up was applied after all: the chain goes on behind it.
         if (ours) load(emptyList()) else pump()
     }
 
     private fun requeue(items: List<Item>) {
-        for (item in items.asReversed()) when {
-            ++item.tries > MAX_TRIES && item.patienceS == PATIENCE_S -> item.then(StateResult.Refused)
-            item.txn == null -> notes.addFirst(item)
-            else -> changes.addFirst(item)
+        for (item in items.asReversed()) {
+            when {
+                ++item.tries > MAX_TRIES && item.patienceS == PATIENCE_S -> item.then(StateResult.Refused)
+                item.txn == null -> notes.addFirst(item)
+                else -> changes.addFirst(item)
+            }
         }
     }
 
--- a/src/main/kotlin/plankwall/audit/Verifier.kt
+++ b/src/main/kotlin/plankwall/audit/Verifier.kt
@@ -67,7 +67,11 @@
         "can't be read: ${e.message}"
     }
 
-    private fun seals(seals: Map<Long, String>, hashes: Map<String, List<String>>, broken: MutableList<Broken>): Map<String, Long> {
+    private fun seals(
+        seals: Map<Long, String>,
+        hashes: Map<String, List<String>>,
+        broken: MutableList<Broken>,
+    ): Map<String, Long> {
         var before = TrailLines.START
         var heads: Map<String, ChainHead> = emptyMap()
         for (number in 0 until seals.size.toLong()) {
@@ -99,19 +103,35 @@
         "can't be read: ${e.message}"
     }
 
-    private fun compare(place: String, heads: Map<String, ChainHead>, hashes: Map<String, List<String>>, broken: MutableList<Broken>) {
+    private fun compare(
+        place: String,
+        heads: Map<String, ChainHead>,
+        hashes: Map<String, List<String>>,
+        broken: MutableList<Broken>,
+    ) {
         for ((node, head) in heads) {
             val chain = hashes[node].orEmpty()
             val there = chain.getOrNull((head.next - 1).toInt())
             val name = "trail of $node, entry ${head.next - 1}"
             // What lies behind the first broken link of a chain has been told already.
             if (broken.any { it.place.startsWith("trail of $node,") }) continue
-            if (there == null) broken.add(Broken(name, "missing, though $place holds it; the chain ends after ${chain.size}"))
-            else if (there != head.hash) broken.add(Broken(name, "is not the one that $place holds"))
+            if (there ==
+                null
+            ) {
+                broken.add(Broken(name, "missing, though $place holds it; the chain ends after ${chain.size}"))
+            } else if (there != head.hash) {
+                broken.add(Broken(name, "is not the one that $place holds"))
+            }
         }
     }
 
-    private fun kept(name: String, jws: String, seals: Map<Long, String>, hashes: Map<String, List<String>>, broken: MutableList<Broken>) {
+    private fun kept(
+        name: String,
+        jws: String,
+        seals: Map<Long, String>,
+        hashes: Map<String, List<String>>,
+        broken: MutableList<Broken>,
+    ) {
         val seal = try {
             Seals.read(jws)
         } catch (e: BadLine) {
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -22,7 +22,9 @@
     lateinit var file: File
 
     @Option(
-        names = ["--after"], paramLabel = "JOB", split = ",",
+        names = ["--after"],
+        paramLabel = "JOB",
+        split = ",",
         description = ["Jobs that have to be done first, beside those that the file names."],
     )
     var after: List<String> = emptyList()
@@ -38,7 +40,11 @@
     }
 }
 
-@Command(name = "show", description = ["Show where jobs stand, and what they wait for."], mixinStandardHelpOptions = true)
+@Command(
+    name = "show",
+    description = ["Show where jobs stand, and what they wait for."],
+    mixinStandardHelpOptions = true,
+)
 class Show : JobCommand() {
     @Parameters(paramLabel = "JOB", arity = "1..*", description = ["The jobs' ids."])
     lateinit var jobs: List<String>
--- a/src/main/kotlin/plankwall/cli/LabCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LabCommand.kt
@@ -20,7 +20,11 @@
     override fun run() = CommandLine.usage(this, System.out)
 }
 
-@Command(name = "links", description = ["Days on which links fail in part, drawn by their number; exits 1 if a rule broke."], mixinStandardHelpOptions = true)
+@Command(
+    name = "links",
+    description = ["Days on which links fail in part, drawn by their number; exits 1 if a rule broke."],
+    mixinStandardHelpOptions = true,
+)
 class LinkDays : Callable<Int> {
     @Option(names = ["--days"], description = ["How many."])
     private var days = 30
@@ -40,15 +44,27 @@
     override fun call(): Int {
         val results = IntStream.range(first, first + days).parallel()
             .mapToObj { LinkDay(it.toLong(), nodes[it % nodes.size], machines).play() }.toList()
-        if (each) results.forEach { r -> println("day ${r.seed}, ${r.nodes} nodes: killed ${r.leaseDeaths} (${r.avoidable}), leads ${r.leads}; ${r.troubles}") }
+        if (each) {
+            results.forEach { r ->
+                println(
+                    "day ${r.seed}, ${r.nodes} nodes: killed ${r.leaseDeaths} (${r.avoidable}), leads ${r.leads}; ${r.troubles}",
+                )
+            }
+        }
         results.forEach { r -> r.broken.forEach { println("day ${r.seed}: $it") } }
-        println("nodes   days  broken  killed by lease  of these avoidable  leads a day  served after p50  p90  p99  max (s)")
+        println(
+            "nodes   days  broken  killed by lease  of these avoidable  leads a day  served after p50  p90  p99  max (s)",
+        )
         for ((n, group) in results.groupBy { it.nodes }.toSortedMap()) {
             val served = Histogram(group.first().servedMs)
             group.forEach { served.add(it.servedMs) }
             println(
                 "%5d %6d %7d %16d %19d %12.1f %17.1f %4.1f %4.1f %4.1f".format(
-                    n, group.size, group.sumOf { it.broken.size }, group.sumOf { it.leaseDeaths }, group.sumOf { it.avoidable },
+                    n, group.size,
+                    group.sumOf {
+                        it.broken.size
+                    },
+                    group.sumOf { it.leaseDeaths }, group.sumOf { it.avoidable },
                     group.map { it.leads }.average(), served.s(50.0), served.s(90.0), served.s(99.0), served.s(100.0),
                 ),
             )
@@ -59,7 +75,11 @@
     private fun Histogram.s(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
 }
 
-@Command(name = "nights", description = ["Days on which late boots, silent controllers, storms of polls, guests and failing jobs meet; exits 1 if a rule broke."], mixinStandardHelpOptions = true)
+@Command(
+    name = "nights",
+    description = ["Days on which late boots, silent controllers, storms of polls, guests and failing jobs meet; exits 1 if a rule broke."],
+    mixinStandardHelpOptions = true,
+)
 class BadNights : Callable<Int> {
     @Option(names = ["--days"], description = ["How many."])
     private var days = 30
@@ -71,14 +91,34 @@
     private var nodes = listOf(3, 5, 7)
 
     override fun call(): Int {
-        val results = IntStream.range(first, first + days).parallel().mapToObj { BadNight(it.toLong(), nodes[it % nodes.size]).play() }.toList()
+        val results = IntStream.range(first, first + days).parallel().mapToObj {
+            BadNight(
+                it.toLong(),
+                nodes[
+                    it %
+                        nodes.size,
+                ],
+            ).play()
+        }.toList()
         for (r in results) {
             r.broken.forEach { println("day ${r.seed}: $it") }
-            if (r.unserved.isNotEmpty()) println("day ${r.seed}, ${r.nodes} nodes: not done ${r.unserved}; ${r.troubles}")
+            if (r.unserved.isNotEmpty()) {
+                println(
+                    "day ${r.seed}, ${r.nodes} nodes: not done ${r.unserved}; ${r.troubles}",
+                )
+            }
         }
-        println("%d days: %d rules broken, %d jobs not done, at most %d machines at a time, %d starts".format(
-            days, results.sumOf { it.broken.size }, results.sumOf { it.unserved.size }, results.maxOf { it.most }, results.sumOf { it.starts },
-        ))
+        println(
+            "%d days: %d rules broken, %d jobs not done, at most %d machines at a time, %d starts".format(
+                days,
+                results.sumOf {
+                    it.broken.size
+                },
+                results.sumOf { it.unserved.size },
+                results.maxOf { it.most },
+                results.sumOf { it.starts },
+            ),
+        )
         return if (results.any { it.broken.isNotEmpty() }) 1 else 0
     }
 }
--- a/src/main/kotlin/plankwall/cli/Main.kt
+++ b/src/main/kotlin/plankwall/cli/Main.kt
@@ -41,7 +41,18 @@
     val line = CommandLine(Plankwall())
     // A node that starts on a third of a core need not load commands that it is not asked for, nor have them in its archive.
     if (args.firstOrNull() !in setOf("serve", "warm-up")) {
-        listOf(LabCommand(), CheckSettings(), Submit(), Show(), Cancel(), KeysCommand(), RightsCommand(), AuditCommand()).forEach { line.addSubcommand(it) }
+        listOf(
+            LabCommand(),
+            CheckSettings(),
+            Submit(),
+            Show(),
+            Cancel(),
+            KeysCommand(),
+            RightsCommand(),
+            AuditCommand(),
+        ).forEach {
+            line.addSubcommand(it)
+        }
     }
     line.isCaseInsensitiveEnumValuesAllowed = true
     line.executionExceptionHandler = CommandLine.IExecutionExceptionHandler { e, cmd, _ ->
--- a/src/main/kotlin/plankwall/cli/ScaleCommand.kt
+++ b/src/main/kotlin/plankwall/cli/ScaleCommand.kt
@@ -23,7 +23,11 @@
     mixinStandardHelpOptions = true,
 )
 class ScaleCommand : Callable<Int> {
-    @Option(names = ["--plan"], paramLabel = "F", description = ["The whole plan (YAML); the options below go before it."])
+    @Option(
+        names = ["--plan"],
+        paramLabel = "F",
+        description = ["The whole plan (YAML); the options below go before it."],
+    )
     private var file: File? = null
 
     @Option(names = ["--workers"], description = ["How many hollow workers."])
@@ -44,29 +48,53 @@
     @Option(names = ["--running"], description = ["Tasks of services that run throughout."])
     private var running: Int? = null
 
-    @Option(names = ["--starts"], paramLabel = "N", description = ["Task starts a second that the arriving jobs ask for."])
+    @Option(
+        names = ["--starts"],
+        paramLabel = "N",
+        description = ["Task starts a second that the arriving jobs ask for."],
+    )
     private var starts: Double? = null
 
     @Option(names = ["--seed"], description = ["Draws arrivals and delays."])
     private var seed: Long? = null
 
-    @Option(names = ["--deploy"], paramLabel = "F", description = ["The file whose run line starts a controller (default: \${DEFAULT-VALUE})."])
+    @Option(
+        names = ["--deploy"],
+        paramLabel = "F",
+        description = ["The file whose run line starts a controller (default: \${DEFAULT-VALUE})."],
+    )
     private var deploy = File("deploy/service.toml")
 
-    @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' own settings (YAML) for the controllers."])
+    @Option(
+        names = ["--tuning"],
+        paramLabel = "F",
+        description = ["The operators' own settings (YAML) for the controllers."],
+    )
     private var tuning: File? = null
 
-    @Option(names = ["--folder"], paramLabel = "DIR", description = ["Keeps settings and logs of the controllers here (default: a new folder under the temporary one)."])
+    @Option(
+        names = ["--folder"],
+        paramLabel = "DIR",
+        description = ["Keeps settings and logs of the controllers here (default: a new folder under the temporary one)."],
+    )
     private var folder: File? = null
 
-    @Option(names = ["--node-log"], paramLabel = "LEVEL", description = ["LOG_LEVEL of the controllers (default: \${DEFAULT-VALUE})."])
+    @Option(
+        names = ["--node-log"],
+        paramLabel = "LEVEL",
+        description = ["LOG_LEVEL of the controllers (default: \${DEFAULT-VALUE})."],
+    )
     private var nodeLog = "info"
 
     @Option(names = ["--report"], paramLabel = "F", description = ["Writes the figures as JSON."])
     private var report: File? = null
 
     override fun call(): Int {
-        if (!deploy.isFile) throw BadSettings("$deploy: no such file; run this at the root of the project, after a build")
+        if (!deploy.isFile) {
+            throw BadSettings(
+                "$deploy: no such file; run this at the root of the project, after a build",
+            )
+        }
         val figures = try {
             val into = folder ?: Files.createTempDirectory("plankwall-scale").toFile()
             ScaleRun(plan(), deploy, into, tuning, nodeLog) { println(it) }.play()
@@ -93,11 +121,21 @@
 
     private fun conclude(f: ScaleFigures) {
         f.faults.forEach { o ->
-            val served = o.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) } ?: "99% of the workers not served again within the run"
+            val served =
+                o.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
+                    ?: "99% of the workers not served again within the run"
             println("${o.fault.kind.name.lowercase()} ${o.fault.target} (${o.hit.joinToString(" ")}): $served")
         }
-        println("services: ${f.serviceTasksStarted} of ${f.serviceTasks} tasks begun; jobs given up by their users: ${f.givenUp}; controllers ended by themselves: ${f.endedByItself}")
-        if (f.broken.isEmpty()) println("no rule broken") else f.broken.take(SHOWN).forEach { println("rule broken: $it") }
+        println(
+            "services: ${f.serviceTasksStarted} of ${f.serviceTasks} tasks begun; jobs given up by their users: ${f.givenUp}; controllers ended by themselves: ${f.endedByItself}",
+        )
+        if (f.broken.isEmpty()) {
+            println("no rule broken")
+        } else {
+            f.broken.take(SHOWN).forEach {
+                println("rule broken: $it")
+            }
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/cli/Serve.kt
+++ b/src/main/kotlin/plankwall/cli/Serve.kt
@@ -26,7 +26,11 @@
     @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' own settings (YAML)."])
     var tuning: File? = null
 
-    @Option(names = ["--identities"], paramLabel = "F", description = ["Switches on identities, rights and audit trail (YAML)."])
+    @Option(
+        names = ["--identities"],
+        paramLabel = "F",
+        description = ["Switches on identities, rights and audit trail (YAML)."],
+    )
     var identities: File? = null
 
     override fun call(): Int {
@@ -54,7 +58,11 @@
     }
 }
 
-@Command(name = "check-settings", description = ["Check settings files and say what they mean."], mixinStandardHelpOptions = true)
+@Command(
+    name = "check-settings",
+    description = ["Check settings files and say what they mean."],
+    mixinStandardHelpOptions = true,
+)
 class CheckSettings : Callable<Int> {
     @Option(names = ["--config"], required = true, paramLabel = "F", description = ["The platform's settings (TOML)."])
     lateinit var config: File
@@ -73,7 +81,11 @@
         println(own)
         identities?.let { file ->
             val gate = IdentitiesFile.read(file)
-            println("callers prove who they are to '${gate.audience}'; checkpoints ${gate.nodeKey?.let { "signed by $it" } ?: "not signed"}")
+            println(
+                "callers prove who they are to '${gate.audience}'; checkpoints ${gate.nodeKey?.let {
+                    "signed by $it"
+                } ?: "not signed"}",
+            )
         }
         return 0
     }
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -32,7 +32,8 @@
             withContext(main) {
                 val scope = CoroutineScope(main + SupervisorJob())
                 val loopback = "127.0.0.1"
-                val answers = HttpServer(scope, selector, 10) { HttpReply(200, if (it.body.isEmpty()) EMPTY else it.body) }
+                val answers =
+                    HttpServer(scope, selector, 10) { HttpReply(200, if (it.body.isEmpty()) EMPTY else it.body) }
                 val echo = answers.start(Address(loopback, 0))
                 val port = (echo.localAddress as InetSocketAddress).port
                 val front = freePort()
--- a/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
@@ -1,6 +1,5 @@
 package plankwall.cli.access
 
-import com.fasterxml.jackson.core.JsonProcessingException
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.ObjectMapper
 import picocli.CommandLine.Command
@@ -23,7 +22,9 @@
 import java.util.concurrent.Callable
 
 @Command(
-    name = "audit", description = ["Copy, verify and search the trail of decisions."], mixinStandardHelpOptions = true,
+    name = "audit",
+    description = ["Copy, verify and search the trail of decisions."],
+    mixinStandardHelpOptions = true,
     subcommands = [ExportTrail::class, VerifyTrail::class, FindInTrail::class, FollowTrail::class],
 )
 class AuditCommand : Runnable {
@@ -49,9 +50,14 @@
 
     fun seal(number: Long): String? = piece("/api/seals/$number")?.let { KeeperCodec.readSeal(it).jws }
 
-    fun segment(node: String, number: Long): TrailSegment? = piece("/api/trail/$node/$number")?.let { KeeperCodec.readSegment(it) }
+    fun segment(node: String, number: Long): TrailSegment? = piece("/api/trail/$node/$number")?.let {
+        KeeperCodec.readSegment(it)
+    }
 
-    fun seals(): Map<Long, String> = generateSequence(0L) { it + 1 }.map { it to seal(it) }.takeWhile { it.second != null }
+    fun seals(): Map<Long, String> = generateSequence(0L) { it + 1 }.map { it to seal(it) }.takeWhile {
+        it.second !=
+            null
+    }
         .associate { (n, jws) -> n to jws.orEmpty() }
 
     fun chain(node: String): Map<Long, TrailSegment> = LinkedHashMap<Long, TrailSegment>().also { found ->
@@ -73,8 +79,9 @@
 internal object TrailFile {
     private val json = ObjectMapper()
 
-    fun segment(node: String, number: Long, s: TrailSegment): String =
-        """{"node":${json.writeValueAsString(node)},"segment":$number,"value":${KeeperCodec.segment(s).decodeToString()}}"""
+    fun segment(node: String, number: Long, s: TrailSegment): String = """{"node":${json.writeValueAsString(
+        node,
+    )},"segment":$number,"value":${KeeperCodec.segment(s).decodeToString()}}"""
 
     fun seal(number: Long, jws: String): String = """{"seal":$number,"jws":"$jws"}"""
 
@@ -84,9 +91,12 @@
         try {
             file.forEachLine { line ->
                 val o: JsonNode = json.readTree(line)
-                if (o.has("seal")) seals[o.get("seal").asLong()] = o.path("jws").asText()
-                else chains.getOrPut(o.path("node").asText()) { LinkedHashMap() }[o.path("segment").asLong()] =
-                    KeeperCodec.readSegment(o.path("value").toString().encodeToByteArray())
+                if (o.has("seal")) {
+                    seals[o.get("seal").asLong()] = o.path("jws").asText()
+                } else {
+                    chains.getOrPut(o.path("node").asText()) { LinkedHashMap() }[o.path("segment").asLong()] =
+                        KeeperCodec.readSegment(o.path("value").toString().encodeToByteArray())
+                }
             }
         } catch (e: IOException) {
             throw BadSettings("$file: can't be read: ${e.javaClass.simpleName}")
@@ -112,37 +122,66 @@
     }
 }
 
-@Command(name = "export", description = ["Copy the whole trail to standard output, as JSON lines that `verify` and `find` read."], mixinStandardHelpOptions = true)
+@Command(
+    name = "export",
+    description = ["Copy the whole trail to standard output, as JSON lines that `verify` and `find` read."],
+    mixinStandardHelpOptions = true,
+)
 class ExportTrail : TrailCommand() {
     override fun call(): Int = stopping {
         val reader = TrailReader(calls)
         val seals = reader.seals()
-        reader.nodes(seals, nodes).forEach { node -> reader.chain(node).forEach { (n, s) -> println(TrailFile.segment(node, n, s)) } }
+        reader.nodes(seals, nodes).forEach { node ->
+            reader.chain(node).forEach { (n, s) -> println(TrailFile.segment(node, n, s)) }
+        }
         // The seals last, and as they were before the chains were read: no chain can be shorter than they say.
         seals.forEach { (n, jws) -> println(TrailFile.seal(n, jws)) }
         0
     }
 }
 
-@Command(name = "verify", description = ["Check a copy of the trail; name the first broken link of each chain."], mixinStandardHelpOptions = true)
+@Command(
+    name = "verify",
+    description = ["Check a copy of the trail; name the first broken link of each chain."],
+    mixinStandardHelpOptions = true,
+)
 class VerifyTrail : Callable<Int> {
     @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
     lateinit var copy: File
 
-    @Option(names = ["--rights"], required = true, paramLabel = "FILE", description = ["A text of rights that you trust, with the nodes' keys."])
+    @Option(
+        names = ["--rights"],
+        required = true,
+        paramLabel = "FILE",
+        description = ["A text of rights that you trust, with the nodes' keys."],
+    )
     lateinit var rights: File
 
-    @Option(names = ["--checkpoint"], paramLabel = "FILE", description = ["A seal that you kept: the trail must still hold what it says."])
+    @Option(
+        names = ["--checkpoint"],
+        paramLabel = "FILE",
+        description = ["A seal that you kept: the trail must still hold what it says."],
+    )
     var checkpoints: List<File> = emptyList()
 
     override fun call(): Int {
         val policy = readRights(rights)
-        val kept = checkpoints.map { f -> if (f.canRead()) f.readText().trim() else throw BadSettings("$f: can't be read") }
+        val kept = checkpoints.map { f ->
+            if (f.canRead()) f.readText().trim() else throw BadSettings("$f: can't be read")
+        }
         val trail = TrailFile.read(copy)
-        if (trail.chains.isEmpty() && trail.seals.isEmpty()) throw BadSettings("$copy: holds no trail: there is nothing to verify")
+        if (trail.chains.isEmpty() &&
+            trail.seals.isEmpty()
+        ) {
+            throw BadSettings("$copy: holds no trail: there is nothing to verify")
+        }
         val outcome = Verifier(policy::publicKey).verify(trail, kept)
         outcome.broken.forEach { println(it) }
-        println("${outcome.entries} entries hold together, sealed: ${outcome.sealed.entries.joinToString(", ") { "${it.key} up to ${it.value - 1}" }.ifEmpty { "none" }}")
+        println(
+            "${outcome.entries} entries hold together, sealed: ${outcome.sealed.entries.joinToString(", ") {
+                "${it.key} up to ${it.value - 1}"
+            }.ifEmpty { "none" }}",
+        )
         println(if (outcome.broken.isEmpty()) "nothing is broken" else "${outcome.broken.size} broken")
         return if (outcome.broken.isEmpty()) 0 else 1
     }
@@ -155,17 +194,26 @@
     @Option(names = ["--job"], description = ["Decisions about this job, or what else was acted on."])
     var job: String? = null
 
-    @Option(names = ["--action"], description = ["submit, resubmit, show, withdraw, administer, audit, enter, revoke or shed."])
+    @Option(
+        names = ["--action"],
+        description = ["submit, resubmit, show, withdraw, administer, audit, enter, revoke or shed."],
+    )
     var action: String? = null
 
     @Option(names = ["--denied"], description = ["Only what was denied."])
     var denied = false
 
-    fun takes(e: TrailEntry): Boolean =
-        (who == null || e.who == who) && (job == null || e.subject == job) && (action == null || e.action == action) && !(denied && e.allowed)
+    fun takes(e: TrailEntry): Boolean = (who == null || e.who == who) &&
+        (job == null || e.subject == job) &&
+        (action == null || e.action == action) &&
+        !(denied && e.allowed)
 }
 
-@Command(name = "find", description = ["Search a copy of the trail; decisions come out as JSON lines, oldest first."], mixinStandardHelpOptions = true)
+@Command(
+    name = "find",
+    description = ["Search a copy of the trail; decisions come out as JSON lines, oldest first."],
+    mixinStandardHelpOptions = true,
+)
 class FindInTrail : Callable<Int> {
     @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
     lateinit var copy: File
@@ -175,7 +223,9 @@
 
     override fun call(): Int {
         val lines = TrailFile.read(copy).chains.values.flatMap { it.values }.flatMap { it.lines }
-        lines.mapNotNull { readable(it) }.filter { filter.takes(it.entry) }.sortedBy { it.entry.atMs }.forEach { println(TrailLines.export(it)) }
+        lines.mapNotNull {
+            readable(it)
+        }.filter { filter.takes(it.entry) }.sortedBy { it.entry.atMs }.forEach { println(TrailLines.export(it)) }
         return 0
     }
 }
@@ -187,7 +237,11 @@
     null
 }
 
-@Command(name = "follow", description = ["Print decisions as they are made, until interrupted."], mixinStandardHelpOptions = true)
+@Command(
+    name = "follow",
+    description = ["Print decisions as they are made, until interrupted."],
+    mixinStandardHelpOptions = true,
+)
 class FollowTrail : TrailCommand() {
     @Mixin
     lateinit var filter: TrailFilter
@@ -215,7 +269,9 @@
         var (segment, shown) = from
         while (true) {
             val s = reader.segment(node, segment) ?: return maxOf(0, segment - 1) to shown
-            s.lines.drop(shown.toInt()).mapNotNull { readable(it) }.filter { !quiet && filter.takes(it.entry) }.forEach { println(TrailLines.export(it)) }
+            s.lines.drop(shown.toInt()).mapNotNull {
+                readable(it)
+            }.filter { !quiet && filter.takes(it.entry) }.forEach { println(TrailLines.export(it)) }
             shown = s.lines.size.toLong()
             // The next segment, if there is one, begins anew.
             if (reader.segment(node, segment + 1) == null) return segment to shown
--- a/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
@@ -11,12 +11,21 @@
 import java.util.Base64
 import java.util.concurrent.Callable
 
-@Command(name = "keys", description = ["Make keys for people, services, nodes and links between nodes."], mixinStandardHelpOptions = true, subcommands = [NewKey::class, NewPeerKey::class])
+@Command(
+    name = "keys",
+    description = ["Make keys for people, services, nodes and links between nodes."],
+    mixinStandardHelpOptions = true,
+    subcommands = [NewKey::class, NewPeerKey::class],
+)
 class KeysCommand : Runnable {
     override fun run() = picocli.CommandLine.usage(this, System.out)
 }
 
-@Command(name = "new", description = ["Make a key, and print the statement of the rights that makes it known."], mixinStandardHelpOptions = true)
+@Command(
+    name = "new",
+    description = ["Make a key, and print the statement of the rights that makes it known."],
+    mixinStandardHelpOptions = true,
+)
 class NewKey : Callable<Int> {
     enum class Kind { PERSON, SERVICE, NODE }
 
@@ -29,11 +38,20 @@
     @Option(names = ["--id"], paramLabel = "ID", description = ["The key's id among those of its owner. Default: k1."])
     var id: String = "k1"
 
-    @Option(names = ["--out"], required = true, paramLabel = "FILE", description = ["Where the private key goes (mode 0600)."])
+    @Option(
+        names = ["--out"],
+        required = true,
+        paramLabel = "FILE",
+        description = ["Where the private key goes (mode 0600)."],
+    )
     lateinit var out: File
 
     override fun call(): Int {
-        if (!NAME.matches(name) || !NAME.matches(id)) throw BadSettings("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
+        if (!NAME.matches(name) ||
+            !NAME.matches(id)
+        ) {
+            throw BadSettings("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
+        }
         val key = SigningKey.generate(name, id)
         KeyFiles.write(out, key.secretJson() + "\n")
         println("${kind.name.lowercase()} \"$name\" { key \"$id\" \"${key.x}\"; }")
@@ -56,7 +74,9 @@
     override fun call(): Int {
         val secret = ByteArray(32).also { SecureRandom().nextBytes(it) }
         KeyFiles.write(out, "keys:\n  - id: \"$id\"\n    secret: ${Base64.getEncoder().encodeToString(secret)}\n")
-        println("$out: the same file for every node; to replace a key, add the new one below, then move it up, then drop the old one")
+        println(
+            "$out: the same file for every node; to replace a key, add the new one below, then move it up, then drop the old one",
+        )
         return 0
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
@@ -25,7 +25,9 @@
 import java.util.concurrent.Callable
 
 @Command(
-    name = "rights", description = ["Check, explain, test and publish who may do what."], mixinStandardHelpOptions = true,
+    name = "rights",
+    description = ["Check, explain, test and publish who may do what."],
+    mixinStandardHelpOptions = true,
     subcommands = [CheckRights::class, ExplainRights::class, TestRights::class, ShowRights::class, PublishRights::class, RollBackRights::class],
 )
 class RightsCommand : Runnable {
@@ -43,7 +45,11 @@
 private fun action(word: String): Action = Action.entries.find { it.word == word }
     ?: throw BadSettings("no action is called '$word'; there are ${Action.entries.joinToString(", ") { it.word }}")
 
-@Command(name = "check", description = ["Say what is wrong with a text of rights, or what it holds."], mixinStandardHelpOptions = true)
+@Command(
+    name = "check",
+    description = ["Say what is wrong with a text of rights, or what it holds."],
+    mixinStandardHelpOptions = true,
+)
 class CheckRights : Callable<Int> {
     @Parameters(paramLabel = "FILE", description = ["The text."])
     lateinit var file: File
@@ -52,8 +58,15 @@
         val policy = readRights(file)
         val (able, idle) = policy.principals.values.partition { policy.rulesOf(it.name).any { r -> r.allows } }
         println("$file: ${policy.principals.size} people, services and nodes, ${able.size} of them with rights")
-        idle.filter { it.kind != plankwall.access.PrincipalKind.NODE }.forEach { println("note: nothing is allowed to ${it.name}") }
-        if (able.none { policy.judge(it.name, Action.ADMINISTER, null).allowed }) println("note: nobody may administer: these rights could not be changed any more")
+        idle.filter {
+            it.kind != plankwall.access.PrincipalKind.NODE
+        }.forEach { println("note: nothing is allowed to ${it.name}") }
+        if (able.none {
+                policy.judge(it.name, Action.ADMINISTER, null).allowed
+            }
+        ) {
+            println("note: nobody may administer: these rights could not be changed any more")
+        }
         return 0
     }
 }
@@ -75,16 +88,29 @@
     @Option(names = ["--shape"], description = ["sweep, ensemble or service."])
     var shape: String? = null
 
-    fun facts(): JobFacts? = if (listOf(jobClass, team, owner, priority, shape).all { it == null }) null else facts(jobClass, team, owner, priority, shape)
+    fun facts(): JobFacts? = if (listOf(jobClass, team, owner, priority, shape).all {
+            it == null
+        }
+    ) {
+        null
+    } else {
+        facts(jobClass, team, owner, priority, shape)
+    }
 }
 
 private fun facts(jobClass: String?, team: String?, owner: String?, priority: String?, shape: String?) = JobFacts(
-    owner, jobClass.orEmpty(), team.orEmpty(),
+    owner,
+    jobClass.orEmpty(),
+    team.orEmpty(),
     priority?.let { JobCodec.priorityWords[it] ?: throw BadSettings("no priority is called '$it'") } ?: Priority.NORMAL,
     shape?.let { JobCodec.shapeWords[it] ?: throw BadSettings("no shape is called '$it'") } ?: Shape.ARRAY,
 )
 
-@Command(name = "explain", description = ["Say which rule decides a request, and how the others stand to it."], mixinStandardHelpOptions = true)
+@Command(
+    name = "explain",
+    description = ["Say which rule decides a request, and how the others stand to it."],
+    mixinStandardHelpOptions = true,
+)
 class ExplainRights : Callable<Int> {
     @Parameters(index = "0", paramLabel = "FILE")
     lateinit var file: File
@@ -106,18 +132,29 @@
         for (e in policy.explain(who, action, job.facts())) {
             val how = when (e.standing) {
                 Standing.DECIDES -> "decides"
-                Standing.APPLIES -> if (e.rule.allows == verdict.allowed) "says the same" else "would say otherwise, but a deny wins"
+                Standing.APPLIES -> if (e.rule.allows ==
+                    verdict.allowed
+                ) {
+                    "says the same"
+                } else {
+                    "would say otherwise, but a deny wins"
+                }
                 Standing.OTHER_ACTION -> "is about something else"
                 Standing.CONDITION_FAILS -> "its condition does not hold"
             }
-            println("  line ${e.rule.line}: ${if (e.rule.allows) "allow" else "deny"} ${e.rule.actions.joinToString(", ") { it.word }} (${e.rule.name}): $how")
+            println(
+                "  line ${e.rule.line}: ${if (e.rule.allows) "allow" else "deny"} ${e.rule.actions.joinToString(", ") {
+                    it.word
+                }} (${e.rule.name}): $how",
+            )
         }
         return 0
     }
 }
 
 @Command(
-    name = "test", mixinStandardHelpOptions = true,
+    name = "test",
+    mixinStandardHelpOptions = true,
     description = ["Try a text against expectations: a YAML list of maps with who, may or may_not, and class, team, owner, priority, shape."],
 )
 class TestRights : Callable<Int> {
@@ -136,7 +173,12 @@
         } catch (e: IOException) {
             throw BadSettings("$expectations: can't be read: ${e.message}")
         }
-        if (rows == null || !rows.isArray || rows.isEmpty) throw BadSettings("$expectations: a list of expectations is wanted")
+        if (rows == null ||
+            !rows.isArray ||
+            rows.isEmpty
+        ) {
+            throw BadSettings("$expectations: a list of expectations is wanted")
+        }
         val wrong = rows.mapIndexedNotNull { n, row -> wrongWith(policy, n + 1, row) }
         wrong.forEach { println(it) }
         println("${rows.size() - wrong.size} passed, ${wrong.size} failed")
@@ -144,16 +186,35 @@
     }
 
     private fun wrongWith(policy: Policy, n: Int, row: JsonNode): String? {
-        row.fieldNames().forEach { if (it !in FIELDS) throw BadSettings("$expectations: expectation $n: $it: unknown; known are ${FIELDS.joinToString(", ")}") }
+        row.fieldNames().forEach {
+            if (it !in
+                FIELDS
+            ) {
+                throw BadSettings("$expectations: expectation $n: $it: unknown; known are ${FIELDS.joinToString(", ")}")
+            }
+        }
         fun field(name: String): String? = row.get(name)?.asText()
         val who = field("who") ?: throw BadSettings("$expectations: expectation $n: who: missing")
         val may = row.has("may")
         if (may == row.has("may_not")) throw BadSettings("$expectations: expectation $n: either may or may_not")
-        val words = row.get(if (may) "may" else "may_not").let { v -> if (v.isArray) v.map { it.asText() } else listOf(v.asText()) }
-        val facts = if (JOB_FIELDS.none { row.has(it) }) null else facts(field("class"), field("team"), field("owner"), field("priority"), field("shape"))
+        val words = row.get(if (may) "may" else "may_not").let { v ->
+            if (v.isArray) v.map { it.asText() } else listOf(v.asText())
+        }
+        val facts = if (JOB_FIELDS.none {
+                row.has(it)
+            }
+        ) {
+            null
+        } else {
+            facts(field("class"), field("team"), field("owner"), field("priority"), field("shape"))
+        }
         for (word in words) {
             val verdict = policy.judge(who, action(word), facts)
-            if (verdict.allowed != may) return "expectation $n: $who ${if (verdict.allowed) "may" else "may not"} $word: ${verdict.rule}"
+            if (verdict.allowed !=
+                may
+            ) {
+                return "expectation $n: $who ${if (verdict.allowed) "may" else "may not"} $word: ${verdict.rule}"
+            }
         }
         return null
     }
@@ -184,7 +245,11 @@
     }
 }
 
-@Command(name = "show", description = ["Print the rights as they are published, or were."], mixinStandardHelpOptions = true)
+@Command(
+    name = "show",
+    description = ["Print the rights as they are published, or were."],
+    mixinStandardHelpOptions = true,
+)
 class ShowRights : RemoteRights() {
     @Option(names = ["--version-number"], paramLabel = "N", description = ["An earlier version."])
     var version: Long? = null
@@ -197,12 +262,20 @@
     }
 }
 
-@Command(name = "publish", description = ["Make a text the rights that hold, everywhere within a second."], mixinStandardHelpOptions = true)
+@Command(
+    name = "publish",
+    description = ["Make a text the rights that hold, everywhere within a second."],
+    mixinStandardHelpOptions = true,
+)
 class PublishRights : RemoteRights() {
     @Parameters(paramLabel = "FILE")
     lateinit var file: File
 
-    @Option(names = ["--base"], paramLabel = "N", description = ["The version it follows, if another one in between is to stop it. Default: the present one."])
+    @Option(
+        names = ["--base"],
+        paramLabel = "N",
+        description = ["The version it follows, if another one in between is to stop it. Default: the present one."],
+    )
     var base: Long? = null
 
     override fun call(): Int {
@@ -212,7 +285,11 @@
     }
 }
 
-@Command(name = "rollback", description = ["Publish an earlier version's text again, as a new version."], mixinStandardHelpOptions = true)
+@Command(
+    name = "rollback",
+    description = ["Publish an earlier version's text again, as a new version."],
+    mixinStandardHelpOptions = true,
+)
 class RollBackRights : RemoteRights() {
     @Option(names = ["--to"], required = true, paramLabel = "N")
     var to: Long = 0
--- a/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
+++ b/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
@@ -17,23 +17,33 @@
 
 /** What the commands that talk to a running node share: where it is, and who asks. */
 class NodeCalls {
-    @Option(names = ["--node"], required = true, paramLabel = "HOST:PORT", description = ["A controller's front address."])
+    @Option(
+        names = ["--node"],
+        required = true,
+        paramLabel = "HOST:PORT",
+        description = ["A controller's front address."],
+    )
     lateinit var node: String
 
     @Option(
-        names = ["--key"], paramLabel = "FILE", defaultValue = "\${env:PLANKWALL_KEY}",
+        names = ["--key"],
+        paramLabel = "FILE",
+        defaultValue = "\${env:PLANKWALL_KEY}",
         description = ["Your private key, where the service wants to know who asks. Default: \$PLANKWALL_KEY."],
     )
     var keyFile: File? = null
 
     @Option(
-        names = ["--audience"], paramLabel = "NAME", defaultValue = "\${env:PLANKWALL_AUDIENCE:-plankwall}",
+        names = ["--audience"],
+        paramLabel = "NAME",
+        defaultValue = "\${env:PLANKWALL_AUDIENCE:-plankwall}",
         description = ["The installation that the proof is meant for. Default: \$PLANKWALL_AUDIENCE, or plankwall."],
     )
     var audience: String = "plankwall"
 
     private val key: SigningKey? by lazy { keyFile?.let { KeyFiles.signing(it) } }
-    private val client = lazy { HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build() }
+    private val client =
+        lazy { HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build() }
 
     class Answer(val status: Int, val body: String) {
         val good: Boolean get() = status in 200..299
@@ -41,7 +51,13 @@
 
     /** Null, with a line that says why, if there was no answer. */
     fun ask(method: String, path: String, body: ByteArray? = null): Answer? {
-        val publisher = if (body == null) HttpRequest.BodyPublishers.noBody() else HttpRequest.BodyPublishers.ofByteArray(body)
+        val publisher = if (body ==
+            null
+        ) {
+            HttpRequest.BodyPublishers.noBody()
+        } else {
+            HttpRequest.BodyPublishers.ofByteArray(body)
+        }
         val request = try {
             HttpRequest.newBuilder(URI("http://$node$path")).method(method, publisher).timeout(TIMEOUT)
         } catch (e: URISyntaxException) {
@@ -61,7 +77,14 @@
 
     /** Made anew for each request and good for that one only. */
     private fun proof(key: SigningKey, method: String, path: String, body: ByteArray): String = Tokens.authorization(
-        Tokens.sign(key, audience, UUID.randomUUID().toString(), System.currentTimeMillis(), TOKEN_S, Tokens.fingerprintOf(method, path, body)),
+        Tokens.sign(
+            key,
+            audience,
+            UUID.randomUUID().toString(),
+            System.currentTimeMillis(),
+            TOKEN_S,
+            Tokens.fingerprintOf(method, path, body),
+        ),
     )
 
     /** Prints an answer; the exit code that it means. */
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -15,21 +15,36 @@
         "reads_only_after_s", "trail_share", "seal_s", "denials_per_s", "denial_burst", "workers_at_listed_address",
     )
 
-    fun read(file: File): GateSettings = readSettings(file, YAMLMapper(), "YAML") { read(it, file.absoluteFile.parentFile) }
+    fun read(file: File): GateSettings = readSettings(file, YAMLMapper(), "YAML") {
+        read(it, file.absoluteFile.parentFile)
+    }
 
     /** Files are named as seen from [folder]. */
     fun read(root: JsonNode?, folder: File): GateSettings {
         if (root == null || !root.isObject) throw BadSettings("must be a map of settings")
-        root.fieldNames().forEach { if (it !in known) throw BadSettings("$it: unknown; known are ${known.joinToString(", ")}") }
+        root.fieldNames().forEach {
+            if (it !in
+                known
+            ) {
+                throw BadSettings("$it: unknown; known are ${known.joinToString(", ")}")
+            }
+        }
         val default = GateSettings("")
         val peerKeys = file(root, "peer_keys_file", folder)?.let { KeyFiles.peers(it) }.orEmpty()
         return GateSettings(
-            audience = root.get("audience")?.asText()?.takeIf { it.isNotBlank() } ?: throw BadSettings("audience: missing: the name of this installation"),
+            audience =
+            root.get("audience")?.asText()?.takeIf { it.isNotBlank() }
+                ?: throw BadSettings("audience: missing: the name of this installation"),
             firstRights = file(root, "rights_file", folder)?.let { rights(it) },
             nodeKey = file(root, "node_key_file", folder)?.let { KeyFiles.signing(it) },
             peerKeys = peerKeys,
             allowUnsignedPeers = choice(root, "unsigned_peers", listOf("refuse", "allow")) == "allow",
-            clockToleranceMs = number(root, "clock_tolerance_ms", default.clockToleranceMs.toDouble(), 0.0..60_000.0).toLong(),
+            clockToleranceMs = number(
+                root,
+                "clock_tolerance_ms",
+                default.clockToleranceMs.toDouble(),
+                0.0..60_000.0,
+            ).toLong(),
             maxTokenS = number(root, "max_token_s", default.maxTokenS, 1.0..3600.0),
             failClosedS = number(root, "reads_only_after_s", default.failClosedS, 1.0..3600.0),
             trailShare = number(root, "trail_share", default.trailShare, 0.01..0.9),
@@ -56,12 +71,17 @@
 
     private fun choice(root: JsonNode, key: String, allowed: List<String>): String {
         val value = root.get(key)?.asText() ?: return allowed.first()
-        return value.takeIf { it in allowed } ?: throw BadSettings("$key: '$value' must be ${allowed.joinToString(" or ")}")
+        return value.takeIf { it in allowed }
+            ?: throw BadSettings("$key: '$value' must be ${allowed.joinToString(" or ")}")
     }
 
     private fun number(root: JsonNode, key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
         val node = root.get(key) ?: return default
-        if (!node.isNumber || node.asDouble() !in range) throw BadSettings("$key: ${node.asText()} must be a number in ${range.start}..${range.endInclusive}")
+        if (!node.isNumber ||
+            node.asDouble() !in range
+        ) {
+            throw BadSettings("$key: ${node.asText()} must be a number in ${range.start}..${range.endInclusive}")
+        }
         return node.asDouble()
     }
 
--- a/src/main/kotlin/plankwall/cli/settings/KeyFiles.kt
+++ b/src/main/kotlin/plankwall/cli/settings/KeyFiles.kt
@@ -21,7 +21,9 @@
 
     /** The text of a file that only its owner may read. */
     private fun secret(file: File): String = try {
-        val open = Files.getPosixFilePermissions(file.toPath()) - setOf(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE)
+        val open =
+            Files.getPosixFilePermissions(file.toPath()) -
+                setOf(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE)
         if (open.isNotEmpty()) throw BadSettings("$file: others may use this file too; a key needs mode 0600 or 0400")
         file.readText()
     } catch (e: IOException) {
@@ -55,13 +57,20 @@
         } catch (_: IllegalArgumentException) {
             throw BadSettings("$file: key $id: the secret is not base64")
         }
-        if (secret.size < LEAST_SECRET) throw BadSettings("$file: key $id: the secret must have $LEAST_SECRET bytes or more")
+        if (secret.size <
+            LEAST_SECRET
+        ) {
+            throw BadSettings("$file: key $id: the secret must have $LEAST_SECRET bytes or more")
+        }
         return PeerKey(id, secret)
     }
 
     /** Writes a new file that only its owner may read; one that exists is left alone. */
     fun write(file: File, text: String) = try {
-        Files.createFile(file.toPath(), PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(OWNER_ONLY)))
+        Files.createFile(
+            file.toPath(),
+            PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(OWNER_ONLY)),
+        )
         file.writeText(text)
     } catch (_: FileAlreadyExistsException) {
         throw BadSettings("$file: exists already; a key is never written over")
--- a/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
@@ -73,7 +73,10 @@
     }
 
     private fun objective(row: JsonNode) = Objective(
-        text(row, "kind"), row.get("class")?.asText(), amount(row, "within_s", 0.0, 0.0, 1e9), amount(row, "share", 0.0, 0.0, 1.0),
+        text(row, "kind"),
+        row.get("class")?.asText(),
+        amount(row, "within_s", 0.0, 0.0, 1e9),
+        amount(row, "share", 0.0, 0.0, 1.0),
         amount(row, "times", 1.0, 0.0, 1e6),
     )
 
@@ -93,9 +96,23 @@
     private fun address(parent: JsonNode, key: String): Address =
         Address.parse(text(parent, key)) ?: throw BadSettings("$key: must be an address such as 10.0.0.1:8080")
 
-    private fun amount(parent: JsonNode, key: String, default: Double?, min: Double, max: Double, prefix: String = ""): Double {
-        val node = parent.get(key) ?: return default ?: throw BadSettings("$prefix$key: is missing; must lie in $min..$max")
-        val value = if (node.isNumber) node.asDouble() else throw BadSettings("$prefix$key: must be a number in $min..$max")
+    private fun amount(
+        parent: JsonNode,
+        key: String,
+        default: Double?,
+        min: Double,
+        max: Double,
+        prefix: String = "",
+    ): Double {
+        val node =
+            parent.get(key) ?: return default ?: throw BadSettings("$prefix$key: is missing; must lie in $min..$max")
+        val value = if (node.isNumber) {
+            node.asDouble()
+        } else {
+            throw BadSettings(
+                "$prefix$key: must be a number in $min..$max",
+            )
+        }
         if (value !in min..max) throw BadSettings("$prefix$key: $value must lie in $min..$max")
         return value
     }
--- a/src/main/kotlin/plankwall/core/CatalogWriter.kt
+++ b/src/main/kotlin/plankwall/core/CatalogWriter.kt
@@ -14,7 +14,11 @@
     fun save(catalog: Catalog) {
         val names = catalog.types.map { it.name }
         if (saving || market.storedTypes == names) return
-        val pieces = Divided.catalog(catalog, if (store.limits.mayDivide) store.limits.txnOps else 1, store.limits.wholeBytes)
+        val pieces = Divided.catalog(
+            catalog,
+            if (store.limits.mayDivide) store.limits.txnOps else 1,
+            store.limits.wholeBytes,
+        )
         // What can't be stored is asked of the cloud by every node instead, and not tried again.
         if (pieces == null) {
             if (store.limits.mayDivide) market.storedTypes = names
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -100,8 +100,11 @@
 
     private fun keep(input: Input.Keep) {
         val gate = gate
-        if (gate == null) ctx.out.answer(input.request, 404, JobCodec.error("not found"))
-        else gate.keep(input.request, input.proof, input.asked)
+        if (gate == null) {
+            ctx.out.answer(input.request, 404, JobCodec.error("not found"))
+        } else {
+            gate.keep(input.request, input.proof, input.asked)
+        }
     }
 
     private fun progressOf(id: String): JobProgress? = term?.progressOf(id) ?: board[id]
@@ -137,8 +140,13 @@
 
     /** Healthy while requests can be taken. In an outage of the store for all, refusing at once beats being cut off. */
     private fun up(input: Input.Up) {
-        if (market.catalog != null && !leadership.picture.onlyOthersHaveStore()) ctx.out.answer(input.request, 200, JobCodec.error("none"))
-        else ctx.out.answer(input.request, 503, JobCodec.error("not ready"), 1)
+        if (market.catalog != null &&
+            !leadership.picture.onlyOthersHaveStore()
+        ) {
+            ctx.out.answer(input.request, 200, JobCodec.error("none"))
+        } else {
+            ctx.out.answer(input.request, 503, JobCodec.error("not ready"), 1)
+        }
     }
 
     private fun checkIn(input: Input.CheckIn) {
@@ -146,8 +154,11 @@
         if (refused != null) return ctx.out.answer(input.request, 403, JobCodec.error(refused))
         term?.isForeign(input.report)
         val answer = answer(input.report, ctx.settings.node)
-        if (answer == null) relay.checkIn(input)
-        else ctx.out.answer(input.request, answer.status, answer.body, answer.retryAfterS)
+        if (answer == null) {
+            relay.checkIn(input)
+        } else {
+            ctx.out.answer(input.request, answer.status, answer.body, answer.retryAfterS)
+        }
     }
 
     /** A report that another node passes on since its worker can't come here. */
@@ -185,7 +196,11 @@
             answers.add(answer)
             bytes += answer.body.size + ANSWER_OVERHEAD
         }
-        if (answers.isNotEmpty()) ctx.out.add(Effect.PeerSend(AnswerBatch(ctx.settings.node, epoch, answers), batch.from))
+        if (answers.isNotEmpty()) {
+            ctx.out.add(
+                Effect.PeerSend(AnswerBatch(ctx.settings.node, epoch, answers), batch.from),
+            )
+        }
     }
 
     private fun refused(from: String, report: Report): String? =
@@ -199,7 +214,10 @@
         val current = term
         if (current == null || !leadership.mayAnswer) return null
         return when (val word = current.checkIn(report, through)) {
-            is LeadershipTerm.Word.Orders -> WorkerAnswer(200, WorkerCodec.answer(current.tokenFor(report.machine), word.orders))
+            is LeadershipTerm.Word.Orders -> WorkerAnswer(
+                200,
+                WorkerCodec.answer(current.tokenFor(report.machine), word.orders),
+            )
             is LeadershipTerm.Word.ReportTo -> WorkerAnswer(421, WorkerCodec.reportTo(word.node))
             LeadershipTerm.Word.Refused -> WorkerAnswer(503, JobCodec.error("an old report"), 1)
         }
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -47,11 +47,15 @@
     private val desk = WorkerDesk(ctx, leadership, book, fleet)
     private val placer = Placer(ctx, book, fleet)
     private val outlook = Outlook(ctx, fleet, ctx.now)
-    private val rental = RentalLoop(ctx, store, book, fleet, placer, outlook, ctx.now) { fleet.surelyEmptyAt(it, leadership.othersSilent) }
+    private val rental =
+        RentalLoop(ctx, store, book, fleet, placer, outlook, ctx.now) {
+            fleet.surelyEmptyAt(it, leadership.othersSilent)
+        }
     private val upgrade = Upgrade(leadership, store)
     private val catalogs = CatalogWriter(store, market)
     private val teller = ProgressTeller(book)
-    private val sessions = SessionPlanner(ctx, leadership.picture, fleet, leadership.epoch, leadership.picture.lastSessionPlan)
+    private val sessions =
+        SessionPlanner(ctx, leadership.picture, fleet, leadership.epoch, leadership.picture.lastSessionPlan)
     private val reach = DirectReach(ctx, fleet, outlook, sessions)
     private val transfer = LeadershipTransfer(ctx, leadership, fleet, outlook, reach)
     private var loaded = false
@@ -76,7 +80,11 @@
         for (item in pages) {
             val record = item.value as? PageRecord ?: continue
             val job = book.find(Keys.jobId(item.key))
-            if (job != null) book.restore(job, item, record) else if (record.placements.isEmpty()) orphans.add(item.key)
+            if (job != null) {
+                book.restore(job, item, record)
+            } else if (record.placements.isEmpty()) {
+                orphans.add(item.key)
+            }
         }
         book.restored()
         loaded = true
@@ -96,7 +104,9 @@
                     watch(maxOf(after, result.revision))
                 }
                 StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
-                    jobs.forEach { (it.value as? JobRecord)?.let { r -> book.learn(Keys.jobId(it.key), r, it.version) } }
+                    jobs.forEach {
+                        (it.value as? JobRecord)?.let { r -> book.learn(Keys.jobId(it.key), r, it.version) }
+                    }
                     watch(revision)
                 }
                 else -> ctx.later(0.3) { if (store.active) watch(after) }
@@ -155,7 +165,9 @@
         fleet.describe(m, r)
         m.lastAnswered = ctx.now
         // A job known as withdrawn needs no book to be stopped: what this lease keeps alive must not be among it.
-        return r.tasks.filter { it.stage != TaskStage.EXITED && cancellations.isKnown(it.jobId) }.map { Order(OrderOp.STOP, it.jobId, it.task, it.attempt, 0.0) }
+        return r.tasks.filter {
+            it.stage != TaskStage.EXITED && cancellations.isKnown(it.jobId)
+        }.map { Order(OrderOp.STOP, it.jobId, it.task, it.attempt, 0.0) }
     }
 
     /** A user was told that [job] is withdrawn. */
--- a/src/main/kotlin/plankwall/core/backlog/Backlog.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Backlog.kt
@@ -46,13 +46,16 @@
         val due = overdue.filterKeys { catchingUp[it]?.isDue == true }.values.toSet()
         return pending.sortedWith(
             compareByDescending<Job> { it.guaranteed }.thenByDescending { floors.rank(it) }.thenBy { it.spareTime }
-                .thenByDescending { it in due }.thenByDescending { prospect(it) != Prospect.OUT_OF_REACH && pressing(it) }
+                .thenByDescending {
+                    it in due
+                }.thenByDescending { prospect(it) != Prospect.OUT_OF_REACH && pressing(it) }
                 .thenBy { prospect(it) }.thenBy { it.submittedMs },
         )
     }
 
     /** A stage that must start by now, going by the deadline of the job that its user waits for. */
-    private fun pressing(job: Job): Boolean = job.dueMs != Long.MAX_VALUE && job.dueMs - (job.spec.estimateS * 1000).toLong() <= ctx.time.wallMs
+    private fun pressing(job: Job): Boolean =
+        job.dueMs != Long.MAX_VALUE && job.dueMs - (job.spec.estimateS * 1000).toLong() <= ctx.time.wallMs
 
     /** [tasks] of [job] got a place. */
     fun placed(job: Job, tasks: Int) {
@@ -60,7 +63,11 @@
         val pool = machines ?: return
         floors.placed(job, tasks)
         val jobClass = job.spec.jobClass
-        catchingUp.getOrPut(jobClass) { CatchingUp() }.gave(prospect(job), pool.workS(job, tasks, holdsS(job)), jobClass in overdue)
+        catchingUp.getOrPut(jobClass) { CatchingUp() }.gave(
+            prospect(job),
+            pool.workS(job, tasks, holdsS(job)),
+            jobClass in overdue,
+        )
     }
 
     /** [tasks] of [job] are being stopped for the sake of others. */
@@ -75,16 +82,40 @@
         val scarce = rest.filter { isScarce(it) }
         val all = capacity()
         val short = scarce.isNotEmpty() || binding.teams.isNotEmpty()
-        val pool = if (short) Pool(ctx, all, fleet.machines.asSequence().flatMap { it.placements.values }, waiting(services)) else null
+        val pool = if (short) {
+            Pool(
+                ctx,
+                all,
+                fleet.machines.asSequence().flatMap {
+                    it.placements.values
+                },
+                waiting(services),
+            )
+        } else {
+            null
+        }
         floors.refresh(book.live, scarce.isNotEmpty(), pool?.size ?: Resources.NONE, ::holdsS)
         if (pool != null && scarce.isNotEmpty()) {
             val modest = FairParts.modest(rest, all, ::demandOf, book::used)
-            for ((jobClass, jobs) in rest.filter { prospect(it) != Prospect.OUT_OF_REACH }.groupBy { it.spec.jobClass }) {
-                pool.judge(blocks(jobs) { it.team.value in modest }, floors.shareOf(jobClass), jobClass, ::holdsS, ::worse)
+            for ((jobClass, jobs) in rest.filter {
+                prospect(it) != Prospect.OUT_OF_REACH
+            }.groupBy { it.spec.jobClass }) {
+                pool.judge(
+                    blocks(jobs) {
+                        it.team.value in modest
+                    },
+                    floors.shareOf(jobClass),
+                    jobClass,
+                    ::holdsS,
+                    ::worse,
+                )
             }
         }
         machines = pool
-        overdue = rest.filter { prospect(it) == Prospect.OUT_OF_REACH }.groupBy { it.spec.jobClass }.mapValues { (_, jobs) -> jobs.minBy { it.submittedMs } }
+        overdue =
+            rest.filter {
+                prospect(it) == Prospect.OUT_OF_REACH
+            }.groupBy { it.spec.jobClass }.mapValues { (_, jobs) -> jobs.minBy { it.submittedMs } }
         binding.tell(scarce, prospects, floors)
     }
 
@@ -105,8 +136,9 @@
     }
 
     /** Those who stand before others, first: guarantees, higher ranks, and [first]. */
-    private fun blocks(jobs: List<Job>, first: (Job) -> Boolean = { false }): List<List<Job>> =
-        jobs.groupBy { Triple(it.guaranteed, floors.rank(it), first(it)) }.toList().sortedWith(BY_STANDING).map { it.second }
+    private fun blocks(jobs: List<Job>, first: (Job) -> Boolean = { false }): List<List<Job>> = jobs.groupBy {
+        Triple(it.guaranteed, floors.rank(it), first(it))
+    }.toList().sortedWith(BY_STANDING).map { it.second }
 
     private fun worse(job: Job, p: Prospect) {
         if (p > prospect(job)) prospects[job] = p
@@ -114,11 +146,17 @@
 
     private fun limitOf(team: Team) = Resources(team.cpusMax, team.gpusMax, 0)
 
-    private fun capacity(): Resources = fleet.machines.filter { !it.returning }.fold(Resources.NONE) { sum, m -> sum + (m.type?.capacity ?: Resources.NONE) }
+    private fun capacity(): Resources = fleet.machines.filter { !it.returning }.fold(Resources.NONE) { sum, m ->
+        sum +
+            (m.type?.capacity ?: Resources.NONE)
+    }
 
     private fun demandOf(job: Job): Resources = job.spec.need * job.waiting.size
 
-    private fun waiting(jobs: List<Job>): Resources = jobs.fold(Resources.NONE) { sum, j -> sum + j.spec.need * j.waiting.size }
+    private fun waiting(jobs: List<Job>): Resources = jobs.fold(Resources.NONE) { sum, j ->
+        sum +
+            j.spec.need * j.waiting.size
+    }
 
     private fun countImages() {
         holders = HashMap()
--- a/src/main/kotlin/plankwall/core/backlog/Binding.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Binding.kt
@@ -25,7 +25,10 @@
     fun held(team: Int, jobs: List<Job>, used: Resources) {
         held.add(team)
         val t = ctx.settings.teams[team]
-        say("team ${t.name}") { "its limit (${used.gpus / 1000} of ${t.gpusMax / 1000} GPUs, ${used.cpus / 1000} of ${t.cpusMax / 1000} CPUs in use)" to jobs }
+        say("team ${t.name}") {
+            "its limit (${used.gpus / 1000} of ${t.gpusMax / 1000} GPUs, ${used.cpus / 1000} of ${t.cpusMax / 1000} CPUs in use)" to
+                jobs
+        }
     }
 
     fun endTeams() {
@@ -39,8 +42,13 @@
             return
         }
         say(name) {
-            val low = floors.below().entries.joinToString { (name, part) -> "$name (%.2f of %.2f)".format(part.first, part.second) }
-            "the cloud, which has no more; ${prospects.values.count { it == Prospect.OUT_OF_REACH }} jobs out of reach, below their floors: [$low]" to scarce
+            val low = floors.below().entries.joinToString { (name, part) ->
+                "$name (%.2f of %.2f)".format(part.first, part.second)
+            }
+            "the cloud, which has no more; ${prospects.values.count {
+                it == Prospect.OUT_OF_REACH
+            }} jobs out of reach, below their floors: [$low]" to
+                scarce
         }
     }
 
@@ -50,7 +58,16 @@
         if (ctx.now - hold.saidAt < SAY_EVERY_S) return
         hold.saidAt = ctx.now
         val (by, jobs) = what()
-        log.info("{} held for {} s by {}: {} jobs, {} tasks wait", name, (ctx.now - hold.since).toInt(), by, jobs.size, jobs.sumOf { it.waiting.size })
+        log.info(
+            "{} held for {} s by {}: {} jobs, {} tasks wait",
+            name,
+            (ctx.now - hold.since).toInt(),
+            by,
+            jobs.size,
+            jobs.sumOf {
+                it.waiting.size
+            },
+        )
     }
 
     private fun over(name: String) {
--- a/src/main/kotlin/plankwall/core/backlog/Due.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Due.kt
@@ -18,7 +18,14 @@
     fun inS(nowMs: Long, lastsS: Double): Double {
         val byStart = until(startMs, nowMs) + lastsS
         val byEnd = until(endMs, nowMs)
-        return if (either && startMs != Long.MAX_VALUE && endMs != Long.MAX_VALUE) maxOf(byStart, byEnd) else minOf(byStart, byEnd)
+        return if (either &&
+            startMs != Long.MAX_VALUE &&
+            endMs != Long.MAX_VALUE
+        ) {
+            maxOf(byStart, byEnd)
+        } else {
+            minOf(byStart, byEnd)
+        }
     }
 
     fun startOver(nowMs: Long): Boolean = nowMs > startMs
@@ -32,20 +39,36 @@
         private const val NEVER_S = 1e9
 
         /** All that was asked of [job]. */
-        fun tight(job: Job, aims: Aims): Due = of(job, aims.startWithinS(job.spec.jobClass), aims.finishWithinS(job.spec.jobClass), 1.0, either = false)
+        fun tight(job: Job, aims: Aims): Due =
+            of(job, aims.startWithinS(job.spec.jobClass), aims.finishWithinS(job.spec.jobClass), 1.0, either = false)
 
         /** The least of what was asked: after this nothing is left to be met. */
         fun last(job: Job, aims: Aims): Due = of(
-            job, aims.lastStartWithinS(job.spec.jobClass), aims.lastFinishWithinS(job.spec.jobClass), aims.lastDeadlineTimes(job.spec.jobClass),
+            job,
+            aims.lastStartWithinS(job.spec.jobClass),
+            aims.lastFinishWithinS(job.spec.jobClass),
+            aims.lastDeadlineTimes(job.spec.jobClass),
             either = true,
         )
 
         private fun of(job: Job, startS: Double?, finishS: Double?, times: Double, either: Boolean): Due {
             // A stage is due when the job that needs it must start; what comes after it may make up for a little.
-            val deadlineMs = if (job.dueMs == Long.MAX_VALUE) Long.MAX_VALUE else job.submittedMs + ((job.dueMs - job.submittedMs) * times).toLong()
+            val deadlineMs = if (job.dueMs ==
+                Long.MAX_VALUE
+            ) {
+                Long.MAX_VALUE
+            } else {
+                job.submittedMs + ((job.dueMs - job.submittedMs) * times).toLong()
+            }
             return Due(after(job, startS), minOf(after(job, finishS), deadlineMs), either)
         }
 
-        private fun after(job: Job, s: Double?): Long = if (s == null) Long.MAX_VALUE else job.readyMs + (s * 1000).toLong()
+        private fun after(job: Job, s: Double?): Long = if (s ==
+            null
+        ) {
+            Long.MAX_VALUE
+        } else {
+            job.readyMs + (s * 1000).toLong()
+        }
     }
 }
--- a/src/main/kotlin/plankwall/core/backlog/FairParts.kt
+++ b/src/main/kotlin/plankwall/core/backlog/FairParts.kt
@@ -7,7 +7,12 @@
 /** Which teams ask for no more than an equal part of what there is: a burst of one is not to be at their cost. */
 object FairParts {
     /** Of the teams of [waiting] jobs those for which an equal part of [all] is enough; with one team, none. */
-    fun modest(waiting: List<Job>, all: Resources, demandOf: (Job) -> Resources, usedBy: (TeamIx) -> Resources): Set<Int> {
+    fun modest(
+        waiting: List<Job>,
+        all: Resources,
+        demandOf: (Job) -> Resources,
+        usedBy: (TeamIx) -> Resources,
+    ): Set<Int> {
         val wants = HashMap<Int, Resources>()
         for (job in waiting) wants.merge(job.team.value, demandOf(job), Resources::plus)
         if (wants.size < 2) return emptySet()
--- a/src/main/kotlin/plankwall/core/backlog/Floors.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Floors.kt
@@ -33,7 +33,11 @@
         val priorities = HashMap<String, Priority>()
         for (job in live) {
             if (job.spec.shape == Shape.SERVICE) continue
-            taken.merge(job.spec.jobClass, job.spec.need.partOf(pool) * job.placements.values.count { it.stopping == null }, Double::plus)
+            taken.merge(
+                job.spec.jobClass,
+                job.spec.need.partOf(pool) * job.placements.values.count { it.stopping == null },
+                Double::plus,
+            )
             priorities.merge(job.spec.jobClass, job.priority, ::maxOf)
         }
         val asked = taken.keys.associateWith { offered.partOf(pool, it) }
@@ -82,7 +86,10 @@
 
     /** Classes below their floors, with what they take and their floors, in parts of all room. */
     fun below(): Map<String, Pair<Double, Double>> =
-        floors.filter { (name, floor) -> (taken[name] ?: 0.0) < floor }.mapValues { (name, floor) -> (taken[name] ?: 0.0) to floor }
+        floors.filter { (name, floor) -> (taken[name] ?: 0.0) < floor }.mapValues { (name, floor) ->
+            (taken[name] ?: 0.0) to
+                floor
+        }
 
     /** Higher goes first: those below their floors, by priority, then all others, by priority. */
     fun rank(job: Job): Int = when {
--- a/src/main/kotlin/plankwall/core/backlog/InTime.kt
+++ b/src/main/kotlin/plankwall/core/backlog/InTime.kt
@@ -23,9 +23,11 @@
         for (lot in byDue) {
             largest.add(lot)
             sum += lot.workS
-            if (sum > lot.dueS) largest.poll().let {
-                left.add(it)
-                sum -= it.workS
+            if (sum > lot.dueS) {
+                largest.poll().let {
+                    left.add(it)
+                    sum -= it.workS
+                }
             }
         }
         return byDue.filter { it !in left }
--- a/src/main/kotlin/plankwall/core/backlog/Offered.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Offered.kt
@@ -21,7 +21,13 @@
         for (job in jobs) {
             if (!job.ready || job.demandIx <= newest) continue
             seenIx = maxOf(seenIx, job.demandIx)
-            byClass.getOrPut(job.spec.jobClass) { ArrayDeque() }.addLast(Work(job.readyMs, job.spec.need, eachS(job) * job.spec.tasks))
+            byClass.getOrPut(job.spec.jobClass) { ArrayDeque() }.addLast(
+                Work(
+                    job.readyMs,
+                    job.spec.need,
+                    eachS(job) * job.spec.tasks,
+                ),
+            )
         }
     }
 
@@ -30,13 +36,18 @@
         val works = byClass[jobClass] ?: return 0.0
         val window = windowS(jobClass)
         while (works.isNotEmpty() && ctx.time.wallMs - works.first().atMs > window * 1000) works.removeFirst()
-        val watched = ((ctx.time.wallMs - minOf(sinceMs, works.firstOrNull()?.atMs ?: sinceMs)) / 1000.0).coerceIn(window * LEAST_PART, window)
+        val watched = ((ctx.time.wallMs - minOf(sinceMs, works.firstOrNull()?.atMs ?: sinceMs)) / 1000.0).coerceIn(
+            window * LEAST_PART,
+            window,
+        )
         return works.sumOf { it.need.partOf(pool) * it.seconds } / watched
     }
 
     /** As long as anybody waits for a job of the class: what came before that is over, or too late. */
     private fun windowS(jobClass: String): Double = maxOf(
-        ctx.aims.lastStartWithinS(jobClass) ?: 0.0, ctx.aims.lastFinishWithinS(jobClass) ?: 0.0, ctx.settings.workers.leaseS,
+        ctx.aims.lastStartWithinS(jobClass) ?: 0.0,
+        ctx.aims.lastFinishWithinS(jobClass) ?: 0.0,
+        ctx.settings.workers.leaseS,
     )
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/backlog/Pool.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Pool.kt
@@ -37,9 +37,16 @@
      * Sorts jobs by what can still come of them, after all that runs already. [blocks]: those of higher standing first. [share]: the part
      * of the pool that is theirs, of which tasks of [jobClass], or of all, take up room now. [eachS]: how long a task holds its place.
      */
-    fun judge(blocks: List<List<Job>>, share: Double, jobClass: String?, eachS: (Job) -> Double, verdict: (Job, Prospect) -> Unit) {
+    fun judge(
+        blocks: List<List<Job>>,
+        share: Double,
+        jobClass: String?,
+        eachS: (Job) -> Double,
+        verdict: (Job, Prospect) -> Unit,
+    ) {
         val nowMs = ctx.time.wallMs
-        fun lots(of: List<Job>, due: (Job) -> Due) = of.map { Lot(it, workS(it, it.waiting.size, eachS(it)) / share, due(it).inS(nowMs, it.spec.estimateS)) }
+        fun lots(of: List<Job>, due: (Job) -> Due) =
+            of.map { Lot(it, workS(it, it.waiting.size, eachS(it)) / share, due(it).inS(nowMs, it.spec.estimateS)) }
         var busyS = (if (jobClass == null) loadS.values.sum() else loadS[jobClass] ?: 0.0) / share
         for (jobs in blocks) {
             // What nobody said anything about is neither late nor in time; it only takes its room.
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -82,20 +82,35 @@
         // What it has had from us it need not tell again.
         links.echoes[ctx.settings.node]?.let { own.arrived(status.node, it) }
         news.jobs.forEach { if (note(it)) log.info("job {} is withdrawn, says {}", it, status.node) }
-        peers.getOrPut(status.node) { PeerList() }.hear(status.incarnation, news, picture.echoedAt(status.node), ctx.now)
+        peers.getOrPut(status.node) {
+            PeerList()
+        }.hear(status.incarnation, news, picture.echoedAt(status.node), ctx.now)
         advance()
     }
 
     /** This node's own word for the frame numbered [seq]. */
-    fun news(seq: Long): WithdrawalNews = own.news(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
-
-    private fun millisSince(at: Double): Long = if (at == Double.NEGATIVE_INFINITY) -1 else ((ctx.now - at) * 1000).toLong() + 1
+    fun news(seq: Long): WithdrawalNews =
+        own.news(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
+
+    private fun millisSince(at: Double): Long = if (at ==
+        Double.NEGATIVE_INFINITY
+    ) {
+        -1
+    } else {
+        ((ctx.now - at) * 1000).toLong() + 1
+    }
 
     private fun advance() {
         // A peer's reading says as much as our own, if we have all that it read since and knew before; and one may bring in another.
         do {
             val before = storedUpTo
-            for (peer in peers.values) if (peer.wholeSince <= storedUpTo) storedUpTo = maxOf(storedUpTo, peer.storedUpTo)
+            for (peer in peers.values) {
+                if (peer.wholeSince <=
+                    storedUpTo
+                ) {
+                    storedUpTo = maxOf(storedUpTo, peer.storedUpTo)
+                }
+            }
         } while (storedUpTo > before)
         val vouched = ctx.settings.peers.minOfOrNull { vouchedFor(it.node) } ?: ctx.now
         knownUpTo = maxOf(knownUpTo, storedUpTo, vouched)
@@ -105,7 +120,9 @@
         peers[node]?.takeIf { it.wholeSince <= storedUpTo }?.madeAt ?: Double.NEGATIVE_INFINITY
 
     /** Who vouches for nothing, for the log. */
-    fun doubts(): String = ctx.settings.peers.filter { ctx.now - vouchedFor(it.node) > LinkPicture.FRESH_S }.joinToString(",") { it.node }.ifEmpty { "nobody" }
+    fun doubts(): String = ctx.settings.peers.filter {
+        ctx.now - vouchedFor(it.node) > LinkPicture.FRESH_S
+    }.joinToString(",") { it.node }.ifEmpty { "nobody" }
 
     fun tick() {
         if (startedAt.isNaN()) startedAt = ctx.now
--- a/src/main/kotlin/plankwall/core/front/FrontDesk.kt
+++ b/src/main/kotlin/plankwall/core/front/FrontDesk.kt
@@ -8,7 +8,6 @@
 import plankwall.core.step.Context
 import plankwall.core.step.Decision
 import plankwall.core.step.RequestId
-import plankwall.core.step.Verdict
 import plankwall.core.step.Visitor
 import plankwall.model.Catalog
 import plankwall.model.JobFacts
@@ -71,10 +70,19 @@
     private class Refusal(val status: Int, val reason: String)
 
     /** Admits a request if there is room and the store can be reached; else it is answered at once. */
-    private fun visit(request: RequestId, stateCalls: Int, visitor: Visitor?, patienceS: Double = Visit.CHANGE_S): Visit? {
+    private fun visit(
+        request: RequestId,
+        stateCalls: Int,
+        visitor: Visitor?,
+        patienceS: Double = Visit.CHANGE_S,
+    ): Visit? {
         val visit = begin(request, visitor, patienceS)
         if (open > MAX_OPEN || !calls.take(stateCalls)) {
-            log.info("request refused: {} open, {} calls of the state service left", open - 1, calls.available().toInt())
+            log.info(
+                "request refused: {} open, {} calls of the state service left",
+                open - 1,
+                calls.available().toInt(),
+            )
             visit.tooMany()
             return null
         }
@@ -88,7 +96,9 @@
     fun submit(request: RequestId, spec: JobSpec, visitor: Visitor? = null) {
         finder.ended(spec.id)?.let {
             val visit = begin(request, visitor)
-            visit.judge(Action.RESUBMIT, spec.id, it.facts)?.let { allowed -> visit.accepted(allowed, 200, finalView(spec.id, it)) }
+            visit.judge(Action.RESUBMIT, spec.id, it.facts)?.let { allowed ->
+                visit.accepted(allowed, 200, finalView(spec.id, it))
+            }
             return
         }
         val visit = visit(request, 1, visitor) ?: return
@@ -119,7 +129,13 @@
             StateCodec.sizeOf(record) > valueBytes -> Refusal(400, TOO_LONG)
             else -> judge(spec, catalog)?.let { Refusal(422, it) }
         }
-        if (refusal != null) refuse(visit, allowed, refusal) else whenAccepted(visit, allowed, spec) { store(visit, allowed, record, tries) }
+        if (refusal !=
+            null
+        ) {
+            refuse(visit, allowed, refusal)
+        } else {
+            whenAccepted(visit, allowed, spec) { store(visit, allowed, record, tries) }
+        }
     }
 
     /** What was accepted once stays known, whatever is thought of it now: looked up before it is refused. */
@@ -160,14 +176,29 @@
     private fun ifVisible(visit: Visit, allowed: Allowed, spec: JobSpec, absent: List<String>, then: () -> Unit) {
         val visitor = visit.visitor
         if (visitor != null) {
-            val hidden = spec.dependencies.map { it to visitor.judge(Action.SHOW, factsOf(it)) }.find { !it.second.allowed }
+            val hidden = spec.dependencies.map {
+                it to visitor.judge(Action.SHOW, factsOf(it))
+            }.find { !it.second.allowed }
             if (hidden != null) {
-                val denied = Allowed(Action.SUBMIT, spec.id, hidden.second.copy(rule = "awaits ${hidden.first}: ${hidden.second.rule}"))
+                val denied =
+                    Allowed(
+                        Action.SUBMIT,
+                        spec.id,
+                        hidden.second.copy(rule = "awaits ${hidden.first}: ${hidden.second.rule}"),
+                    )
                 visit.told(denied, 403, JobCodec.error("awaits: you may not show ${hidden.first}"))
                 return
             }
         }
-        if (absent.isEmpty()) then() else refuse(visit, allowed, Refusal(422, "awaits: ${absent.first()} was never accepted"))
+        if (absent.isEmpty()) {
+            then()
+        } else {
+            refuse(
+                visit,
+                allowed,
+                Refusal(422, "awaits: ${absent.first()} was never accepted"),
+            )
+        }
     }
 
     private fun factsOf(id: String): JobFacts? = finder.ended(id)?.facts ?: ledger.factsOf(id)
@@ -183,11 +214,21 @@
                     if (spec.dependencies.isNotEmpty()) log.info("job {} waits for {}", spec.id, spec.dependencies)
                     visit.answer(201, JobCodec.accepted(JobView(spec.id, JobStage.PENDING, 0, 0)))
                 }
-                replaced(result) -> if (tries > 1) admit(visit, spec, tries - 1) else visit.later("the rights change too often")
+                replaced(result) -> if (tries >
+                    1
+                ) {
+                    admit(visit, spec, tries - 1)
+                } else {
+                    visit.later("the rights change too often")
+                }
                 // Known already, or an earlier unanswered try of the same submission went through.
                 result is StateResult.Conflict -> finder.lookUp(spec.id) { answerKnown(visit, spec.id, it) }
                 result == StateResult.Rejected -> {
-                    log.warn("job {} refused for good by the state service: {} bytes", spec.id, StateCodec.sizeOf(record))
+                    log.warn(
+                        "job {} refused for good by the state service: {} bytes",
+                        spec.id,
+                        StateCodec.sizeOf(record),
+                    )
                     // Its size is looked at before the guards: an earlier try may have been accepted while larger values were.
                     refuse(visit, allowed, Refusal(400, TOO_LONG))
                 }
@@ -198,17 +239,25 @@
 
     /** Stores what was allowed; with the decision, where there is one. */
     private fun change(visit: Visit, allowed: Allowed, status: Int, txn: StateOp.Txn, then: (StateResult) -> Unit) {
-        if (visit.visitor == null || allowed.verdict == null) ctx.out.state(txn, then)
-        else visit.visitor.change(Decision(allowed.action, allowed.job, allowed.verdict, status), txn, then)
+        if (visit.visitor == null || allowed.verdict == null) {
+            ctx.out.state(txn, then)
+        } else {
+            visit.visitor.change(Decision(allowed.action, allowed.job, allowed.verdict, status), txn, then)
+        }
     }
 
     /** The rights that allowed it were replaced before it was stored: it has to be judged anew. */
-    private fun replaced(result: StateResult): Boolean = result is StateResult.Conflict && AccessKeys.HEAD in result.failed
+    private fun replaced(result: StateResult): Boolean =
+        result is StateResult.Conflict && AccessKeys.HEAD in result.failed
 
     private fun answerKnown(visit: Visit, id: String, found: Found) {
         when (found) {
-            is Found.Final -> visit.judge(Action.RESUBMIT, id, found.record.facts)?.let { visit.accepted(it, 200, finalView(id, found.record)) }
-            is Found.Live -> visit.judge(Action.RESUBMIT, id, factsOf(found.record))?.let { answerLive(visit, it, id, found.record) }
+            is Found.Final -> visit.judge(Action.RESUBMIT, id, found.record.facts)?.let {
+                visit.accepted(it, 200, finalView(id, found.record))
+            }
+            is Found.Live -> visit.judge(Action.RESUBMIT, id, factsOf(found.record))?.let {
+                answerLive(visit, it, id, found.record)
+            }
             else -> visit.unread()
         }
     }
@@ -221,9 +270,15 @@
             else -> ledger.whenFresh { fresh ->
                 when {
                     !fresh -> visit.unread()
-                    !ledger.isLive(id) -> finder.readFinal(id) { if (it is Found.Final) answerKnown(visit, id, it) else visit.unread() }
+                    !ledger.isLive(id) -> finder.readFinal(id) {
+                        if (it is Found.Final) answerKnown(visit, id, it) else visit.unread()
+                    }
                     else -> settle(visit, id) { withdrawn ->
-                        visit.accepted(allowed, 200, if (withdrawn) withdrawnView(id) else JobView(id, JobStage.PENDING, 0, 0))
+                        visit.accepted(
+                            allowed,
+                            200,
+                            if (withdrawn) withdrawnView(id) else JobView(id, JobStage.PENDING, 0, 0),
+                        )
                     }
                 }
             }
@@ -237,7 +292,13 @@
         if (fitting.isEmpty()) return "a task fits no allowed machine type"
         // Tasks of an array may run one after another, those of the others can't.
         val zones = if (spec.oneZone || spec.zone != null) 1 else fitting.flatMap { it.zones }.distinct().size
-        if (spec.spread && spec.shape != Shape.ARRAY && spec.tasks > 1 && zones < 2) return "its tasks may not share the only zone that they may have"
+        if (spec.spread &&
+            spec.shape != Shape.ARRAY &&
+            spec.tasks > 1 &&
+            zones < 2
+        ) {
+            return "its tasks may not share the only zone that they may have"
+        }
         val atOnce = if (spec.shape == Shape.ARRAY) spec.need else spec.need * spec.tasks
         return if (team.allows(atOnce)) null else "needs more than the team's limit"
     }
@@ -305,7 +366,9 @@
             else -> finder.readFinal(id) { found ->
                 when (found) {
                     is Found.Final -> showFinal(visit, id, found.record)
-                    Found.Absent -> visit.judge(Action.SHOW, id, null)?.let { visit.told(it, 404, JobCodec.error("no such job")) }
+                    Found.Absent -> visit.judge(Action.SHOW, id, null)?.let {
+                        visit.told(it, 404, JobCodec.error("no such job"))
+                    }
                     else -> visit.unread()
                 }
             }
@@ -336,10 +399,15 @@
             when (found) {
                 is Found.Unreadable -> visit.unread()
                 is Found.Final -> withdrawFinal(visit, id, found.record)
-                Found.Absent -> visit.judge(Action.WITHDRAW, id, null)?.let { visit.told(it, 404, JobCodec.error("no such job")) }
+                Found.Absent -> visit.judge(Action.WITHDRAW, id, null)?.let {
+                    visit.told(it, 404, JobCodec.error("no such job"))
+                }
                 is Found.Live -> visit.judge(Action.WITHDRAW, id, factsOf(found.record))?.let { allowed ->
-                    if (found.record.withdrawnMs > 0) visit.accepted(allowed, 200, withdrawnView(id))
-                    else storeWithdrawal(visit, allowed, found, tries)
+                    if (found.record.withdrawnMs > 0) {
+                        visit.accepted(allowed, 200, withdrawnView(id))
+                    } else {
+                        storeWithdrawal(visit, allowed, found, tries)
+                    }
                 }
             }
         }
@@ -347,7 +415,10 @@
 
     private fun storeWithdrawal(visit: Visit, allowed: Allowed, found: Found.Live, tries: Int) {
         val id = allowed.job
-        val txn = StateOp.Txn(listOf(Guard(Keys.job(id), found.version)), listOf(Write.Put(Keys.job(id), withdrawn(found.record))))
+        val txn = StateOp.Txn(
+            listOf(Guard(Keys.job(id), found.version)),
+            listOf(Write.Put(Keys.job(id), withdrawn(found.record))),
+        )
         change(visit, allowed, 200, txn) { result ->
             when {
                 result is StateResult.Committed -> {
@@ -367,7 +438,11 @@
     private fun withdrawn(record: JobRecord): JobRecord {
         val whole = record.copy(withdrawnMs = ctx.time.wallMs)
         if (StateCodec.sizeOf(whole) <= valueBytes) return whole
-        log.info("job {}: its record of {} bytes is withdrawn without what a start would need", record.spec.id, StateCodec.sizeOf(whole))
+        log.info(
+            "job {}: its record of {} bytes is withdrawn without what a start would need",
+            record.spec.id,
+            StateCodec.sizeOf(whole),
+        )
         return whole.copy(spec = record.spec.copy(types = null, dependencies = emptyList()))
     }
 
--- a/src/main/kotlin/plankwall/core/front/JobFinder.kt
+++ b/src/main/kotlin/plankwall/core/front/JobFinder.kt
@@ -43,7 +43,17 @@
     fun readFinal(id: String, then: (Found) -> Unit) = ctx.out.state(StateOp.Get(Keys.final(id))) { final ->
         val over = (final as? StateResult.Item)?.item?.value as? FinalRecord
         if (over != null) finals[id] = over
-        then(if (final !is StateResult.Item) Found.Unreadable else if (over != null) Found.Final(over) else Found.Absent)
+        then(
+            if (final !is StateResult.Item) {
+                Found.Unreadable
+            } else if (over !=
+                null
+            ) {
+                Found.Final(over)
+            } else {
+                Found.Absent
+            },
+        )
     }
 
     /** Those of [names] that are not surely accepted, going by what this node has read so far. */
@@ -62,10 +72,12 @@
         var left = names.size
         var readable = true
         val without = ArrayList<String>()
-        for (name in names) readFinal(name) { found ->
-            if (found is Found.Unreadable) readable = false
-            if (found is Found.Absent) without.add(name)
-            if (--left == 0) then(if (readable) without else null)
+        for (name in names) {
+            readFinal(name) { found ->
+                if (found is Found.Unreadable) readable = false
+                if (found is Found.Absent) without.add(name)
+                if (--left == 0) then(if (readable) without else null)
+            }
         }
         if (names.isEmpty()) then(without)
     }
--- a/src/main/kotlin/plankwall/core/front/JobLedger.kt
+++ b/src/main/kotlin/plankwall/core/front/JobLedger.kt
@@ -86,7 +86,11 @@
         if (result is StateResult.News) {
             for (e in result.events) {
                 val record = e.value as? JobRecord
-                if (record != null) keep(Keys.jobId(e.key), record) else if (e.value == null) drop(Keys.jobId(e.key))
+                if (record != null) {
+                    keep(Keys.jobId(e.key), record)
+                } else if (e.value == null) {
+                    drop(Keys.jobId(e.key))
+                }
             }
             revision = maxOf(revision, result.revision)
             cancellations?.readUpTo(begunAt)
--- a/src/main/kotlin/plankwall/core/front/Visit.kt
+++ b/src/main/kotlin/plankwall/core/front/Visit.kt
@@ -36,8 +36,11 @@
         if (answered) return
         answered = true
         closed()
-        if (ctx.now - begunAt > patienceS) ctx.out.answer(request, 503, TOO_LATE, 1, close = true)
-        else ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && othersCan())
+        if (ctx.now - begunAt > patienceS) {
+            ctx.out.answer(request, 503, TOO_LATE, 1, close = true)
+        } else {
+            ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && othersCan())
+        }
     }
 
     fun tooMany() = answer(429, JobCodec.error("too many requests"), 1)
--- a/src/main/kotlin/plankwall/core/jobs/Dependencies.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Dependencies.kt
@@ -1,7 +1,5 @@
 package plankwall.core.jobs
 
-import plankwall.core.rental.Returns
-
 /**
  * Which jobs wait for which others, and what follows from how those end. A job may start when all that it names are done;
  * it is withdrawn when one of them is, directly or through others. Both rest on stored facts that never change back, so
@@ -19,7 +17,14 @@
         if (names.isEmpty() || id in open) return emptyList()
         open[id] = LinkedHashSet(names)
         names.forEach { dependents.getOrPut(it) { LinkedHashSet() }.add(id) }
-        return if (names.any { it in withdrawn }) listOf(id).filter { it !in withdrawn } + withdrawn(id) else emptyList()
+        return if (names.any {
+                it in withdrawn
+            }
+        ) {
+            listOf(id).filter { it !in withdrawn } + withdrawn(id)
+        } else {
+            emptyList()
+        }
     }
 
     /** [id] is done for good. Returns the jobs that wait for nothing any more. */
--- a/src/main/kotlin/plankwall/core/jobs/JobBook.kt
+++ b/src/main/kotlin/plankwall/core/jobs/JobBook.kt
@@ -71,7 +71,8 @@
         }
         val team = TeamIx(known)
         val image = ImageIx(ctx.names.images.intern(spec.image))
-        val job = Job(JobIx(nextIx++), spec, team, image, record.pageSize, record.submittedMs, ctx.now, isExpected(record))
+        val job =
+            Job(JobIx(nextIx++), spec, team, image, record.pageSize, record.submittedMs, ctx.now, isExpected(record))
         for (task in 0 until spec.tasks) job.waiting.addLast(task)
         jobs[spec.id] = job
         changes++
@@ -81,8 +82,8 @@
     }
 
     /** A guarantee is an aim of its own, for whatever its team submits. */
-    private fun isExpected(record: JobRecord): Boolean =
-        ctx.aims.isStated(record.spec.jobClass) || ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
+    private fun isExpected(record: JobRecord): Boolean = ctx.aims.isStated(record.spec.jobClass) ||
+        ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
 
     /** A job known to the store when we took over: its page tells what may be running. */
     fun restore(job: Job, item: StateItem, record: PageRecord) {
--- a/src/main/kotlin/plankwall/core/jobs/JobWriter.kt
+++ b/src/main/kotlin/plankwall/core/jobs/JobWriter.kt
@@ -78,7 +78,13 @@
         val bytes = content.roughBytes(job)
         if (bytes > limits.wholeBytes * NEAR_FULL || page.refusedBytes > 0) {
             val exact = StateCodec.sizeOf(content.record)
-            if (exact > limits.wholeBytes && limits.mayDivide && page.partSize == 0 && page.tasks > limits.pageTasks) return divide(job, page)
+            if (exact > limits.wholeBytes &&
+                limits.mayDivide &&
+                page.partSize == 0 &&
+                page.tasks > limits.pageTasks
+            ) {
+                return divide(job, page)
+            }
             // Refused as it is, so it is not sent again before it has changed.
             if (page.refusedBytes == exact) return 0
         }
@@ -88,14 +94,34 @@
         return 1
     }
 
-    private class Content(val job: Job, val page: Page, val placements: List<Placement>, val done: BitSet, partSize: Int) {
-        val record = PageRecord(done, placements.map { StoredPlacement(it.task, it.attempt, it.machine.id, it.session) }, partSize)
+    private class Content(
+        val job: Job,
+        val page: Page,
+        val placements: List<Placement>,
+        val done: BitSet,
+        partSize: Int,
+    ) {
+        val record =
+            PageRecord(
+                done,
+                placements.map {
+                    StoredPlacement(it.task, it.attempt, it.machine.id, it.session)
+                },
+                partSize,
+            )
         val key: String get() = Keys.page(job.spec.id, page.number)
 
-        fun roughBytes(job: Job): Int = 120 + placements.size * 60 + 14 * minOf(done.cardinality(), job.pageSize / 2 + 1)
+        fun roughBytes(job: Job): Int =
+            120 + placements.size * 60 + 14 * minOf(done.cardinality(), job.pageSize / 2 + 1)
     }
 
-    private fun contentOf(job: Job, page: Page, from: Int = page.from, to: Int = page.to, partSize: Int = page.partSize): Content {
+    private fun contentOf(
+        job: Job,
+        page: Page,
+        from: Int = page.from,
+        to: Int = page.to,
+        partSize: Int = page.partSize,
+    ): Content {
         val placements = job.placements.values.filter { it.task in from until to }
         return Content(job, page, placements, job.done.get(0, to).also { it.clear(0, from) }, partSize)
     }
@@ -178,7 +204,13 @@
             job.pages.getOrPut(Keys.part(page.number, n)) { Page(Keys.part(page.number, n)) }
                 .apply { cover(page.from + n * size, minOf(page.from + (n + 1) * size, page.to)) }
         }
-        log.info("page {} of job {} outgrew a stored value: divided into {} of {} tasks", page.number, job.spec.id, parts.size + 1, size)
+        log.info(
+            "page {} of job {} outgrew a stored value: divided into {} of {} tasks",
+            page.number,
+            job.spec.id,
+            parts.size + 1,
+            size,
+        )
         page.inFlight = true
         divide(job, page, size, ArrayDeque(parts))
         return parts.size + 1
@@ -217,7 +249,9 @@
         page.inFlight = false
         page.dirty = true
         if (result is StateResult.Conflict && Keys.job(job.spec.id) in result.failed) rereadJob(job)
-        (parts + page).filter { result !is StateResult.Refused && result != StateResult.Rejected }.forEach { reread(job, it) }
+        (parts + page).filter {
+            result !is StateResult.Refused && result != StateResult.Rejected
+        }.forEach { reread(job, it) }
         soil(job)
     }
 
@@ -238,9 +272,12 @@
         if (result !is StateResult.Item) return@read
         val item = result.item
         val record = item?.value as? JobRecord
-        if (item != null && record != null) learned(job.spec.id, record, item.version)
-        // Only our own finishing removes a record: an unanswered try went through.
-        else if (job.placements.isEmpty() && !job.finishing) readEnd(job)
+        if (item != null && record != null) {
+            learned(job.spec.id, record, item.version)
+        } // Only our own finishing removes a record: an unanswered try went through.
+        else if (job.placements.isEmpty() && !job.finishing) {
+            readEnd(job)
+        }
     }
 
     /** Moves a job that is over to its final record, in one transaction; leftover pages of huge jobs follow. */
@@ -251,7 +288,19 @@
         val stored = job.pages.values.filter { it.version > 0 }
         val now = stored.take(limits.txnOps - 2)
         val writes = ArrayList<Write>()
-        writes.add(Write.Put(Keys.final(id), FinalRecord(stage, job.doneCount, endedMs, job.owner?.let { job.spec.factsFor(it) })))
+        writes.add(
+            Write.Put(
+                Keys.final(id),
+                FinalRecord(
+                    stage,
+                    job.doneCount,
+                    endedMs,
+                    job.owner?.let {
+                        job.spec.factsFor(it)
+                    },
+                ),
+            ),
+        )
         writes.add(Write.Remove(Keys.job(id)))
         now.forEach { writes.add(Write.Remove(Keys.page(id, it.number))) }
         job.finishing = true
@@ -281,7 +330,13 @@
         if (keys.isEmpty()) return
         val now = keys.take(limits.txnOps)
         store.write(emptyList(), now.map { Write.Remove(it) }) { result ->
-            if (result is StateResult.Committed) removeLeftovers(keys.drop(now.size)) else log.debug("leftovers kept: {}", now.size)
+            if (result is StateResult.Committed) {
+                removeLeftovers(
+                    keys.drop(now.size),
+                )
+            } else {
+                log.debug("leftovers kept: {}", now.size)
+            }
         }
     }
 
--- a/src/main/kotlin/plankwall/core/jobs/Jobs.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Jobs.kt
@@ -140,7 +140,12 @@
      * It goes last among its equals, keeps no ordinary machine from being returned, and is rented for only by the way.
      */
     val spareTime: Boolean
-        get() = !expected && !needed && spec.shape != Shape.SERVICE && spec.deadlineS == null && dueMs == Long.MAX_VALUE && spec.dependencies.isEmpty()
+        get() = !expected &&
+            !needed &&
+            spec.shape != Shape.SERVICE &&
+            spec.deadlineS == null &&
+            dueMs == Long.MAX_VALUE &&
+            spec.dependencies.isEmpty()
 
     /** Spare-time work that has waited for long: where what is left never comes, it starves, so it may cost more from now on. */
     var overlooked = false
@@ -205,7 +210,8 @@
     var fit = fitFor(spec.priority)
         private set
 
-    private fun fitFor(priority: Priority) = FitKey(spec.need, spec.types, spec.zone, spec.spot, priority, spareTime, overlooked)
+    private fun fitFor(priority: Priority) =
+        FitKey(spec.need, spec.types, spec.zone, spec.spot, priority, spareTime, overlooked)
 
     /** The zone in which room for a gang is being gathered, and since when. */
     var gatherZone: String? = null
@@ -222,7 +228,13 @@
         Page(number).apply {
             val whole = Keys.wholeOf(number)
             val from = whole * pageSize
-            if (number == whole) cover(from, minOf(from + pageSize, spec.tasks)) else pages[whole]?.let { coverPart(it, from) }
+            if (number ==
+                whole
+            ) {
+                cover(from, minOf(from + pageSize, spec.tasks))
+            } else {
+                pages[whole]?.let { coverPart(it, from) }
+            }
         }
     }
 
--- a/src/main/kotlin/plankwall/core/jobs/Machines.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Machines.kt
@@ -1,6 +1,5 @@
 package plankwall.core.jobs
 
-import plankwall.core.placing.Room
 import plankwall.model.GroupKey
 import plankwall.model.ImageIx
 import plankwall.model.MachineIx
--- a/src/main/kotlin/plankwall/core/jobs/Pipelines.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Pipelines.kt
@@ -69,7 +69,9 @@
         becameReady(job)
     }
 
-    private fun spread(through: String, ids: List<String>) = ids.forEach { id -> find(id)?.let { withdraw(it, through) } }
+    private fun spread(through: String, ids: List<String>) = ids.forEach { id ->
+        find(id)?.let { withdraw(it, through) }
+    }
 
     /** Looks up the ends of jobs that are not in the book: over before this leader came, or news still on their way. */
     fun tick() {
@@ -97,7 +99,8 @@
         while (next.isNotEmpty()) {
             val job = next.removeFirst()
             val needing = graph.dependentsOf(job.spec.id).mapNotNull(find).filter { !it.withdrawn }
-            val priority = needing.maxOfOrNull { it.priority }?.let { maxOf(it, job.spec.priority) } ?: job.spec.priority
+            val priority =
+                needing.maxOfOrNull { it.priority }?.let { maxOf(it, job.spec.priority) } ?: job.spec.priority
             val due = minOf(job.ownDueMs, needing.minOfOrNull { startByMs(it) } ?: Long.MAX_VALUE)
             if (priority == job.priority && due == job.dueMs) continue
             job.priority = priority
@@ -122,7 +125,13 @@
     }
 
     /** By when [job] must start: what it needs must be over by then. */
-    private fun startByMs(job: Job): Long = if (job.dueMs == Long.MAX_VALUE) Long.MAX_VALUE else job.dueMs - lastsMs(job)
+    private fun startByMs(job: Job): Long = if (job.dueMs ==
+        Long.MAX_VALUE
+    ) {
+        Long.MAX_VALUE
+    } else {
+        job.dueMs - lastsMs(job)
+    }
 
     /** How long [job] should take from its start, the fetch of its image included. */
     private fun lastsMs(job: Job): Long {
--- a/src/main/kotlin/plankwall/core/lead/Divided.kt
+++ b/src/main/kotlin/plankwall/core/lead/Divided.kt
@@ -16,14 +16,32 @@
 object Divided {
     /** The fewest pieces that fit, at most [most]; null if there is no way. */
     private fun <R : Stored> pieces(most: Int, limit: Int, ways: (Int) -> List<List<R>>): List<R>? {
-        for (n in 1..most) ways(n).firstOrNull { way -> way.size <= most && way.all { StateCodec.sizeOf(it) <= limit } }?.let { return it }
+        for (n in 1..most) {
+            ways(n).firstOrNull { way ->
+                way.size <= most && way.all { StateCodec.sizeOf(it) <= limit }
+            }?.let { return it }
+        }
         return null
     }
 
     fun fleet(whole: FleetRecord, most: Int, limit: Int): List<FleetRecord>? = pieces(most, limit) { n ->
         // The rentals either share the first piece or, where they are many, have it to themselves.
-        val apart = if (n == 1) null else listOf(FleetRecord(whole.rentals, emptyList(), emptyList(), n - 1)) + slices(whole, n - 1)
-        val even = slices(whole, n).mapIndexed { i, s -> if (i == 0) s.copy(rentals = whole.rentals, more = n - 1) else s }
+        val apart = if (n ==
+            1
+        ) {
+            null
+        } else {
+            listOf(FleetRecord(whole.rentals, emptyList(), emptyList(), n - 1)) + slices(whole, n - 1)
+        }
+        val even = slices(whole, n).mapIndexed { i, s ->
+            if (i ==
+                0
+            ) {
+                s.copy(rentals = whole.rentals, more = n - 1)
+            } else {
+                s
+            }
+        }
         listOfNotNull(even, apart)
     }
 
--- a/src/main/kotlin/plankwall/core/lead/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/lead/LeaderStore.kt
@@ -25,6 +25,7 @@
 
     // The other nodes' submissions and withdrawals need a part of the common rate.
     private val writes = Budget(ctx.time, ctx.settings.stateTight.writeRps * 0.75)
+
     /** The newest revision that a write of this leader made; no other leader can have, or later get, a token of it. */
     var lastRevision = epoch
         private set
@@ -67,7 +68,11 @@
         limits.rejected(refused.size, largest?.value ?: 0)
         log.warn(
             "refused for good: {} changes, the largest {} with {} bytes; from now on at most {} changes, values up to {} bytes",
-            refused.size, largest?.key, largest?.value, limits.txnOps, limits.valueBytes,
+            refused.size,
+            largest?.key,
+            largest?.value,
+            limits.txnOps,
+            limits.valueBytes,
         )
     }
 
@@ -80,8 +85,7 @@
         ctx.out.state(StateOp.Watch(prefix, after, waitMs)) { if (active) then(it) }
 
     /** Reads all keys with [prefix], page by page, until it succeeds or the leadership ends. */
-    fun readAll(prefix: String, then: (List<StateItem>, Long) -> Unit) =
-        readFrom(prefix, null, ArrayList(), 0L, then)
+    fun readAll(prefix: String, then: (List<StateItem>, Long) -> Unit) = readFrom(prefix, null, ArrayList(), 0L, then)
 
     private fun readFrom(
         prefix: String,
--- a/src/main/kotlin/plankwall/core/lead/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/lead/Leadership.kt
@@ -26,11 +26,22 @@
  * wrote the key is the epoch. It is the token for the workers and the guard of every write, so whatever an old leader
  * still has under way fails by itself.
  */
-class Leadership(private val ctx: Context, private val onWon: () -> Unit, private val onLost: () -> Unit, turnUps: () -> Int = { 0 }) {
+class Leadership(
+    private val ctx: Context,
+    private val onWon: () -> Unit,
+    private val onLost: () -> Unit,
+    turnUps: () -> Int = { 0 },
+) {
     private val log = LoggerFactory.getLogger("leadership")
 
     private val ttlS: Double =
-        if (ctx.tuning.leaderLeaseS > 0) ctx.tuning.leaderLeaseS else (ctx.settings.workers.leaseS / 6).coerceIn(1.5, 2.5)
+        if (ctx.tuning.leaderLeaseS >
+            0
+        ) {
+            ctx.tuning.leaderLeaseS
+        } else {
+            (ctx.settings.workers.leaseS / 6).coerceIn(1.5, 2.5)
+        }
 
     val picture = LinkPicture(ctx)
     val routing = Routing(ctx, picture, ttlS)
@@ -102,7 +113,9 @@
         if (!now) return log.info("every withdrawal is known here again that could have run out")
         log.warn(
             "epoch {}: workers get no answer, since users may have been told of withdrawals unknown here: the store was read {} s ago, and {} do not vouch",
-            epoch, (ctx.now - cancellations.storedUpTo).toLong(), cancellations.doubts(),
+            epoch,
+            (ctx.now - cancellations.storedUpTo).toLong(),
+            cancellations.doubts(),
         )
     }
 
--- a/src/main/kotlin/plankwall/core/links/LinkPicture.kt
+++ b/src/main/kotlin/plankwall/core/links/LinkPicture.kt
@@ -124,7 +124,16 @@
         sentAt[++seq] = ctx.now
         if (sentAt.size > REMEMBERED) sentAt.remove(sentAt.keys.first())
         val echoes = peers.mapNotNull { (node, heard) -> heard.status.links?.let { node to it.seq } }.toMap()
-        return LinkReport(seq, echoes, storeOk.map(::ageMs), ageMs(cloudOk), turnUps, emptyList(), leader?.word(ctx.now), successor)
+        return LinkReport(
+            seq,
+            echoes,
+            storeOk.map(::ageMs),
+            ageMs(cloudOk),
+            turnUps,
+            emptyList(),
+            leader?.word(ctx.now),
+            successor,
+        )
     }
 
     private fun ageMs(at: Double): Int = if (at.isNaN()) -1 else ((ctx.now - at) * 1000).toInt()
--- a/src/main/kotlin/plankwall/core/links/Routing.kt
+++ b/src/main/kotlin/plankwall/core/links/Routing.kt
@@ -32,7 +32,12 @@
     }
 
     /** Proof that this node has itself, as its peers may be told. */
-    fun own(): Claim? = (picture.fresh().filter { it.leading }.map { Claim(it.node, it.epochSeen, picture.provenAt(it.node)) } + listOfNotNull(freshStored()))
+    fun own(): Claim? = (
+        picture.fresh().filter {
+            it.leading
+        }.map { Claim(it.node, it.epochSeen, picture.provenAt(it.node)) } +
+            listOfNotNull(freshStored())
+        )
         .filter { isInOffice(it) }.maxByOrNull { it.epoch }
 
     /** The leader in office, or null if that is not known; never this node. */
--- a/src/main/kotlin/plankwall/core/outlook/Outlook.kt
+++ b/src/main/kotlin/plankwall/core/outlook/Outlook.kt
@@ -45,7 +45,9 @@
         lateZones = late.nearlyWhole()
         cutZones = zones.nearlyWhole()
         val silent = zones.bad.filterKeys { it !in cutZones }.values.sum()
-        fewSilent = silent < HANDFUL || silent <= zones.all.filterKeys { it !in cutZones }.values.sum() * ctx.tuning.haltUnreadyShare
+        fewSilent =
+            silent < HANDFUL ||
+            silent <= zones.all.filterKeys { it !in cutZones }.values.sum() * ctx.tuning.haltUnreadyShare
     }
 
     private class Zones {
@@ -64,7 +66,8 @@
     fun troubledAt(zone: String): Double = troubled[zone] ?: Machine.NEVER
 
     /** Was up when this leader took over, by the store or the list, and has not been heard by it yet. */
-    fun isAwaited(m: Machine): Boolean = !m.registered && !m.returning && m.id !in fleet.arrivals && m.listed != ListedState.FAILED
+    fun isAwaited(m: Machine): Boolean =
+        !m.registered && !m.returning && m.id !in fleet.arrivals && m.listed != ListedState.FAILED
 
     /** Awaited for longer than any way back takes. */
     private fun overdue(m: Machine): Boolean = isAwaited(m) && ctx.now >= startedAt + wayBackS
--- a/src/main/kotlin/plankwall/core/placing/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placing/GangPlacer.kt
@@ -15,7 +15,12 @@
  * for it from pass to pass; left to itself such room would go, piece by piece, to smaller tasks, and the gang would
  * wait for ever among half-used machines (DESIGN's scattered room).
  */
-class GangPlacer(private val ctx: Context, private val book: JobBook, private val fleet: Fleet, private val room: Room) {
+class GangPlacer(
+    private val ctx: Context,
+    private val book: JobBook,
+    private val fleet: Fleet,
+    private val room: Room,
+) {
     private val log = LoggerFactory.getLogger("placer")
     private val held = HashMap<Job, Int>()
 
@@ -35,7 +40,13 @@
         // Nothing may be left of its last attempt.
         if (job.placements.isNotEmpty() || !book.withinLimit(job.team, job.spec.need * job.waiting.size)) return 0
         val seats = seats(job, roomy)
-        val choices: Map<String?, List<Seat>> = if (job.spec.oneZone) seats.groupBy { it.machine.group?.zone } else mapOf(null to seats)
+        val choices: Map<String?, List<Seat>> = if (job.spec.oneZone) {
+            seats.groupBy { it.machine.group?.zone }
+        } else {
+            mapOf(
+                null to seats,
+            )
+        }
         val complete = choices.values.map { fill(job, it) }.filter { it.size == job.waiting.size }
         val chosen = complete.minByOrNull { seated -> seated.maxOf { it.wait } }
         if (chosen == null) {
@@ -99,13 +110,30 @@
         val soon = usable.mapNotNull { m ->
             val type = m.type ?: return@mapNotNull null
             val zone = m.group?.zone ?: return@mapNotNull null
-            if (m in kept || (job.gatherZone != null && zone != job.gatherZone) || !room.suits(job, m, zones)) return@mapNotNull null
-            if (!job.spec.need.fitsIn(type.capacity) || m.held !== Resources.NONE || m.reservations.isNotEmpty()) return@mapNotNull null
-            val rentable = mayExpand(GroupKey(type.name, zone, false)) || (job.spec.spot && mayExpand(GroupKey(type.name, zone, true)))
+            if (m in kept ||
+                (job.gatherZone != null && zone != job.gatherZone) ||
+                !room.suits(job, m, zones)
+            ) {
+                return@mapNotNull null
+            }
+            if (!job.spec.need.fitsIn(type.capacity) ||
+                m.held !== Resources.NONE ||
+                m.reservations.isNotEmpty()
+            ) {
+                return@mapNotNull null
+            }
+            val rentable =
+                mayExpand(GroupKey(type.name, zone, false)) ||
+                    (job.spec.spot && mayExpand(GroupKey(type.name, zone, true)))
             val newIn = type.bootS + type.fetchS(job.spec.imageGb)
             // A gang still incomplete when new machines should long be here is not put off with them again.
             val limit = if (rentable && ctx.now - job.gatherSince < newIn) newIn * SURELY_SOONER else Double.MAX_VALUE
-            room.roomIn(job, m)?.let { it + m.fetchWait(job.image, job.spec.imageGb, ctx.now) }?.takeIf { it < limit }?.let { m to it }
+            room.roomIn(job, m)?.let {
+                it + m.fetchWait(job.image, job.spec.imageGb, ctx.now)
+            }?.takeIf { it < limit }?.let {
+                m to
+                    it
+            }
         }
         val chosen = soon.sortedBy { it.second }.take(missing)
         chosen.forEach { (m, _) -> m.held += m.free }
--- a/src/main/kotlin/plankwall/core/placing/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placing/Placer.kt
@@ -60,7 +60,15 @@
         }
         for (job in pending) {
             if (budget > 0) {
-                val placed = if (job.isGangOfSeveral) gangs.place(job, roomy, usable) else placeTasks(job, roomy, usable, full, budget)
+                val placed = if (job.isGangOfSeveral) {
+                    gangs.place(
+                        job,
+                        roomy,
+                        usable,
+                    )
+                } else {
+                    placeTasks(job, roomy, usable, full, budget)
+                }
                 budget -= placed
                 backlog.placed(job, placed)
             }
@@ -72,8 +80,15 @@
         unplaced = left
     }
 
-    private fun pending(): List<Job> =
-        backlog.order(book.live.filter { it.ready && !it.withdrawn && it.waiting.isNotEmpty() && it.backoffUntil <= ctx.now && it.version > 0 })
+    private fun pending(): List<Job> = backlog.order(
+        book.live.filter {
+            it.ready &&
+                !it.withdrawn &&
+                it.waiting.isNotEmpty() &&
+                it.backoffUntil <= ctx.now &&
+                it.version > 0
+        },
+    )
 
     /** What is too late for all its aims wins nothing by stopping others; what is owed is owed all the same. */
     private fun isWorthStopping(job: Job): Boolean = job.guaranteed || backlog.prospect(job) != Prospect.OUT_OF_REACH
@@ -98,10 +113,23 @@
      * A worker need not have seen our token to be given work: the answer that starts it brings the token. Waiting for
      * it would leave a new machine neither arriving nor usable for a while, and another would be rented in its place.
      */
-    fun usable(m: Machine): Boolean = fleet.isReady(m) && m.type != null && !m.returning && !m.faulty &&
-        m.noticeAt == Machine.NEVER && m.strangers == 0 && m.blockedUntil <= ctx.now && !m.deaf && !m.awaited
+    fun usable(m: Machine): Boolean = fleet.isReady(m) &&
+        m.type != null &&
+        !m.returning &&
+        !m.faulty &&
+        m.noticeAt == Machine.NEVER &&
+        m.strangers == 0 &&
+        m.blockedUntil <= ctx.now &&
+        !m.deaf &&
+        !m.awaited
 
-    private fun placeTasks(job: Job, roomy: List<Machine>, usable: List<Machine>, full: HashSet<FitKey>, budget: Int): Int {
+    private fun placeTasks(
+        job: Job,
+        roomy: List<Machine>,
+        usable: List<Machine>,
+        full: HashSet<FitKey>,
+        budget: Int,
+    ): Int {
         if ((job.isGang || job.doubtful) && job.placements.isNotEmpty()) return 0
         if (room.reserved(job) == 0 && job.fit in full) return 0
         var placed = 0
@@ -141,7 +169,8 @@
         /** Type, zone and kind as the job allows them, room aside. */
         fun allowed(spec: JobSpec, m: Machine): Boolean = m.group?.let { allowed(spec, it) } ?: false
 
-        fun allowed(spec: JobSpec, group: GroupKey): Boolean =
-            (spec.spot || !group.spot) && (spec.types == null || group.type in spec.types) && (spec.zone == null || spec.zone == group.zone)
+        fun allowed(spec: JobSpec, group: GroupKey): Boolean = (spec.spot || !group.spot) &&
+            (spec.types == null || group.type in spec.types) &&
+            (spec.zone == null || spec.zone == group.zone)
     }
 }
--- a/src/main/kotlin/plankwall/core/placing/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placing/Preemptor.kt
@@ -51,8 +51,12 @@
     private fun makeRoomForGang(job: Job, usable: List<Machine>) {
         if (ctx.now - job.gatherSince < GANG_WAITS_S || room.reserved(job) > 0) return
         if (!book.withinLimit(job.team, job.spec.need * job.waiting.size)) return
-        val choices = if (!job.spec.oneZone) listOf(usable) else usable.groupBy { it.group?.zone }
-            .filterKeys { job.gatherZone == null || it == job.gatherZone }.values
+        val choices = if (!job.spec.oneZone) {
+            listOf(usable)
+        } else {
+            usable.groupBy { it.group?.zone }
+                .filterKeys { job.gatherZone == null || it == job.gatherZone }.values
+        }
         val places = choices.firstNotNullOfOrNull { placesFor(job, it) } ?: return
         places.forEach { take(job, it) }
     }
@@ -123,12 +127,19 @@
         var free = if (job.isGang) m.free else m.free - m.held
         var candidates: ArrayList<Placement>? = null
         for (p in m.placements.values) {
-            if (p.stopping != null) free += p.job.spec.need
-            else if (!p.ended && mayPreempt(job, p.job)) candidates = (candidates ?: ArrayList()).apply { add(p) }
+            if (p.stopping != null) {
+                free += p.job.spec.need
+            } else if (!p.ended && mayPreempt(job, p.job)) {
+                candidates = (candidates ?: ArrayList()).apply { add(p) }
+            }
         }
         m.reservations.forEach { free -= it.job.spec.need }
         if (candidates == null) return if (job.spec.need.fitsIn(free)) emptyList() else null
-        candidates.sortWith(compareBy<Placement> { it.job.priority }.thenByDescending { it.job.spareTime }.thenBy { lossOf(it) })
+        candidates.sortWith(
+            compareBy<Placement> {
+                it.job.priority
+            }.thenByDescending { it.job.spareTime }.thenBy { lossOf(it) },
+        )
         val victims = ArrayList<Placement>()
         for (p in candidates) {
             if (job.spec.need.fitsIn(free)) break
@@ -141,10 +152,17 @@
     private fun mayPreempt(job: Job, victim: Job): Boolean {
         // A gang of several would be lost as a whole; leave it to those who have no other way.
         if (victim.isGangOfSeveral && job.priority < Priority.PRODUCTION) return false
-        if (victim.priority < job.priority) return job.priority == Priority.PRODUCTION || job.guaranteed || !backlog.isSpared(victim)
+        if (victim.priority <
+            job.priority
+        ) {
+            return job.priority == Priority.PRODUCTION || job.guaranteed || !backlog.isSpared(victim)
+        }
         // A guarantee is owed, but not at the cost of more important work: two jobs would push each other about.
-        return job.guaranteed && !victim.guaranteed && victim.team != job.team &&
-            victim.priority == job.priority && beyondGuarantee(victim.team)
+        return job.guaranteed &&
+            !victim.guaranteed &&
+            victim.team != job.team &&
+            victim.priority == job.priority &&
+            beyondGuarantee(victim.team)
     }
 
     private fun beyondGuarantee(team: TeamIx): Boolean {
--- a/src/main/kotlin/plankwall/core/placing/Room.kt
+++ b/src/main/kotlin/plankwall/core/placing/Room.kt
@@ -45,8 +45,11 @@
         return room
     }
 
-    fun suits(job: Job, m: Machine, zones: ZoneRule): Boolean =
-        Placer.allowed(job.spec, m) && zones.allows(m) && m.fitsReport && m.ix.value !in job.failedOn && !(job.spareTime && wouldStayFor(job, m))
+    fun suits(job: Job, m: Machine, zones: ZoneRule): Boolean = Placer.allowed(job.spec, m) &&
+        zones.allows(m) &&
+        m.fitsReport &&
+        m.ix.value !in job.failedOn &&
+        !(job.spareTime && wouldStayFor(job, m))
 
     /**
      * Whether an ordinary machine could soon go back but for a spare-time task put there: none of its work is to stay. Spot machines
@@ -76,7 +79,9 @@
     /** Seconds until one task of [job] should fit, if nothing else comes; null if nobody can say. */
     fun roomIn(job: Job, m: Machine): Double? {
         var free = m.free
-        val ends = m.placements.values.mapNotNull { p -> p.endsIn(ctx.now)?.let { it to p.job.spec.need } }.sortedBy { it.first }
+        val ends = m.placements.values.mapNotNull { p ->
+            p.endsIn(ctx.now)?.let { it to p.job.spec.need }
+        }.sortedBy { it.first }
         for ((endIn, need) in ends) {
             free += need
             if (job.spec.need.fitsIn(free)) return endIn
@@ -102,9 +107,11 @@
      * How much later a task may start so that a surplus machine runs empty: as much as another fetch costs, unless that
      * is much of what the task itself takes. Replicas are wanted at once.
      */
-    private fun surplusS(job: Job, type: MachineType): Double =
-        if (job.spec.shape == Shape.SERVICE) SPARED_BY_REPLICAS_S
-        else minOf(type.fetchS(job.spec.imageGb) + 1.0, job.spec.estimateS * SPARED_PART)
+    private fun surplusS(job: Job, type: MachineType): Double = if (job.spec.shape == Shape.SERVICE) {
+        SPARED_BY_REPLICAS_S
+    } else {
+        minOf(type.fetchS(job.spec.imageGb) + 1.0, job.spec.estimateS * SPARED_PART)
+    }
 
     private fun share(part: Long, whole: Long): Double = if (whole <= 0) 0.0 else part.toDouble() / whole
 
--- a/src/main/kotlin/plankwall/core/relay/DirectReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReach.kt
@@ -13,7 +13,12 @@
  * tries in vain loses several seconds of its lease and lands anywhere, so none is called on suspicion: the leader first
  * reaches the machine itself, which takes packets both ways.
  */
-class DirectReach(private val ctx: Context, private val fleet: Fleet, private val outlook: Outlook, private val sessions: SessionPlanner) {
+class DirectReach(
+    private val ctx: Context,
+    private val fleet: Fleet,
+    private val outlook: Outlook,
+    private val sessions: SessionPlanner,
+) {
     private class Reach {
         var directAt = Machine.NEVER
         var relayedAt = Machine.NEVER
@@ -79,7 +84,11 @@
             return null
         }
         if (ctx.now - maxOf(reach.homeAt, reach.sentHomeAt) < reach.homePauseS) return null
-        if (reach.sentHomeAt > reach.homeAt) reach.homePauseS = (reach.homePauseS * 2).coerceAtMost(times.leaseS * MAX_PAUSE_LEASES)
+        if (reach.sentHomeAt >
+            reach.homeAt
+        ) {
+            reach.homePauseS = (reach.homePauseS * 2).coerceAtMost(times.leaseS * MAX_PAUSE_LEASES)
+        }
         reach.sentHomeAt = ctx.now
         return home
     }
@@ -146,7 +155,8 @@
     }
 
     /** Somebody of the machine's zone has come straight, or was reached, within a report interval. */
-    private fun isOpen(m: Machine): Boolean = ctx.now - (lastOpen[m.group?.zone] ?: Machine.NEVER) < times.longestReportS
+    private fun isOpen(m: Machine): Boolean =
+        ctx.now - (lastOpen[m.group?.zone] ?: Machine.NEVER) < times.longestReportS
 
     /** Machines to be tried now: a few while nothing gets through, many once something does. */
     fun toProbe(): List<Machine> {
@@ -157,7 +167,12 @@
         if (probes < 1) return emptyList()
         val due = fleet.machines.filter { m ->
             val r = byMachine[m.ix.value]
-            r != null && m.address.isNotEmpty() && !m.deleting && isThrough(r) && ctx.now >= r.notBefore && ctx.now - r.reachedAt > times.reportS &&
+            r != null &&
+                m.address.isNotEmpty() &&
+                !m.deleting &&
+                isThrough(r) &&
+                ctx.now >= r.notBefore &&
+                ctx.now - r.reachedAt > times.reportS &&
                 ctx.now - r.probedAt > times.reportS * 2
         }
         return due.sortedBy { of(it).probedAt }.take(probes.toInt()).onEach {
@@ -175,7 +190,12 @@
         val overdueS = times.longestReportS + 0.5
         for (m in fleet.machines) {
             val zone = m.group?.zone ?: continue
-            if (m.returning || sessions.homeOf(m) != null || !(m.registered || (outlook.firstAreBack && outlook.isAwaited(m)))) continue
+            if (m.returning ||
+                sessions.homeOf(m) != null ||
+                !(m.registered || (outlook.firstAreBack && outlook.isAwaited(m)))
+            ) {
+                continue
+            }
             known.merge(zone, 1, Int::plus)
             if (ctx.now - (byMachine[m.ix.value]?.directAt ?: Machine.NEVER) > overdueS) late.merge(zone, 1, Int::plus)
         }
@@ -188,9 +208,17 @@
     fun tick() {
         if (ctx.now - lineAt < LINE_S) return
         lineAt = ctx.now
-        if (byMachine.size > fleet.machines.size * 2) byMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+        if (byMachine.size >
+            fleet.machines.size * 2
+        ) {
+            byMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+        }
         val now = throughOthers
-        if (now > 0 || through > 0) log.info("{} machines report through other nodes, {} before; by zone {}", now, through, zones())
+        if (now > 0 ||
+            through > 0
+        ) {
+            log.info("{} machines report through other nodes, {} before; by zone {}", now, through, zones())
+        }
         through = now
     }
 
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -10,7 +10,13 @@
  * are as good as straight ones, so a link that is cut for a while moves nothing; a lead that changes hands costs everything
  * that a leader learns.
  */
-class LeadershipTransfer(private val ctx: Context, private val leadership: Leadership, private val fleet: Fleet, private val outlook: Outlook, private val reach: DirectReach) {
+class LeadershipTransfer(
+    private val ctx: Context,
+    private val leadership: Leadership,
+    private val fleet: Fleet,
+    private val outlook: Outlook,
+    private val reach: DirectReach,
+) {
     private val times = ctx.settings.workers
     private var mostlyThroughSince = Double.NaN
 
@@ -25,7 +31,13 @@
         val known = fleet.machines.filter { (it.registered && !it.returning) || outlook.isAwaited(it) }
         if (known.size < 2 || !leadership.mayWrite || !outlook.firstAreBack) return
         val silent = known.count { ctx.now - it.lastHeard > times.missedS }
-        if (silent * 2 > known.size) giveUpUnheard(silent, known.size, known.count { it.registered }) else giveUpDistant(known.size)
+        if (silent * 2 >
+            known.size
+        ) {
+            giveUpUnheard(silent, known.size, known.count { it.registered })
+        } else {
+            giveUpDistant(known.size)
+        }
     }
 
     private fun giveUpUnheard(silent: Int, known: Int, registered: Int) {
@@ -48,7 +60,9 @@
         if (ctx.now - mostlyThroughSince < times.leaseS * DISTANT_LEASES) return
         val best = leadership.succession.best() ?: return
         if (best.turnUps * 2 <= known) return
-        leadership.yieldForWorkers("$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}")
+        leadership.yieldForWorkers(
+            "$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}",
+        )
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -71,13 +71,18 @@
     }
 
     fun tick() {
-        while (workers.isNotEmpty() && ctx.now - workers.values.first().at > times.leaseS) workers.remove(workers.keys.first())
+        while (workers.isNotEmpty() &&
+            ctx.now - workers.values.first().at > times.leaseS
+        ) {
+            workers.remove(workers.keys.first())
+        }
         tryUnserved()
     }
 
     fun clear() = workers.clear()
 
-    private fun isUnserved(seen: SeenWorker): Boolean = seen.unserved && !seen.passedOn && ctx.now - seen.at < UNSERVED_S
+    private fun isUnserved(seen: SeenWorker): Boolean =
+        seen.unserved && !seen.passedOn && ctx.now - seen.at < UNSERVED_S
 
     /** With no token at all, a command is refused, changes nothing, and shows that the way is open in both directions. */
     private fun tryUnserved() {
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -26,7 +26,13 @@
  * belongs to and only while that waits; so to the worker and to the proofs it is an answer like any other.
  */
 class WorkerRelay(private val ctx: Context, private val picture: LinkPicture, private val routing: Routing) {
-    private class Waiting(val request: RequestId, val report: Report, val address: String, val leader: Claim, val at: Double) {
+    private class Waiting(
+        val request: RequestId,
+        val report: Report,
+        val address: String,
+        val leader: Claim,
+        val at: Double,
+    ) {
         val machine: String get() = report.machine
 
         /** It went in a batch, in full rather than as a mark. */
@@ -62,7 +68,13 @@
             leader == null -> refuse(input.request, "no leader is known")
             // Where sessions are spread the leader knows whether this worker had better go elsewhere; without it, its plan says.
             home != null && relay(input, leader) -> Unit
-            home != null && home != ctx.settings.node && !cameBack(seen, leader, home) -> sendTo(input.request, seen, leader, home)
+            home != null &&
+                home != ctx.settings.node &&
+                !cameBack(
+                    seen,
+                    leader,
+                    home,
+                ) -> sendTo(input.request, seen, leader, home)
             home != null -> turnAway(input.request, seen, leader)
             cameBack(seen, leader, leader.node) || isOutOfReach(leader, input.report.zone) ->
                 if (relay(input, leader)) seen.keep(leader) else turnAway(input.request, seen, leader)
@@ -73,9 +85,13 @@
     }
 
     /** The node that serves the worker's session, where the leader spreads them. */
-    private fun homeOf(leader: Claim, report: Report): String? = planOf(leader)?.let { SessionAssignment.nodeFor(it, report.machine, report.zone) }
+    private fun homeOf(leader: Claim, report: Report): String? =
+        planOf(leader)?.let { SessionAssignment.nodeFor(it, report.machine, report.zone) }
 
-    private fun planOf(leader: Claim): SessionPlan? = picture.word(leader.node)?.sessions?.plan?.takeIf { it.epoch == leader.epoch }
+    private fun planOf(leader: Claim): SessionPlan? = picture.word(leader.node)?.sessions?.plan?.takeIf {
+        it.epoch ==
+            leader.epoch
+    }
 
     private fun SeenWorker.keep(leader: Claim) {
         sentTo = leader.epoch
@@ -98,7 +114,10 @@
         return scouts.merge(zone, 1, Int::plus).let { it != null && it <= SCOUTS }
     }
 
-    private fun wordOf(leader: Claim): PeerStatus? = picture.word(leader.node)?.takeIf { it.leading && picture.isFresh(leader.node) }
+    private fun wordOf(leader: Claim): PeerStatus? = picture.word(leader.node)?.takeIf {
+        it.leading &&
+            picture.isFresh(leader.node)
+    }
 
     /** Sent to this very leader within the time that a try takes, and here again: it can't get there. */
     private fun cameBack(seen: SeenWorker, leader: Claim, node: String): Boolean =
@@ -135,7 +154,13 @@
      * there again: when a cut between zones heals, its own way may be open before that of the nodes is known to be.
      */
     private fun turnAway(request: RequestId, seen: SeenWorker, leader: Claim) {
-        if (seen.sentTo == leader.epoch && ctx.now - seen.sentAt < times.longestReportS) refuse(request, "the leader can't be reached from here") else sendTo(request, seen, leader)
+        if (seen.sentTo == leader.epoch &&
+            ctx.now - seen.sentAt < times.longestReportS
+        ) {
+            refuse(request, "the leader can't be reached from here")
+        } else {
+            sendTo(request, seen, leader)
+        }
     }
 
     private fun sendTo(request: RequestId, seen: SeenWorker, leader: Claim, node: String = leader.node) {
@@ -157,7 +182,9 @@
     /** Answers to reports that went in a batch: to those of this epoch alone, whichever node says so. */
     fun answered(batch: AnswerBatch) {
         for (answer in batch.answers) {
-            val open = waiting[answer.id]?.takeIf { it.leader.node == batch.from && it.leader.epoch == batch.epoch } ?: continue
+            val open =
+                waiting[answer.id]?.takeIf { it.leader.node == batch.from && it.leader.epoch == batch.epoch }
+                    ?: continue
             if (answer.status == BatchedAnswer.RESEND) {
                 open.sentWhole = batcher.add(answer.id, open.leader, open.address, open.report, whole = true)
             } else {
@@ -202,7 +229,11 @@
         if (relayedSince > 0 && ctx.now >= nextLine) {
             log.info(
                 "{} reports passed on to {} lately, {} wait; in batches so far {} whole, {} unchanged",
-                relayedSince, routing.leader()?.node ?: "nobody", waiting.size, batcher.wholes, batcher.marks,
+                relayedSince,
+                routing.leader()?.node ?: "nobody",
+                waiting.size,
+                batcher.wholes,
+                batcher.marks,
             )
             relayedSince = 0
             nextLine = ctx.now + LINE_S
--- a/src/main/kotlin/plankwall/core/rental/ArrivalRate.kt
+++ b/src/main/kotlin/plankwall/core/rental/ArrivalRate.kt
@@ -29,7 +29,8 @@
     fun within(leadS: Double): Resources {
         val full = buckets.dropLast(1)
         if (full.size < MIN_BUCKETS) return Resources.NONE
-        fun part(of: (Resources) -> Long): Long = (full.map { of(it.need) }.sorted()[full.size / 2] * leadS / BUCKET_S).toLong()
+        fun part(of: (Resources) -> Long): Long =
+            (full.map { of(it.need) }.sorted()[full.size / 2] * leadS / BUCKET_S).toLong()
         return Resources(part { it.cpus }, part { it.gpus }, part { it.memory })
     }
 
--- a/src/main/kotlin/plankwall/core/rental/BootTrouble.kt
+++ b/src/main/kotlin/plankwall/core/rental/BootTrouble.kt
@@ -41,11 +41,27 @@
             val came = up[g] ?: 0
             isMany(late.size, came) || (broad && late.size * OVERDUE_PART >= late.size + came)
         }.keys
-        for (g in now - groups) log.info("group {}: {} machines overdue, {} came up lately: rented in last, and a late boot is not taken for a lost one", g, overdue[g]?.size, up[g])
+        for (g in now - groups) {
+            log.info(
+                "group {}: {} machines overdue, {} came up lately: rented in last, and a late boot is not taken for a lost one",
+                g,
+                overdue[g]?.size,
+                up[g],
+            )
+        }
         for (g in groups - now) log.info("group {} boots as usual again, or what was overdue is given up", g)
         groups = now.toSet()
-        uncounted = overdue.flatMap { (g, late) -> if (g in groups) late.filterIndexed { i, _ -> i % REPLACED_PART == 0 } else late }
-            .mapTo(HashSet()) { it.machine }
+        uncounted =
+            overdue.flatMap { (g, late) ->
+                if (g in
+                    groups
+                ) {
+                    late.filterIndexed { i, _ -> i % REPLACED_PART == 0 }
+                } else {
+                    late
+                }
+            }
+                .mapTo(HashSet()) { it.machine }
     }
 
     private fun isMany(late: Int, came: Int): Boolean = late >= HANDFUL && late * OVERDUE_PART >= late + came
--- a/src/main/kotlin/plankwall/core/rental/CloudList.kt
+++ b/src/main/kotlin/plankwall/core/rental/CloudList.kt
@@ -11,7 +11,12 @@
 import plankwall.wire.ListedState
 
 /** Follows the cloud's list and catalogue on the leader's behalf, in few calls. */
-class CloudList(private val ctx: Context, private val store: LeaderStore, private val fleet: Fleet, private val memory: FleetMemory) {
+class CloudList(
+    private val ctx: Context,
+    private val store: LeaderStore,
+    private val fleet: Fleet,
+    private val memory: FleetMemory,
+) {
     private var nextList = 0.0
     private var listing = false
     private var nextCatalog = 0.0
--- a/src/main/kotlin/plankwall/core/rental/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/rental/Estimator.kt
@@ -6,7 +6,6 @@
 import plankwall.core.jobs.Placement
 import plankwall.core.jobs.ZoneRule
 import plankwall.core.placing.Placer
-import plankwall.core.placing.Room
 import plankwall.core.step.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
@@ -32,7 +31,9 @@
      * than on a machine yet to be rented: such room is as good as arriving.
      */
     private inner class Vacating(val machine: Machine, group: GroupKey) : Bin(group, Resources.NONE) {
-        private val ends = machine.placements.values.mapNotNull { p -> p.endsIn(ctx.now)?.let { it to p.job.spec.need } }
+        private val ends = machine.placements.values.mapNotNull { p ->
+            p.endsIn(ctx.now)?.let { it to p.job.spec.need }
+        }
 
         // `free` is below zero by what has been promised here so far.
         override val freeNow: Resources get() = machine.free - machine.held + free
@@ -84,7 +85,13 @@
         fun pack(job: Job) {
             val gone = lost[job].orEmpty()
             // They still count as used, in the team's limit too; their replacements take their place, not another.
-            if (gone.isNotEmpty()) planned.merge(job.team.value, Resources.NONE - job.spec.need * gone.size, Resources::plus)
+            if (gone.isNotEmpty()) {
+                planned.merge(
+                    job.team.value,
+                    Resources.NONE - job.spec.need * gone.size,
+                    Resources::plus,
+                )
+            }
             val zones = ZoneRule(job, gone)
             val zone = job.gatherZone?.takeIf { z -> catalog.types.any { t -> mayExpand(GroupKey(t.name, z, false)) } }
             var waiting = turnover.slots(job, waitingOf(job)) + gone.size
@@ -92,13 +99,22 @@
             var at = 0
             while (waiting-- > 0 && considered++ < MAX_TASKS) {
                 if (!withinLimit(job, planned)) break
-                while (at < bins.size && !((zone == null || bins[at].group.zone == zone) && fits(job, bins[at], zones) && spare.mayFill(job, bins[at].group))) at++
+                while (at < bins.size &&
+                    !(
+                        (zone == null || bins[at].group.zone == zone) &&
+                            fits(job, bins[at], zones) &&
+                            spare.mayFill(job, bins[at].group)
+                        )
+                ) {
+                    at++
+                }
                 if (at == bins.size) {
                     fun cheapestOf(allowed: (GroupKey) -> Boolean) =
                         cheapest(job, zones, zone, waiting + 1, allowed) { z -> owned(z) + (ordered[z] ?: 0) }
                     val group = when {
                         job.spareTime -> spare.take { cheapestOf { mayExpand(it) && spare.mayRent(job, it) } }
-                        job.spec.shape == Shape.SERVICE -> cheapestOf(mayExpand) ?: cheapestOf(mayExpandTroubled) ?: cheapestOf(mayExpandForLive)
+                        job.spec.shape == Shape.SERVICE -> cheapestOf(mayExpand) ?: cheapestOf(mayExpandTroubled)
+                            ?: cheapestOf(mayExpandForLive)
                         else -> cheapestOf(mayExpand) ?: cheapestOf(mayExpandTroubled)
                     } ?: break
                     bins.add(Bin(group, catalog[group.type]?.capacity ?: Resources.NONE))
@@ -124,8 +140,16 @@
      * Machines for demand that is still to come, beside what is free and arriving: spot ones for the part that may use
      * them, as far as they are to be had.
      */
-    private fun ahead(growth: Growth, bins: List<Bin>, mayExpand: (GroupKey) -> Boolean, owned: (String) -> Int): List<Pair<GroupKey, Int>> {
-        fun free(spot: Boolean) = bins.filter { it.group.spot == spot }.fold(Resources.NONE) { sum, b -> sum + b.freeNow.atLeastNothing() }
+    private fun ahead(
+        growth: Growth,
+        bins: List<Bin>,
+        mayExpand: (GroupKey) -> Boolean,
+        owned: (String) -> Int,
+    ): List<Pair<GroupKey, Int>> {
+        fun free(spot: Boolean) = bins.filter { it.group.spot == spot }.fold(Resources.NONE) { sum, b ->
+            sum +
+                b.freeNow.atLeastNothing()
+        }
         val spot = growth.spot - free(spot = true)
         val onSpot = cheapestFor(spot, true, mayExpand, owned)
         val rest = growth.other - free(spot = false) + if (onSpot == null) spot.atLeastNothing() else Resources.NONE
@@ -133,14 +157,20 @@
     }
 
     /** The type that gives the missing room most cheaply. */
-    private fun cheapestFor(missing: Resources, spot: Boolean, mayExpand: (GroupKey) -> Boolean, owned: (String) -> Int): Pair<GroupKey, Int>? {
+    private fun cheapestFor(
+        missing: Resources,
+        spot: Boolean,
+        mayExpand: (GroupKey) -> Boolean,
+        owned: (String) -> Int,
+    ): Pair<GroupKey, Int>? {
         var best: Pair<GroupKey, Int>? = null
         var lowest = Double.MAX_VALUE
         for (type in catalog.types) {
             val price = if (spot) type.spotPrice else type.price
             val count = Math.round(missing.partOf(type.capacity)).toInt()
             if (count == 0 || price <= 0.0) continue
-            val zone = type.zones.filter { mayExpand(GroupKey(type.name, it, spot)) }.minByOrNull { owned(it) } ?: continue
+            val zone =
+                type.zones.filter { mayExpand(GroupKey(type.name, it, spot)) }.minByOrNull { owned(it) } ?: continue
             if (count * price < lowest) {
                 lowest = count * price
                 best = GroupKey(type.name, zone, spot) to count
--- a/src/main/kotlin/plankwall/core/rental/FleetMemory.kt
+++ b/src/main/kotlin/plankwall/core/rental/FleetMemory.kt
@@ -41,7 +41,23 @@
         val whole = record()
         if (whole == refused) return
         val pieces = pieces(whole)
-        val kept = Divided.fleet(pieces.mapIndexed { i, p -> StateItem(if (i == 0) Keys.FLEET else Keys.more(Keys.FLEET, i), p, 0) }) ?: return
+        val kept =
+            Divided.fleet(
+                pieces.mapIndexed { i, p ->
+                    StateItem(
+                        if (i ==
+                            0
+                        ) {
+                            Keys.FLEET
+                        } else {
+                            Keys.more(Keys.FLEET, i)
+                        },
+                        p,
+                        0,
+                    )
+                },
+            )
+                ?: return
         dirty = false
         writing = true
         // As many obsolete keys as one transaction takes; those beyond count for nothing either way.
@@ -75,14 +91,22 @@
     private fun pieces(whole: FleetRecord): List<FleetRecord> {
         var part = 1.0
         while (true) {
-            val record = if (part == 1.0) whole else FleetRecord(
-                whole.rentals,
-                whole.arrivals.takeLast((whole.arrivals.size * part).toInt()),
-                whole.returning.take((whole.returning.size * part).toInt()),
-            )
+            val record = if (part == 1.0) {
+                whole
+            } else {
+                FleetRecord(
+                    whole.rentals,
+                    whole.arrivals.takeLast((whole.arrivals.size * part).toInt()),
+                    whole.returning.take((whole.returning.size * part).toInt()),
+                )
+            }
             Divided.fleet(record, most(), limits.wholeBytes)?.let { return it }
             if (part < LEAST_PART) return listOf(record)
-            log.warn("the fleet's record outgrows a transaction: of {} arrivals and {} returns some wait", whole.arrivals.size, whole.returning.size)
+            log.warn(
+                "the fleet's record outgrows a transaction: of {} arrivals and {} returns some wait",
+                whole.arrivals.size,
+                whole.returning.size,
+            )
             part *= SHRINK
         }
     }
--- a/src/main/kotlin/plankwall/core/rental/Growth.kt
+++ b/src/main/kotlin/plankwall/core/rental/Growth.kt
@@ -1,7 +1,6 @@
 package plankwall.core.rental
 
 import plankwall.core.jobs.Job
-import plankwall.core.placing.Room
 import plankwall.core.step.Context
 import plankwall.model.Resources
 import plankwall.model.Shape
@@ -29,7 +28,11 @@
         // What was there at the take-over did not arrive since.
         rate.note(ctx.now, jobs.filter { it.readyAt > since + 1.0 })
         val leaving = jobs.flatMap { it.placements.values }
-            .filter { it.job.spec.shape != Shape.SERVICE && it.runningSince > 0 && it.runningSince + it.job.spec.estimateS < ctx.now + leadS }
+            .filter {
+                it.job.spec.shape != Shape.SERVICE &&
+                    it.runningSince > 0 &&
+                    it.runningSince + it.job.spec.estimateS < ctx.now + leadS
+            }
             .fold(Resources.NONE) { sum, p -> sum + p.job.spec.need }
         return (rate.within(leadS) - leaving).atLeastNothing()
     }
--- a/src/main/kotlin/plankwall/core/rental/RentalLoop.kt
+++ b/src/main/kotlin/plankwall/core/rental/RentalLoop.kt
@@ -41,7 +41,11 @@
     private val registry = ClusterStateRegistry(ctx, fleet, outlook, bootTrouble::patienceS)
     private val memory = FleetMemory(store)
     private val lastRental = HashMap<GroupKey?, Double>()
-    private val returns = Returns(ctx, store, book, fleet, registry, outlook, memory, startedAt, surelyEmptyAt) { lastRental[it] ?: Machine.NEVER }
+    private val returns =
+        Returns(ctx, store, book, fleet, registry, outlook, memory, startedAt, surelyEmptyAt) {
+            lastRental[it]
+                ?: Machine.NEVER
+        }
     private val cloudList = CloudList(ctx, store, fleet, memory)
 
     private class Rental(val stored: StoredRental) {
@@ -55,7 +59,10 @@
      * than an idle machine costs. What is there already is kept for all that should come. What a team's limit holds back counts for
      * nothing: for a team at its limit 900 machines were once rented, a third of them for work that was not allowed to start.
      */
-    private val owed = GrowthWatch(ctx, startedAt) { ctx.settings.teams[it.team.value].hasGuarantee && !placer.backlog.heldByLimit(it) }
+    private val owed = GrowthWatch(ctx, startedAt) {
+        ctx.settings.teams[it.team.value].hasGuarantee &&
+            !placer.backlog.heldByLimit(it)
+    }
     private val any = GrowthWatch(ctx, startedAt) { !placer.backlog.heldByLimit(it) }
     private val consolidation = Consolidation(fleet)
     private val rentals = LinkedHashMap<String, Rental>()
@@ -81,7 +88,12 @@
             arrivals[it.machine] = Arrival(it.machine, it.group, ctx.now - age, it.rentedMs)
             fleet.describe(fleet.machine(it.machine), it.group, "")
         }
-        record.returning.forEach { fleet.machine(it).apply { returning = true; returnStored = true } }
+        record.returning.forEach {
+            fleet.machine(it).apply {
+                returning = true
+                returnStored = true
+            }
+        }
         if (rentals.isNotEmpty()) log.info("took over {} unanswered rentals", rentals.size)
     }
 
@@ -107,7 +119,8 @@
         return m.registered || m.placements.isNotEmpty()
     }
 
-    private fun mayBeCountedOn(a: Arrival): Boolean = fleet.catalog?.get(a.group.type) != null && !registry.isLate(a) && bootTrouble.isCounted(a)
+    private fun mayBeCountedOn(a: Arrival): Boolean =
+        fleet.catalog?.get(a.group.type) != null && !registry.isLate(a) && bootTrouble.isCounted(a)
 
     private fun round() {
         val catalog = fleet.catalog ?: return
@@ -154,14 +167,33 @@
 
     private fun spareTime(catalog: Catalog, running: List<Machine>, arriving: Int): SpareTimeRentals {
         val bootS = catalog.types.maxOfOrNull { it.bootS } ?: 0.0
-        for (job in placer.unplaced) if (job.spareTime && !job.overlooked && ctx.time.wallMs - job.readyMs > bootS * 1000 * OVERLOOKED_BOOTS) job.overlooked = true
+        for (job in placer.unplaced) {
+            if (job.spareTime &&
+                !job.overlooked &&
+                ctx.time.wallMs - job.readyMs > bootS * 1000 * OVERLOOKED_BOOTS
+            ) {
+                job.overlooked = true
+            }
+        }
         val taken = running.sumOf { m ->
             val type = m.type
-            if (type == null) 0.0 else m.placements.values.filter { it.job.spareTime }.fold(Resources.NONE) { sum, p -> sum + p.job.spec.need }.partOf(type.capacity)
+            if (type ==
+                null
+            ) {
+                0.0
+            } else {
+                m.placements.values.filter { it.job.spareTime }.fold(Resources.NONE) { sum, p ->
+                    sum +
+                        p.job.spec.need
+                }.partOf(type.capacity)
+            }
         }
         if (placer.unplaced.any { !it.spareTime && !it.doubtful }) contestedAt = ctx.now
         // Where the cloud had none lately, what comes free there is left to those who have aims to meet.
-        return SpareTimeRentals(SpareTimeRentals.leftAt(running.size, arriving, taken, ctx.now < contestedAt + bootS)) { ctx.now > (noCapacityUntil[it] ?: 0.0) + bootS * LEFT_ALONE_BOOTS }
+        return SpareTimeRentals(SpareTimeRentals.leftAt(running.size, arriving, taken, ctx.now < contestedAt + bootS)) {
+            ctx.now >
+                (noCapacityUntil[it] ?: 0.0) + bootS * LEFT_ALONE_BOOTS
+        }
     }
 
     private fun mayExpand(key: GroupKey): Boolean = mayExpandTroubled(key) && key !in bootTrouble.groups
@@ -171,12 +203,15 @@
 
     private fun mayExpandForLive(key: GroupKey): Boolean = isOpen(key) && !registry.group(key).startsFail
 
-    private fun isOpen(key: GroupKey): Boolean = (noCapacityUntil[key] ?: 0.0) <= ctx.now && key.zone !in registry.cutZones
+    private fun isOpen(key: GroupKey): Boolean =
+        (noCapacityUntil[key] ?: 0.0) <= ctx.now && key.zone !in registry.cutZones
 
     /** Whether the cloud refused, or filled in part only, what was last asked of every group that [job] may use. */
     private fun isScarce(job: Job): Boolean {
         val groups = fleet.catalog?.fitting(job.spec).orEmpty()
-            .flatMap { type -> type.zones.flatMap { listOf(GroupKey(type.name, it, true), GroupKey(type.name, it, false)) } }
+            .flatMap { type ->
+                type.zones.flatMap { listOf(GroupKey(type.name, it, true), GroupKey(type.name, it, false)) }
+            }
             .filter { Placer.allowed(job.spec, it) }
         // It is asked again after a while; until it has answered, what it said last holds.
         return groups.isNotEmpty() && groups.all { ctx.now < (noCapacityUntil[it] ?: Machine.NEVER) + NO_CAPACITY_S }
@@ -192,15 +227,25 @@
             rentals[request] = Rental(StoredRental(request, group, n))
             lastRental[group] = ctx.now
             memory.dirty = true
-            log.info("rent {} of {} as {}: {} jobs wait, {} machines arriving", n, group, request, waiting, arrivals.size)
+            log.info(
+                "rent {} of {} as {}: {} jobs wait, {} machines arriving",
+                n,
+                group,
+                request,
+                waiting,
+                arrivals.size,
+            )
         }
     }
 
     /** UC5: rented long ago, never heard: returned one by one. */
     private fun returnUnregistered() {
         val late = fleet.machines.firstOrNull { m ->
-            !m.registered && !m.returning && m.placements.isEmpty() &&
-                ctx.now - maxOf(arrivals[m.id]?.rentedAt ?: m.firstSeen, startedAt) > (m.group?.let { bootTrouble.patienceS(it) } ?: ctx.tuning.unregisteredS)
+            !m.registered &&
+                !m.returning &&
+                m.placements.isEmpty() &&
+                ctx.now - maxOf(arrivals[m.id]?.rentedAt ?: m.firstSeen, startedAt) >
+                (m.group?.let { bootTrouble.patienceS(it) } ?: ctx.tuning.unregisteredS)
         } ?: return
         returns.giveBack(late, "never registered")
     }
@@ -211,7 +256,9 @@
             // Counted from the take-over at the earliest: before, this leader had neither list nor reports to go by.
             ctx.now - maxOf(it.rentedAt, startedAt) > ctx.tuning.shortGroupS && fleet.find(it.machine)?.listed == null
         }
-        missing.forEach { a -> fleet.find(a.machine)?.let { returns.giveBack(it, "group ${a.group} short of it for long") } }
+        missing.forEach { a ->
+            fleet.find(a.machine)?.let { returns.giveBack(it, "group ${a.group} short of it for long") }
+        }
         return missing.isNotEmpty()
     }
 
--- a/src/main/kotlin/plankwall/core/rental/Returns.kt
+++ b/src/main/kotlin/plankwall/core/rental/Returns.kt
@@ -7,7 +7,6 @@
 import plankwall.core.jobs.StopCause
 import plankwall.core.lead.LeaderStore
 import plankwall.core.outlook.Outlook
-import plankwall.core.placing.Room
 import plankwall.core.step.Context
 import plankwall.model.GroupKey
 import plankwall.model.Resources
@@ -42,7 +41,10 @@
                 m.faulty -> giveBack(m, "faulty")
                 silentAlone(m) -> giveBack(m, "silent while its zone is not: its deletion proves its tasks gone")
                 withdrawnTooLong(m) -> giveBack(m, "unreachable with a withdrawn task")
-                m.registered && ctx.now - m.lastHeard > ctx.tuning.unreadyS && m.placements.isEmpty() -> giveBack(m, "unready for long")
+                m.registered && ctx.now - m.lastHeard > ctx.tuning.unreadyS && m.placements.isEmpty() -> giveBack(
+                    m,
+                    "unready for long",
+                )
             }
         }
     }
@@ -68,27 +70,47 @@
      * counts, and where the lease would prove nothing for longer than a lease, for everything; other work waits for the lease.
      */
     private fun isWorthDeleting(m: Machine): Boolean =
-        m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.withdrawn } || surelyEmptyAt(m) > ctx.now + ctx.surelyOverS
+        m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.withdrawn } ||
+            surelyEmptyAt(m) > ctx.now + ctx.surelyOverS
 
     /** A withdrawn task must be gone in time; a machine that can't be told is deleted with all that is on it. */
-    private fun withdrawnTooLong(m: Machine): Boolean = !fleet.isReady(m) && m.placements.values.any {
-        it.job.withdrawn && ctx.time.wallMs - it.job.withdrawnMs > ctx.settings.workers.cancelS * 1000 * WITHDRAWN_PATIENCE
-    }
+    private fun withdrawnTooLong(m: Machine): Boolean = !fleet.isReady(m) &&
+        m.placements.values.any {
+            it.job.withdrawn &&
+                ctx.time.wallMs - it.job.withdrawnMs > ctx.settings.workers.cancelS * 1000 * WITHDRAWN_PATIENCE
+        }
 
     fun returnUnneeded(usable: List<Machine>, growth: Growth) {
-        fun free(spot: Boolean) = usable.filter { it.group?.spot == spot }.fold(Resources.NONE) { sum, m -> sum + m.free }
+        fun free(spot: Boolean) =
+            usable.filter { it.group?.spot == spot }.fold(Resources.NONE) { sum, m -> sum + m.free }
         var left = free(spot = false) - growth.other - (growth.spot - free(spot = true)).atLeastNothing()
         val wantedImages = book.live.filter { it.ready && !it.withdrawn }.map { it.image.value }.toSet()
         for (m in fleet.machines) {
             // Room kept for a gang that is not complete yet, or made for a task under way, is needed.
-            val idle = m.registered && fleet.isReady(m) && m.placements.isEmpty() && m.strangers == 0 && !m.returning &&
-                m.held === Resources.NONE && m.reservations.isEmpty()
-            if (!idle) m.unneededSince = Machine.NEVER else if (m.unneededSince == Machine.NEVER) m.unneededSince = ctx.now
+            val idle = m.registered &&
+                fleet.isReady(m) &&
+                m.placements.isEmpty() &&
+                m.strangers == 0 &&
+                !m.returning &&
+                m.held === Resources.NONE &&
+                m.reservations.isEmpty()
+            if (!idle) {
+                m.unneededSince = Machine.NEVER
+            } else if (m.unneededSince ==
+                Machine.NEVER
+            ) {
+                m.unneededSince = ctx.now
+            }
         }
         fleet.machines
             .filter { m ->
                 val boot = m.type?.bootS ?: DEFAULT_BOOT_S
-                m.unneededSince > Machine.NEVER && ctx.now - m.unneededSince >= orElse(ctx.tuning.unneededS, if (m.surplus) boot * SURPLUS_PATIENCE else restoreS(m, wantedImages)) &&
+                m.unneededSince > Machine.NEVER &&
+                    ctx.now - m.unneededSince >=
+                    orElse(
+                        ctx.tuning.unneededS,
+                        if (m.surplus) boot * SURPLUS_PATIENCE else restoreS(m, wantedImages),
+                    ) &&
                     // What is rented in one group says nothing of another, whose machines the waiting tasks may not use.
                     ctx.now - rentedAt(m.group) >= orElse(ctx.tuning.afterRentalS, boot)
             }
@@ -124,8 +146,14 @@
 
     fun send() {
         val due = fleet.machines.filter { m ->
-            m.returning && m.returnStored && !m.deleting &&
-                (m.placements.isEmpty() || !fleet.isReady(m) || m.placements.values.all { ctx.now - it.stopSince > DRAIN_S })
+            m.returning &&
+                m.returnStored &&
+                !m.deleting &&
+                (
+                    m.placements.isEmpty() ||
+                        !fleet.isReady(m) ||
+                        m.placements.values.all { ctx.now - it.stopSince > DRAIN_S }
+                    )
         }.take(MAX_PER_DELETE)
         // One call at a time, so that those due meanwhile go together: the cloud takes few calls.
         if (due.isEmpty() || deleting) return
--- a/src/main/kotlin/plankwall/core/rental/SpareTimeRentals.kt
+++ b/src/main/kotlin/plankwall/core/rental/SpareTimeRentals.kt
@@ -26,7 +26,16 @@
          */
         fun leftAt(fleet: Int, arriving: Int, taken: Double, contested: Boolean): Int {
             val pace = maxOf(HANDFUL, fleet / PACE) - arriving
-            return (if (contested) minOf(pace, maxOf(HANDFUL, fleet / 2) - taken.toInt() - arriving) else pace).coerceAtLeast(0)
+            return (
+                if (contested) {
+                    minOf(
+                        pace,
+                        maxOf(HANDFUL, fleet / 2) - taken.toInt() - arriving,
+                    )
+                } else {
+                    pace
+                }
+                ).coerceAtLeast(0)
         }
 
         private const val PACE = 4
--- a/src/main/kotlin/plankwall/core/rental/Turnover.kt
+++ b/src/main/kotlin/plankwall/core/rental/Turnover.kt
@@ -19,7 +19,14 @@
     private fun turns(job: Job): Int {
         val spec = job.spec
         // What comes after it, or a time by which it is due, leaves no time for turns.
-        if (spec.shape != Shape.ARRAY || spec.estimateS <= 0.0 || job.needed || spec.dependencies.isNotEmpty() || spec.deadlineS != null) return 1
+        if (spec.shape != Shape.ARRAY ||
+            spec.estimateS <= 0.0 ||
+            job.needed ||
+            spec.dependencies.isNotEmpty() ||
+            spec.deadlineS != null
+        ) {
+            return 1
+        }
         val newIn = catalog.fitting(spec).minOfOrNull { it.bootS + it.fetchS(spec.imageGb) } ?: return 1
         if (spec.estimateS > newIn * SHORT) return 1
         val waitedS = (ctx.time.wallMs - job.readyMs) / 1000.0
--- a/src/main/kotlin/plankwall/core/sessions/ReportBases.kt
+++ b/src/main/kotlin/plankwall/core/sessions/ReportBases.kt
@@ -17,7 +17,9 @@
     /** The report that [sent] by [node] stands for, or null if that is not known here. */
     fun resolve(node: String, sent: BatchedReport): Report? = when (sent) {
         is WholeReport -> sent.report.also { keep(node, sent) }
-        is UnchangedReport -> byNode[node]?.get(sent.machine)?.takeIf { it.id == sent.baseId }?.report?.copy(seq = sent.seq, token = sent.token)
+        is UnchangedReport -> byNode[node]?.get(sent.machine)?.takeIf {
+            it.id == sent.baseId
+        }?.report?.copy(seq = sent.seq, token = sent.token)
     }
 
     private fun keep(node: String, sent: WholeReport) {
--- a/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
@@ -37,8 +37,17 @@
      * its answer shows that the leader has it.
      */
     fun add(id: Long, leader: Claim, address: String, report: Report, whole: Boolean = false): Boolean {
-        val batch = open?.takeIf { it.leader.epoch == leader.epoch } ?: Open(leader, picture.lastFrom(leader.node), ctx.now).also { open = it }
-        val base = if (whole) null else bases[report.machine]?.takeIf { it.epoch == leader.epoch && saysTheSame(it.report, report) }
+        val batch =
+            open?.takeIf { it.leader.epoch == leader.epoch }
+                ?: Open(leader, picture.lastFrom(leader.node), ctx.now).also { open = it }
+        val base = if (whole) {
+            null
+        } else {
+            bases[report.machine]?.takeIf {
+                it.epoch == leader.epoch &&
+                    saysTheSame(it.report, report)
+            }
+        }
         if (base == null) {
             batch.reports.add(WholeReport(id, address, report))
             batch.changed = true
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -54,7 +54,12 @@
     /** The other node that serves the session of [machine], or null if it comes to the leader. */
     fun homeOf(machine: String, zone: String): String? {
         val current = plan ?: return null
-        return homes.getOrPut(machine) { SessionAssignment.nodeFor(current, machine, zone)?.takeIf { it != ctx.settings.node } }
+        return homes.getOrPut(machine) {
+            SessionAssignment.nodeFor(current, machine, zone)?.takeIf {
+                it !=
+                    ctx.settings.node
+            }
+        }
     }
 
     fun homeOf(m: Machine): String? = m.group?.let { homeOf(m.id, it.zone) }
@@ -101,7 +106,9 @@
         nodesSeen.values.removeIf { ctx.now - it.last > ctx.settings.workers.leaseS * LEAVE_LEASES }
         val waitS = if (ctx.now < startedAt + JOIN_S) 0.0 else JOIN_S
         return ctx.settings.peers.mapNotNull { peer ->
-            nodesSeen[peer.node]?.takeIf { ctx.now - it.since >= waitS }?.let { SessionNode(peer.node, peer.zone, it.capacity) }
+            nodesSeen[peer.node]?.takeIf {
+                ctx.now - it.since >= waitS
+            }?.let { SessionNode(peer.node, peer.zone, it.capacity) }
         }.sortedBy { it.name }
     }
 
@@ -110,7 +117,11 @@
         for (m in fleet.machines) {
             val zone = m.group?.zone ?: continue
             // A machine that is up and not here yet will be, wherever its worker goes first.
-            if (!m.returning && (m.registered || m.listed == ListedState.RUNNING || m.placements.isNotEmpty())) byZone.merge(zone, 1, Int::plus)
+            if (!m.returning &&
+                (m.registered || m.listed == ListedState.RUNNING || m.placements.isNotEmpty())
+            ) {
+                byZone.merge(zone, 1, Int::plus)
+            }
         }
         return byZone
     }
@@ -118,16 +129,35 @@
     private fun differs(basis: Basis): Boolean = when {
         basis.nodes != madeFor.nodes || basis.inherited != madeFor.inherited -> true
         basis.inherited -> false
-        else -> (basis.demand.keys + madeFor.demand.keys).any { zone -> isFar(basis.demand[zone] ?: 0, madeFor.demand[zone] ?: 0) }
+        else -> (basis.demand.keys + madeFor.demand.keys).any { zone ->
+            isFar(
+                basis.demand[zone] ?: 0,
+                madeFor.demand[zone] ?: 0,
+            )
+        }
     }
 
     private fun isFar(now: Int, then: Int): Boolean = abs(now - then) > maxOf(then * DEMAND_DRIFT, SMALL_ZONE)
 
     private fun make(basis: Basis, nodes: List<SessionNode>) {
         madeFor = basis
-        val zones = if (basis.inherited) inheritedZones(nodes) else SessionShares.of(everyZone(basis.demand), nodes + ownPart(basis.demand, nodes))
+        val zones = if (basis.inherited) {
+            inheritedZones(nodes)
+        } else {
+            SessionShares.of(
+                everyZone(basis.demand),
+                nodes + ownPart(basis.demand, nodes),
+            )
+        }
         plan = SessionPlan(epoch, zones)
-        log.info("epoch {}: sessions of {} workers spread over {} nodes{}: {}", epoch, basis.demand.values.sum(), nodes.size, if (basis.inherited) ", as the leader before had it" else "", describe(zones))
+        log.info(
+            "epoch {}: sessions of {} workers spread over {} nodes{}: {}",
+            epoch,
+            basis.demand.values.sum(),
+            nodes.size,
+            if (basis.inherited) ", as the leader before had it" else "",
+            describe(zones),
+        )
     }
 
     /** Workers may come from any zone of the site at any time. */
@@ -153,7 +183,9 @@
     }
 
     private fun describe(zones: Map<String, List<SessionShare>>): String =
-        zones.entries.joinToString("; ") { (zone, shares) -> "$zone to ${shares.joinToString(" ") { "${it.node}:${it.weight}" }}" }
+        zones.entries.joinToString("; ") { (zone, shares) ->
+            "$zone to ${shares.joinToString(" ") { "${it.node}:${it.weight}" }}"
+        }
 
     private companion object {
         const val LOOK_EVERY_S = 1.0
--- a/src/main/kotlin/plankwall/core/step/Context.kt
+++ b/src/main/kotlin/plankwall/core/step/Context.kt
@@ -116,12 +116,7 @@
 }
 
 /** What all parts of the core share. */
-class Context(
-    val settings: Settings,
-    val tuning: Tuning,
-    val incarnation: Long,
-    val random: Random,
-) {
+class Context(val settings: Settings, val tuning: Tuning, val incarnation: Long, val random: Random) {
     val time = Time()
     val out = Outbox()
     val aims = Aims(settings.objectives)
--- a/src/main/kotlin/plankwall/core/step/Gate.kt
+++ b/src/main/kotlin/plankwall/core/step/Gate.kt
@@ -5,13 +5,7 @@
 import plankwall.wire.StateResult
 
 /** What came with a request that could prove who asks. [address]: the caller's, which never proves anything by itself. */
-class Proof(
-    val method: String,
-    val path: String,
-    val body: ByteArray,
-    val authorization: String?,
-    val address: String,
-)
+class Proof(val method: String, val path: String, val body: ByteArray, val authorization: String?, val address: String)
 
 enum class Action(val word: String) {
     SUBMIT("submit"),
--- a/src/main/kotlin/plankwall/core/step/Messages.kt
+++ b/src/main/kotlin/plankwall/core/step/Messages.kt
@@ -45,7 +45,13 @@
 /** Everything that a controller can do about it. */
 sealed interface Effect {
     /** [close]: the caller had better make a new connection for what comes next. */
-    class Answer(val request: RequestId, val status: Int, val body: ByteArray, val retryAfterS: Int? = null, val close: Boolean = false) : Effect
+    class Answer(
+        val request: RequestId,
+        val status: Int,
+        val body: ByteArray,
+        val retryAfterS: Int? = null,
+        val close: Boolean = false,
+    ) : Effect
 
     data class StateCall(val call: CallId, val op: StateOp) : Effect
 
--- a/src/main/kotlin/plankwall/core/workers/FaultEvidence.kt
+++ b/src/main/kotlin/plankwall/core/workers/FaultEvidence.kt
@@ -38,7 +38,9 @@
     /** [p] still runs: after a while that says as much as its end, which may be many minutes away. */
     fun runs(p: Placement) {
         if (p.job.sound || p.job.failedOn.isEmpty() || p.runningSince <= 0.0) return
-        if (ctx.now - p.runningSince > maxOf(ctx.settings.workers.reportS * RUNS_WELL_REPORTS, p.job.longestFailS * 2)) {
+        if (ctx.now - p.runningSince >
+            maxOf(ctx.settings.workers.reportS * RUNS_WELL_REPORTS, p.job.longestFailS * 2)
+        ) {
             clear(p.job, "${p.id} runs well on ${p.machine.id}")
         }
     }
@@ -57,7 +59,12 @@
     private fun putOff(job: Job) {
         val pause = minOf(LONGEST_S, FIRST_S * (1 shl minOf(job.failedProbes++, 10)))
         job.backoffUntil = ctx.now + pause
-        log.info("job {} failed on {} machines and ran well on none: tried again in {} s, one task at a time", job.spec.id, job.failedOn.size, pause)
+        log.info(
+            "job {} failed on {} machines and ran well on none: tried again in {} s, one task at a time",
+            job.spec.id,
+            job.failedOn.size,
+            pause,
+        )
     }
 
     private fun judge(m: Machine) {
