--- a/src/main/kotlin/plankwall/core/workers/WorkerDesk.kt
+++ b/src/main/kotlin/plankwall/core/workers/WorkerDesk.kt
@@ -55,7 +55,11 @@
         for (p in m.placements.values) {
             if (p.ended) continue
             when {
-                p.stopping != null -> if (p.commanded) orders.add(Order(OrderOp.STOP, p.job.spec.id, p.task, p.attempt, p.graceS))
+                p.stopping != null -> if (p.commanded) {
+                    orders.add(
+                        Order(OrderOp.STOP, p.job.spec.id, p.task, p.attempt, p.graceS),
+                    )
+                }
                 p.stored && !p.seen && !p.job.withdrawn && !m.returning && p.session == m.session -> {
                     p.commanded = true
                     orders.add(Order(OrderOp.START, p.job.spec.id, p.task, p.attempt))
@@ -69,7 +73,13 @@
     private fun leaveBefore(m: Machine, noticeS: Double) {
         for (p in m.placements.values.toList()) {
             val spec = p.job.spec
-            val left = if (p.runningSince > 0 && spec.shape != Shape.SERVICE) spec.estimateS - (ctx.now - p.runningSince) else Double.MAX_VALUE
+            val left = if (p.runningSince > 0 &&
+                spec.shape != Shape.SERVICE
+            ) {
+                spec.estimateS - (ctx.now - p.runningSince)
+            } else {
+                Double.MAX_VALUE
+            }
             if (left > noticeS * 0.5) book.stopWithSave(p, StopCause.DRAINED)
         }
     }
@@ -82,7 +92,12 @@
         if (!m.unsent || !m.registered || m.address.isEmpty() || m.deleting) return null
         val stops = m.placements.values.filter { it.stopping != null && it.commanded && !it.stopPosted && !it.ended }
         stops.forEach { it.stopPosted = true }
-        val waits = m.placements.values.any { it.stored && !it.commanded && it.stopping == null && it.session == m.session }
+        val waits = m.placements.values.any {
+            it.stored &&
+                !it.commanded &&
+                it.stopping == null &&
+                it.session == m.session
+        }
         val poke = waits && ctx.now - m.lastPoked > ctx.settings.workers.leaseS * 0.55
         if (poke) m.lastPoked = ctx.now
         m.unsent = waits && !poke
@@ -106,7 +121,11 @@
         // word may have been an old report, held back until we led, which says nothing against the machine.
         if (m.session in 1 until r.session && ctx.now - m.lastAnswered < ctx.settings.workers.leaseS) {
             if (r.token >= leadership.epoch) m.blockedUntil = ctx.now + ctx.surelyOverS else m.deaf = true
-            log.info("machine {} lost its lease though it was answered: no work for it {}", m.id, if (m.deaf) "until it shows our token" else "for now")
+            log.info(
+                "machine {} lost its lease though it was answered: no work for it {}",
+                m.id,
+                if (m.deaf) "until it shows our token" else "for now",
+            )
         }
         m.awaited = false
         fleet.describe(m, r)
@@ -116,7 +135,13 @@
         m.lastHeard = ctx.now
     }
 
-    private fun examine(m: Machine, t: TaskReport, reported: HashSet<Placement>, orders: ArrayList<Order>, overtaken: Boolean) {
+    private fun examine(
+        m: Machine,
+        t: TaskReport,
+        reported: HashSet<Placement>,
+        orders: ArrayList<Order>,
+        overtaken: Boolean,
+    ) {
         val job = book.find(t.jobId)
         val p = job?.let { m.placement(it, t.task) }
         if (p != null && p.attempt == t.attempt) {
@@ -160,9 +185,14 @@
      * A gang task whose mates took longer over their images than it may wait. The others still wait or fetch, and the
      * same attempt, started here again, completes the gang; giving it up would throw away every fetch under way.
      */
-    private fun waitsOn(p: Placement, t: TaskReport): Boolean = t.cause == ExitCause.ALONE && p.stopping == null && !p.ended &&
-        !p.machine.returning && p.machine.noticeAt == Machine.NEVER && !p.job.withdrawn &&
-        p.job.placements.size == p.job.spec.tasks - p.job.doneCount && p.job.placements.values.none { it.stopping != null }
+    private fun waitsOn(p: Placement, t: TaskReport): Boolean = t.cause == ExitCause.ALONE &&
+        p.stopping == null &&
+        !p.ended &&
+        !p.machine.returning &&
+        p.machine.noticeAt == Machine.NEVER &&
+        !p.job.withdrawn &&
+        p.job.placements.size == p.job.spec.tasks - p.job.doneCount &&
+        p.job.placements.values.none { it.stopping != null }
 
     private fun tryAgain(p: Placement, orders: ArrayList<Order>, overtaken: Boolean) {
         // Only a check-in's answer is never executed late, and only its newest word shows that the exit still stands.
@@ -219,7 +249,13 @@
         for (m in fleet.machines) {
             if (m.placements.isEmpty()) continue
             if (ctx.now >= fleet.surelyEmptyAt(m, leadership.othersSilent)) {
-                m.placements.values.toList().forEach { if (it.stored || it.commanded) book.release(it, "lease of ${m.id} is over") }
+                m.placements.values.toList().forEach {
+                    if (it.stored ||
+                        it.commanded
+                    ) {
+                        book.release(it, "lease of ${m.id} is over")
+                    }
+                }
             } else if (m.registered && ctx.now - m.lastHeard > ctx.settings.workers.missedS) {
                 takeBack(m)
             }
--- a/src/main/kotlin/plankwall/gate/Gatehouse.kt
+++ b/src/main/kotlin/plankwall/gate/Gatehouse.kt
@@ -62,9 +62,21 @@
         sweep.tick(power)
         if (ctx.now >= nextShed) {
             nextShed = ctx.now + SHED_EVERY_S
-            for ((kind, limits) in listOf("principal" to byPrincipal, "network" to byNetwork)) limits.takeShed().forEach { (name, n) ->
-                log.info("{} {}: {} requests turned away unjudged", kind, name, n)
-                trail.note(entry(Who(name, "", ""), "shed", kind, Verdict(false, "too many denials"), 429, note = "$n requests")) {}
+            for ((kind, limits) in listOf("principal" to byPrincipal, "network" to byNetwork)) {
+                limits.takeShed().forEach { (name, n) ->
+                    log.info("{} {}: {} requests turned away unjudged", kind, name, n)
+                    trail.note(
+                        entry(
+                            Who(name, "", ""),
+                            "shed",
+                            kind,
+                            Verdict(false, "too many denials"),
+                            429,
+                            note = "$n requests",
+                        ),
+                    ) {
+                    }
+                }
             }
         }
     }
@@ -72,10 +84,14 @@
     /** Who asked, as the trail is told. */
     class Who(val name: String, val key: String, val network: String, val request: String = "")
 
-    private fun entry(who: Who, action: String, subject: String, verdict: Verdict, status: Int, note: String = "") = TrailEntry(
-        "${ctx.incarnation.toString(36)}-${(nextDecision++).toString(36)}", ctx.time.wallMs, epoch, who.name, who.key, who.network,
-        action, subject, verdict.allowed, verdict.rule, book.policy.version, status, who.request, note,
-    )
+    private fun entry(who: Who, action: String, subject: String, verdict: Verdict, status: Int, note: String = "") =
+        TrailEntry(
+            "${ctx.incarnation.toString(
+                36,
+            )}-${(nextDecision++).toString(36)}",
+            ctx.time.wallMs, epoch, who.name, who.key, who.network,
+            action, subject, verdict.allowed, verdict.rule, book.policy.version, status, who.request, note,
+        )
 
     override fun enter(request: RequestId, proof: Proof, then: (Visitor) -> Unit) = entered(request, proof) { then(it) }
 
@@ -87,7 +103,13 @@
             byNetwork.exhausted(network) -> tooMany(request, byNetwork)
             !book.known -> ctx.out.answer(request, 503, JobCodec.error("who may do what is not known yet"), 1)
             else -> when (val result = prove(proof)) {
-                is TokenResult.Refused -> refuse(request, Who("", "", network, nameless(proof)), 401, result.reason, network)
+                is TokenResult.Refused -> refuse(
+                    request,
+                    Who("", "", network, nameless(proof)),
+                    401,
+                    result.reason,
+                    network,
+                )
                 is TokenResult.Proven -> admit(request, proof, result.claims, network, then)
             }
         }
@@ -96,11 +118,20 @@
     private fun prove(proof: Proof): TokenResult {
         val seen = proof.authorization?.let { looking[it] }
         // Its signature held before; whether its key still does is asked each time.
-        if (seen != null && seen.expiresMs > ctx.time.wallMs && book.policy.publicKey(seen.principal, seen.key)?.holds(ctx.time.wallMs, toleranceMs) == true) {
+        if (seen != null &&
+            seen.expiresMs > ctx.time.wallMs &&
+            book.policy.publicKey(seen.principal, seen.key)?.holds(ctx.time.wallMs, toleranceMs) == true
+        ) {
             return TokenResult.Proven(seen)
         }
-        val result = tokens.read(proof.authorization, ctx.time.wallMs) { principal, key -> book.policy.publicKey(principal, key) }
-        if (result is TokenResult.Proven && result.claims.binds == null) proof.authorization?.let { looking[it] = result.claims }
+        val result = tokens.read(proof.authorization, ctx.time.wallMs) { principal, key ->
+            book.policy.publicKey(principal, key)
+        }
+        if (result is TokenResult.Proven &&
+            result.claims.binds == null
+        ) {
+            proof.authorization?.let { looking[it] = result.claims }
+        }
         return result
     }
 
@@ -111,12 +142,33 @@
         val binds = claims.binds
         when {
             byPrincipal.exhausted(who.name) -> tooMany(request, byPrincipal)
-            principal?.networks?.contains(proof.address) == false -> refuse(request, who, 403, "not from this network", network)
-            binds == null && proof.method != "GET" -> refuse(request, who, 401, "a token that is bound to no request is good for looking only", network)
+            principal?.networks?.contains(
+                proof.address,
+            ) == false -> refuse(request, who, 403, "not from this network", network)
+            binds == null && proof.method != "GET" -> refuse(
+                request,
+                who,
+                401,
+                "a token that is bound to no request is good for looking only",
+                network,
+            )
             binds != null && binds != Tokens.fingerprintOf(proof.method, proof.path, proof.body) ->
                 refuse(request, who, 401, "the token was made for another request", network)
-            !fresh && proof.method != "GET" -> ctx.out.answer(request, 503, JobCodec.error("what you may do can't be checked now"), 1)
-            else -> when (if (binds == null) ReplayGuard.Use.FIRST else used.use(who.name, claims.id, claims.expiresMs, ctx.time.wallMs)) {
+            !fresh && proof.method != "GET" -> ctx.out.answer(
+                request,
+                503,
+                JobCodec.error("what you may do can't be checked now"),
+                1,
+            )
+            else -> when (
+                if (binds ==
+                    null
+                ) {
+                    ReplayGuard.Use.FIRST
+                } else {
+                    used.use(who.name, claims.id, claims.expiresMs, ctx.time.wallMs)
+                }
+            ) {
                 ReplayGuard.Use.FIRST -> then(Guest(who, ownOnly = !fresh))
                 ReplayGuard.Use.AGAIN -> refuse(request, who, 401, "the token was used already", network)
                 ReplayGuard.Use.NO_ROOM -> ctx.out.answer(request, 429, JobCodec.error("too many requests"), 1)
@@ -141,7 +193,8 @@
         }
     }
 
-    private fun unstored(request: RequestId) = ctx.out.answer(request, 503, JobCodec.error("the decision can't be recorded now"), 1)
+    private fun unstored(request: RequestId) =
+        ctx.out.answer(request, 503, JobCodec.error("the decision can't be recorded now"), 1)
 
     override fun workerRefused(address: String, claimed: String, listed: String?): String? {
         val ranges = book.policy.workers
@@ -159,7 +212,12 @@
         override val name: String get() = who.name
 
         override fun judge(action: Action, job: JobFacts?): Verdict {
-            if (ownOnly) return Verdict(action == Action.SHOW && job?.owner == name, "rights too old: own jobs may be looked at")
+            if (ownOnly) {
+                return Verdict(
+                    action == Action.SHOW && job?.owner == name,
+                    "rights too old: own jobs may be looked at",
+                )
+            }
             return book.policy.judge(name, action, job)
         }
 
@@ -179,7 +237,13 @@
             val own = txn.guards.any { it.key == AccessKeys.HEAD }
             val guarded = if (own) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, book.stamp))
             trail.change(entry(decision), guarded) { result ->
-                if (result is StateResult.Conflict && AccessKeys.HEAD in result.failed) book.refresh { then(result) } else then(result)
+                if (result is StateResult.Conflict &&
+                    AccessKeys.HEAD in result.failed
+                ) {
+                    book.refresh { then(result) }
+                } else {
+                    then(result)
+                }
             }
         }
     }
--- a/src/main/kotlin/plankwall/gate/Keeper.kt
+++ b/src/main/kotlin/plankwall/gate/Keeper.kt
@@ -27,7 +27,11 @@
         Visit(request, guest, asked).handle()
     }
 
-    private inner class Visit(private val request: RequestId, private val guest: Gatehouse.Guest, private val asked: KeeperRequest) {
+    private inner class Visit(
+        private val request: RequestId,
+        private val guest: Gatehouse.Guest,
+        private val asked: KeeperRequest,
+    ) {
         private val action = if (asked is KeeperRequest.Trail) Action.AUDIT else Action.ADMINISTER
         private val subject = when (asked) {
             is KeeperRequest.Trail -> "trail ${asked.node ?: "seals"} ${asked.number}"
@@ -46,31 +50,45 @@
             }
             when (asked) {
                 KeeperRequest.Rights -> current(v)
-                is KeeperRequest.OldRights -> old(asked.version) { text -> told(v, 200, KeeperCodec.rights(asked.version, "", 0, text)) }
+                is KeeperRequest.OldRights -> old(asked.version) { text ->
+                    told(v, 200, KeeperCodec.rights(asked.version, "", 0, text))
+                }
                 is KeeperRequest.Trail -> trail(v, asked)
                 is KeeperRequest.Publish -> publish(asked.base, asked.text)
                 is KeeperRequest.Rollback -> old(asked.to) { publish(asked.base, it) }
             }
         }
 
-        private fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) = ctx.out.answer(request, status, body, retryAfterS)
+        private fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) =
+            ctx.out.answer(request, status, body, retryAfterS)
 
-        private fun told(v: Verdict, status: Int, body: ByteArray) = guest.record(Decision(action, subject, v, status)) { stored ->
-            if (stored) answer(status, body) else later("the decision can't be recorded now")
-        }
+        private fun told(v: Verdict, status: Int, body: ByteArray) =
+            guest.record(Decision(action, subject, v, status)) { stored ->
+                if (stored) answer(status, body) else later("the decision can't be recorded now")
+            }
 
         private fun later(why: String) = answer(503, JobCodec.error(why), 1)
 
         private fun current(v: Verdict) {
             val head = book.head
-            if (head == null) later("the rights are not known yet") else told(v, 200, KeeperCodec.rights(head.version, head.by, head.atMs, book.text))
+            if (head ==
+                null
+            ) {
+                later("the rights are not known yet")
+            } else {
+                told(v, 200, KeeperCodec.rights(head.version, head.by, head.atMs, book.text))
+            }
         }
 
         private fun old(version: Long, then: (String) -> Unit) = book.parts(version) { parts ->
             when {
                 parts == null -> later("the state service can't be read")
                 // Parts of a version that was never published lie beyond the newest one.
-                parts.isEmpty() || version > book.policy.version -> told(verdict, 404, JobCodec.error("there is no version $version of the rights"))
+                parts.isEmpty() || version > book.policy.version -> told(
+                    verdict,
+                    404,
+                    JobCodec.error("there is no version $version of the rights"),
+                )
                 else -> then(parts.joinToString(""))
             }
         }
@@ -81,7 +99,11 @@
             val wrong = wrongWith(base, text)
             when {
                 head == null -> later("the rights are not known yet")
-                base != head.version -> told(v, 409, JobCodec.error("the rights are at version ${head.version} by now, not $base"))
+                base != head.version -> told(
+                    v,
+                    409,
+                    JobCodec.error("the rights are at version ${head.version} by now, not $base"),
+                )
                 wrong != null -> told(v, 400, JobCodec.error(wrong))
                 else -> book.prepare(base, book.stamp, text, guest.name) { ready ->
                     if (ready == null) later("the state service did not confirm") else store(v, ready)
@@ -91,19 +113,27 @@
 
         private fun wrongWith(base: Long, text: String): String? = try {
             val next = RightsReader.read(text, base + 1)
-            if (next.judge(guest.name, Action.ADMINISTER, null).allowed) null
-            else "by these rights you could not administer any more: have somebody publish them who still can"
+            if (next.judge(guest.name, Action.ADMINISTER, null).allowed) {
+                null
+            } else {
+                "by these rights you could not administer any more: have somebody publish them who still can"
+            }
         } catch (e: BadRights) {
             e.message
         }
 
-        private fun store(v: Verdict, ready: RightsBook.Prepared) = guest.change(Decision(action, subject, v, 200), ready.txn) { result ->
-            when (result) {
-                is StateResult.Committed -> book.refresh { answer(200, KeeperCodec.published(ready.version)) }
-                is StateResult.Conflict -> told(guest.judge(action, null), 409, JobCodec.error("somebody else published meanwhile"))
-                else -> later("the state service did not confirm")
+        private fun store(v: Verdict, ready: RightsBook.Prepared) =
+            guest.change(Decision(action, subject, v, 200), ready.txn) { result ->
+                when (result) {
+                    is StateResult.Committed -> book.refresh { answer(200, KeeperCodec.published(ready.version)) }
+                    is StateResult.Conflict -> told(
+                        guest.judge(action, null),
+                        409,
+                        JobCodec.error("somebody else published meanwhile"),
+                    )
+                    else -> later("the state service did not confirm")
+                }
             }
-        }
 
         private fun trail(v: Verdict, asked: KeeperRequest.Trail) {
             val key = asked.node?.let { AccessKeys.segment(it, asked.number) } ?: AccessKeys.seal(asked.number)
--- a/src/main/kotlin/plankwall/gate/RevocationSweep.kt
+++ b/src/main/kotlin/plankwall/gate/RevocationSweep.kt
@@ -46,9 +46,15 @@
         if (busy || version == 0L || applied >= version || ctx.now < retryAt || !power.mayWrite()) return
         busy = true
         val term = epoch
-        if (applied != UNREAD) page(term, null, Pass(version)) else ctx.out.state(StateOp.Get(AccessKeys.APPLIED)) { result ->
-            if (result is StateResult.Item) applied = (result.item?.value as? RightsApplied)?.version ?: 0L else pause()
-            busy = false
+        if (applied !=
+            UNREAD
+        ) {
+            page(term, null, Pass(version))
+        } else {
+            ctx.out.state(StateOp.Get(AccessKeys.APPLIED)) { result ->
+                if (result is StateResult.Item) applied = (result.item?.value as? RightsApplied)?.version ?: 0L else pause()
+                busy = false
+            }
         }
     }
 
@@ -62,19 +68,22 @@
         var failed = false
     }
 
-    private fun page(term: Long, after: String?, pass: Pass): Unit = ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE)) { result ->
-        if (result !is StateResult.Items || term != epoch) {
-            pass.failed = true
-            pass.read = true
-            settle(term, pass)
-            return@state
-        }
-        result.items.forEach { examine(term, it, pass) }
-        if (result.more && result.items.isNotEmpty()) page(term, result.items.last().key, pass) else {
-            pass.read = true
-            settle(term, pass)
+    private fun page(term: Long, after: String?, pass: Pass): Unit =
+        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE)) { result ->
+            if (result !is StateResult.Items || term != epoch) {
+                pass.failed = true
+                pass.read = true
+                settle(term, pass)
+                return@state
+            }
+            result.items.forEach { examine(term, it, pass) }
+            if (result.more && result.items.isNotEmpty()) {
+                page(term, result.items.last().key, pass)
+            } else {
+                pass.read = true
+                settle(term, pass)
+            }
         }
-    }
 
     private fun examine(term: Long, item: StateItem, pass: Pass) {
         val record = item.value as? JobRecord ?: return
@@ -84,14 +93,31 @@
         val verdict = book.policy.judge(owned.owner, Action.SUBMIT, facts)
         if (verdict.allowed) return
         val withdraw = book.policy.withdrawsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.withdrawOnRevoke
-        val marked = record.copy(owned = owned.copy(revokedBy = pass.version), withdrawnMs = if (withdraw) ctx.time.wallMs else 0)
-        val e = entry(Gatehouse.Who(owned.owner, "", ""), "revoke", record.spec.id, verdict, 0, if (withdraw) "withdraw" else "finish")
+        val marked = record.copy(
+            owned = owned.copy(revokedBy = pass.version),
+            withdrawnMs = if (withdraw) ctx.time.wallMs else 0,
+        )
+        val e =
+            entry(
+                Gatehouse.Who(owned.owner, "", ""),
+                "revoke",
+                record.spec.id,
+                verdict,
+                0,
+                if (withdraw) "withdraw" else "finish",
+            )
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
         pass.open++
         trail.change(e, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
             pass.open--
             if (result is StateResult.Committed) {
-                log.info("job {} of {}, who may not submit it any more by {}: {}", record.spec.id, owned.owner, verdict.rule, e.note)
+                log.info(
+                    "job {} of {}, who may not submit it any more by {}: {}",
+                    record.spec.id,
+                    owned.owner,
+                    verdict.rule,
+                    e.note,
+                )
             } else {
                 // Changed meanwhile, or nobody knows: looked at again in the next pass.
                 pass.failed = true
@@ -108,7 +134,9 @@
             return
         }
         val guards = listOf(Guard(Keys.LEADER, term), Guard(AccessKeys.HEAD, book.stamp))
-        ctx.out.state(StateOp.Txn(guards, listOf(Write.Put(AccessKeys.APPLIED, RightsApplied(pass.version))))) { result ->
+        ctx.out.state(
+            StateOp.Txn(guards, listOf(Write.Put(AccessKeys.APPLIED, RightsApplied(pass.version)))),
+        ) { result ->
             busy = false
             if (result is StateResult.Committed) applied = pass.version else pause()
         }
--- a/src/main/kotlin/plankwall/gate/RightsBook.kt
+++ b/src/main/kotlin/plankwall/gate/RightsBook.kt
@@ -97,7 +97,9 @@
             return@readText
         }
         policy = try {
-            RightsReader.read(read, found.version).also { log.info("rights version {} by {}: {} principals", found.version, found.by, it.principals.size) }
+            RightsReader.read(read, found.version).also {
+                log.info("rights version {} by {}: {} principals", found.version, found.by, it.principals.size)
+            }
         } catch (e: BadRights) {
             // Checked before it was stored, so it is a later version's language, or somebody's edit of the store.
             log.error("rights version {} can't be read, so nobody may do anything: {}", found.version, e.message)
@@ -113,14 +115,19 @@
     /** The text of a version; [then] gets null if it can't be read, or is not what [head] says. */
     private fun readText(head: RightsHead, then: (String?) -> Unit) = parts(head.version) { parts ->
         val text = parts?.take(head.parts)?.joinToString("")
-        if (text != null && digest(text) != head.digest) log.error("rights version {}: the stored text is not the one that was published", head.version)
+        if (text != null &&
+            digest(text) != head.digest
+        ) {
+            log.error("rights version {}: the stored text is not the one that was published", head.version)
+        }
         then(text?.takeIf { digest(it) == head.digest })
     }
 
     /** [then] gets null if the store can't be read. */
-    fun parts(version: Long, then: (List<String>?) -> Unit) = ctx.out.state(StateOp.Range(AccessKeys.parts(version), null, MAX_PARTS)) { result ->
-        then((result as? StateResult.Items)?.items?.mapNotNull { (it.value as? RightsPart)?.text })
-    }
+    fun parts(version: Long, then: (List<String>?) -> Unit) =
+        ctx.out.state(StateOp.Range(AccessKeys.parts(version), null, MAX_PARTS)) { result ->
+            then((result as? StateResult.Items)?.items?.mapNotNull { (it.value as? RightsPart)?.text })
+        }
 
     /** A version that is ready to be published once its head is: [txn] writes the head, guarded on all that it names. */
     class Prepared(val version: Long, val txn: StateOp.Txn)
@@ -135,14 +142,24 @@
         val head = RightsHead(version, pieces.size, digest(text), by, ctx.time.wallMs)
         val keys = pieces.indices.map { AccessKeys.part(version, it) }
         put(version, pieces, 0, baseStamp, ArrayList()) { stamps ->
-            if (stamps == null) then(null) else {
-                val guards = listOf(Guard(AccessKeys.HEAD, baseStamp)) + keys.zip(stamps) { key, stamp -> Guard(key, stamp) }
+            if (stamps == null) {
+                then(null)
+            } else {
+                val guards =
+                    listOf(Guard(AccessKeys.HEAD, baseStamp)) + keys.zip(stamps) { key, stamp -> Guard(key, stamp) }
                 then(Prepared(version, StateOp.Txn(guards, listOf(Write.Put(AccessKeys.HEAD, head)))))
             }
         }
     }
 
-    private fun put(version: Long, pieces: List<String>, from: Int, baseStamp: Long, stamps: ArrayList<Long>, then: (List<Long>?) -> Unit) {
+    private fun put(
+        version: Long,
+        pieces: List<String>,
+        from: Int,
+        baseStamp: Long,
+        stamps: ArrayList<Long>,
+        then: (List<Long>?) -> Unit,
+    ) {
         if (from >= pieces.size) {
             then(stamps)
             return
@@ -151,7 +168,9 @@
         val now = pieces.drop(from).take(perTxn)
         val writes = now.mapIndexed { n, piece -> Write.Put(AccessKeys.part(version, from + n), RightsPart(piece)) }
         ctx.out.state(StateOp.Txn(listOf(Guard(AccessKeys.HEAD, baseStamp)), writes)) { result ->
-            if (result !is StateResult.Committed) then(null) else {
+            if (result !is StateResult.Committed) {
+                then(null)
+            } else {
                 repeat(now.size) { stamps.add(result.revision) }
                 put(version, pieces, from + now.size, baseStamp, stamps, then)
             }
--- a/src/main/kotlin/plankwall/identity/Keys.kt
+++ b/src/main/kotlin/plankwall/identity/Keys.kt
@@ -16,7 +16,12 @@
 class BadKey(reason: String) : Exception(reason)
 
 /** One of a principal's keys (RFC 8037). Several may hold at the same time, so that one can replace another in peace. */
-class PublicKey private constructor(val id: String, private val point: ByteArray, private val sinceMs: Long, private val untilMs: Long) {
+class PublicKey private constructor(
+    val id: String,
+    private val point: ByteArray,
+    private val sinceMs: Long,
+    private val untilMs: Long,
+) {
     /**
      * Whether the last part of a compact JWS is this key's signature (RFC 8032) of all before it. Bouncy Castle checks it in an
      * eighth of the time that the JDK takes where only the first compiler runs, as on the small machine.
@@ -26,17 +31,28 @@
         if (dot < 0) return false
         val signature = compact.substring(dot + 1).decodeBase64()?.toByteArray() ?: return false
         val signed = compact.substring(0, dot).encodeToByteArray()
-        return signature.size == Ed25519.SIGNATURE_SIZE && Ed25519.verify(signature, 0, point, 0, signed, 0, signed.size)
+        return signature.size == Ed25519.SIGNATURE_SIZE &&
+            Ed25519.verify(signature, 0, point, 0, signed, 0, signed.size)
     }
 
-    fun holds(wallMs: Long, toleranceMs: Long): Boolean = wallMs >= sinceMs - toleranceMs && wallMs < untilMs + toleranceMs
+    fun holds(wallMs: Long, toleranceMs: Long): Boolean =
+        wallMs >= sinceMs - toleranceMs && wallMs < untilMs + toleranceMs
 
     companion object {
         /** [x]: the 32 bytes of an Ed25519 public key, base64url without padding, as a JWK's `x`. */
-        fun of(id: String, x: String, sinceMs: Long = Long.MIN_VALUE / 2, untilMs: Long = Long.MAX_VALUE / 2): PublicKey {
+        fun of(
+            id: String,
+            x: String,
+            sinceMs: Long = Long.MIN_VALUE / 2,
+            untilMs: Long = Long.MAX_VALUE / 2,
+        ): PublicKey {
             if (!X.matches(x)) throw BadKey("not an Ed25519 public key: 43 characters of base64url are wanted")
             val point = x.decodeBase64()?.toByteArray()
-            if (point == null || !Ed25519.validatePublicKeyFull(point, 0)) throw BadKey("not an Ed25519 public key: no point of the curve's group")
+            if (point == null ||
+                !Ed25519.validatePublicKeyFull(point, 0)
+            ) {
+                throw BadKey("not an Ed25519 public key: no point of the curve's group")
+            }
             return PublicKey(id, point, sinceMs, untilMs)
         }
 
@@ -45,7 +61,13 @@
 }
 
 /** A private key as it stands in its file, a JWK: `{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"meera","x":…,"d":…}`. */
-class SigningKey private constructor(val principal: String, val id: String, internal val key: PrivateKey, val x: String, private val json: String) {
+class SigningKey private constructor(
+    val principal: String,
+    val id: String,
+    internal val key: PrivateKey,
+    val x: String,
+    private val json: String,
+) {
     /** What goes into the file, private part and all. */
     fun secretJson(): String = json
 
@@ -88,7 +110,11 @@
 /** jose4j says in its messages what it could not read; that may be the key itself, so nothing of it is passed on. */
 private fun read(values: Map<String, Any?>): PublicJsonWebKey = try {
     val jwk = PublicJsonWebKey.Factory.newPublicJwk(values)
-    if (jwk !is OctetKeyPairJsonWebKey || values["crv"] != OctetKeyPairJsonWebKey.SUBTYPE_ED25519) throw BadKey("not an Ed25519 key")
+    if (jwk !is OctetKeyPairJsonWebKey ||
+        values["crv"] != OctetKeyPairJsonWebKey.SUBTYPE_ED25519
+    ) {
+        throw BadKey("not an Ed25519 key")
+    }
     jwk
 } catch (_: JoseException) {
     throw BadKey("not an Ed25519 key")
--- a/src/main/kotlin/plankwall/identity/Networks.kt
+++ b/src/main/kotlin/plankwall/identity/Networks.kt
@@ -7,7 +7,11 @@
 import inet.ipaddr.ipv6.IPv6AddressTrie
 
 /** Ranges of IPv4 and IPv6 addresses. An address within them is never proof of anything; one outside is refused. */
-class Networks private constructor(private val texts: List<String>, private val v4: IPv4AddressTrie, private val v6: IPv6AddressTrie) {
+class Networks private constructor(
+    private val texts: List<String>,
+    private val v4: IPv4AddressTrie,
+    private val v6: IPv6AddressTrie,
+) {
     /** Whether [address], with or without a port, lies in one of the ranges. What can't be read lies in none. */
     fun contains(address: String): Boolean {
         val a = parse(host(address)) ?: return false
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -32,14 +32,22 @@
 
     fun seal(frame: ByteArray, wallMs: Long): ByteArray {
         val key = keys.firstOrNull() ?: return frame
-        val head = Buffer().writeByte(SEALED).name(key.id).name(node).writeLong(incarnation).writeLong(++sent).writeLong(wallMs)
+        val head = Buffer().writeByte(
+            SEALED,
+        ).name(key.id).name(node).writeLong(incarnation).writeLong(++sent).writeLong(wallMs)
         val signed = head.write(frame).readByteArray()
         return signed + mac(key, signed)
     }
 
     /** What [sealed] carries and who sent it; null if it is not believed. The sender is null for a frame that names none. */
     fun open(sealed: ByteArray, wallMs: Long): Opened? {
-        val opened = if (sealed.isNotEmpty() && sealed[0].toInt() == SEALED) openSealed(sealed, wallMs) else unsigned(sealed)
+        val opened = if (sealed.isNotEmpty() &&
+            sealed[0].toInt() == SEALED
+        ) {
+            openSealed(sealed, wallMs)
+        } else {
+            unsigned(sealed)
+        }
         if (opened == null) dropped++
         return opened
     }
@@ -73,7 +81,8 @@
         return Opened(sender, b.readByteArray())
     }
 
-    private fun mac(key: PeerKey, signed: ByteArray): ByteArray = Hashing.hmacSha256(key.secret).hashBytes(signed).asBytes()
+    private fun mac(key: PeerKey, signed: ByteArray): ByteArray =
+        Hashing.hmacSha256(key.secret).hashBytes(signed).asBytes()
 
     private fun Buffer.name(name: String): Buffer {
         val bytes = name.encodeToByteArray()
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -60,12 +60,23 @@
     /** [keyOf] gives the key of a principal by both names, or null. [wallMs]: the time of day in milliseconds. */
     fun read(authorization: String?, wallMs: Long, keyOf: (principal: String, key: String) -> PublicKey?): TokenResult {
         if (authorization == null) return TokenResult.Refused("no proof of who asks: send a signed token")
-        if (authorization.length > LONGEST || !authorization.startsWith(Tokens.SCHEME, ignoreCase = true)) return MALFORMED
+        if (authorization.length > LONGEST ||
+            !authorization.startsWith(Tokens.SCHEME, ignoreCase = true)
+        ) {
+            return MALFORMED
+        }
         val token = authorization.substring(Tokens.SCHEME.length).trim()
         val parts = token.split('.')
         val header = parts.getOrNull(0)?.let(::decode)
         val claims = parts.getOrNull(1)?.let(::decode)
-        return if (parts.size != 3 || header == null || claims == null) MALFORMED else verify(token, header, claims, wallMs, keyOf)
+        return if (parts.size != 3 ||
+            header == null ||
+            claims == null
+        ) {
+            MALFORMED
+        } else {
+            verify(token, header, claims, wallMs, keyOf)
+        }
     }
 
     /**
@@ -80,16 +91,31 @@
         null
     }
 
-    private fun verify(token: String, header: ObjectNode, claims: ObjectNode, wallMs: Long, keyOf: (String, String) -> PublicKey?): TokenResult {
+    private fun verify(
+        token: String,
+        header: ObjectNode,
+        claims: ObjectNode,
+        wallMs: Long,
+        keyOf: (String, String) -> PublicKey?,
+    ): TokenResult {
         // A critical header would ask for something that is not done here.
-        if (header.text("alg") != AlgorithmIdentifiers.EDDSA || header.text("typ") != Tokens.TYPE || header.has("crit")) return MALFORMED
+        if (header.text("alg") != AlgorithmIdentifiers.EDDSA ||
+            header.text("typ") != Tokens.TYPE ||
+            header.has("crit")
+        ) {
+            return MALFORMED
+        }
         // The claims name the key's owner, so they are read before they are believed; nothing of them is used until then.
         val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME } ?: return MALFORMED
         val kid = header.text("kid") ?: return MALFORMED
         val key = keyOf(principal, kid) ?: return UNPROVEN
         if (!key.holds(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
         val meantFor = claims.get("aud")?.let { if (it.isArray && it.size() == 1) it[0] else it }
-        if (meantFor?.isTextual != true || meantFor.textValue() != audience) return TokenResult.Refused("the token is meant for another service")
+        if (meantFor?.isTextual != true ||
+            meantFor.textValue() != audience
+        ) {
+            return TokenResult.Refused("the token is meant for another service")
+        }
         return times(claims, principal, kid, wallMs)
     }
 
@@ -101,8 +127,13 @@
         val binds = claims.text(Tokens.BINDS)
         return when {
             claims.has(Tokens.BINDS) && binds == null -> MALFORMED
-            expires <= issued || expires - issued > maxLifeMs -> TokenResult.Refused("the token lives longer than ${maxLifeMs / 1000} s")
-            maxOf(issued, notBefore) > wallMs + toleranceMs -> TokenResult.Refused("the token is not valid yet: compare the clocks")
+            expires <= issued || expires - issued > maxLifeMs -> TokenResult.Refused(
+                "the token lives longer than ${maxLifeMs / 1000} s",
+            )
+            maxOf(
+                issued,
+                notBefore,
+            ) > wallMs + toleranceMs -> TokenResult.Refused("the token is not valid yet: compare the clocks")
             expires + toleranceMs <= wallMs -> TokenResult.Refused("the token has expired")
             else -> TokenResult.Proven(Claims(principal, kid, id, expires + toleranceMs, binds))
         }
@@ -110,8 +141,9 @@
 
     private fun ObjectNode.text(name: String): String? = get(name)?.takeIf { it.isTextual }?.textValue()
 
-    private fun ObjectNode.millis(name: String): Long? =
-        get(name)?.takeIf { it.isNumber && it.doubleValue() in 0.0..LATEST_S }?.let { (it.doubleValue() * 1000).toLong() }
+    private fun ObjectNode.millis(name: String): Long? = get(name)?.takeIf {
+        it.isNumber && it.doubleValue() in 0.0..LATEST_S
+    }?.let { (it.doubleValue() * 1000).toLong() }
 
     private companion object {
         const val LONGEST = 4096
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -34,19 +34,28 @@
     private val core = Controller(settings, tuning, incarnation, seed = System.nanoTime(), gate = identities?.gate)
     private val proofs = identities != null
     private val state = StateClient(selector, settings.stateAddress)
-    private val cloud = CloudClient(selector, settings.cloudAddress, settings.cloud.rps) { System.nanoTime() / 1_000_000 }
+    private val cloud =
+        CloudClient(selector, settings.cloudAddress, settings.cloud.rps) { System.nanoTime() / 1_000_000 }
     private val answers = HashMap<RequestId, CompletableDeferred<HttpReply>>()
     private var nextRequest = 1L
     private var workerPosts = 0
     private var shedPosts = 0
     private val postSlots = Semaphore(MAX_WORKER_POSTS)
-    private val peers = PeerLinks(scope, selector, settings.peers, identities?.frames?.invoke(incarnation)) { feed(Input.PeerHeard(it)) }
+    private val peers =
+        PeerLinks(scope, selector, settings.peers, identities?.frames?.invoke(incarnation)) {
+            feed(Input.PeerHeard(it))
+        }
 
     suspend fun run() {
         HttpServer(scope, selector, settings.frontConnections, ::handle).start(settings.front)
         peers.listen(settings.internal)
         log.info("{} serves on {}, peers on {}", settings.node, settings.front, settings.internal)
-        log.info("aims are stated for {}; other classes without a guarantee take what is left", settings.objectives.mapNotNull { it.jobClass }.toSet())
+        log.info(
+            "aims are stated for {}; other classes without a guarantee take what is left",
+            settings.objectives.mapNotNull {
+                it.jobClass
+            }.toSet(),
+        )
         while (scope.isActive) {
             feed(Input.Tick)
             delay(TICK_MS)
@@ -69,7 +78,9 @@
 
     private fun perform(effect: Effect) {
         when (effect) {
-            is Effect.Answer -> answers.remove(effect.request)?.complete(HttpReply(effect.status, effect.body, effect.retryAfterS, close = effect.close))
+            is Effect.Answer -> answers.remove(
+                effect.request,
+            )?.complete(HttpReply(effect.status, effect.body, effect.retryAfterS, close = effect.close))
             is Effect.StateCall -> scope.launch { feed(Input.StateReply(effect.call, state.run(effect.op))) }
             is Effect.CloudCall -> scope.launch { feed(Input.CloudReply(effect.call, cloud.run(effect.op))) }
             is Effect.WorkerPost -> queue(effect)
@@ -128,7 +139,8 @@
         HttpReply(400, JobCodec.error(e.message ?: "malformed"))
     }
 
-    private fun proof(r: HttpRequest): Proof? = if (proofs) Proof(r.method, r.target, r.body, r.authorization, r.from) else null
+    private fun proof(r: HttpRequest): Proof? =
+        if (proofs) Proof(r.method, r.target, r.body, r.authorization, r.from) else null
 
     private suspend fun route(request: HttpRequest): HttpReply {
         val method = request.method
@@ -147,16 +159,26 @@
             !path.startsWith(JOB_PATH) -> if (proofs) keep(request) else notFound()
             job.endsWith(WITHDRAW) -> {
                 val id = job.removeSuffix(WITHDRAW)
-                post(method) { if (JobCodec.isJobId(id)) ask { Input.Withdraw(it, id, proof(request)) } else notFound() }
+                post(method) {
+                    if (JobCodec.isJobId(id)) ask { Input.Withdraw(it, id, proof(request)) } else notFound()
+                }
+            }
+            else -> get(method) {
+                if (JobCodec.isJobId(job)) ask { Input.Show(it, job, proof(request)) } else notFound()
             }
-            else -> get(method) { if (JobCodec.isJobId(job)) ask { Input.Show(it, job, proof(request)) } else notFound() }
         }
     }
 
     /** Rights and trail, which exist only where callers prove who they are. */
     private suspend fun keep(request: HttpRequest): HttpReply {
         val asked = KeeperRoutes.read(request) ?: return notFound()
-        return ask { Input.Keep(it, asked, Proof(request.method, request.target, request.body, request.authorization, request.from)) }
+        return ask {
+            Input.Keep(
+                it,
+                asked,
+                Proof(request.method, request.target, request.body, request.authorization, request.from),
+            )
+        }
     }
 
     private suspend fun get(method: String, serve: suspend () -> HttpReply): HttpReply = only("GET", method, serve)
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -14,7 +14,13 @@
 import kotlinx.io.readByteArray
 
 /** One HTTP answer as bytes on the wire's other side. */
-class HttpReply(val status: Int, val body: ByteArray, val retryAfterS: Int? = null, val allow: String? = null, val close: Boolean = false)
+class HttpReply(
+    val status: Int,
+    val body: ByteArray,
+    val retryAfterS: Int? = null,
+    val allow: String? = null,
+    val close: Boolean = false,
+)
 
 /** One request. What only an identity check wants to know is read when it is asked for. */
 class HttpRequest(private val head: Request, val body: ByteArray, private val socketAddress: SocketAddress) {
@@ -59,20 +65,21 @@
     return body
 }
 
-private suspend fun readCoded(headers: HttpHeadersMap, input: ByteReadChannel, limit: Int): ByteArray? = coroutineScope {
-    val plain = ByteChannel()
-    val decoder = launch {
-        try {
-            parseHttpBody(headers, input, plain)
-            plain.flushAndClose()
-        } catch (e: Exception) {
-            plain.cancel(e)
+private suspend fun readCoded(headers: HttpHeadersMap, input: ByteReadChannel, limit: Int): ByteArray? =
+    coroutineScope {
+        val plain = ByteChannel()
+        val decoder = launch {
+            try {
+                parseHttpBody(headers, input, plain)
+                plain.flushAndClose()
+            } catch (e: Exception) {
+                plain.cancel(e)
+            }
         }
+        val body = plain.readRemaining(limit + 1L).readByteArray()
+        decoder.cancel()
+        if (body.size > limit) null else body
     }
-    val body = plain.readRemaining(limit + 1L).readByteArray()
-    decoder.cancel()
-    if (body.size > limit) null else body
-}
 
 internal fun reason(status: Int): String = when (status) {
     200 -> "OK"
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -103,7 +103,11 @@
     private fun message(method: String, path: String, body: ByteArray?): ByteArray {
         val head = buildString {
             append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(address).append("\r\n")
-            if (body != null) append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
+            if (body !=
+                null
+            ) {
+                append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
+            }
             if (!keepAlive) append("Connection: close\r\n")
             append("\r\n")
         }.encodeToByteArray()
--- a/src/main/kotlin/plankwall/io/HttpServer.kt
+++ b/src/main/kotlin/plankwall/io/HttpServer.kt
@@ -61,7 +61,12 @@
         }
     }
 
-    private suspend fun respond(request: Request, body: ByteArray?, from: SocketAddress, output: ByteWriteChannel): Boolean {
+    private suspend fun respond(
+        request: Request,
+        body: ByteArray?,
+        from: SocketAddress,
+        output: ByteWriteChannel,
+    ): Boolean {
         // What is left of a body that is too long has not been read: the connection can't be kept.
         val reply = if (body == null) HttpReply(400, TOO_LONG) else handle(HttpRequest(request, body, from))
         val keep = body != null && !reply.close && !closes(request.headers)
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -47,7 +47,11 @@
     /** [to]: the node that it is for; null for all. */
     fun send(message: PeerMessage, to: String? = null) {
         val plain = PeerCodec.write(message)
-        if (plain.size > PeerCodec.MAX_FRAME) return log.info("a frame of {} bytes is too long and not sent", plain.size)
+        if (plain.size >
+            PeerCodec.MAX_FRAME
+        ) {
+            return log.info("a frame of {} bytes is too long and not sent", plain.size)
+        }
         val frame = seal?.seal(plain, System.currentTimeMillis()) ?: plain
         if (to == null) outgoing.values.forEach { it.trySend(frame) } else outgoing[to]?.trySend(frame)
     }
@@ -55,7 +59,8 @@
     private suspend fun deliver(peer: Peer, queue: Channel<ByteArray>) {
         while (scope.isActive) {
             try {
-                val socket = withTimeout(IO_MS) { aSocket(selector).tcp().connect(peer.host, peer.port) { noDelay = true } }
+                val socket =
+                    withTimeout(IO_MS) { aSocket(selector).tcp().connect(peer.host, peer.port) { noDelay = true } }
                 socket.use { feed(it, queue) }
                 log.debug("link to {}: ended or old, made anew", peer.node)
             } catch (e: Exception) {
@@ -75,10 +80,12 @@
     private suspend fun feed(socket: Socket, queue: Channel<ByteArray>) = coroutineScope {
         val output = socket.openWriteChannel(autoFlush = false)
         val writing = launch {
-            for (frame in queue) withTimeout(IO_MS) {
-                output.writeInt(frame.size)
-                output.writeFully(frame)
-                output.flush()
+            for (frame in queue) {
+                withTimeout(IO_MS) {
+                    output.writeInt(frame.size)
+                    output.writeFully(frame)
+                    output.flush()
+                }
             }
         }
         val reading = launch {
@@ -98,12 +105,20 @@
     private suspend fun receive(socket: Socket) {
         incoming++
         try {
-            if (seal != null && !seal.admits(socket.remoteAddress.toString().substringAfter('/'))) throw HttpBroken("not from a peer's network")
+            if (seal != null &&
+                !seal.admits(socket.remoteAddress.toString().substringAfter('/'))
+            ) {
+                throw HttpBroken("not from a peer's network")
+            }
             val input = socket.openReadChannel()
             while (true) {
                 val frame = withTimeout(SILENT_MS) {
                     val size = input.readInt()
-                    if (size !in 1..PeerCodec.MAX_FRAME + (seal?.overhead ?: 0)) throw HttpBroken("peer frame of $size bytes")
+                    if (size !in
+                        1..PeerCodec.MAX_FRAME + (seal?.overhead ?: 0)
+                    ) {
+                        throw HttpBroken("peer frame of $size bytes")
+                    }
                     input.readByteArray(size)
                 }
                 open(frame)?.let(heard)
--- a/src/main/kotlin/plankwall/io/StateClient.kt
+++ b/src/main/kotlin/plankwall/io/StateClient.kt
@@ -17,7 +17,11 @@
     suspend fun run(op: StateOp): StateResult = try {
         val outcome = send(op)
         val result = read(op, outcome)
-        if (result == StateResult.Unknown || result == StateResult.Refused) log.debug("{}: {}", name(op), describe(outcome))
+        if (result == StateResult.Unknown ||
+            result == StateResult.Refused
+        ) {
+            log.debug("{}: {}", name(op), describe(outcome))
+        }
         result
     } catch (e: BadMessage) {
         log.warn("answer to {} can't be read: {}", name(op), e.message)
@@ -34,9 +38,17 @@
         is StateOp.Grant -> calls.call("POST", "/grants", StateCodec.grant(op.ttlMs), CALL_MS)
         is StateOp.Renew -> calls.call("POST", "/grants/${op.lease}/touch", NO_BODY, CALL_MS)
         is StateOp.Drop -> calls.call("DELETE", "/grants/${op.lease}", null, CALL_MS)
-        is StateOp.Changes -> calls.call("GET", "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=0", null, CALL_MS)
+        is StateOp.Changes -> calls.call(
+            "GET",
+            "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=0",
+            null,
+            CALL_MS,
+        )
         is StateOp.Watch -> watches.call(
-            "GET", "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=${op.waitMs}", null, op.waitMs + 4_000,
+            "GET",
+            "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=${op.waitMs}",
+            null,
+            op.waitMs + 4_000,
         )
     }
 
--- a/src/main/kotlin/plankwall/lab/BadNight.kt
+++ b/src/main/kotlin/plankwall/lab/BadNight.kt
@@ -14,11 +14,26 @@
  */
 class BadNight(private val seed: Long, private val nodes: Int) {
     /** [unserved]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and probes included. */
-    class Result(val seed: Long, val nodes: Int, val troubles: List<String>, val broken: List<String>, val unserved: List<String>, val most: Int, val starts: Int)
+    class Result(
+        val seed: Long,
+        val nodes: Int,
+        val troubles: List<String>,
+        val broken: List<String>,
+        val unserved: List<String>,
+        val most: Int,
+        val starts: Int,
+    )
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
     private val troubles = ArrayList<String>()
-    private val world = World(seed, nodes, objectives = listOf("class", "probes", "sweep").map { Objective("finished", it, 120.0, 0.9) })
+    private val world =
+        World(
+            seed,
+            nodes,
+            objectives = listOf("class", "probes", "sweep").map {
+                Objective("finished", it, 120.0, 0.9)
+            },
+        )
     private val sound = ArrayList<String>()
 
     fun play(endS: Double = 420.0): Result {
@@ -29,7 +44,15 @@
         world.clock.runUntil(endS)
         // The last look is at a quiet site.
         val unserved = sound.filter { id -> world.stageOf(id) != "done" }
-        return Result(seed, nodes, troubles, world.checker.broken.toList(), unserved, world.cloud.most, world.checker.starts)
+        return Result(
+            seed,
+            nodes,
+            troubles,
+            world.checker.broken.toList(),
+            unserved,
+            world.cloud.most,
+            world.checker.starts,
+        )
     }
 
     private fun at(from: Double = EARLIEST_S, to: Double = LATEST_S): Double = from + random.nextDouble() * (to - from)
@@ -40,11 +63,43 @@
     }
 
     private fun work() {
-        for (n in 1..8) submit(World.job(n, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION, spread = n % 2 == 0, team = if (n == 1) "red" else "blue"), 1.0 + n * 0.1)
-        for (n in 20..45) submit(
-            World.job(n, if (n % 4 == 0) Shape.GANG else Shape.ARRAY, tasks = 1 + n % 5, runS = 15.0 + n % 20, oneZone = n % 8 == 0, priority = Priority.entries[n % 3]),
-            5.0 + (n - 20) * 8.0, if (n % 9 == 0) 10.0 else null,
-        )
+        for (n in 1..8) {
+            submit(
+                World.job(
+                    n,
+                    Shape.SERVICE,
+                    tasks = 4,
+                    priority = Priority.PRODUCTION,
+                    spread =
+                    n % 2 == 0,
+                    team = if (n == 1) "red" else "blue",
+                ),
+                1.0 + n * 0.1,
+            )
+        }
+        for (n in 20..45) {
+            submit(
+                World.job(
+                    n,
+                    if (n % 4 ==
+                        0
+                    ) {
+                        Shape.GANG
+                    } else {
+                        Shape.ARRAY
+                    },
+                    tasks = 1 + n % 5,
+                    runS = 15.0 + n % 20,
+                    oneZone = n % 8 == 0,
+                    priority = Priority.entries[
+                        n %
+                            3,
+                    ],
+                ),
+                5.0 + (n - 20) * 8.0,
+                if (n % 9 == 0) 10.0 else null,
+            )
+        }
     }
 
     private fun lateBoots() {
@@ -71,13 +126,17 @@
         note("$count silent for %.0f s, kind $kind".format(forS), at)
         world.clock.after(at) {
             val chosen = (world.nodes.filter { it.leading } + world.nodes).distinct().take(count)
-            for (node in chosen) when (kind) {
-                0 -> if (node.up) node.crash(forS)
-                1 -> node.freeze(forS)
-                else -> {
-                    val links = listOf("state", "workers", "state workers peers")[kind - 2].split(' ').map { "${node.name}-$it" }
-                    world.cuts.addAll(links)
-                    world.clock.after(forS) { world.cuts.removeAll(links.toSet()) }
+            for (node in chosen) {
+                when (kind) {
+                    0 -> if (node.up) node.crash(forS)
+                    1 -> node.freeze(forS)
+                    else -> {
+                        val links = listOf("state", "workers", "state workers peers")[kind - 2].split(' ').map {
+                            "${node.name}-$it"
+                        }
+                        world.cuts.addAll(links)
+                        world.clock.after(forS) { world.cuts.removeAll(links.toSet()) }
+                    }
                 }
             }
         }
@@ -92,11 +151,28 @@
 
     private fun guests() {
         val at = at()
-        val sweep = World.job(300, tasks = 1_000 + random.nextInt(3_000), runS = 1.5).copy(jobClass = "sweep", need = SMALL, priority = Priority.LOW, spot = true)
+        val sweep = World.job(
+            300,
+            tasks = 1_000 + random.nextInt(3_000),
+            runS = 1.5,
+        ).copy(jobClass = "sweep", need = SMALL, priority = Priority.LOW, spot = true)
         note("guests, a sweep of ${sweep.tasks}", at)
         submit(sweep, at)
-        for (n in 400..480) submit(World.job(n, tasks = 1, runS = 10.0).copy(jobClass = "probes", need = SMALL, priority = Priority.LOW), at(at, at + 4.0))
-        for (n in 500..503) submit(World.job(n, tasks = 30, runS = 60.0).copy(jobClass = SPARE, priority = Priority.LOW, spot = true), at)
+        for (n in 400..480) {
+            submit(
+                World.job(n, tasks = 1, runS = 10.0).copy(jobClass = "probes", need = SMALL, priority = Priority.LOW),
+                at(
+                    at,
+                    at + 4.0,
+                ),
+            )
+        }
+        for (n in 500..503) {
+            submit(
+                World.job(n, tasks = 30, runS = 60.0).copy(jobClass = SPARE, priority = Priority.LOW, spot = true),
+                at,
+            )
+        }
     }
 
     private fun faults() {
@@ -104,7 +180,19 @@
         val sick = random.nextInt(4)
         note("$sick machines fail everything, jobs with a mistake", at)
         for (n in 600..605) {
-            val spec = World.job(n, if (n % 2 == 0) Shape.GANG else Shape.ARRAY, tasks = 1 + n % 6, runS = 20.0, priority = Priority.HIGH)
+            val spec = World.job(
+                n,
+                if (n % 2 ==
+                    0
+                ) {
+                    Shape.GANG
+                } else {
+                    Shape.ARRAY
+                },
+                tasks = 1 + n % 6,
+                runS = 20.0,
+                priority = Priority.HIGH,
+            )
             world.mistaken.add(spec.id)
             submit(spec, at(at - 20.0, at + 60.0), withdrawAfter = 50.0)
         }
--- a/src/main/kotlin/plankwall/lab/ImpatientUsers.kt
+++ b/src/main/kotlin/plankwall/lab/ImpatientUsers.kt
@@ -38,7 +38,13 @@
         val node = world.nodes.filter { it.up }.ifEmpty { return }.let { it[world.random.nextInt(it.size)] }
         for (spec in impossible()) {
             world.felt.merge("odd requests", 1, Int::plus)
-            world.submitOnce(spec, node) { if (it < 400) world.checker.broken.add("impossible: ${spec.id} was accepted") }
+            world.submitOnce(spec, node) {
+                if (it <
+                    400
+                ) {
+                    world.checker.broken.add("impossible: ${spec.id} was accepted")
+                }
+            }
         }
         done.forEach { world.withdrawOnce(it, node) }
         unfinished.forEach { id -> world.submitted(id)?.let { world.submitOnce(it, node) } }
--- a/src/main/kotlin/plankwall/lab/LinkDay.kt
+++ b/src/main/kotlin/plankwall/lab/LinkDay.kt
@@ -44,13 +44,21 @@
         drawn.forEach { it.schedule(world) }
         drawn.forEach { t -> world.clock.after(t.at) { since(world, world.clock.now) } }
         world.onServed = { worker, _ -> heard(worker.id, world.clock.now) }
-        world.onReached = { worker, node -> if (couldServe(world, worker, node)) couldServe[worker.id] = world.clock.now }
+        world.onReached =
+            { worker, node -> if (couldServe(world, worker, node)) couldServe[worker.id] = world.clock.now }
         world.onLeaseDeath = { worker, tasks ->
             val could = couldServe[worker.id] ?: Double.NEGATIVE_INFINITY
             val since = maxOf(lastServed[worker.id] ?: 0.0, world.clock.now - world.settings.workers.leaseS)
             if (could > since) {
                 avoidable += tasks
-                log.info("at {} s {} tasks of {} are killed though a node could have served it at {} s, last served at {} s", world.clock.now, tasks, worker.id, could, lastServed[worker.id])
+                log.info(
+                    "at {} s {} tasks of {} are killed though a node could have served it at {} s, last served at {} s",
+                    world.clock.now,
+                    tasks,
+                    worker.id,
+                    could,
+                    lastServed[worker.id],
+                )
             }
         }
         var leader: SimNode? = null
@@ -65,11 +73,38 @@
 
     private fun work(world: World) {
         val replicas = machines * TASKS_ON_MACHINE
-        for (n in 1..replicas / SERVICE) world.clock.after(1.0 + n * 0.05) {
-            world.submit(World.job(n, Shape.SERVICE, tasks = SERVICE, priority = Priority.PRODUCTION, spread = n % 2 == 0))
+        for (n in 1..replicas / SERVICE) {
+            world.clock.after(1.0 + n * 0.05) {
+                world.submit(
+                    World.job(
+                        n,
+                        Shape.SERVICE,
+                        tasks = SERVICE,
+                        priority = Priority.PRODUCTION,
+                        spread =
+                        n % 2 == 0,
+                    ),
+                )
+            }
         }
-        for (n in 0 until 20) world.clock.after(40.0 + 9 * n) {
-            world.submit(World.job(FIRST_JOB + n, if (n % 3 == 0) Shape.GANG else Shape.ARRAY, tasks = 4, runS = 25.0), if (n % 5 == 4) 12.0 else null)
+        for (n in 0 until 20) {
+            world.clock.after(40.0 + 9 * n) {
+                world.submit(
+                    World.job(
+                        FIRST_JOB + n,
+                        if (n % 3 ==
+                            0
+                        ) {
+                            Shape.GANG
+                        } else {
+                            Shape.ARRAY
+                        },
+                        tasks = 4,
+                        runS = 25.0,
+                    ),
+                    if (n % 5 == 4) 12.0 else null,
+                )
+            }
         }
     }
 
@@ -80,13 +115,22 @@
     }
 
     private fun heard(worker: String, now: Double) {
-        for ((at, left) in waitingSince) if (left.remove(worker)) served.recordValue(((now - at) * 1000).toLong().coerceIn(0, HIGHEST_MS - 1))
+        for ((at, left) in waitingSince) {
+            if (left.remove(worker)) {
+                served.recordValue(
+                    ((now - at) * 1000).toLong().coerceIn(
+                        0,
+                        HIGHEST_MS - 1,
+                    ),
+                )
+            }
+        }
         lastServed[worker] = now
     }
 
-    private fun couldServe(world: World, worker: SimWorker, node: SimNode): Boolean =
-        !node.frozen && world.wiring.isOpen(node.name, worker.id, worker.group.zone) &&
-            world.nodes.any { it.leading && !it.frozen && (it === node || open(world, node.name, it.name)) }
+    private fun couldServe(world: World, worker: SimWorker, node: SimNode): Boolean = !node.frozen &&
+        world.wiring.isOpen(node.name, worker.id, worker.group.zone) &&
+        world.nodes.any { it.leading && !it.frozen && (it === node || open(world, node.name, it.name)) }
 
     private fun open(world: World, a: String, b: String) = world.wiring.isOpen(a, b) && world.wiring.isOpen(b, a)
 
--- a/src/main/kotlin/plankwall/lab/LinkTrouble.kt
+++ b/src/main/kotlin/plankwall/lab/LinkTrouble.kt
@@ -4,7 +4,13 @@
 import org.apache.commons.rng.sampling.ListSampler
 
 /** One thing that goes wrong with links, or beside them, from [at] for [forS] seconds of virtual time. */
-class LinkTrouble(val name: String, val at: Double, val forS: Double, private val begin: World.() -> Unit, private val end: World.() -> Unit) {
+class LinkTrouble(
+    val name: String,
+    val at: Double,
+    val forS: Double,
+    private val begin: World.() -> Unit,
+    private val end: World.() -> Unit,
+) {
     fun schedule(world: World) {
         world.clock.after(at) { world.begin() }
         world.clock.after(at + forS) { world.end() }
@@ -27,9 +33,24 @@
             when (random.nextInt(10)) {
                 0 -> links("$some without store, $how", at, forS, how) { chosen(picks, some).map { it to "state" } }
                 1 -> links("$some without workers, $how", at, forS, how) { chosen(picks, some).map { it to "workers" } }
-                2 -> links("all but one without store, $how", at, forS, how) { chosen(picks, nodes - 1).map { it to "state" } }
-                3 -> links("all but one without workers, $how", at, forS, how) { chosen(picks, nodes - 1).map { it to "workers" } }
-                4 -> oneWay(at, forS, how, random.nextBoolean()) { chosen(picks, some).map { it to if (some % 2 == 0) "state" else "workers" } }
+                2 -> links("all but one without store, $how", at, forS, how) {
+                    chosen(picks, nodes - 1).map {
+                        it to
+                            "state"
+                    }
+                }
+                3 -> links("all but one without workers, $how", at, forS, how) {
+                    chosen(picks, nodes - 1).map {
+                        it to
+                            "workers"
+                    }
+                }
+                4 -> oneWay(at, forS, how, random.nextBoolean()) {
+                    chosen(picks, some).map {
+                        it to
+                            if (some % 2 == 0) "state" else "workers"
+                    }
+                }
                 5 -> links("peers apart, $how", at, forS, how) { pairs(nodes) }
                 6 -> links("halves: store here, workers there, $how", at, forS, how) {
                     val split = chosen(picks, (nodes + 1) / 2)
@@ -50,7 +71,13 @@
         private fun pairs(nodes: Int): List<Pair<String, String>> =
             (0 until nodes).flatMap { a -> (a + 1 until nodes).map { b -> "n$a" to "n$b" } }
 
-        private fun links(name: String, at: Double, forS: Double, how: Cut, which: World.() -> List<Pair<String, String>>): LinkTrouble {
+        private fun links(
+            name: String,
+            at: Double,
+            forS: Double,
+            how: Cut,
+            which: World.() -> List<Pair<String, String>>,
+        ): LinkTrouble {
             var cut = emptyList<Pair<String, String>>()
             return LinkTrouble(name, at, forS, {
                 cut = which()
@@ -58,7 +85,13 @@
             }, { cut.forEach { (a, b) -> wiring.healBoth(a, b) } })
         }
 
-        private fun oneWay(at: Double, forS: Double, how: Cut, out: Boolean, which: World.() -> List<Pair<String, String>>): LinkTrouble {
+        private fun oneWay(
+            at: Double,
+            forS: Double,
+            how: Cut,
+            out: Boolean,
+            which: World.() -> List<Pair<String, String>>,
+        ): LinkTrouble {
             var cut = emptyList<Pair<String, String>>()
             return LinkTrouble("one way ${if (out) "out" else "in"}, $how", at, forS, {
                 cut = which().map { (a, b) -> if (out) a to b else b to a }
@@ -66,7 +99,12 @@
             }, { cut.forEach { (a, b) -> wiring.heal(a, b) } })
         }
 
-        private fun flapping(at: Double, forS: Double, how: Cut, which: World.() -> List<Pair<String, String>>): LinkTrouble {
+        private fun flapping(
+            at: Double,
+            forS: Double,
+            how: Cut,
+            which: World.() -> List<Pair<String, String>>,
+        ): LinkTrouble {
             var cut = emptyList<Pair<String, String>>()
             return LinkTrouble("up and down, $how", at, forS, {
                 cut = which()
@@ -81,17 +119,25 @@
         private fun matrix(random: UniformRandomProvider, at: Double, forS: Double, nodes: Int): LinkTrouble {
             val hosts = (0 until nodes).map { "n$it" } + listOf("state", "cloud", "zone:a", "zone:b")
             val cut = (0 until nodes).flatMap { n -> hosts.flatMap { h -> listOf("n$n" to h, h to "n$n") } }
-                .filter { it.first != it.second && random.nextDouble() < 0.15 }.map { it to Cut.entries[random.nextInt(Cut.entries.size)] }
-            return LinkTrouble("matrix of ${cut.size}", at, forS, { cut.forEach { (l, how) -> wiring.cut(l.first, l.second, how) } }) {
+                .filter { it.first != it.second && random.nextDouble() < 0.15 }.map {
+                    it to
+                        Cut.entries[random.nextInt(Cut.entries.size)]
+                }
+            return LinkTrouble("matrix of ${cut.size}", at, forS, {
+                cut.forEach { (l, how) -> wiring.cut(l.first, l.second, how) }
+            }) {
                 cut.forEach { (l, _) -> wiring.heal(l.first, l.second) }
             }
         }
 
-        private fun besides(random: UniformRandomProvider, at: Double, forS: Double, picks: List<Int>): LinkTrouble = when (random.nextInt(4)) {
-            0 -> LinkTrouble("a crash", at, forS, { nodes[picks.first()].let { if (it.up) it.crash(8.0) } }, {})
-            1 -> LinkTrouble("a leader frozen", at, forS / 2, { nodes.filter { it.leading }.forEach { it.freeze(forS / 2) } }, {})
-            2 -> LinkTrouble("an outage", at, forS / 2, { state.outage = true }, { state.outage = false })
-            else -> LinkTrouble("late writes", at, forS, { lateWrites = 0.1 }, { lateWrites = 0.0 })
-        }
+        private fun besides(random: UniformRandomProvider, at: Double, forS: Double, picks: List<Int>): LinkTrouble =
+            when (random.nextInt(4)) {
+                0 -> LinkTrouble("a crash", at, forS, { nodes[picks.first()].let { if (it.up) it.crash(8.0) } }, {})
+                1 -> LinkTrouble("a leader frozen", at, forS / 2, {
+                    nodes.filter { it.leading }.forEach { it.freeze(forS / 2) }
+                }, {})
+                2 -> LinkTrouble("an outage", at, forS / 2, { state.outage = true }, { state.outage = false })
+                else -> LinkTrouble("late writes", at, forS, { lateWrites = 0.1 }, { lateWrites = 0.0 })
+            }
     }
 }
--- a/src/main/kotlin/plankwall/lab/MeetingDay.kt
+++ b/src/main/kotlin/plankwall/lab/MeetingDay.kt
@@ -8,11 +8,39 @@
 /** A day drawn by [seed] on which troubles meet in pairs, three times, while users withdraw every second job and ask for all. */
 class MeetingDay(private val seed: Long, private val nodes: Int) {
     /** [unserved]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
-    class Result(val seed: Long, val nodes: Int, val troubles: List<String>, val broken: List<String>, val unserved: List<String>, val withdrawn: Int, val felt: Map<String, Int>)
+    class Result(
+        val seed: Long,
+        val nodes: Int,
+        val troubles: List<String>,
+        val broken: List<String>,
+        val unserved: List<String>,
+        val withdrawn: Int,
+        val felt: Map<String, Int>,
+    )
 
     private enum class Kind {
-        LEADER_REFUSED, OUTAGE, LEADER_ALONE, LATE_WRITES, LATE_REPORTS, DEAF, CRASH, ALL_CRASH, FROZEN, CUT_ZONE, PEERS_APART, SLOW_STORE,
-        LOST_ANSWERS, COPIES_FOR_NEXT, MUTE, HANG, CLOSE_LOOKS, ODD_REQUESTS, INSTANT, TEN_LEADERS, CANCEL_NOW, CANCEL_AT_END,
+        LEADER_REFUSED,
+        OUTAGE,
+        LEADER_ALONE,
+        LATE_WRITES,
+        LATE_REPORTS,
+        DEAF,
+        CRASH,
+        ALL_CRASH,
+        FROZEN,
+        CUT_ZONE,
+        PEERS_APART,
+        SLOW_STORE,
+        LOST_ANSWERS,
+        COPIES_FOR_NEXT,
+        MUTE,
+        HANG,
+        CLOSE_LOOKS,
+        ODD_REQUESTS,
+        INSTANT,
+        TEN_LEADERS,
+        CANCEL_NOW,
+        CANCEL_AT_END,
     }
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
@@ -25,7 +53,20 @@
 
     fun play(endS: Double = 460.0): Result {
         world.cloud.capacity = 40
-        for (n in 1..4) world.clock.after(1.0 + n * 0.1) { world.submit(World.job(n, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION, spread = n % 2 == 0)) }
+        for (n in 1..4) {
+            world.clock.after(1.0 + n * 0.1) {
+                world.submit(
+                    World.job(
+                        n,
+                        Shape.SERVICE,
+                        tasks = 8,
+                        priority = Priority.PRODUCTION,
+                        spread =
+                        n % 2 == 0,
+                    ),
+                )
+            }
+        }
         for (n in 10 until 60) job(n, 5.0 + (n - 10) * 6.0)
         for (meeting in 0 until 3) {
             val at = 50.0 + meeting * 85.0 + random.nextDouble() * 10.0
@@ -40,7 +81,26 @@
 
     /** Two or three tasks each; every second is withdrawn, some while it waits, some long after its start. */
     private fun job(n: Int, at: Double) {
-        val spec = World.job(n, if (n % 3 == 0) Shape.GANG else Shape.ARRAY, tasks = 2 + n % 2, runS = if (n % 4 < 2) 120.0 else 20.0, oneZone = n % 6 == 0, team = if (n % 5 == 0) "red" else "blue")
+        val spec = World.job(
+            n,
+            if (n % 3 ==
+                0
+            ) {
+                Shape.GANG
+            } else {
+                Shape.ARRAY
+            },
+            tasks = 2 + n % 2,
+            runS = if (n % 4 <
+                2
+            ) {
+                120.0
+            } else {
+                20.0
+            },
+            oneZone = n % 6 == 0,
+            team = if (n % 5 == 0) "red" else "blue",
+        )
         if (n % 2 == 0) withdrawn++ else kept.add(spec.id)
         world.clock.after(at) { world.submit(spec, if (n % 2 == 0) 4.0 + random.nextDouble() * 60.0 else null) }
     }
@@ -81,7 +141,9 @@
             Kind.CLOSE_LOOKS -> during(forS, { world.closeLooks = true }) { world.closeLooks = false }
             Kind.ODD_REQUESTS -> repeat(forS.toInt()) { second -> world.clock.after(second.toDouble()) { beOdd() } }
             Kind.INSTANT -> during(forS, { world.cloud.bootFactor = 0.1 }) { world.cloud.bootFactor = 1.0 }
-            Kind.TEN_LEADERS -> repeat(10) { n -> world.clock.after(n * forS / 10) { leader().let { if (it.up) it.crash(1.0) } } }
+            Kind.TEN_LEADERS -> repeat(10) { n ->
+                world.clock.after(n * forS / 10) { leader().let { if (it.up) it.crash(1.0) } }
+            }
             Kind.CANCEL_NOW -> cancelNow(forS)
             Kind.CANCEL_AT_END -> during(forS, { world.cancelAtEnd = 0.5 }) { world.cancelAtEnd = 0.0 }
             Kind.FROZEN -> leader().freeze(forS)
@@ -92,9 +154,18 @@
 
     private fun half(): Set<String> = world.cloud.workers.filter { random.nextInt(2) == 0 }.map { it.id }.toSet()
 
-    private fun unfinished(): List<String> = kept.filter { it !in calledOff && world.checker.isAccepted(it) && !world.checker.isDone(it) }
+    private fun unfinished(): List<String> = kept.filter {
+        it !in calledOff &&
+            world.checker.isAccepted(it) &&
+            !world.checker.isDone(it)
+    }
 
-    private fun beOdd() = world.users.beOdd(kept.filter { world.checker.stageTold(it) == "done" }.take(2), unfinished().take(2))
+    private fun beOdd() = world.users.beOdd(
+        kept.filter {
+            world.checker.stageTold(it) == "done"
+        }.take(2),
+        unfinished().take(2),
+    )
 
     /** Jobs that would have gone on are called off within a fifth of a second, and machines hang meanwhile. */
     private fun cancelNow(hangS: Double) {
@@ -105,7 +176,9 @@
         world.cloud.workers.filter { random.nextInt(4) == 0 }.take(8).forEach { it.hang(hangS) }
     }
 
-    private fun cut(forS: Double, vararg links: String) = during(forS, { world.cuts.addAll(links) }) { world.cuts.removeAll(links.toSet()) }
+    private fun cut(forS: Double, vararg links: String) = during(forS, {
+        world.cuts.addAll(links)
+    }) { world.cuts.removeAll(links.toSet()) }
 
     private fun during(forS: Double, begin: () -> Unit, end: () -> Unit) {
         begin()
--- a/src/main/kotlin/plankwall/lab/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/lab/RuleChecker.kt
@@ -41,20 +41,40 @@
     fun on(task: String, spec: JobSpec, worker: SimWorker, now: Double) {
         starts++
         val there = on[task]
-        if (there != null && there.worker !== worker) broken.add("ran_twice: $task on ${there.worker.id} and ${worker.id} at $now")
+        if (there != null &&
+            there.worker !== worker
+        ) {
+            broken.add("ran_twice: $task on ${there.worker.id} and ${worker.id} at $now")
+        }
         spec.dependencies.filter { !isDone(it) }.forEach { broken.add("too_early: $task before $it is done at $now") }
         val group = worker.group
         val zones = byJob[spec.id].orEmpty().filterKeys { it != task }.values.map { it.worker.group.zone }
-        if (spec.types != null && group.type !in spec.types || spec.zone != null && spec.zone != group.zone || group.spot && !spec.spot) {
+        if (spec.types != null &&
+            group.type !in spec.types ||
+            spec.zone != null &&
+            spec.zone != group.zone ||
+            group.spot &&
+            !spec.spot
+        ) {
             broken.add("wrong_place: $task on $group")
         }
-        if (spec.oneZone && zones.any { it != group.zone }) broken.add("wrong_place: $task not in the zone of its mates")
-        if (spec.spread && zones.count { it == group.zone } + 1 > (spec.tasks + 1) / 2) broken.add("wrong_place: $task not spread")
+        if (spec.oneZone &&
+            zones.any { it != group.zone }
+        ) {
+            broken.add("wrong_place: $task not in the zone of its mates")
+        }
+        if (spec.spread &&
+            zones.count { it == group.zone } + 1 > (spec.tasks + 1) / 2
+        ) {
+            broken.add("wrong_place: $task not spread")
+        }
         remove(task)
         put(task, Place(spec, worker))
         val team = teamOf(spec)
         val usedNow = used.getValue(spec.team)
-        mostUsed.merge(spec.team, usedNow) { a, b -> Resources(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.memory, b.memory)) }
+        mostUsed.merge(spec.team, usedNow) { a, b ->
+            Resources(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.memory, b.memory))
+        }
         if (team.gpusMax > 0 && usedNow.gpus > team.gpusMax || team.cpusMax > 0 && usedNow.cpus > team.cpusMax) {
             broken.add("quota: ${spec.team} at $now")
         }
@@ -118,7 +138,11 @@
     private fun needed(id: String): Set<String> {
         val found = LinkedHashSet<String>()
         val next = ArrayDeque(listOf(id))
-        while (next.isNotEmpty()) accepted[next.removeFirst()]?.dependencies.orEmpty().filter { found.add(it) }.forEach(next::addLast)
+        while (next.isNotEmpty()) {
+            accepted[next.removeFirst()]?.dependencies.orEmpty().filter {
+                found.add(it)
+            }.forEach(next::addLast)
+        }
         return found
     }
 
@@ -130,7 +154,13 @@
             acceptedAt.putIfAbsent(spec.id, now)
             if (stage != null) noteStage(spec.id, stage, now, askedAt)
         }
-        if (spec.id in accepted && (status == 400 || status == 422) || status == 404 && isKnownBy(spec.id, askedAt)) broken.add("forgotten: ${spec.id} got $status")
+        if (spec.id in accepted &&
+            (status == 400 || status == 422) ||
+            status == 404 &&
+            isKnownBy(spec.id, askedAt)
+        ) {
+            broken.add("forgotten: ${spec.id} got $status")
+        }
     }
 
     private fun isKnownBy(id: String, askedAt: Double): Boolean = acceptedAt[id]?.let { it <= askedAt } ?: false
@@ -140,9 +170,23 @@
         val before = told[id]
         // Two different ends contradict each other whenever they were asked for.
         val over = stage == "done" || stage == "withdrawn"
-        if (before != null && before != stage && (over || askedAt >= toldAt.getValue(id))) broken.add("went_back: $id from $before to $stage")
-        if (stage == "withdrawn" && id !in asked && needed(id).none { it in asked }) broken.add("went_back: $id called withdrawn by nobody's wish")
-        if (stage == "done" && accepted[id]?.let { s -> (0 until s.tasks).any { "$id/$it" !in done } } == true) broken.add("not_done: $id")
+        if (before != null &&
+            before != stage &&
+            (over || askedAt >= toldAt.getValue(id))
+        ) {
+            broken.add("went_back: $id from $before to $stage")
+        }
+        if (stage == "withdrawn" &&
+            id !in asked &&
+            needed(id).none { it in asked }
+        ) {
+            broken.add("went_back: $id called withdrawn by nobody's wish")
+        }
+        if (stage == "done" &&
+            accepted[id]?.let { s -> (0 until s.tasks).any { "$id/$it" !in done } } == true
+        ) {
+            broken.add("not_done: $id")
+        }
         if (stage == "withdrawn") {
             withdrawn.putIfAbsent(id, now)
             withdrawnOn.add(id)
@@ -162,9 +206,15 @@
             return
         }
         if (stage != null) noteStage(id, stage, now, askedAt)
-        if (stage == "pending" || stage == "running") needed(id).forEach { name ->
-            val since = withdrawn[name]?.takeIf { told[name] == "withdrawn" } ?: return@forEach
-            if (now > maxOf(since, acceptedAt[id] ?: now) + settings.workers.cancelS) broken.add("orphaned: $id is $stage after $name was withdrawn")
+        if (stage == "pending" || stage == "running") {
+            needed(id).forEach { name ->
+                val since = withdrawn[name]?.takeIf { told[name] == "withdrawn" } ?: return@forEach
+                if (now >
+                    maxOf(since, acceptedAt[id] ?: now) + settings.workers.cancelS
+                ) {
+                    broken.add("orphaned: $id is $stage after $name was withdrawn")
+                }
+            }
         }
         checkWithdrawn(now)
     }
@@ -181,16 +231,35 @@
         on.values.forEach { p -> taken.merge(p.worker, p.spec.need, Resources::plus) }
         for ((id, spec) in accepted) {
             val zones = byJob[id].orEmpty().values.map { it.worker.group.zone }
-            val waits = told[id] == null && id !in asked && spec.dependencies.all { isDone(it) } &&
-                (0 until spec.tasks).any { "$id/$it" !in done && "$id/$it" !in on } && (spec.shape != Shape.GANG || zones.isEmpty())
-            val fits = waits && isUnderLimit(spec) && machines.any { (worker, capacity) ->
-                val group = worker.group
-                (spec.types == null || group.type in spec.types) && (spec.zone ?: group.zone) == group.zone && (spec.spot || !group.spot) &&
-                    (!spec.oneZone || zones.all { it == group.zone }) && (!spec.spread || zones.count { it == group.zone } < (spec.tasks + 1) / 2) &&
-                    (spec.need * (if (spec.shape == Shape.GANG) spec.tasks else 1)).fitsIn(capacity - (taken[worker] ?: Resources.NONE))
-            }
-            if (!fits) stallingSince.remove(id)
-            else if (now - stallingSince.getOrPut(id) { now } > STALLED_S) {
+            val waits = told[id] == null &&
+                id !in asked &&
+                spec.dependencies.all { isDone(it) } &&
+                (0 until spec.tasks).any { "$id/$it" !in done && "$id/$it" !in on } &&
+                (spec.shape != Shape.GANG || zones.isEmpty())
+            val fits = waits &&
+                isUnderLimit(spec) &&
+                machines.any { (worker, capacity) ->
+                    val group = worker.group
+                    (spec.types == null || group.type in spec.types) &&
+                        (spec.zone ?: group.zone) == group.zone &&
+                        (spec.spot || !group.spot) &&
+                        (!spec.oneZone || zones.all { it == group.zone }) &&
+                        (!spec.spread || zones.count { it == group.zone } < (spec.tasks + 1) / 2) &&
+                        (
+                            spec.need * (
+                                if (spec.shape ==
+                                    Shape.GANG
+                                ) {
+                                    spec.tasks
+                                } else {
+                                    1
+                                }
+                                )
+                            ).fitsIn(capacity - (taken[worker] ?: Resources.NONE))
+                }
+            if (!fits) {
+                stallingSince.remove(id)
+            } else if (now - stallingSince.getOrPut(id) { now } > STALLED_S) {
                 broken.add("stalled: $id has waited from ${stallingSince[id]} to $now beside room for it")
                 stallingSince[id] = now
             }
@@ -229,7 +298,8 @@
         asked.add(id)
     }
 
-    fun withdrawAnswered(id: String, stage: String, now: Double, askedAt: Double = now) = noteStage(id, stage, now, askedAt)
+    fun withdrawAnswered(id: String, stage: String, now: Double, askedAt: Double = now) =
+        noteStage(id, stage, now, askedAt)
 
     private companion object {
         const val FORGOTTEN_S = 90.0
--- a/src/main/kotlin/plankwall/lab/SimCloud.kt
+++ b/src/main/kotlin/plankwall/lab/SimCloud.kt
@@ -50,7 +50,15 @@
     }
 
     private fun snapshot() = machines.values.map {
-        val state = if (it.failed) ListedState.FAILED else if (it.worker == null) ListedState.BOOTING else ListedState.RUNNING
+        val state = if (it.failed) {
+            ListedState.FAILED
+        } else if (it.worker ==
+            null
+        ) {
+            ListedState.BOOTING
+        } else {
+            ListedState.RUNNING
+        }
         ListedMachine(it.id, addressOf(it.id), it.group, state, clock.now - it.at)
     }
 
--- a/src/main/kotlin/plankwall/lab/SimNode.kt
+++ b/src/main/kotlin/plankwall/lab/SimNode.kt
@@ -41,8 +41,25 @@
         life++
         val guarded = world.gate?.invoke(name)
         val incarnation = life.toLong() * 1_000_000 + name.hashCode() % 1000
-        core = Controller(own, world.tuning, incarnation, world.random.nextLong(), guarded?.let { g -> { ctx -> Gatehouse(ctx, g).also { house = it } } })
-        door = guarded?.let { PeerDoor(PeerSeal(name, incarnation, it.peerKeys, it.allowUnsignedPeers, it.clockToleranceMs)) { null } }
+        core =
+            Controller(
+                own,
+                world.tuning,
+                incarnation,
+                world.random.nextLong(),
+                guarded?.let { g ->
+                    { ctx ->
+                        Gatehouse(ctx, g).also {
+                            house =
+                                it
+                        }
+                    }
+                },
+            )
+        door =
+            guarded?.let {
+                PeerDoor(PeerSeal(name, incarnation, it.peerKeys, it.allowUnsignedPeers, it.clockToleranceMs)) { null }
+            }
         val mine = life
         fun tick() {
             if (life != mine || core == null) return
@@ -89,8 +106,16 @@
     fun frame(bytes: ByteArray) {
         val d = door
         val sent = if (d == null) PeerCodec.read(bytes) else d.open(bytes, world.wallMs())
-        val message = if (name in world.older && sent is PeerStatus) sent.copy(links = null, withdrawals = null, sessions = null) else sent
-        check(name !in world.older || (message is PeerStatus || message is ProgressNews)) { "a frame that $name can't read" }
+        val message = if (name in world.older &&
+            sent is PeerStatus
+        ) {
+            sent.copy(links = null, withdrawals = null, sessions = null)
+        } else {
+            sent
+        }
+        check(name !in world.older || (message is PeerStatus || message is ProgressNews)) {
+            "a frame that $name can't read"
+        }
         if (message != null) feed(Input.PeerHeard(message))
     }
 
@@ -101,7 +126,13 @@
         feed(input(request))
     }
 
-    private fun later(mine: Int, delay: Double, input: () -> Input) = clock.after(delay) { if (life == mine) feed(input()) }
+    private fun later(mine: Int, delay: Double, input: () -> Input) = clock.after(delay) {
+        if (life ==
+            mine
+        ) {
+            feed(input())
+        }
+    }
 
     private fun perform(e: Effect) {
         val mine = life
@@ -113,9 +144,21 @@
             is Effect.CloudCall -> cloudCall(e, mine)
             is Effect.WorkerPost -> if ("$name-workers" !in world.cuts) command(e, mine)
             is Effect.PeerSend -> if ("$name-peers" !in world.cuts) {
-                val plain = PeerCodec.write(if (name in world.older && e.message is PeerStatus) e.message.copy(links = null, withdrawals = null, sessions = null) else e.message)
+                val plain = PeerCodec.write(
+                    if (name in world.older &&
+                        e.message is PeerStatus
+                    ) {
+                        e.message.copy(links = null, withdrawals = null, sessions = null)
+                    } else {
+                        e.message
+                    },
+                )
                 val bytes = door?.seal(plain, world.wallMs()) ?: plain
-                world.nodes.filter { it !== this && "${it.name}-peers" !in world.cuts && (e.to == null || e.to == it.name) }
+                world.nodes.filter {
+                    it !== this &&
+                        "${it.name}-peers" !in world.cuts &&
+                        (e.to == null || e.to == it.name)
+                }
                     .forEach { peer -> world.carryFrame(this, peer, bytes) }
             }
         }
@@ -131,7 +174,13 @@
             worker.whenAwake {
                 val answer = worker.command(SimWorker.json.readTree(e.body))
                 if (answer != null && clock.now - sentAt < COMMAND_PATIENCE_S) {
-                    wiring.carry(worker.id, name, zone, delayS = 0.01) { if (life == mine) feed(Input.WorkerReply(e.machine, answer.second)) }
+                    wiring.carry(worker.id, name, zone, delayS = 0.01) {
+                        if (life ==
+                            mine
+                        ) {
+                            feed(Input.WorkerReply(e.machine, answer.second))
+                        }
+                    }
                 }
             }
         }
@@ -151,7 +200,15 @@
             e.op is StateOp.Txn && world.lostAnswers > 0 && world.random.nextDouble() < world.lostAnswers -> {
                 world.feel("lost answers")
                 later(mine, 1.5) { Input.StateReply(e.call, StateResult.Unknown) }
-                clock.after(0.005) { state.run(e.op) { if (it is StateResult.Committed) e.op.writes.forEach { w -> world.feel("lost answer: ${world.kindOf(w)}") } } }
+                clock.after(0.005) {
+                    state.run(e.op) {
+                        if (it is StateResult.Committed) {
+                            e.op.writes.forEach { w ->
+                                world.feel("lost answer: ${world.kindOf(w)}")
+                            }
+                        }
+                    }
+                }
             }
             else -> overWire(e, mine)
         }
@@ -181,18 +238,40 @@
 
     private fun overWire(e: Effect.StateCall, mine: Int) {
         val answer = once<StateResult>(mine) { Input.StateReply(e.call, it) }
-        if (wiring.cuts > 0) clock.after((e.op as? StateOp.Watch)?.let { it.waitMs / 1000.0 + 4.0 } ?: 1.5) { answer(StateResult.Unknown) }
+        if (wiring.cuts >
+            0
+        ) {
+            clock.after(
+                (e.op as? StateOp.Watch)?.let {
+                    it.waitMs / 1000.0 + 4.0
+                } ?: 1.5,
+            ) { answer(StateResult.Unknown) }
+        }
         wiring.carry(name, "state", refused = { answer(StateResult.Refused) }) {
-            state.run(e.op) { result -> whenServed(e.op) {
-                val told = if (e.op !is StateOp.Watch && world.random.nextDouble() < world.loss) StateResult.Unknown else result
-                wiring.carry("state", name, refused = { answer(StateResult.Unknown) }) { answer(told) }
-            } }
+            state.run(e.op) { result ->
+                whenServed(e.op) {
+                    val told = if (e.op !is StateOp.Watch &&
+                        world.random.nextDouble() < world.loss
+                    ) {
+                        StateResult.Unknown
+                    } else {
+                        result
+                    }
+                    wiring.carry("state", name, refused = { answer(StateResult.Unknown) }) { answer(told) }
+                }
+            }
         }
     }
 
     /** The open watches of a node that is refused wait as they do in an outage. */
     private fun whenServed(op: StateOp, then: () -> Unit) {
-        if (op is StateOp.Watch && ("$name-state" in world.cuts || state.outage)) clock.after(0.1) { whenServed(op, then) } else then()
+        if (op is StateOp.Watch &&
+            ("$name-state" in world.cuts || state.outage)
+        ) {
+            clock.after(0.1) { whenServed(op, then) }
+        } else {
+            then()
+        }
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/lab/SimState.kt
+++ b/src/main/kotlin/plankwall/lab/SimState.kt
@@ -145,11 +145,18 @@
     }
 
     private fun limited(op: StateOp.Txn, limits: StateLimits): StateResult? {
-        val large = op.writes.filterIsInstance<Write.Put>().filter { StateCodec.sizeOf(it.value) > limits.valueKb * 1024 }
+        val large = op.writes.filterIsInstance<Write.Put>().filter {
+            StateCodec.sizeOf(it.value) > limits.valueKb * 1024
+        }
         large.forEach { rejected.merge(it.key, 1, Int::plus) }
         if (op.writes.size > limits.txnOps) rejected.merge("${op.writes.size} changes", 1, Int::plus)
         if (op.guards.size > limits.txnOps * 4) rejected.merge("${op.guards.size} guards", 1, Int::plus)
-        if (large.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) return StateResult.Rejected
+        if (large.isNotEmpty() ||
+            op.writes.size > limits.txnOps ||
+            op.guards.size > limits.txnOps * 4
+        ) {
+            return StateResult.Rejected
+        }
         if (clock.now.toLong() != second) changesInSecond = 0
         second = clock.now.toLong()
         changesInSecond += op.writes.size
@@ -164,12 +171,14 @@
         if (op.writes.isEmpty()) return StateResult.Committed(revision)
         revision++
         changes += op.writes.size
-        for (w in op.writes) when (w) {
-            is Write.Put -> {
-                entries[w.key] = Entry(w.value, revision, w.lease)
-                history.add(StateEvent(w.key, w.value, revision))
+        for (w in op.writes) {
+            when (w) {
+                is Write.Put -> {
+                    entries[w.key] = Entry(w.value, revision, w.lease)
+                    history.add(StateEvent(w.key, w.value, revision))
+                }
+                is Write.Remove -> if (entries.remove(w.key) != null) history.add(StateEvent(w.key, null, revision))
             }
-            is Write.Remove -> if (entries.remove(w.key) != null) history.add(StateEvent(w.key, null, revision))
         }
         val result = StateResult.Committed(revision)
         forgetOld()
--- a/src/main/kotlin/plankwall/lab/SimWorker.kt
+++ b/src/main/kotlin/plankwall/lab/SimWorker.kt
@@ -98,23 +98,25 @@
             clock.after(1.0) { send() }
         }
         clock.after(PATIENCE_S) { whenAwake { failed() } }
-        host.sendReport(this, target, report()) { status, body -> whenAwake {
-            if (settled || !alive || clock.now - sentAt > PATIENCE_S) return@whenAwake
-            if (status != 200 && status != 421) return@whenAwake failed()
-            if (status == 421) {
-                val leader = body.get("foreman")?.asText()
-                val node = host.nodeNames.indexOf(leader)
-                if (node < 0 || node == target) return@whenAwake failed()
-                target = node
+        host.sendReport(this, target, report()) { status, body ->
+            whenAwake {
+                if (settled || !alive || clock.now - sentAt > PATIENCE_S) return@whenAwake
+                if (status != 200 && status != 421) return@whenAwake failed()
+                if (status == 421) {
+                    val leader = body.get("foreman")?.asText()
+                    val node = host.nodeNames.indexOf(leader)
+                    if (node < 0 || node == target) return@whenAwake failed()
+                    target = node
+                    settled = true
+                    waiting = false
+                    clock.after(0.2) { send() }
+                    return@whenAwake
+                }
                 settled = true
                 waiting = false
-                clock.after(0.2) { send() }
-                return@whenAwake
+                if (sentSession == session) accept(body, sentAt)
             }
-            settled = true
-            waiting = false
-            if (sentSession == session) accept(body, sentAt)
-        } }
+        }
     }
 
     private fun accept(body: JsonNode, sentAt: Double) {
@@ -148,7 +150,12 @@
             val there = tasks[name]
             when (order.get("verb").asText()) {
                 "run" -> if (there == null) start(name, attempt)
-                "stop" -> if (there != null && there.attempt == attempt && there.stage != TaskStage.EXITED) end(name, there, ExitCause.STOPPED)
+                "stop" -> if (there != null &&
+                    there.attempt == attempt &&
+                    there.stage != TaskStage.EXITED
+                ) {
+                    end(name, there, ExitCause.STOPPED)
+                }
                 "clear" -> if (there != null && there.attempt == attempt && there.stage == TaskStage.EXITED) {
                     if (there.cause == ExitCause.DONE) host.checkStored(there.spec.id, there.task)
                     tasks.remove(name)
@@ -163,26 +170,32 @@
         val task = Task(spec, name.substringAfter('/').toInt(), attempt)
         tasks[name] = task
         changed()
-        clock.after(0.5 + host.random.nextDouble()) { whenAwake {
-            expire()
-            if (!alive || tasks[name] !== task || task.stage == TaskStage.EXITED) return@whenAwake
-            task.stage = TaskStage.RUNNING
-            if (sick || host.isMistaken(spec.id)) {
-                end(name, task, ExitCause.ERROR)
-                return@whenAwake
-            }
-            host.checker.on(name, spec, this, clock.now)
-            host.onStarted(spec.id, task.task)
-            changed()
-            if (spec.shape != Shape.SERVICE) clock.after(spec.estimateS) { whenAwake {
+        clock.after(0.5 + host.random.nextDouble()) {
+            whenAwake {
                 expire()
-                if (alive && tasks[name] === task && task.stage == TaskStage.RUNNING) {
-                    host.checker.completed(name)
-                    host.onCompleted(spec.id)
-                    end(name, task, ExitCause.DONE)
+                if (!alive || tasks[name] !== task || task.stage == TaskStage.EXITED) return@whenAwake
+                task.stage = TaskStage.RUNNING
+                if (sick || host.isMistaken(spec.id)) {
+                    end(name, task, ExitCause.ERROR)
+                    return@whenAwake
+                }
+                host.checker.on(name, spec, this, clock.now)
+                host.onStarted(spec.id, task.task)
+                changed()
+                if (spec.shape != Shape.SERVICE) {
+                    clock.after(spec.estimateS) {
+                        whenAwake {
+                            expire()
+                            if (alive && tasks[name] === task && task.stage == TaskStage.RUNNING) {
+                                host.checker.completed(name)
+                                host.onCompleted(spec.id)
+                                end(name, task, ExitCause.DONE)
+                            }
+                        }
+                    }
                 }
-            } }
-        } }
+            }
+        }
     }
 
     private fun end(name: String, task: Task, cause: ExitCause) {
--- a/src/main/kotlin/plankwall/lab/Wiring.kt
+++ b/src/main/kotlin/plankwall/lab/Wiring.kt
@@ -53,7 +53,9 @@
     private fun find(from: String, to: String, zone: String?): Link? {
         if (links.isEmpty()) return null
         if (zone == null) return links[from to to]
-        return names(from, zone).firstNotNullOfOrNull { f -> names(to, zone).firstNotNullOfOrNull { t -> links[f to t] } }
+        return names(from, zone).firstNotNullOfOrNull { f ->
+            names(to, zone).firstNotNullOfOrNull { t -> links[f to t] }
+        }
     }
 
     /** A machine by all its names; a node by its own. */
@@ -61,7 +63,14 @@
         if (host.startsWith("i-")) listOf(host, "zone:$zone", "workers") else listOf(host)
 
     /** Carries something over the link after [delayS], if it can: [refused] is called where the sender learns at once that it can't. [zone]: of the machine at one end. */
-    fun carry(from: String, to: String, zone: String? = null, delayS: Double = DELAY_S, refused: () -> Unit = {}, deliver: () -> Unit) {
+    fun carry(
+        from: String,
+        to: String,
+        zone: String? = null,
+        delayS: Double = DELAY_S,
+        refused: () -> Unit = {},
+        deliver: () -> Unit,
+    ) {
         val link = find(from, to, zone)
         when (link?.how) {
             null -> clock.after(delayS, deliver)
--- a/src/main/kotlin/plankwall/lab/World.kt
+++ b/src/main/kotlin/plankwall/lab/World.kt
@@ -38,10 +38,27 @@
 ) : WorkerHost {
     override val random = Random(seed)
     override val clock = SimClock()
-    override val settings: Settings = settings("n0", nodeCount).let { it.copy(stateNext = stateNext, objectives = objectives, workers = times ?: it.workers) }
+    override val settings: Settings = settings("n0", nodeCount).let {
+        it.copy(
+            stateNext = stateNext,
+            objectives = objectives,
+            workers =
+            times ?: it.workers,
+        )
+    }
     override val checker = RuleChecker(settings)
     val state = SimState(clock, settings.state)
-    val nodes = List(nodeCount) { SimNode(this, "n$it", settings("n$it", nodeCount).copy(stateNext = stateNext, objectives = objectives, workers = settings.workers)) }
+    val nodes =
+        List(nodeCount) {
+            SimNode(
+                this,
+                "n$it",
+                settings(
+                    "n$it",
+                    nodeCount,
+                ).copy(stateNext = stateNext, objectives = objectives, workers = settings.workers),
+            )
+        }
     val cloud = SimCloud(clock, random, CATALOG, 4.0) { id, group -> SimWorker(this, id, group) }
     private val specs = HashMap<String, JobSpec>()
 
@@ -148,7 +165,16 @@
             listOf(0.01, if (i % 2 == 0) 0.3 else 4.0).forEach { delay ->
                 clock.after(delay) {
                     feel("copies for the next")
-                    nodes.filter { it.up }.forEach { n -> n.ask({ Input.CheckIn(it, report) }) { status, _ -> if (n === node && status == 200) feel("copies taken of ${worker.id}") } }
+                    nodes.filter { it.up }.forEach { n ->
+                        n.ask({ Input.CheckIn(it, report) }) { status, _ ->
+                            if (n ===
+                                node &&
+                                status == 200
+                            ) {
+                                feel("copies taken of ${worker.id}")
+                            }
+                        }
+                    }
                 }
             }
         }
@@ -189,7 +215,12 @@
         if (!node.up || "${node.name}-workers" in cuts || worker.group.zone in cutZones) return
         check(worker.id == report.machine)
         if (worker.id in mute) return feel("reports lost")
-        if (copiesForNext > 0 && copies.size < MAX_COPIES && random.nextDouble() < copiesForNext) copies.add(worker to report)
+        if (copiesForNext > 0 &&
+            copies.size < MAX_COPIES &&
+            random.nextDouble() < copiesForNext
+        ) {
+            copies.add(worker to report)
+        }
         val sentAt = clock.now
         val zone = worker.group.zone
         if (lateReports > 0 && random.nextDouble() < lateReports) {
@@ -200,11 +231,15 @@
         }
         wiring.carry(worker.id, node.name, zone, refused = { then(503, SimWorker.json.nullNode()) }) {
             if (node.up && clock.now - sentAt < SimWorker.PATIENCE_S) onReached(worker, node)
-            if (node.up) node.ask({ Input.CheckIn(it, report) }) { status, body ->
-                if (random.nextDouble() < loss) return@ask
-                if (worker.id in deaf) return@ask feel("answers lost")
-                if (status == 200) onServed(worker, node)
-                wiring.carry(node.name, worker.id, zone, refused = { then(503, SimWorker.json.nullNode()) }) { then(status, SimWorker.json.readTree(body)) }
+            if (node.up) {
+                node.ask({ Input.CheckIn(it, report) }) { status, body ->
+                    if (random.nextDouble() < loss) return@ask
+                    if (worker.id in deaf) return@ask feel("answers lost")
+                    if (status == 200) onServed(worker, node)
+                    wiring.carry(node.name, worker.id, zone, refused = {
+                        then(503, SimWorker.json.nullNode())
+                    }) { then(status, SimWorker.json.readTree(body)) }
+                }
             }
         }
     }
@@ -219,7 +254,12 @@
     override fun checkStored(id: String, task: Int) {
         val live = state.value(Keys.job(id)) as? JobRecord ?: return
         if (live.withdrawnMs > 0 || state.value(Keys.final(id)) != null) return
-        if (state.values(Keys.pages(id)).none { it is PageRecord && it.done[task] }) checker.broken.add("lost_end: $id/$task was cleared and is not stored")
+        if (state.values(Keys.pages(id)).none {
+                it is PageRecord && it.done[task]
+            }
+        ) {
+            checker.broken.add("lost_end: $id/$task was cleared and is not stored")
+        }
     }
 
     /** Workers can have the description of a job that somebody else will submit. */
@@ -265,7 +305,13 @@
         clock.after(5.0) { if (!answered) submitTry(spec, withdrawAfter) }
     }
 
-    private fun stageIn(status: Int, body: ByteArray): String? = if (status >= 300) null else SimWorker.json.readTree(body).get("stage")?.asText()
+    private fun stageIn(status: Int, body: ByteArray): String? = if (status >=
+        300
+    ) {
+        null
+    } else {
+        SimWorker.json.readTree(body).get("stage")?.asText()
+    }
 
     /** Asks [node] for a job once; whether it answered is for [then]. */
     fun show(id: String, node: SimNode, then: (answered: Boolean) -> Unit = {}) {
@@ -292,7 +338,12 @@
             stageIn(status, body)?.let {
                 val first = checker.stageTold(id) == null
                 checker.withdrawAnswered(id, it, clock.now, askedAt)
-                if (closeLooks && first && it == "withdrawn") listOf(0.0, 0.002, 0.03).forEach { s -> clock.after(s) { users.look(id, withdrawn = true) } }
+                if (closeLooks &&
+                    first &&
+                    it == "withdrawn"
+                ) {
+                    listOf(0.0, 0.002, 0.03).forEach { s -> clock.after(s) { users.look(id, withdrawn = true) } }
+                }
             }
             then(status)
         }
@@ -329,7 +380,10 @@
         val CATALOG = Catalog(listOf(MachineType("box", BIG, 100.0, 1.0, 10.0, 3.0, 10.0, listOf("a", "b"))))
 
         fun settings(node: String, nodes: Int) = Settings(
-            node, "a", Address("x", 1), Address("x", 2), (0 until nodes).map { "n$it" }.filter { it != node }.map { Peer(it, "a", "x", 2) },
+            node, "a", Address("x", 1), Address("x", 2),
+            (0 until nodes).map {
+                "n$it"
+            }.filter { it != node }.map { Peer(it, "a", "x", 2) },
             Address("x", 3), Address("x", 4), listOf("a", "b"), 5.0,
             listOf(Team("red", 0, 0, 8_000, 16_000), Team("blue", 0, 0, 0, 0)), emptyList(),
             WorkerTimes(3.0, 15.0, 30.0, 5.0, 40.0), StateLimits(250.0, 100.0, 8.0, 32), CloudLimits(8.0, 4.0), 1000,
@@ -349,7 +403,15 @@
             after: List<Int> = emptyList(),
         ) = JobSpec(
             "job-%06d".format(number), "class", team, shape, priority, tasks, Resources(2_000, gpus * 1000, 8_000),
-            "image-${number % 3}", 2.0, null, null, oneZone, spread, spot, if (shape == Shape.SERVICE) 0.0 else runS, 0.0, 0.0, null,
+            "image-${number % 3}", 2.0, null, null, oneZone, spread, spot,
+            if (shape ==
+                Shape.SERVICE
+            ) {
+                0.0
+            } else {
+                runS
+            },
+            0.0, 0.0, null,
             after.map { "job-%06d".format(it) },
         )
     }
--- a/src/main/kotlin/plankwall/lab/scale/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/lab/scale/CloudEndpoint.kt
@@ -13,7 +13,17 @@
     fun handle(request: HttpRequest): HttpReply {
         meter.cloudRequests++
         val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
-        return site.enter { if (rate.note(site.clock.now, 1)) answer(site.cloud.run(op)) else HttpReply(429, JobCodec.error("too many requests"), 1) }
+        return site.enter {
+            if (rate.note(
+                    site.clock.now,
+                    1,
+                )
+            ) {
+                answer(site.cloud.run(op))
+            } else {
+                HttpReply(429, JobCodec.error("too many requests"), 1)
+            }
+        }
     }
 
     private fun read(r: HttpRequest): CloudOp? = when {
@@ -26,7 +36,10 @@
 
     private fun list(query: String): CloudOp {
         val fields = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
-        return CloudOp.ListMachines(fields["from"], (fields["page"]?.toIntOrNull() ?: MAX_LISTED).coerceIn(1, MAX_LISTED))
+        return CloudOp.ListMachines(
+            fields["from"],
+            (fields["page"]?.toIntOrNull() ?: MAX_LISTED).coerceIn(1, MAX_LISTED),
+        )
     }
 
     private fun answer(result: CloudResult): HttpReply = when (result) {
--- a/src/main/kotlin/plankwall/lab/scale/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ControllerFiles.kt
@@ -7,7 +7,13 @@
 import java.io.File
 
 /** Where one controller listens and reaches the stand-ins. [peers]: the addresses under which it reaches the others, by name. */
-data class ControllerAddresses(val front: Address, val internal: Address, val state: Address, val cloud: Address, val peers: Map<String, Address>)
+data class ControllerAddresses(
+    val front: Address,
+    val internal: Address,
+    val state: Address,
+    val cloud: Address,
+    val peers: Map<String, Address>,
+)
 
 /** The platform's settings files of the controllers, and the command that the deploy file starts them with. */
 object ControllerFiles {
@@ -21,7 +27,9 @@
      * The operators' [own] settings. Machines without work are kept for the whole run: it measures a size, not how fast machines
      * are returned.
      */
-    fun writeTuning(file: File, own: File?) = file.writeText(own?.readText().orEmpty().trimEnd() + "\nunneeded_s: 7200\n")
+    fun writeTuning(file: File, own: File?) = file.writeText(
+        own?.readText().orEmpty().trimEnd() + "\nunneeded_s: 7200\n",
+    )
 
     fun write(file: File, plan: ScalePlan, shared: Settings, index: Int, addresses: ControllerAddresses) {
         val mapper = TomlMapper()
@@ -43,15 +51,24 @@
         t.putArray("zones").also { zones -> shared.zones.forEach { zones.add(it) } }
         val teams = t.putArray("teams")
         shared.teams.forEach { team ->
-            teams.addObject().put("name", team.name).put("cpus", team.cpus / THOUSAND).put("cpus_max", team.cpusMax / THOUSAND)
+            teams.addObject().put("name", team.name).put("cpus", team.cpus / THOUSAND).put(
+                "cpus_max",
+                team.cpusMax / THOUSAND,
+            )
                 .put("gpus", team.gpus / THOUSAND).put("gpus_max", team.gpusMax / THOUSAND)
         }
         val objectives = t.putArray("objectives")
         shared.objectives.forEach { o ->
-            objectives.addObject().put("kind", o.kind).put("class", o.jobClass).put("within_s", o.withinS).put("share", o.share)
+            objectives.addObject().put(
+                "kind",
+                o.kind,
+            ).put("class", o.jobClass).put("within_s", o.withinS).put("share", o.share)
         }
         t.putObject("workers").put("report_s", shared.workers.reportS).put("lease_s", shared.workers.leaseS)
-            .put("gang_wait_s", shared.workers.gangWaitS).put("gang_peer_s", shared.workers.gangPeerS).put("cancel_s", shared.workers.cancelS)
+            .put(
+                "gang_wait_s",
+                shared.workers.gangWaitS,
+            ).put("gang_peer_s", shared.workers.gangPeerS).put("cancel_s", shared.workers.cancelS)
         t.putObject("state").put("rps", shared.state.rps).put("write_rps", shared.state.writeRps)
             .put("value_kb", shared.state.valueKb).put("txn_ops", shared.state.txnOps)
         t.putObject("cloud").put("rps", shared.cloud.rps).put("list_lag_s", shared.cloud.listLagS)
--- a/src/main/kotlin/plankwall/lab/scale/ControllerProcess.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ControllerProcess.kt
@@ -9,7 +9,14 @@
 data class ProcessSample(val cpuS: Double, val residentMb: Double, val sockets: Int)
 
 /** One controller: a process that this run started, and that it alone ends. */
-class ControllerProcess(val name: String, val zone: String, val front: Address, private val command: List<String>, private val folder: File, private val logLevel: String) {
+class ControllerProcess(
+    val name: String,
+    val zone: String,
+    val front: Address,
+    private val command: List<String>,
+    private val folder: File,
+    private val logLevel: String,
+) {
     private var process: Process? = null
 
     /** How often the process was started. */
@@ -83,14 +90,23 @@
         val stat = File("/proc/$pid/stat").readText().substringAfterLast(") ").split(' ')
         val ticks = stat[USER_TIME].toLong() + stat[SYSTEM_TIME].toLong()
         val resident = residentMb(pid)
-        if (resident == null) null else ProcessSample(ticks / TICKS_PER_S, resident, if (withSockets) sockets(pid) else -1)
+        if (resident ==
+            null
+        ) {
+            null
+        } else {
+            ProcessSample(ticks / TICKS_PER_S, resident, if (withSockets) sockets(pid) else -1)
+        }
     } catch (_: java.io.IOException) {
         null
     }
 
     /** Null of a process that has ended and was not waited for yet. */
     private fun residentMb(pid: Long): Double? =
-        File("/proc/$pid/status").useLines { lines -> lines.firstOrNull { it.startsWith("VmRSS:") } }?.let { line -> line.filter { it.isDigit() }.toLong() / 1024.0 }
+        File("/proc/$pid/status").useLines { lines -> lines.firstOrNull { it.startsWith("VmRSS:") } }?.let { line ->
+            line.filter { it.isDigit() }.toLong() /
+                1024.0
+        }
 
     private fun sockets(pid: Long): Int = File("/proc/$pid/fd").listFiles().orEmpty().count { file ->
         try {
@@ -105,6 +121,8 @@
         lines.first { it.startsWith("Max open files") }.substringAfter("Max open files").trim().split(Regex("\\s+"))[1]
     }.toLongOrNull() ?: Long.MAX_VALUE
 
-    fun totalMemoryMb(): Long =
-        File("/proc/meminfo").useLines { lines -> lines.first { it.startsWith("MemTotal:") } }.filter { it.isDigit() }.toLong() / 1024
+    fun totalMemoryMb(): Long = File("/proc/meminfo").useLines { lines ->
+        lines.first { it.startsWith("MemTotal:") }
+    }.filter { it.isDigit() }.toLong() /
+        1024
 }
--- a/src/main/kotlin/plankwall/lab/scale/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/lab/scale/FaultTimeline.kt
@@ -19,9 +19,19 @@
     private fun strike(fault: Fault) {
         val hit = when (fault.kind) {
             FaultKind.KILL -> kill(fault)
-            FaultKind.STATE_AWAY -> during(fault, { site.state.outage = true }) { site.state.outage = false }.let { listOf("state service") }
-            FaultKind.REPORTS_LOST -> zonesOf(fault.target).also { zones -> during(fault, { site.transport.reportsLost.addAll(zones) }) { site.transport.reportsLost.removeAll(zones) } }
-            FaultKind.ANSWERS_LOST -> zonesOf(fault.target).also { zones -> during(fault, { site.transport.answersLost.addAll(zones) }) { site.transport.answersLost.removeAll(zones) } }
+            FaultKind.STATE_AWAY -> during(fault, {
+                site.state.outage = true
+            }) { site.state.outage = false }.let { listOf("state service") }
+            FaultKind.REPORTS_LOST -> zonesOf(fault.target).also { zones ->
+                during(fault, {
+                    site.transport.reportsLost.addAll(zones)
+                }) { site.transport.reportsLost.removeAll(zones) }
+            }
+            FaultKind.ANSWERS_LOST -> zonesOf(fault.target).also { zones ->
+                during(fault, {
+                    site.transport.answersLost.addAll(zones)
+                }) { site.transport.answersLost.removeAll(zones) }
+            }
             FaultKind.PEERS_APART -> cutPeers(fault)
         }
         awaitService(fault, hit, site.clock.now)
@@ -46,7 +56,11 @@
         return inside.map(plan::nodeName)
     }
 
-    private fun zonesOf(target: String): Set<String> = plan.zoneNames.filter { target == "all" || it == target || plan.regionOf(it) == target }.toSet()
+    private fun zonesOf(target: String): Set<String> = plan.zoneNames.filter {
+        target == "all" ||
+            it == target ||
+            plan.regionOf(it) == target
+    }.toSet()
 
     private fun nodesOf(target: String): List<Int> = when (target) {
         "all" -> controllers.indices.toList()
@@ -58,8 +72,13 @@
         val at = results.size
         results.add(FaultOutcome(fault, hit.toList(), null))
         fun look() {
-            if (site.transport.servedSince(from) >= SERVED_SHARE) results[at] = results[at].copy(servedAgainS = site.clock.now - from)
-            else site.clock.after(LOOK_EVERY_S) { look() }
+            if (site.transport.servedSince(from) >=
+                SERVED_SHARE
+            ) {
+                results[at] = results[at].copy(servedAgainS = site.clock.now - from)
+            } else {
+                site.clock.after(LOOK_EVERY_S) { look() }
+            }
         }
         site.clock.after(LOOK_EVERY_S) { look() }
     }
--- a/src/main/kotlin/plankwall/lab/scale/FreePorts.kt
+++ b/src/main/kotlin/plankwall/lab/scale/FreePorts.kt
@@ -12,7 +12,9 @@
         val all = ephemeralFrom() - FIRST
         // Two runs at once begin at different places, since neither has taken its ports yet when it looks for them.
         val begin = (ProcessHandle.current().pid() * STEP % all).toInt()
-        val ports = (0 until all).asSequence().map { FIRST + (begin + it) % all }.filterNot(::isTaken).take(count).toList()
+        val ports = (0 until all).asSequence().map {
+            FIRST + (begin + it) % all
+        }.filterNot(::isTaken).take(count).toList()
         if (ports.size < count) throw BadScalePlan("needs $count free ports from $FIRST on, found ${ports.size}")
         return ports
     }
--- a/src/main/kotlin/plankwall/lab/scale/Meters.kt
+++ b/src/main/kotlin/plankwall/lab/scale/Meters.kt
@@ -69,5 +69,12 @@
 
     /** The most starts in any [seconds] seconds in a row between [from] and [to], a second. */
     fun busiest(from: Double, to: Double, seconds: Int): Double =
-        (from.toLong()..(to.toLong() - seconds)).maxOfOrNull { first -> (first until first + seconds).sumOf { startsBySecond[it] ?: 0 } / seconds.toDouble() } ?: 0.0
+        (from.toLong()..(to.toLong() - seconds)).maxOfOrNull { first ->
+            (first until first + seconds).sumOf {
+                startsBySecond[it]
+                    ?: 0
+            } /
+                seconds.toDouble()
+        }
+            ?: 0.0
 }
--- a/src/main/kotlin/plankwall/lab/scale/PeerProxy.kt
+++ b/src/main/kotlin/plankwall/lab/scale/PeerProxy.kt
@@ -24,7 +24,9 @@
     }
 
     private suspend fun carry(from: Socket) = try {
-        from.use { source -> aSocket(site.selector).tcp().connect(to.host, to.port) { noDelay = true }.use { copy(source, it) } }
+        from.use { source ->
+            aSocket(site.selector).tcp().connect(to.host, to.port) { noDelay = true }.use { copy(source, it) }
+        }
     } catch (_: java.io.IOException) {
         // The receiver is down: the sender's connection ends, as a refused one would.
     }
--- a/src/main/kotlin/plankwall/lab/scale/Sampler.kt
+++ b/src/main/kotlin/plankwall/lab/scale/Sampler.kt
@@ -70,14 +70,23 @@
         val seconds = site.clock.now - begunAt
         val latencies = meters.latencies
         return PhaseFigures(
-            phase, seconds, site.cloud.workers.size, site.cloud.workers.sumOf(SimWorker::runningTasks), controllers.indices.map { figures(it, seconds) },
+            phase, seconds, site.cloud.workers.size, site.cloud.workers.sumOf(SimWorker::runningTasks),
+            controllers.indices.map {
+                figures(it, seconds)
+            },
             mapOf(
-                "report" to latencies.report, "submission" to latencies.submission, "cancellation" to latencies.cancellation, "poll" to latencies.poll,
-                "array start" to latencies.arrayStart, "urgent start" to latencies.urgentStart, "gang start" to latencies.gangStart,
+                "report" to latencies.report,
+                "submission" to latencies.submission,
+                "cancellation" to latencies.cancellation,
+                "poll" to latencies.poll,
+                "array start" to latencies.arrayStart,
+                "urgent start" to latencies.urgentStart,
+                "gang start" to latencies.gangStart,
             ).mapValues { LatencyFigures.of(it.value) },
             (meters.starts - base.starts) / seconds,
             meters.busiest(begunAt, site.clock.now, 1), meters.busiest(begunAt, site.clock.now, 10),
-            meters.reportsServed - base.served, meters.reportsWithin1S - base.within1S, meters.reportsFailed - base.failed,
+            meters.reportsServed - base.served, meters.reportsWithin1S - base.within1S,
+            meters.reportsFailed - base.failed,
             meters.leasesExpired - base.leases,
             meters.refusals.mapValues { (what, n) -> n - (base.refusals[what] ?: 0L) }.filterValues { it > 0 },
             (ownCpuS() - ownCpuAt) / seconds, site.lagUs.getValueAtPercentile(99.0) / 1000.0,
@@ -91,7 +100,13 @@
         fun rate(of: (NodeMeter) -> Long) = (of(now) - of(then)) / seconds
         return NodeFigures(
             controllers[i].name, lastLeader == i, node.cpuS / seconds, node.busiest, node.residentMb, node.sockets,
-            rate { it.reports }, rate { it.polls }, rate { it.submissions }, rate { it.stateRequests }, rate { it.stateRefused }, rate { it.puts },
+            rate {
+                it.reports
+            },
+            rate {
+                it.polls
+            },
+            rate { it.submissions }, rate { it.stateRequests }, rate { it.stateRefused }, rate { it.puts },
             rate { it.frameBytes } / 1024,
         )
     }
--- a/src/main/kotlin/plankwall/lab/scale/ScaleLimits.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleLimits.kt
@@ -3,13 +3,40 @@
 /** What a run takes of this machine, worked out before anything is started. */
 object ScaleLimits {
     /** Throws [BadScalePlan] where [plan] does not fit. */
-    fun check(plan: ScalePlan, openFiles: Long = ProcReader.openFilesLimit(), memoryMb: Long = ProcReader.totalMemoryMb()) {
+    fun check(
+        plan: ScalePlan,
+        openFiles: Long = ProcReader.openFilesLimit(),
+        memoryMb: Long = ProcReader.totalMemoryMb(),
+    ) {
         val files = filesFor(plan)
-        if (files > openFiles) throw BadScalePlan("needs $files open files, this process may have $openFiles: fewer workers or controllers")
-        if (plan.maxConnections > openFiles) throw BadScalePlan("max_connections ${plan.maxConnections}: a process may have $openFiles open files")
+        if (files >
+            openFiles
+        ) {
+            throw BadScalePlan(
+                "needs $files open files, this process may have $openFiles: fewer workers or controllers",
+            )
+        }
+        if (plan.maxConnections >
+            openFiles
+        ) {
+            throw BadScalePlan("max_connections ${plan.maxConnections}: a process may have $openFiles open files")
+        }
         val needMb = plan.controllers * plan.memoryMb + STAND_INS_MB + plan.workers * WORKER_MB
-        if (needMb > memoryMb / 2) throw BadScalePlan("needs %.0f MB, half of this machine's memory is %d MB: fewer workers or controllers".format(needMb, memoryMb / 2))
-        if (plan.controllers > MAX_PROCESSES) throw BadScalePlan("${plan.controllers} controllers: at most $MAX_PROCESSES processes")
+        if (needMb >
+            memoryMb / 2
+        ) {
+            throw BadScalePlan(
+                "needs %.0f MB, half of this machine's memory is %d MB: fewer workers or controllers".format(
+                    needMb,
+                    memoryMb / 2,
+                ),
+            )
+        }
+        if (plan.controllers >
+            MAX_PROCESSES
+        ) {
+            throw BadScalePlan("${plan.controllers} controllers: at most $MAX_PROCESSES processes")
+        }
     }
 
     private fun filesFor(plan: ScalePlan): Long {
--- a/src/main/kotlin/plankwall/lab/scale/ScalePlan.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScalePlan.kt
@@ -74,7 +74,8 @@
     val maxConnections: Int = 2_442,
     val phases: PhaseLengths = PhaseLengths(),
     val work: Workload = Workload(),
-    val times: WorkerTimes = WorkerTimes(reportS = 5.0, leaseS = 28.0, gangWaitS = 60.0, gangPeerS = 5.0, cancelS = 53.0),
+    val times: WorkerTimes =
+        WorkerTimes(reportS = 5.0, leaseS = 28.0, gangWaitS = 60.0, gangPeerS = 5.0, cancelS = 53.0),
     val state: StateLimits = StateLimits(rps = 350.0, writeRps = 150.0, valueKb = 16.0, txnOps = 32),
     val cloud: CloudLimits = CloudLimits(rps = 7.0, listLagS = 8.0),
     val faults: List<Fault> = emptyList(),
--- a/src/main/kotlin/plankwall/lab/scale/ScalePlanFile.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScalePlanFile.kt
@@ -75,8 +75,21 @@
     private fun fault(t: Table): Fault {
         val word = t.text("kind")
         val kind = FaultKind.entries.find { it.name.lowercase() == word }
-            ?: throw BadScalePlan("faults.kind: $word; known are ${FaultKind.entries.joinToString(", ") { it.name.lowercase() }}")
-        val fault = Fault(t.number("at_s", 0.0, 0.0..3_600.0), kind, t.text("target", "all"), t.number("for_s", 8.0, 0.0..3_600.0))
+            ?: throw BadScalePlan(
+                "faults.kind: $word; known are ${FaultKind.entries.joinToString(", ") {
+                    it.name.lowercase()
+                }}",
+            )
+        val fault = Fault(
+            t.number("at_s", 0.0, 0.0..3_600.0),
+            kind,
+            t.text("target", "all"),
+            t.number(
+                "for_s",
+                8.0,
+                0.0..3_600.0,
+            ),
+        )
         t.refuseUnknown()
         return fault
     }
@@ -86,7 +99,13 @@
         private val known = HashSet<String>()
 
         init {
-            if (node != null && !node.isMissingNode && !node.isNull && !node.isObject) throw BadScalePlan("${prefix.trimEnd('.')}: must be a map")
+            if (node != null &&
+                !node.isMissingNode &&
+                !node.isNull &&
+                !node.isObject
+            ) {
+                throw BadScalePlan("${prefix.trimEnd('.')}: must be a map")
+            }
         }
 
         private fun find(key: String): JsonNode? {
@@ -96,13 +115,23 @@
 
         fun number(key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
             val found = find(key) ?: return default
-            if (!found.isNumber || found.asDouble() !in range) throw BadScalePlan("$prefix$key: ${found.asText()} must be a number in ${range.start}..${range.endInclusive}")
+            if (!found.isNumber ||
+                found.asDouble() !in range
+            ) {
+                throw BadScalePlan(
+                    "$prefix$key: ${found.asText()} must be a number in ${range.start}..${range.endInclusive}",
+                )
+            }
             return found.asDouble()
         }
 
         fun whole(key: String, default: Int, range: IntRange): Int {
             val found = find(key) ?: return default
-            if (!found.isInt || found.asInt() !in range) throw BadScalePlan("$prefix$key: ${found.asText()} must be a whole number in $range")
+            if (!found.isInt ||
+                found.asInt() !in range
+            ) {
+                throw BadScalePlan("$prefix$key: ${found.asText()} must be a whole number in $range")
+            }
             return found.asInt()
         }
 
--- a/src/main/kotlin/plankwall/lab/scale/ScaleRun.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleRun.kt
@@ -66,14 +66,23 @@
         val faults = FaultTimeline(site, controllers, links)
         phases(sampler, users, faults)
         return ScaleFigures(
-            plan, phases, faults.outcomes, users.serviceTasks, users.serviceTasksStarted, users.givenUp,
-            controllers.sumOf { it.endedByItself }, site.checker.broken.toList(),
+            plan,
+            phases,
+            faults.outcomes,
+            users.serviceTasks,
+            users.serviceTasksStarted,
+            users.givenUp,
+            controllers.sumOf { it.endedByItself },
+            site.checker.broken.toList(),
         )
     }
 
     private suspend fun phases(sampler: Sampler, users: ScaleUsers, faults: FaultTimeline) {
         val lengths = plan.phases
-        phase("connect", sampler, lengths.connectS) { site.transport.servedSince(0.0) >= 1.0 && site.cloud.workers.size == plan.workers }
+        phase("connect", sampler, lengths.connectS) {
+            site.transport.servedSince(0.0) >= 1.0 &&
+                site.cloud.workers.size == plan.workers
+        }
         phase("idle", sampler, lengths.idleS)
         users.submitServices(SUBMIT_SERVICES_S)
         phase("fill", sampler, lengths.fillS) { users.serviceTasksStarted >= users.serviceTasks }
@@ -89,7 +98,11 @@
     private suspend fun awaitControllers() {
         val begun = site.clock.now
         while (!controllers.all { FreePorts.isListening(it.front.port) }) {
-            if (site.clock.now - begun > START_S) throw BadScalePlan("a controller does not listen within %.0f s: see ${folder.path}".format(START_S))
+            if (site.clock.now - begun >
+                START_S
+            ) {
+                throw BadScalePlan("a controller does not listen within %.0f s: see ${folder.path}".format(START_S))
+            }
             delay(LOOK_MS)
         }
     }
@@ -108,7 +121,9 @@
 
     private suspend fun prepare() {
         folder.mkdirs()
-        val (fronts, internals) = FreePorts.take(plan.controllers * 2).map { Address(WorkerTransport.LOOPBACK, it) }.chunked(plan.controllers)
+        val (fronts, internals) = FreePorts.take(plan.controllers * 2).map {
+            Address(WorkerTransport.LOOPBACK, it)
+        }.chunked(plan.controllers)
         site.transport.open(plan.workers, fronts)
         val tuningFile = File(folder, "tuning.yaml").also { ControllerFiles.writeTuning(it, tuning) }
         val cloudRate = SimState.Meter(settings.cloud.rps, burstS = CLOUD_BURST_S)
@@ -120,15 +135,35 @@
             }
             val state = StateEndpoint(site, meters.nodes[i])
             val cloud = CloudEndpoint(site, meters.nodes[i], cloudRate)
-            val addresses = ControllerAddresses(fronts[i], internals[i], serve { state.handle(it) }, serve { cloud.handle(it) }, peers)
+            val addresses =
+                ControllerAddresses(
+                    fronts[i],
+                    internals[i],
+                    serve {
+                        state.handle(it)
+                    },
+                    serve { cloud.handle(it) },
+                    peers,
+                )
             val file = File(folder, "${plan.nodeName(i)}.toml")
             ControllerFiles.write(file, plan, settings, i, addresses)
-            controllers.add(ControllerProcess(plan.nodeName(i), plan.zoneOfNode(i), fronts[i], ControllerFiles.command(deploy, file, tuningFile), folder, logLevel))
+            controllers.add(
+                ControllerProcess(
+                    plan.nodeName(i),
+                    plan.zoneOfNode(i),
+                    fronts[i],
+                    ControllerFiles.command(deploy, file, tuningFile),
+                    folder,
+                    logLevel,
+                ),
+            )
         }
     }
 
     private suspend fun serve(handle: suspend (plankwall.io.HttpRequest) -> plankwall.io.HttpReply): Address =
-        WorkerTransport.boundAddress(HttpServer(scope, site.selector, MAX_CONNECTIONS, handle).start(Address(WorkerTransport.LOOPBACK, 0)))
+        WorkerTransport.boundAddress(
+            HttpServer(scope, site.selector, MAX_CONNECTIONS, handle).start(Address(WorkerTransport.LOOPBACK, 0)),
+        )
 
     companion object {
         private const val LOOK_MS = 100L
@@ -141,14 +176,20 @@
         fun sharedSettings(plan: ScalePlan): Settings {
             val nowhere = Address(WorkerTransport.LOOPBACK, 1)
             // Quotas with room to spare: the run is about size, not about who has to wait.
-            val quota = (plan.workers * CPUS_PER_WORKER * QUOTA_ROOM / plan.teams).toLong().coerceAtLeast(MIN_QUOTA) * 1000
+            val quota =
+                (plan.workers * CPUS_PER_WORKER * QUOTA_ROOM / plan.teams).toLong().coerceAtLeast(MIN_QUOTA) * 1000
             val teams = List(plan.teams) { Team("team-${it + 1}", quota / 4, quota, 0, 0) }
             val objectives = listOf(
-                Objective("wait", ScaleUsers.LIVE, 8.0, 0.85), Objective("wait", ScaleUsers.URGENT, 9.0, 0.99),
-                Objective("wait", ScaleUsers.BATCH, 120.0, 0.95), Objective("wait", ScaleUsers.GANG, 240.0, 0.9),
+                Objective("wait", ScaleUsers.LIVE, 8.0, 0.85),
+                Objective("wait", ScaleUsers.URGENT, 9.0, 0.99),
+                Objective("wait", ScaleUsers.BATCH, 120.0, 0.95),
+                Objective("wait", ScaleUsers.GANG, 240.0, 0.9),
             )
             return Settings(
-                plan.nodeName(0), plan.zoneOfNode(0), nowhere, nowhere, emptyList(), nowhere, nowhere, plan.zoneNames, TIME_BOUND_MS,
+                plan.nodeName(
+                    0,
+                ),
+                plan.zoneOfNode(0), nowhere, nowhere, emptyList(), nowhere, nowhere, plan.zoneNames, TIME_BOUND_MS,
                 teams, objectives, plan.times, plan.state, plan.cloud, plan.maxConnections,
             )
         }
--- a/src/main/kotlin/plankwall/lab/scale/ScaleSite.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleSite.kt
@@ -108,9 +108,24 @@
 
     /** Adds the machines of the plan, spread over its zones; a third of them has accelerators. */
     fun addMachines() {
-        val groups = plan.zoneNames.flatMap { zone -> listOf(GroupKey(PLAIN, zone, false), GroupKey(PLAIN, zone, false), GroupKey(ACCELERATED, zone, false)) }
-        val counts = IntArray(groups.size) { plan.workers / groups.size + if (it < plan.workers % groups.size) 1 else 0 }
-        groups.forEachIndexed { i, group -> cloud.addRunning(group, counts[i]) { random.nextDouble() * maxOf(settings.workers.reportS, plan.workers / ARRIVING_PER_S) } }
+        val groups = plan.zoneNames.flatMap { zone ->
+            listOf(GroupKey(PLAIN, zone, false), GroupKey(PLAIN, zone, false), GroupKey(ACCELERATED, zone, false))
+        }
+        val counts = IntArray(groups.size) {
+            plan.workers / groups.size + if (it <
+                plan.workers % groups.size
+            ) {
+                1
+            } else {
+                0
+            }
+        }
+        groups.forEachIndexed { i, group ->
+            cloud.addRunning(group, counts[i]) {
+                random.nextDouble() *
+                    maxOf(settings.workers.reportS, plan.workers / ARRIVING_PER_S)
+            }
+        }
     }
 
     companion object {
@@ -128,8 +143,16 @@
         private const val ARRIVING_PER_S = 400.0
 
         fun catalog(plan: ScalePlan): Catalog {
-            fun type(name: String, gpus: Long) =
-                MachineType(name, Resources(10_000, gpus, 64_000), 100.0, 1.0, 1.0 + gpus / 1000.0, 0.0, BOOT_S, plan.zoneNames)
+            fun type(name: String, gpus: Long) = MachineType(
+                name,
+                Resources(10_000, gpus, 64_000),
+                100.0,
+                1.0,
+                1.0 + gpus / 1000.0,
+                0.0,
+                BOOT_S,
+                plan.zoneNames,
+            )
             return Catalog(listOf(type(PLAIN, 0), type(ACCELERATED, 4_000)))
         }
     }
--- a/src/main/kotlin/plankwall/lab/scale/ScaleUsers.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleUsers.kt
@@ -21,7 +21,9 @@
     }
 
     private val plan = site.plan
-    private val clients = fronts.map { HttpClient(site.selector, it, maxConnections = CONNECTIONS, maxWaiting = MAX_WAITING) }
+    private val clients = fronts.map {
+        HttpClient(site.selector, it, maxConnections = CONNECTIONS, maxWaiting = MAX_WAITING)
+    }
     private val open = HashMap<String, Open>()
     private var nextJob = 1
 
@@ -63,7 +65,10 @@
     private fun spec(kind: String, shape: Shape, tasks: Int, runS: Double, priority: Priority, gpus: Long): JobSpec {
         val number = nextJob++
         return JobSpec(
-            "job-%06d".format(number), kind, "team-${number % plan.teams + 1}", shape, priority, tasks, Resources(2_000, gpus, 8_000),
+            "job-%06d".format(
+                number,
+            ),
+            kind, "team-${number % plan.teams + 1}", shape, priority, tasks, Resources(2_000, gpus, 8_000),
             "image-${number % IMAGES}", 1.0, null, null, false, shape == Shape.SERVICE && plan.zones > 1, false, runS, 0.0, 0.0, null,
         )
     }
@@ -74,7 +79,9 @@
         repeat(jobs) { n ->
             serviceTasks += plan.work.replicas
             val gpus = if (n % ACCELERATED_EVERY == 0) 1_000L else 0L
-            site.clock.after(overS * n / jobs) { submit(spec(LIVE, Shape.SERVICE, plan.work.replicas, 0.0, Priority.PRODUCTION, gpus)) }
+            site.clock.after(overS * n / jobs) {
+                submit(spec(LIVE, Shape.SERVICE, plan.work.replicas, 0.0, Priority.PRODUCTION, gpus))
+            }
         }
     }
 
@@ -84,13 +91,23 @@
         val work = plan.work
         every(work.startsPerS / work.arrayTasks) { submitArray() }
         every(work.urgentPerS) { submit(spec(URGENT, Shape.ARRAY, 1, work.arrayRunS, Priority.HIGH, 0)) }
-        if (work.gangTasks > 0) every(work.gangsPerMin / SECONDS_A_MINUTE) { submit(spec(GANG, Shape.GANG, work.gangTasks, work.arrayRunS, Priority.HIGH, 0)) }
+        if (work.gangTasks >
+            0
+        ) {
+            every(work.gangsPerMin / SECONDS_A_MINUTE) {
+                submit(spec(GANG, Shape.GANG, work.gangTasks, work.arrayRunS, Priority.HIGH, 0))
+            }
+        }
     }
 
     private fun submitArray() {
         val spec = spec(BATCH, Shape.ARRAY, plan.work.arrayTasks, plan.work.arrayRunS, Priority.LOW, 0)
         submit(spec)
-        if (site.random.nextDouble() < plan.work.cancelShare) site.clock.after(1.0 + site.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
+        if (site.random.nextDouble() <
+            plan.work.cancelShare
+        ) {
+            site.clock.after(1.0 + site.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
+        }
     }
 
     private fun every(rate: Double, action: () -> Unit) {
@@ -199,7 +216,9 @@
         }
     }
 
-    private fun Outcome.json(): JsonNode? = (this as? Outcome.Answered)?.takeIf { it.body.isNotEmpty() }?.let { SimWorker.json.readTree(it.body) }
+    private fun Outcome.json(): JsonNode? = (this as? Outcome.Answered)?.takeIf {
+        it.body.isNotEmpty()
+    }?.let { SimWorker.json.readTree(it.body) }
 
     companion object {
         const val LIVE = "live"
--- a/src/main/kotlin/plankwall/lab/scale/StateEndpoint.kt
+++ b/src/main/kotlin/plankwall/lab/scale/StateEndpoint.kt
@@ -9,7 +9,6 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 import plankwall.wire.StateServiceCodec
-import plankwall.wire.Write
 
 /** The state service as one controller reaches it: each has a port of its own, so that requests can be told apart. */
 class StateEndpoint(private val site: ScaleSite, private val meter: NodeMeter) {
@@ -25,14 +24,27 @@
         return HttpReply(statusOf(result), StateServiceCodec.write(bounded(result)))
     }
 
-    private fun lagMs(): Long = if (site.random.nextDouble() < SLOW_SHARE) SLOW_MS else 1L + site.random.nextInt(USUAL_MS)
+    private fun lagMs(): Long = if (site.random.nextDouble() <
+        SLOW_SHARE
+    ) {
+        SLOW_MS
+    } else {
+        1L + site.random.nextInt(USUAL_MS)
+    }
 
     private fun read(r: HttpRequest): StateOp? {
         val query = r.query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
         val path = r.path
         return when {
             path == "/multi" -> StateServiceCodec.readTxn(r.body)
-            path == "/keys" -> StateOp.Range(query["prefix"].orEmpty(), query["from"], (query["page"]?.toIntOrNull() ?: MAX_ITEMS).coerceIn(1, MAX_ITEMS))
+            path == "/keys" -> StateOp.Range(
+                query["prefix"].orEmpty(),
+                query["from"],
+                (
+                    query["page"]?.toIntOrNull()
+                        ?: MAX_ITEMS
+                    ).coerceIn(1, MAX_ITEMS),
+            )
             path.startsWith("/keys/") -> StateOp.Get(path.removePrefix("/keys/"))
             path == "/changes" -> changes(query)
             path == "/grants" -> StateServiceCodec.readGrant(r.body)
@@ -48,7 +60,13 @@
         val prefix = query["prefix"].orEmpty()
         val from = query["from"]?.toLongOrNull() ?: 0L
         val blockMs = query["block_ms"]?.toLongOrNull() ?: 0L
-        return if (blockMs == 0L) StateOp.Changes(prefix, from) else StateOp.Watch(prefix, from, blockMs.coerceAtMost(MAX_BLOCK_MS))
+        return if (blockMs ==
+            0L
+        ) {
+            StateOp.Changes(prefix, from)
+        } else {
+            StateOp.Watch(prefix, from, blockMs.coerceAtMost(MAX_BLOCK_MS))
+        }
     }
 
     /** A response holds at most [MAX_BYTES] of values. */
--- a/src/main/kotlin/plankwall/lab/scale/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/lab/scale/WorkerTransport.kt
@@ -68,7 +68,12 @@
     /** The share of the machines at work whose worker had a report answered that was sent after [time]. */
     fun servedSince(time: Double): Double {
         val workers = site.cloud.workers
-        return if (workers.isEmpty()) 0.0 else workers.count { (served[it.id]?.sentAt ?: -1.0) > time } / workers.size.toDouble()
+        return if (workers.isEmpty()) {
+            0.0
+        } else {
+            workers.count { (served[it.id]?.sentAt ?: -1.0) > time } /
+                workers.size.toDouble()
+        }
     }
 
     fun send(worker: SimWorker, node: Int, report: Report, then: (status: Int, body: JsonNode) -> Unit) {
@@ -78,9 +83,19 @@
         val lane = laneOf(slotOf(worker.id))
         lane.scope.launch {
             if (worker.group.zone in reportsLost) return@launch
-            val outcome = linkTo(worker, node, lane).call("POST", "/checkin", body, (SimWorker.PATIENCE_S * 1000).toLong())
+            val outcome = linkTo(
+                worker,
+                node,
+                lane,
+            ).call("POST", "/checkin", body, (SimWorker.PATIENCE_S * 1000).toLong())
             if (worker.group.zone in answersLost) return@launch
-            val answer = if (outcome is Outcome.Answered) SimWorker.json.readTree(outcome.body) else JsonNodeFactory.instance.nullNode()
+            val answer = if (outcome is Outcome.Answered) {
+                SimWorker.json.readTree(
+                    outcome.body,
+                )
+            } else {
+                JsonNodeFactory.instance.nullNode()
+            }
             site.onThread { answered(worker, node, outcome, sentAt, answer, then) }
         }
     }
@@ -94,7 +109,14 @@
         return client
     }
 
-    private fun answered(worker: SimWorker, node: Int, outcome: Outcome, sentAt: Double, answer: JsonNode, then: (Int, JsonNode) -> Unit) {
+    private fun answered(
+        worker: SimWorker,
+        node: Int,
+        outcome: Outcome,
+        sentAt: Double,
+        answer: JsonNode,
+        then: (Int, JsonNode) -> Unit,
+    ) {
         if (outcome !is Outcome.Answered) {
             site.meters.reportsFailed++
             return then(NO_ANSWER, answer)
@@ -129,6 +151,5 @@
 
         internal fun boundAddress(listener: ServerSocket): Address =
             Address(LOOPBACK, (listener.localAddress as InetSocketAddress).port)
-
     }
 }
--- a/src/main/kotlin/plankwall/model/Aims.kt
+++ b/src/main/kotlin/plankwall/model/Aims.kt
@@ -5,7 +5,9 @@
  * for from work that takes what is left; a site that states none expects everything of everybody.
  */
 class Aims(objectives: List<Objective>) {
-    private val byClass: Map<String, List<Objective>> = objectives.filter { it.jobClass != null }.groupBy { it.jobClass.orEmpty() }
+    private val byClass: Map<String, List<Objective>> = objectives.filter {
+        it.jobClass != null
+    }.groupBy { it.jobClass.orEmpty() }
 
     val classes: Set<String> get() = byClass.keys
 
@@ -28,5 +30,8 @@
 
     private fun tightest(jobClass: String, kind: String): Double? = stated(jobClass, kind).minOfOrNull { it.withinS }
 
-    private fun stated(jobClass: String, kind: String): List<Objective> = byClass[jobClass].orEmpty().filter { it.kind == kind }
+    private fun stated(jobClass: String, kind: String): List<Objective> = byClass[jobClass].orEmpty().filter {
+        it.kind ==
+            kind
+    }
 }
--- a/src/main/kotlin/plankwall/model/Catalog.kt
+++ b/src/main/kotlin/plankwall/model/Catalog.kt
@@ -23,7 +23,8 @@
     /** The types that [spec] allows and that one of its tasks fits. */
     fun fitting(spec: JobSpec): List<MachineType> = types.filter { t ->
         (spec.types == null || t.name in spec.types) &&
-            (spec.zone == null || spec.zone in t.zones) && spec.need.fitsIn(t.capacity)
+            (spec.zone == null || spec.zone in t.zones) &&
+            spec.need.fitsIn(t.capacity)
     }
 }
 
--- a/src/main/kotlin/plankwall/model/JobSpec.kt
+++ b/src/main/kotlin/plankwall/model/JobSpec.kt
@@ -30,7 +30,13 @@
 )
 
 /** What rights may ask about a job. [owner]: null where nobody proved who submitted it. */
-data class JobFacts(val owner: String?, val jobClass: String, val team: String, val priority: Priority, val shape: Shape)
+data class JobFacts(
+    val owner: String?,
+    val jobClass: String,
+    val team: String,
+    val priority: Priority,
+    val shape: Shape,
+)
 
 fun JobSpec.factsFor(owner: String?): JobFacts = JobFacts(owner, jobClass, team, priority, shape)
 
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -19,11 +19,18 @@
     val hasGuarantee: Boolean get() = cpus > 0 || gpus > 0
 
     /** Whether the team's tasks may use [sum] at the same time. */
-    fun allows(sum: Resources): Boolean = (cpusMax == 0L || sum.cpus <= cpusMax) && (gpusMax == 0L || sum.gpus <= gpusMax)
+    fun allows(sum: Resources): Boolean =
+        (cpusMax == 0L || sum.cpus <= cpusMax) && (gpusMax == 0L || sum.gpus <= gpusMax)
 }
 
 /** [withinS]: of starts and ends, in seconds; [times]: of deadlines, how many times the job's own time it may take. */
-data class Objective(val kind: String, val jobClass: String?, val withinS: Double, val share: Double, val times: Double = 1.0)
+data class Objective(
+    val kind: String,
+    val jobClass: String?,
+    val withinS: Double,
+    val share: Double,
+    val times: Double = 1.0,
+)
 
 data class WorkerTimes(
     val reportS: Double,
@@ -41,7 +48,8 @@
 
 data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int) {
     /** What keeps within both. */
-    fun within(o: StateLimits) = StateLimits(minOf(rps, o.rps), minOf(writeRps, o.writeRps), minOf(valueKb, o.valueKb), minOf(txnOps, o.txnOps))
+    fun within(o: StateLimits) =
+        StateLimits(minOf(rps, o.rps), minOf(writeRps, o.writeRps), minOf(valueKb, o.valueKb), minOf(txnOps, o.txnOps))
 }
 
 data class CloudLimits(val rps: Double, val listLagS: Double)
@@ -72,7 +80,10 @@
     val nodes: Int get() = peers.size + 1
 
     /** Connections that workers and users may have here: all but what this node opens itself and has with its peers. */
-    val frontConnections: Int get() = maxOf(maxConnections - OWN_CONNECTIONS - PER_PEER * peers.size, maxConnections / 2)
+    val frontConnections: Int get() = maxOf(
+        maxConnections - OWN_CONNECTIONS - PER_PEER * peers.size,
+        maxConnections / 2,
+    )
 
     /** Workers whose sessions fit here, with room for users beside them. */
     val sessionCapacity: Int get() = (frontConnections * PART_FOR_SESSIONS).toInt()
--- a/src/main/kotlin/plankwall/wire/AccessRecords.kt
+++ b/src/main/kotlin/plankwall/wire/AccessRecords.kt
@@ -71,9 +71,13 @@
     /** Null for a key of a kind that is not known here; the parser then stands where it stood. */
     fun read(key: String, p: JsonParser): Stored? = when {
         key == AccessKeys.HEAD -> head(p)
-        key == AccessKeys.APPLIED -> RightsApplied(single(p, "version") { whole(it) } ?: throw BadMessage("rights: no version"))
+        key == AccessKeys.APPLIED -> RightsApplied(
+            single(p, "version") { whole(it) } ?: throw BadMessage("rights: no version"),
+        )
         key.startsWith(AccessKeys.TRAIL) -> segment(p)
-        key.startsWith(AccessKeys.SEALS) -> TrailSeal(single(p, "jws") { text(it) } ?: throw BadMessage("seal: no signature"))
+        key.startsWith(AccessKeys.SEALS) -> TrailSeal(
+            single(p, "jws") { text(it) } ?: throw BadMessage("seal: no signature"),
+        )
         key.startsWith("access/v/") -> RightsPart(single(p, "text") { text(it) }.orEmpty())
         else -> null
     }
--- a/src/main/kotlin/plankwall/wire/CloudServiceCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CloudServiceCodec.kt
@@ -26,7 +26,13 @@
                 "how_many" -> count = whole(name)
             }
         }
-        if (request.isEmpty() || type.isEmpty() || zone.isEmpty() || count !in 1..MAX_RENTED) throw BadMessage("rental: a field is missing or out of range")
+        if (request.isEmpty() ||
+            type.isEmpty() ||
+            zone.isEmpty() ||
+            count !in 1..MAX_RENTED
+        ) {
+            throw BadMessage("rental: a field is missing or out of range")
+        }
         CloudOp.Rent(request, GroupKey(type, zone, spot), count.toInt())
     }
 
@@ -39,7 +45,9 @@
 
     fun catalog(catalog: Catalog): ByteArray = writeJson { CloudCodec.writeCatalog(this, catalog, 0) }
 
-    fun rented(machines: List<String>): ByteArray = writeJson { obj { arr("berths") { machines.forEach { writeString(it) } } } }
+    fun rented(machines: List<String>): ByteArray = writeJson {
+        obj { arr("berths") { machines.forEach { writeString(it) } } }
+    }
 
     fun listed(result: CloudResult.Listed): ByteArray = writeJson {
         obj {
--- a/src/main/kotlin/plankwall/wire/KeeperCodec.kt
+++ b/src/main/kotlin/plankwall/wire/KeeperCodec.kt
@@ -67,8 +67,10 @@
     fun seal(s: TrailSeal): ByteArray = writeJson { AccessRecordCodec.write(this, s) }
 
     /** Throws [BadMessage]. */
-    fun readSegment(bytes: ByteArray): TrailSegment =
-        parseJson(bytes) { AccessRecordCodec.read(AccessKeys.TRAIL, it) as? TrailSegment ?: throw BadMessage("no segment") }
+    fun readSegment(bytes: ByteArray): TrailSegment = parseJson(bytes) {
+        AccessRecordCodec.read(AccessKeys.TRAIL, it) as? TrailSegment
+            ?: throw BadMessage("no segment")
+    }
 
     fun readSeal(bytes: ByteArray): TrailSeal =
         parseJson(bytes) { AccessRecordCodec.read(AccessKeys.SEALS, it) as? TrailSeal ?: throw BadMessage("no seal") }
--- a/src/main/kotlin/plankwall/wire/LinkCodec.kt
+++ b/src/main/kotlin/plankwall/wire/LinkCodec.kt
@@ -25,6 +25,17 @@
         val leader = b.readText()
         val epoch = b.readLong()
         val age = b.readInt()
-        return LinkReport(seq, echoes, ages, cloudAge, turnUps, zones, leader?.let { LeaderWord(it, epoch, age) }, b.readText())
+        return LinkReport(
+            seq,
+            echoes,
+            ages,
+            cloudAge,
+            turnUps,
+            zones,
+            leader?.let {
+                LeaderWord(it, epoch, age)
+            },
+            b.readText(),
+        )
     }
 }
--- a/src/main/kotlin/plankwall/wire/PeerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/PeerMessages.kt
@@ -85,7 +85,8 @@
  * A worker's report that reached [from], for the leader that only [from] can reach. [echo]: the newest frame that [from]
  * has had from the leader, which tells the leader how old this can be. [address]: where the report came from, or empty.
  */
-data class RelayedReport(val from: String, val id: Long, val echo: Long, val address: String, val report: Report) : PeerMessage {
+data class RelayedReport(val from: String, val id: Long, val echo: Long, val address: String, val report: Report) :
+    PeerMessage {
     override val speaker: String get() = from
 }
 
@@ -93,8 +94,11 @@
 data class RelayedAnswer(val from: String, val id: Long, val status: Int, val body: ByteArray) : PeerMessage {
     override val speaker: String get() = from
 
-    override fun equals(other: Any?): Boolean =
-        other is RelayedAnswer && other.from == from && other.id == id && other.status == status && other.body.contentEquals(body)
+    override fun equals(other: Any?): Boolean = other is RelayedAnswer &&
+        other.from == from &&
+        other.id == id &&
+        other.status == status &&
+        other.body.contentEquals(body)
 
     override fun hashCode(): Int = id.hashCode()
 }
--- a/src/main/kotlin/plankwall/wire/Records.kt
+++ b/src/main/kotlin/plankwall/wire/Records.kt
@@ -173,7 +173,10 @@
             if (record.more > 0) writeNumberField("more", record.more)
         }
         is CatalogRecord -> CloudCodec.writeCatalog(g, record.catalog, record.more)
-        is RightsHead, is RightsPart, is RightsApplied, is TrailSegment, is TrailSeal -> AccessRecordCodec.write(g, record)
+        is RightsHead, is RightsPart, is RightsApplied, is TrailSegment, is TrailSeal -> AccessRecordCodec.write(
+            g,
+            record,
+        )
     }
 
     private fun JsonGenerator.names(names: List<String>) = NameRuns.write(names) { first, following ->
@@ -273,10 +276,12 @@
         var endedMs = 0L
         val facts = JobCodec.FactsReader()
         p.fields { name ->
-            if (!facts.take(p, name)) when (name) {
-                "stage" -> stage = if (text(name) == JobStage.WITHDRAWN.name) JobStage.WITHDRAWN else JobStage.DONE
-                "done" -> done = intValue
-                "at" -> endedMs = whole(name)
+            if (!facts.take(p, name)) {
+                when (name) {
+                    "stage" -> stage = if (text(name) == JobStage.WITHDRAWN.name) JobStage.WITHDRAWN else JobStage.DONE
+                    "done" -> done = intValue
+                    "at" -> endedMs = whole(name)
+                }
             }
         }
         return FinalRecord(stage, done, endedMs, facts.facts())
@@ -322,7 +327,11 @@
                     val group = nextGroup()
                     nextToken()
                     val rentedMs = longValue
-                    while (nextToken() != JsonToken.END_ARRAY) run(name).forEach { arrivals.add(StoredArrival(it, group, rentedMs)) }
+                    while (nextToken() !=
+                        JsonToken.END_ARRAY
+                    ) {
+                        run(name).forEach { arrivals.add(StoredArrival(it, group, rentedMs)) }
+                    }
                 }
                 "returning" -> elements { returning.addAll(run(name)) }
                 "more" -> more = intValue
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -29,10 +29,14 @@
 
     internal fun report(b: Buffer, r: Report) {
         b.name(r.machine).text(r.address).text(r.type).text(r.zone).flag(r.spot)
-        b.writeLong(r.session).writeLong(r.seq).writeLong(r.token).flag(r.noticeS != null).writeLong((r.noticeS ?: 0.0).toBits())
+        b.writeLong(
+            r.session,
+        ).writeLong(r.seq).writeLong(r.token).flag(r.noticeS != null).writeLong((r.noticeS ?: 0.0).toBits())
         b.writeInt(r.tasks.size)
         r.tasks.forEach { t ->
-            b.name(t.jobId).writeInt(t.task).writeLong(t.attempt).writeByte(t.stage.code()).writeByte(t.cause.code()).flag(t.saved)
+            b.name(
+                t.jobId,
+            ).writeInt(t.task).writeLong(t.attempt).writeByte(t.stage.code()).writeByte(t.cause.code()).flag(t.saved)
         }
     }
 
--- a/src/main/kotlin/plankwall/wire/SessionCodec.kt
+++ b/src/main/kotlin/plankwall/wire/SessionCodec.kt
@@ -51,7 +51,14 @@
         }
     }
 
-    fun readReports(b: Buffer): ReportBatch = ReportBatch(b.readName(), b.readLong(), b.readLong(), b.readList { readReport(b) })
+    fun readReports(b: Buffer): ReportBatch = ReportBatch(
+        b.readName(),
+        b.readLong(),
+        b.readLong(),
+        b.readList {
+            readReport(b)
+        },
+    )
 
     private fun readReport(b: Buffer): BatchedReport {
         val kind = b.readByte().toInt()
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -34,7 +34,8 @@
  * Reports of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from] had had
  * from the leader before the first of them came, which tells the leader how old they can be.
  */
-data class ReportBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedReport>) : PeerMessage {
+data class ReportBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedReport>) :
+    PeerMessage {
     override val speaker: String get() = from
 }
 
--- a/src/main/kotlin/plankwall/wire/StateCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateCodec.kt
@@ -158,8 +158,11 @@
                     val e = entry()
                     val removed = e.removed
                     val key = e.key
-                    if (removed != null) events.add(StateEvent(removed, null, e.version))
-                    else if (key != null) e.value()?.let { events.add(StateEvent(key, it, e.version)) }
+                    if (removed != null) {
+                        events.add(StateEvent(removed, null, e.version))
+                    } else if (key != null) {
+                        e.value()?.let { events.add(StateEvent(key, it, e.version)) }
+                    }
                 }
                 "ledger" -> revision = whole(name)
             }
--- a/src/test/kotlin/plankwall/BootTimesTest.kt
+++ b/src/test/kotlin/plankwall/BootTimesTest.kt
@@ -17,7 +17,14 @@
         "'when all are slow it waits longer', 60, 20, 0, 0, 24",
         "'and forgets slow times', 60, 20, 100, 10, 15",
     )
-    fun `stragglers are not counted on for long`(name: String, first: Int, firstS: Double, then: Int, thenS: Double, trustedS: Double) {
+    fun `stragglers are not counted on for long`(
+        name: String,
+        first: Int,
+        firstS: Double,
+        then: Int,
+        thenS: Double,
+        trustedS: Double,
+    ) {
         val type = World.CATALOG.types.single()
         val boots = BootTimes()
         repeat(first) { boots.note(type, firstS) }
--- a/src/test/kotlin/plankwall/CandidateQueueTest.kt
+++ b/src/test/kotlin/plankwall/CandidateQueueTest.kt
@@ -26,8 +26,18 @@
             }
         }
         val running = core.learn(World.job(1, tasks = 60))
-        repeat(60) { core.book.place(running, it, machines[random.nextInt(machines.size)].takeIf { m -> running.spec.need.fitsIn(m.free) } ?: machines.first { m -> running.spec.need.fitsIn(m.free) }, it + 1L) }
-        val job = core.learn(World.job(2, if (spread) Shape.SERVICE else Shape.ARRAY, tasks = 80, spread = spread, oneZone = oneZone))
+        repeat(60) {
+            core.book.place(
+                running,
+                it,
+                machines[random.nextInt(machines.size)].takeIf { m -> running.spec.need.fitsIn(m.free) }
+                    ?: machines.first { m -> running.spec.need.fitsIn(m.free) },
+                it + 1L,
+            )
+        }
+        val job = core.learn(
+            World.job(2, if (spread) Shape.SERVICE else Shape.ARRAY, tasks = 80, spread = spread, oneZone = oneZone),
+        )
         val room = Room(core.ctx, core.fleet).apply { beginPass() }
         val queue = CandidateQueue(room, job, machines, ZoneRule(job))
         var placed = 0
--- a/src/test/kotlin/plankwall/ConsolidationTest.kt
+++ b/src/test/kotlin/plankwall/ConsolidationTest.kt
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.core.rental.ArrivalRate
 import plankwall.core.rental.Consolidation
+import plankwall.lab.World
 import plankwall.model.Resources
 import plankwall.sim.CoreParts
-import plankwall.lab.World
 
 /** What the fleet could do without, and how much work is to be expected. */
 class ConsolidationTest {
@@ -26,7 +26,12 @@
         "'all full', '4 4 4 4', 0, ''",
         "'not quite a machine to spare', '3 3 3 4', 0, ''",
     )
-    fun `the emptiest machines are surplus as long as the others could do their work`(name: String, used: String, needed: Long, surplus: String) {
+    fun `the emptiest machines are surplus as long as the others could do their work`(
+        name: String,
+        used: String,
+        needed: Long,
+        surplus: String,
+    ) {
         val machines = used.split(' ').mapIndexed { i, n ->
             val m = core.machine("i-$i")
             val job = job(maxOf(1, n.toInt()))
--- a/src/test/kotlin/plankwall/DependenciesTest.kt
+++ b/src/test/kotlin/plankwall/DependenciesTest.kt
@@ -37,7 +37,15 @@
         words(jobs).forEach { told += graph.add(it.substringBefore(':'), it.substringAfter(':').split(',')) }
         val all = words(jobs).map { it.substringBefore(':') }
         val becameReady = ArrayList<String>()
-        for (e in words(events)) if (e[0] == '+') becameReady += graph.done(e.drop(1)) else told += graph.withdrawn(e.drop(1))
+        for (e in words(events)) {
+            if (e[0] ==
+                '+'
+            ) {
+                becameReady += graph.done(e.drop(1))
+            } else {
+                told += graph.withdrawn(e.drop(1))
+            }
+        }
         assertEquals(words(ready), becameReady.sorted(), "became ready")
         assertEquals(words(withdrawn), told.sorted(), "told as withdrawn")
         assertEquals(words(withdrawn), all.filter { graph.isWithdrawn(it) && "-$it" !in words(events) }.sorted())
--- a/src/test/kotlin/plankwall/EstimatorTest.kt
+++ b/src/test/kotlin/plankwall/EstimatorTest.kt
@@ -5,9 +5,9 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.core.rental.Estimator
 import plankwall.core.rental.Growth
+import plankwall.lab.World
 import plankwall.model.Shape
 import plankwall.sim.CoreParts
-import plankwall.lab.World
 
 /** What is rented for one waiting task beside one busy machine. */
 class EstimatorTest {
@@ -26,14 +26,29 @@
         "'room is left', 1, 60, 100, 0, 0",
         "'a machine is on its way', 4, 60, 100, 1, 0",
     )
-    fun `rents what nothing else will give`(name: String, gpus: Long, waitedS: Double, endsInS: Double, arriving: Int, rented: Int) {
+    fun `rents what nothing else will give`(
+        name: String,
+        gpus: Long,
+        waitedS: Double,
+        endsInS: Double,
+        arriving: Int,
+        rented: Int,
+    ) {
         val m = core.machine("i-000001")
         val runS = maxOf(20.0, endsInS * 2)
         val running = learn(1, 3, runS, 300.0)
         core.book.place(running, 0, m, 1).runningSince = ctx.now - runS + endsInS
         val waiting = learn(4, gpus, 20.0, waitedS)
         val wanted = Estimator(ctx, core.book, World.CATALOG).estimate(
-            listOf(m), listOf(waiting), { it.waiting.size }, List(arriving) { CoreParts.GROUP }, { true }, Growth.NONE, owned = { 0 },
+            listOf(m),
+            listOf(waiting),
+            {
+                it.waiting.size
+            },
+            List(arriving) { CoreParts.GROUP },
+            { true },
+            Growth.NONE,
+            owned = { 0 },
         )
         assertEquals(rented, wanted.values.sum(), name)
     }
@@ -47,7 +62,15 @@
         "'no sound group: any where machines come up', 8, 4, false, false, true, 1",
         "'nor there', 8, 4, false, false, false, 0",
     )
-    fun `rents for replicas that are believed lost`(name: String, tasks: Int, lost: Int, spread: Boolean, healthy: Boolean, starts: Boolean, rented: Int) {
+    fun `rents for replicas that are believed lost`(
+        name: String,
+        tasks: Int,
+        lost: Int,
+        spread: Boolean,
+        healthy: Boolean,
+        starts: Boolean,
+        rented: Int,
+    ) {
         val job = core.learn(World.job(1, Shape.SERVICE, tasks = tasks, team = "red", spread = spread))
         val silent = core.machine("i-000001")
         val other = core.machine("i-000002")
--- a/src/test/kotlin/plankwall/FaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/FaultDaysTest.kt
@@ -4,9 +4,9 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
+import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.lab.World
 
 /** Whole days in virtual time, each with its troubles and several seeds: no rule may break, and the work gets done. */
 class FaultDaysTest {
@@ -28,7 +28,9 @@
             Trouble(110.0) { cuts.clear() },
         ),
         "leader cut from state and peers" to listOf(
-            Trouble(50.0) { nodes.first { it.leading }.let { cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) } },
+            Trouble(50.0) {
+                nodes.first { it.leading }.let { cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
+            },
             Trouble(120.0) { cuts.clear() },
         ),
         "machines fail" to listOf(Trouble(60.0) { cloud.alive.take(2).map { it.id }.forEach { cloud.fail(it) } }),
@@ -69,7 +71,19 @@
         at(6.0, 4, World.job(4, tasks = 40, team = "red", runS = 8.0))
         at(7.0, 5, World.job(5, Shape.SERVICE, tasks = 3, team = "red", spot = true), withdrawAfter = 52.0)
         at(48.0, 6, World.job(6, tasks = 5, spot = true, priority = Priority.LOW), withdrawAfter = 13.0)
-        for (n in 10..25) at(20.0 + 5 * (n - 10), n, World.job(n, tasks = 3, priority = Priority.entries[n % 4], spot = n % 2 == 0))
+        for (n in 10..25) {
+            at(
+                20.0 + 5 * (n - 10),
+                n,
+                World.job(
+                    n,
+                    tasks = 3,
+                    priority = Priority.entries[n % 4],
+                    spot =
+                    n % 2 == 0,
+                ),
+            )
+        }
         world.clock.runUntil(420.0)
         assertEquals(emptyList<String>(), world.checker.broken)
         assertTrue(world.checker.starts >= 100, "only ${world.checker.starts} starts")
--- a/src/test/kotlin/plankwall/JobLedgerTest.kt
+++ b/src/test/kotlin/plankwall/JobLedgerTest.kt
@@ -5,8 +5,8 @@
 import plankwall.core.front.JobLedger
 import plankwall.core.step.Context
 import plankwall.core.step.Effect
-import plankwall.model.Tuning
 import plankwall.lab.World
+import plankwall.model.Tuning
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
 import plankwall.wire.StateEvent
@@ -39,7 +39,17 @@
     }
 
     private fun ask(answers: MutableList<String>) {
-        ledger.whenFresh { fresh -> answers.add(if (fresh) "${ledger.isWithdrawn("job-000001").takeIf { ledger.isLive("job-000001") }}" else "unread") }
+        ledger.whenFresh { fresh ->
+            answers.add(
+                if (fresh) {
+                    "${ledger.isWithdrawn("job-000001").takeIf {
+                        ledger.isLive("job-000001")
+                    }}"
+                } else {
+                    "unread"
+                },
+            )
+        }
         collect()
     }
 
--- a/src/test/kotlin/plankwall/LargeSiteTest.kt
+++ b/src/test/kotlin/plankwall/LargeSiteTest.kt
@@ -3,9 +3,9 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.lab.World
 
 /** Hundreds of machines, and work that needs many of them at once. */
 class LargeSiteTest {
@@ -31,8 +31,23 @@
         val world = World(104)
         world.cloud.capacity = 4
         // Small tasks of various lengths keep the four machines, all there is, half used for ever.
-        for (n in 10..70) world.clock.after(1.0 + 1.6 * (n - 10)) { world.submit(World.job(n, tasks = 1, runS = 20.0 + n % 7).copy(zone = "a")) }
-        world.clock.after(60.0) { world.submit(World.job(1, Shape.GANG, tasks = 3, gpus = 4, oneZone = true, runS = 10.0, priority = Priority.NORMAL)) }
+        for (n in 10..70) {
+            world.clock.after(1.0 + 1.6 * (n - 10)) {
+                world.submit(
+                    World.job(
+                        n,
+                        tasks = 1,
+                        runS =
+                        20.0 + n % 7,
+                    ).copy(zone = "a"),
+                )
+            }
+        }
+        world.clock.after(60.0) {
+            world.submit(
+                World.job(1, Shape.GANG, tasks = 3, gpus = 4, oneZone = true, runS = 10.0, priority = Priority.NORMAL),
+            )
+        }
         world.clock.runUntil(125.0)
         assertEquals("done", world.stageOf("job-000001"))
         assertEquals(emptyList<String>(), world.checker.broken)
@@ -42,8 +57,14 @@
     fun `more important gangs get room by preemption`() {
         val world = World(23)
         world.cloud.capacity = 4
-        world.clock.after(1.0) { world.submit(World.job(2, tasks = 16, runS = 500.0, priority = Priority.LOW).copy(zone = "a")) }
-        world.clock.after(60.0) { world.submit(World.job(1, Shape.GANG, tasks = 2, gpus = 4, oneZone = true, runS = 10.0, priority = Priority.HIGH)) }
+        world.clock.after(1.0) {
+            world.submit(World.job(2, tasks = 16, runS = 500.0, priority = Priority.LOW).copy(zone = "a"))
+        }
+        world.clock.after(60.0) {
+            world.submit(
+                World.job(1, Shape.GANG, tasks = 2, gpus = 4, oneZone = true, runS = 10.0, priority = Priority.HIGH),
+            )
+        }
         world.clock.runUntil(90.0)
         assertEquals("done", world.stageOf("job-000001"))
         assertEquals(emptyList<String>(), world.checker.broken)
--- a/src/test/kotlin/plankwall/OutlookDaysTest.kt
+++ b/src/test/kotlin/plankwall/OutlookDaysTest.kt
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.model.Shape
 import plankwall.lab.SimNode
 import plankwall.lab.World
+import plankwall.model.Shape
 
 /** Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven. */
 class OutlookDaysTest {
@@ -51,7 +51,12 @@
         "'a few die', false, 1, 13",
         "'half of the fleet and the leader', true, 3, 18",
     )
-    fun `replicas believed lost are rented for before they are proven gone`(name: String, leaderToo: Boolean, die: Int, withinS: Double) {
+    fun `replicas believed lost are rented for before they are proven gone`(
+        name: String,
+        leaderToo: Boolean,
+        die: Int,
+        withinS: Double,
+    ) {
         val first = atWork(24)
         if (leaderToo) first.crash(8.0)
         // Some of each zone: one that is silent as a whole would count as cut off.
@@ -82,7 +87,11 @@
         "'every second counts for a replica', SERVICE, true",
         "'an array waits for the lease, and the machine may come back', ARRAY, false",
     )
-    fun `a machine silent alone is deleted for the sake of replicas only`(name: String, shape: Shape, deleted: Boolean) {
+    fun `a machine silent alone is deleted for the sake of replicas only`(
+        name: String,
+        shape: Shape,
+        deleted: Boolean,
+    ) {
         world.clock.after(2.0) { world.submit(World.job(1, shape, tasks = 24, runS = 500.0)) }
         world.clock.runUntil(45.0)
         val silent = world.cloud.workers.first().also { it.die() }.id
--- a/src/test/kotlin/plankwall/PipelineDaysTest.kt
+++ b/src/test/kotlin/plankwall/PipelineDaysTest.kt
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 import plankwall.core.step.Input
+import plankwall.lab.World
 import plankwall.model.JobSpec
 import plankwall.model.Priority
 import plankwall.model.Shape
 import plankwall.model.StateLimits
 import plankwall.sim.CoreParts
-import plankwall.lab.World
 import plankwall.wire.JobRecord
 
 /** Jobs that wait for others, on whole sites in virtual time. */
@@ -27,7 +27,18 @@
             submit(World.job(first + 2, Shape.GANG, tasks = 2, runS = 6.0, oneZone = true, after = listOf(first)))
         }
         clock.after(at + lateLast) {
-            submit(World.job(first + 3, tasks = 2, runS = 4.0, priority = Priority.HIGH, after = listOf(first + 1, first + 2)).copy(deadlineS = 120.0))
+            submit(
+                World.job(
+                    first + 3,
+                    tasks = 2,
+                    runS = 4.0,
+                    priority = Priority.HIGH,
+                    after = listOf(
+                        first + 1,
+                        first + 2,
+                    ),
+                ).copy(deadlineS = 120.0),
+            )
         }
     }
 
@@ -87,9 +98,22 @@
         world.clock.after(at + 60.0) { world.submit(World.job(6, tasks = 1, after = listOf(5))) }
         world.clock.runUntil(at + 130.0)
         val told = world.stages(1..6)
-        val needs = mapOf(1 to emptyList(), 2 to listOf(1), 3 to listOf(1), 4 to listOf(2, 3), 5 to listOf(stage), 6 to listOf(5))
+        val needs = mapOf(
+            1 to emptyList(),
+            2 to listOf(1),
+            3 to listOf(1),
+            4 to listOf(2, 3),
+            5 to listOf(stage),
+            6 to listOf(5),
+        )
         for ((job, names) in needs) {
-            val expected = if (names.any { told[it - 1] == "withdrawn" } || (job == stage && told[job - 1] != "done")) "withdrawn" else "done"
+            val expected = if (names.any { told[it - 1] == "withdrawn" } ||
+                (job == stage && told[job - 1] != "done")
+            ) {
+                "withdrawn"
+            } else {
+                "done"
+            }
             assertEquals(expected, told[job - 1], "job $job of $told")
         }
         world.assertSound()
@@ -133,7 +157,12 @@
 
     @ParameterizedTest(name = "named job {0}: {1}")
     @CsvSource(
-        "live, 201", "done, 201", "withdrawn, 201", "accepted by another node just now, 201", "never accepted, 422", "unreadable, 503",
+        "live, 201",
+        "done, 201",
+        "withdrawn, 201",
+        "accepted by another node just now, 201",
+        "never accepted, 422",
+        "unreadable, 503",
         "never accepted but known itself, 200",
     )
     fun `what a submission may name`(standing: String, expected: Int) {
@@ -152,7 +181,13 @@
         val ask = { world.nodes[1].ask({ Input.Submit(it, spec) }) { status, _ -> statuses.add(status) } }
         if (standing == "unreadable") world.state.outage = true
         if (standing.startsWith("accepted by another")) {
-            world.nodes[0].ask({ Input.Submit(it, World.job(8, runS = 300.0)) }) { status, _ -> if (status == 201) ask() }
+            world.nodes[0].ask({ Input.Submit(it, World.job(8, runS = 300.0)) }) { status, _ ->
+                if (status ==
+                    201
+                ) {
+                    ask()
+                }
+            }
         } else {
             ask()
         }
@@ -164,12 +199,25 @@
     fun `a long chain and a crowd of dependents end with the one they all need`() {
         val world = World(51, stateNext = smaller)
         world.clock.after(1.0) { world.submit(World.job(1, tasks = 1, runS = 500.0)) }
-        for (n in 2..120) world.clock.after(1.0 + n * 0.02) { world.submit(World.job(n, tasks = 1, after = listOf(n - 1))) }
-        for (n in 201..320) world.clock.after(1.0 + (n - 200) * 0.02) { world.submit(World.job(n, tasks = 1, after = listOf(1))) }
+        for (n in 2..120) {
+            world.clock.after(1.0 + n * 0.02) {
+                world.submit(World.job(n, tasks = 1, after = listOf(n - 1)))
+            }
+        }
+        for (n in 201..320) {
+            world.clock.after(1.0 + (n - 200) * 0.02) {
+                world.submit(World.job(n, tasks = 1, after = listOf(1)))
+            }
+        }
         world.clock.after(60.0) { world.withdraw("job-000001") }
         world.clock.after(60.3) { world.nodes.first { it.leading }.crash(8.0) }
         world.clock.runUntil(60.0 + world.settings.workers.cancelS)
-        assertTrue(world.state.keys.none { it.startsWith("j/") }, "still live: ${world.state.keys.filter { it.startsWith("j/") }}")
+        assertTrue(
+            world.state.keys.none {
+                it.startsWith("j/")
+            },
+            "still live: ${world.state.keys.filter { it.startsWith("j/") }}",
+        )
         assertEquals(List(3) { "withdrawn" }, listOf(1, 120, 320).map { world.stageOf("job-%06d".format(it)) })
         assertEquals(1, world.checker.starts)
         world.assertSound()
@@ -179,9 +227,26 @@
     fun `a job that waits holds nothing back`() {
         val world = World(61)
         // Team red may use 16 accelerators; what waits for job 1 must neither count nor take their place.
-        world.clock.after(1.0) { world.submit(World.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red")) }
-        world.clock.after(2.0) { world.submit(World.job(2, Shape.GANG, tasks = 4, gpus = 4, runS = 5.0, team = "red", priority = Priority.PRODUCTION, after = listOf(1))) }
-        world.clock.after(3.0) { world.submit(World.job(3, tasks = 12, gpus = 1, runS = 20.0, team = "red", priority = Priority.LOW)) }
+        world.clock.after(1.0) {
+            world.submit(World.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red"))
+        }
+        world.clock.after(2.0) {
+            world.submit(
+                World.job(
+                    2,
+                    Shape.GANG,
+                    tasks = 4,
+                    gpus = 4,
+                    runS = 5.0,
+                    team = "red",
+                    priority = Priority.PRODUCTION,
+                    after = listOf(1),
+                ),
+            )
+        }
+        world.clock.after(3.0) {
+            world.submit(World.job(3, tasks = 12, gpus = 1, runS = 20.0, team = "red", priority = Priority.LOW))
+        }
         world.clock.runUntil(60.0)
         assertEquals(listOf("running", "pending", "done"), world.stages(1..3))
         assertEquals(4, world.cloud.rentals, "rented for what may start, and no more")
@@ -194,7 +259,8 @@
     fun `a stage has the priority of the job that its user waits for`() {
         val world = World(71)
         world.cloud.capacity = 1
-        fun short(n: Int, priority: Priority, after: List<Int> = emptyList()): JobSpec = World.job(n, tasks = 4, runS = 10.0, priority = priority, after = after)
+        fun short(n: Int, priority: Priority, after: List<Int> = emptyList()): JobSpec =
+            World.job(n, tasks = 4, runS = 10.0, priority = priority, after = after)
         world.clock.after(1.0) { world.submit(short(1, Priority.HIGH)) }
         world.clock.after(2.0) { world.submit(short(2, Priority.NORMAL)) }
         world.clock.after(3.0) { world.submit(short(3, Priority.LOW)) }
@@ -208,7 +274,12 @@
     @Test
     fun `priority and deadline travel up a chain, and back when what raised them is withdrawn`() {
         val parts = CoreParts()
-        val (first, second) = listOf(World.job(1, priority = Priority.LOW), World.job(2, priority = Priority.LOW, after = listOf(1))).map { parts.learn(it) }
+        val (first, second) = listOf(
+            World.job(1, priority = Priority.LOW),
+            World.job(2, priority = Priority.LOW, after = listOf(1)),
+        ).map {
+            parts.learn(it)
+        }
         assertEquals(listOf(Priority.LOW, Long.MAX_VALUE), listOf(first.priority, first.dueMs))
         val last = parts.learn(World.job(3, priority = Priority.HIGH, after = listOf(2)).copy(deadlineS = 100.0))
         assertEquals(listOf(Priority.HIGH, Priority.HIGH), listOf(first.priority, second.priority))
@@ -223,7 +294,19 @@
     @ValueSource(longs = [81, 82, 83])
     fun `a site is rolled node by node under load while limits shrink`(seed: Long) {
         val world = World(seed, stateNext = smaller)
-        for (n in 100..140) world.clock.after(1.0 + (n - 100)) { world.submit(World.job(n, tasks = 4, runS = 25.0, spot = n % 2 == 0)) }
+        for (n in 100..140) {
+            world.clock.after(1.0 + (n - 100)) {
+                world.submit(
+                    World.job(
+                        n,
+                        tasks = 4,
+                        runS = 25.0,
+                        spot =
+                        n % 2 == 0,
+                    ),
+                )
+            }
+        }
         world.pipeline(20.0)
         world.pipeline(40.0, first = 11)
         world.pipeline(62.0, first = 21)
--- a/src/test/kotlin/plankwall/RegistryTest.kt
+++ b/src/test/kotlin/plankwall/RegistryTest.kt
@@ -8,9 +8,9 @@
 import plankwall.core.outlook.Outlook
 import plankwall.core.rental.ClusterStateRegistry
 import plankwall.core.step.Context
+import plankwall.lab.World
 import plankwall.model.GroupKey
 import plankwall.model.Tuning
-import plankwall.lab.World
 import java.util.Random
 
 /** The registry's questions (S1 to S3 of the paper) on fleets given as counts. */
@@ -39,7 +39,16 @@
         "'a zone that is cut does not halt the rest', 6, 0, 0, 0, 5, true, b",
         "'everything silent is the leader cut off', 0, 5, 0, 0, 5, true, 'a b'",
     )
-    fun `judges the whole`(name: String, ready: Int, silent: Int, leaving: Int, readyB: Int, silentB: Int, good: Boolean, cut: String) {
+    fun `judges the whole`(
+        name: String,
+        ready: Int,
+        silent: Int,
+        leaving: Int,
+        readyB: Int,
+        silentB: Int,
+        good: Boolean,
+        cut: String,
+    ) {
         add("a", ready, 1.0)
         add("a", silent, 60.0)
         add("a", leaving, 60.0, returning = true)
@@ -59,7 +68,16 @@
         "'S2 many unready', 2, 4, 0, 0, false, 0, 0",
         "'one late start is nothing', 0, 0, 1, 1, true, 1, 1",
     )
-    fun `judges a group`(name: String, ready: Int, silent: Int, fresh: Int, old: Int, healthy: Boolean, arriving: Int, late: Int) {
+    fun `judges a group`(
+        name: String,
+        ready: Int,
+        silent: Int,
+        fresh: Int,
+        old: Int,
+        healthy: Boolean,
+        arriving: Int,
+        late: Int,
+    ) {
         add("a", ready, 1.0)
         add("a", silent, 60.0)
         add("b", 30, 1.0)
--- a/src/test/kotlin/plankwall/RentalDaysTest.kt
+++ b/src/test/kotlin/plankwall/RentalDaysTest.kt
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
+import plankwall.lab.World
 import plankwall.model.Shape
 import plankwall.model.Tuning
-import plankwall.lab.World
 
 /** The rental loop against the paper's use cases, played on the simulated site. */
 class RentalDaysTest {
@@ -117,7 +117,10 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource("workers, true", "workers peers, false")
-    fun `a leader cut off from its workers serves them through its peers or hands over, before their leases run out`(cut: String, stays: Boolean) {
+    fun `a leader cut off from its workers serves them through its peers or hands over, before their leases run out`(
+        cut: String,
+        stays: Boolean,
+    ) {
         val world = world()
         world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 12)) }
         world.clock.runUntil(45.0)
--- a/src/test/kotlin/plankwall/RentalLoopTest.kt
+++ b/src/test/kotlin/plankwall/RentalLoopTest.kt
@@ -37,7 +37,18 @@
     @CsvSource("0, true", "60, false")
     fun `what can't be stored is not decided`(afterS: Double, returned: Boolean) {
         win()
-        val loop = RentalLoop(ctx, LeaderStore(ctx, core.leadership), core.book, core.fleet, Placer(ctx, core.book, core.fleet), Outlook(ctx, core.fleet, 0.0), 0.0) { 0.0 }
+        val loop =
+            RentalLoop(
+                ctx,
+                LeaderStore(ctx, core.leadership),
+                core.book,
+                core.fleet,
+                Placer(ctx, core.book, core.fleet),
+                Outlook(ctx, core.fleet, 0.0),
+                0.0,
+            ) {
+                0.0
+            }
         val failed = core.machine("i-000001").apply { listed = ListedState.FAILED }
         ctx.time.advance(ctx.now + afterS, 0)
         loop.tick()
--- a/src/test/kotlin/plankwall/RuleCheckerTest.kt
+++ b/src/test/kotlin/plankwall/RuleCheckerTest.kt
@@ -4,11 +4,11 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.model.GroupKey
-import plankwall.model.JobSpec
 import plankwall.lab.RuleChecker
 import plankwall.lab.SimWorker
 import plankwall.lab.World
+import plankwall.model.GroupKey
+import plankwall.model.JobSpec
 
 /** A checker that can't fail proves nothing: each rule is broken once on purpose. */
 class RuleCheckerTest {
@@ -17,10 +17,16 @@
     private val b = SimWorker(world, "i-000002", GroupKey("box", "b", false))
     private val spotWorker = SimWorker(world, "i-000003", GroupKey("box", "a", true))
 
-    private fun RuleChecker.start(spec: JobSpec, task: Int, worker: SimWorker) = on("${spec.id}/$task", spec, worker, 10.0)
+    private fun RuleChecker.start(spec: JobSpec, task: Int, worker: SimWorker) =
+        on("${spec.id}/$task", spec, worker, 10.0)
 
     private val plants: Map<String, RuleChecker.() -> Unit> = mapOf(
-        "ran_twice" to { World.job(1).let { start(it, 0, a); start(it, 0, b) } },
+        "ran_twice" to {
+            World.job(1).let {
+                start(it, 0, a)
+                start(it, 0, b)
+            }
+        },
         "quota" to { World.job(1, tasks = 17, team = "red").let { j -> repeat(17) { start(j, it, a) } } },
         "wrong_place" to { start(World.job(1, spot = false), 0, spotWorker) },
         "ran_cancelled" to {
@@ -29,9 +35,17 @@
             withdrawAnswered("job-000001", "withdrawn", 10.0)
             checkWithdrawn(10.1 + world.settings.workers.cancelS)
         },
-        "forgotten" to { submitted(World.job(1), 201); shown("job-000001", 404, null, 20.0) },
+        "forgotten" to {
+            submitted(World.job(1), 201)
+            shown("job-000001", 404, null, 20.0)
+        },
         "invented" to { shown("job-000009", 200, "pending", 20.0) },
-        "not_done" to { submitted(World.job(1), 201); completed("job-000001/0"); shown("job-000001", 200, "done", 20.0) },
+        "not_done" to
+            {
+                submitted(World.job(1), 201)
+                completed("job-000001/0")
+                shown("job-000001", 200, "done", 20.0)
+            },
         "went_back" to {
             submitted(World.job(1, tasks = 1), 201)
             completed("job-000001/0")
@@ -51,8 +65,14 @@
             check(broken.isEmpty())
             polled("job-000001", false, 130.0)
         },
-        "forgotten on repeating" to { submitted(World.job(1), 201, 5.0); submitted(World.job(1), 404, 9.0, null, 8.0) },
-        "forgotten as invalid" to { submitted(World.job(1), 201, 5.0); submitted(World.job(1), 400, 9.0, null, 8.0) },
+        "forgotten on repeating" to {
+            submitted(World.job(1), 201, 5.0)
+            submitted(World.job(1), 404, 9.0, null, 8.0)
+        },
+        "forgotten as invalid" to {
+            submitted(World.job(1), 201, 5.0)
+            submitted(World.job(1), 400, 9.0, null, 8.0)
+        },
         "went_back on repeating" to {
             submitted(World.job(1, tasks = 1), 201, 5.0, "pending")
             completed("job-000001/0")
@@ -93,8 +113,12 @@
     )
 
     @ParameterizedTest
-    @ValueSource(strings = ["ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back", "too_early", "orphaned",
-        "forgotten in calm", "forgotten on repeating", "forgotten as invalid", "went_back on repeating", "went_back on cancelling", "stalled"])
+    @ValueSource(
+        strings = [
+            "ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back", "too_early", "orphaned",
+            "forgotten in calm", "forgotten on repeating", "forgotten as invalid", "went_back on repeating", "went_back on cancelling", "stalled",
+        ],
+    )
     fun `sees a planted violation`(rule: String) {
         val checker = RuleChecker(world.settings)
         plants.getValue(rule)(checker)
--- a/src/test/kotlin/plankwall/SettingsTest.kt
+++ b/src/test/kotlin/plankwall/SettingsTest.kt
@@ -52,11 +52,15 @@
         "'node = \"n0\"', '', node",
     )
     fun `a bad platform file is refused by key`(old: String, new: String, key: String) {
-        val e = assertThrows(BadSettings::class.java) { SettingsFile.read(TomlMapper().readTree(good.replace(old, new))) }
+        val e =
+            assertThrows(BadSettings::class.java) { SettingsFile.read(TomlMapper().readTree(good.replace(old, new))) }
         assertTrue(key in e.message.orEmpty(), e.message)
     }
 
-    private val next = good.replace("[settings.cloud]", "[settings.state.next]\nwrite_rps = 70.0\nvalue_kb = 2.0\ntxn_ops = 10\n[settings.cloud]")
+    private val next = good.replace(
+        "[settings.cloud]",
+        "[settings.state.next]\nwrite_rps = 70.0\nvalue_kb = 2.0\ntxn_ops = 10\n[settings.cloud]",
+    )
 
     @Test
     fun `announced limits are kept to where they are smaller`() {
@@ -69,19 +73,26 @@
 
     @ParameterizedTest
     @CsvSource(
-        "'value_kb = 2.0', 'value_kb = 0.5', state.next.value_kb, 1.0..64.0", "'txn_ops = 10', '', state.next.txn_ops, 4.0..10000.0",
+        "'value_kb = 2.0', 'value_kb = 0.5', state.next.value_kb, 1.0..64.0",
+        "'txn_ops = 10', '', state.next.txn_ops, 4.0..10000.0",
         "'write_rps = 70.0', 'write_rps = \"few\"', state.next.write_rps, 1.0..1000000.0",
         "'txn_ops = 10', 'txn_ops = 10\nrps = 0', state.next.rps, 1.0..1000000.0",
     )
     fun `bad announced limits are refused by key and range`(old: String, new: String, key: String, range: String) {
-        val e = assertThrows(BadSettings::class.java) { SettingsFile.read(TomlMapper().readTree(next.replace(old, new.replace("\\n", "\n")))) }
+        val e =
+            assertThrows(BadSettings::class.java) {
+                SettingsFile.read(TomlMapper().readTree(next.replace(old, new.replace("\\n", "\n"))))
+            }
         assertTrue(key in e.message.orEmpty() && range in e.message.orEmpty(), e.message)
     }
 
     @ParameterizedTest
     @CsvSource(
-        "'unneeded_secs: 5', unneeded_secs", "'halt_unready_share: 2', 0.01..1.0", "'unready_s: soon', unready_s",
-        "'- 3', map", "'leader_lease_s: true', leader_lease_s",
+        "'unneeded_secs: 5', unneeded_secs",
+        "'halt_unready_share: 2', 0.01..1.0",
+        "'unready_s: soon', unready_s",
+        "'- 3', map",
+        "'leader_lease_s: true', leader_lease_s",
     )
     fun `bad tuning is refused by key and range`(yaml: String, expected: String) {
         val e = assertThrows(BadSettings::class.java) { TuningFile.read(YAMLMapper().readTree(yaml)) }
