--- a/src/test/kotlin/plankwall/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/SmallerLimitsTest.kt
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.provider.ValueSource
 import plankwall.core.lead.Divided
 import plankwall.core.lead.StoreLimits
+import plankwall.lab.World
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.StateLimits
-import plankwall.lab.World
 import plankwall.wire.FleetRecord
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
@@ -27,7 +27,13 @@
     private val smaller = StateLimits(250.0, 70.0, 2.0, 10)
 
     /** A job as a node accepted it that laid pages out for values of 16 KiB. */
-    private fun World.submitLaidOutLarge(number: Int, tasks: Int, runS: Double, pageSize: Int = 252, types: List<String>? = null) {
+    private fun World.submitLaidOutLarge(
+        number: Int,
+        tasks: Int,
+        runS: Double,
+        pageSize: Int = 252,
+        types: List<String>? = null,
+    ) {
         val spec = World.job(number, tasks = tasks, runS = runS).copy(types = types)
         assumeAccepted(spec)
         state.put(Keys.job(spec.id), JobRecord(spec, (clock.now * 1000).toLong() + 1_700_000_000_000, 0, pageSize))
@@ -64,7 +70,11 @@
         world.clock.after(2.0) { world.submitLaidOutLarge(1, 250, runS = 60.0) }
         world.clock.runUntil(25.0)
         world.state.limits = tiny
-        while (world.state.keys.count { it.startsWith("${Keys.PAGES}job-000001/") } < 2 && world.clock.now < 120) world.clock.runUntil(world.clock.now + 0.01)
+        while (world.state.keys.count { it.startsWith("${Keys.PAGES}job-000001/") } < 2 &&
+            world.clock.now < 120
+        ) {
+            world.clock.runUntil(world.clock.now + 0.01)
+        }
         assertTrue(world.clock.now < 120, "never divided")
         world.clock.after(crashAfter) { world.nodes.first { it.leading }.crash(8.0) }
         world.clock.runUntil(400.0)
@@ -75,7 +85,15 @@
     @Test
     fun `a long description that is stored already can still be withdrawn`() {
         val world = World(8, stateNext = smaller)
-        world.clock.after(2.0) { world.submitLaidOutLarge(1, 4, runS = 300.0, types = listOf("box") + List(200) { "type-of-a-long-name-$it" }) }
+        world.clock.after(2.0) {
+            world.submitLaidOutLarge(
+                1,
+                4,
+                runS = 300.0,
+                types =
+                listOf("box") + List(200) { "type-of-a-long-name-$it" },
+            )
+        }
         world.clock.runUntil(40.0)
         assertEquals("running", world.stageOf("job-000001"))
         world.state.limits = smaller
@@ -85,7 +103,19 @@
         assertEquals(emptyList<String>(), world.checker.broken)
     }
 
-    private fun items(key: String, pieces: List<Stored>) = pieces.mapIndexed { i, p -> StateItem(if (i == 0) key else Keys.more(key, i), p, 5) }
+    private fun items(key: String, pieces: List<Stored>) = pieces.mapIndexed { i, p ->
+        StateItem(
+            if (i ==
+                0
+            ) {
+                key
+            } else {
+                Keys.more(key, i)
+            },
+            p,
+            5,
+        )
+    }
 
     private fun fleet(rentals: Int, arrivals: Int, returning: Int): FleetRecord {
         val group = GroupKey("gotthard-box", "bern-keller", false)
@@ -98,7 +128,11 @@
 
     @ParameterizedTest(name = "{0} rentals, {1} arrivals, {2} returns")
     @CsvSource("0, 0, 0", "3, 20, 5", "20, 10, 10", "20, 300, 300", "0, 800, 0", "20, 0, 700")
-    fun `the whole record of the fleet is kept within small values and one transaction`(rentals: Int, arrivals: Int, returning: Int) {
+    fun `the whole record of the fleet is kept within small values and one transaction`(
+        rentals: Int,
+        arrivals: Int,
+        returning: Int,
+    ) {
         val whole = fleet(rentals, arrivals, returning)
         val pieces = checkNotNull(Divided.fleet(whole, smaller.txnOps, 2048))
         assertTrue(pieces.all { StateCodec.sizeOf(it) <= 2048 })
@@ -118,7 +152,9 @@
 
     @Test
     fun `a catalogue is only read whole`() {
-        val types = World.CATALOG.types.single().let { t -> List(40) { t.copy(name = "type-$it", zones = List(4) { z -> "a-zone-of-a-long-name-$z" }) } }
+        val types = World.CATALOG.types.single().let { t ->
+            List(40) { t.copy(name = "type-$it", zones = List(4) { z -> "a-zone-of-a-long-name-$z" }) }
+        }
         val pieces = checkNotNull(Divided.catalog(Catalog(types), 10, 2048))
         assertEquals(types, Divided.catalog(items(Keys.CATALOG, pieces))?.types)
         assertNull(Divided.catalog(items(Keys.CATALOG, pieces).dropLast(1)))
@@ -128,13 +164,20 @@
     @ParameterizedTest(name = "{0} changes, {1} bytes refused")
     @CsvSource(
         // announced are 10 changes and 2048 bytes
-        "5, 9000, 10, 2048", "20, 100, 10, 2048", "1, 1500, 10, 1024", "8, 900, 4, 2048", "3, 900, 10, 2048",
+        "5, 9000, 10, 2048",
+        "20, 100, 10, 2048",
+        "1, 1500, 10, 1024",
+        "8, 900, 4, 2048",
+        "3, 900, 10, 2048",
     )
     fun `a refusal teaches the limits`(ops: Int, largest: Int, opsAfter: Int, bytesAfter: Int) {
         val limits = StoreLimits(World.settings("n0", 3).copy(stateNext = smaller))
         assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
         limits.rejected(ops, largest)
-        assertEquals(listOf(opsAfter, bytesAfter, bytesAfter), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
+        assertEquals(
+            listOf(opsAfter, bytesAfter, bytesAfter),
+            listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes),
+        )
     }
 
     @Test
@@ -143,7 +186,19 @@
         val world = World(9, stateNext = tiny)
         world.cloud.capacity = 2000
         // Rented little by little and with names taken turn about, so that few share an entry of the record.
-        for (n in 1..160) world.clock.after(2.0 + n * 0.05) { world.submit(World.job(n, tasks = 16, runS = 30.0, spot = n % 2 == 0)) }
+        for (n in 1..160) {
+            world.clock.after(2.0 + n * 0.05) {
+                world.submit(
+                    World.job(
+                        n,
+                        tasks = 16,
+                        runS = 30.0,
+                        spot =
+                        n % 2 == 0,
+                    ),
+                )
+            }
+        }
         world.state.limits = tiny
         world.clock.runUntil(12.0)
         val rented = world.cloud.rentals
--- a/src/test/kotlin/plankwall/VersionsTest.kt
+++ b/src/test/kotlin/plankwall/VersionsTest.kt
@@ -7,14 +7,14 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 import plankwall.core.lead.Divided
+import plankwall.lab.SimWorker
+import plankwall.lab.World
 import plankwall.model.GroupKey
 import plankwall.model.JobStage
 import plankwall.model.Priority
 import plankwall.model.Shape
 import plankwall.sim.RecordJson.decode
 import plankwall.sim.RecordJson.encode
-import plankwall.lab.SimWorker
-import plankwall.lab.World
 import plankwall.wire.CatalogRecord
 import plankwall.wire.FinalRecord
 import plankwall.wire.FleetRecord
@@ -65,7 +65,9 @@
             is FinalRecord -> tree.remove(listOf("at", "own", "docket", "crew", "shape", "urgency"))
             is FleetRecord, is CatalogRecord -> tree.remove("more")
             is LeaderRecord, is LevelRecord -> Unit
-            is RightsHead, is RightsPart, is RightsApplied, is TrailSegment, is TrailSeal -> error("never read by the first version")
+            is RightsHead, is RightsPart, is RightsApplied, is TrailSegment, is TrailSeal -> error(
+                "never read by the first version",
+            )
         }
         return tree.toString()
     }
@@ -74,7 +76,8 @@
     fun `a record that the first version rewrites loses what it waits for only together with all starts`() {
         // It rewrites a job's record for nothing but a withdrawal, and that is final.
         val owned = Ownership("meera", withdrawOnRevoke = true)
-        val record = JobRecord(spec.copy(dependencies = listOf("job-000001")), 1_700_000_000_000, 1_700_000_009_000, 28, owned)
+        val record =
+            JobRecord(spec.copy(dependencies = listOf("job-000001")), 1_700_000_000_000, 1_700_000_009_000, 28, owned)
         assertEquals(record.copy(spec = spec, owned = null), decode(Keys.job(spec.id), rewrittenByFirst(record)))
     }
 
@@ -82,14 +85,20 @@
     fun `a divided record of the fleet that the first version rewrites leaves further keys that count for nothing`() {
         val first = fleet.copy(more = 1)
         val further = StateItem(Keys.more(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
-        assertEquals(listOf("i-000009", "i-000777"), Divided.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.returning)
+        assertEquals(
+            listOf("i-000009", "i-000777"),
+            Divided.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.returning,
+        )
         val rewritten = checkNotNull(decode(Keys.FLEET, rewrittenByFirst(first)))
         assertEquals(fleet, Divided.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
     }
 
     @Test
     fun `the end of a job is the same without its time`() {
-        assertEquals(FinalRecord(JobStage.DONE, 3), decode(Keys.final("job-000412"), rewrittenByFirst(FinalRecord(JobStage.DONE, 3, 1_700_000_009_000))))
+        assertEquals(
+            FinalRecord(JobStage.DONE, 3),
+            decode(Keys.final("job-000412"), rewrittenByFirst(FinalRecord(JobStage.DONE, 3, 1_700_000_009_000))),
+        )
     }
 
     @Test
@@ -116,29 +125,45 @@
     companion object {
         private val spec = World.job(412, Shape.GANG, tasks = 3, oneZone = true, spot = true, priority = Priority.HIGH)
             .copy(types = listOf("box"), zone = "a", deadlineS = 900.0)
-        private const val SPEC = """{"id":"job-000412","docket":"class","crew":"blue","shape":"ensemble","urgency":"urgent","pieces":3,""" +
-            """"cores":2.0,"accelerators":1.0,"ram_gb":8.0,"mould":"image-1","size_gb":2.0,"builds":["box"],"yard":"a","together":true,""" +
-            """"scatter":false,"loaners":true,"guess_s":20.0,"snapshot_s":0.0,"stow_s":0.0,"due_s":900.0}"""
+        private const val SPEC =
+            """{"id":"job-000412","docket":"class","crew":"blue","shape":"ensemble","urgency":"urgent","pieces":3,""" +
+                """"cores":2.0,"accelerators":1.0,"ram_gb":8.0,"mould":"image-1","size_gb":2.0,"builds":["box"],"yard":"a","together":true,""" +
+                """"scatter":false,"loaners":true,"guess_s":20.0,"snapshot_s":0.0,"stow_s":0.0,"due_s":900.0}"""
         private val group = GroupKey("box", "a", true)
         private val fleet = FleetRecord(
             listOf(StoredRental("r-7-1", group, 12)),
-            listOf(StoredArrival("i-000001", group, 1_700_000_000_000), StoredArrival("i-000002", group, 1_700_000_000_000)),
+            listOf(
+                StoredArrival("i-000001", group, 1_700_000_000_000),
+                StoredArrival("i-000002", group, 1_700_000_000_000),
+            ),
             listOf("i-000009"),
         )
 
         @JvmStatic
         fun firstVersion() = listOf(
             Case(Keys.LEADER, """{"node":"n1","inc":77}""", LeaderRecord("n1", 77)),
-            Case(Keys.job(spec.id), """{"spec":$SPEC,"at":1700000000000,"page":124}""", JobRecord(spec, 1_700_000_000_000, 0, 124)),
             Case(
-                Keys.job(spec.id), """{"spec":$SPEC,"at":1700000000000,"wd":1700000009000,"page":124}""",
+                Keys.job(spec.id),
+                """{"spec":$SPEC,"at":1700000000000,"page":124}""",
+                JobRecord(spec, 1_700_000_000_000, 0, 124),
+            ),
+            Case(
+                Keys.job(spec.id),
+                """{"spec":$SPEC,"at":1700000000000,"wd":1700000009000,"page":124}""",
                 JobRecord(spec, 1_700_000_000_000, 1_700_000_009_000, 124),
             ),
             Case(
-                Keys.page(spec.id, 0), """{"d":[0,2,7,7],"p":[[4,70000001,"i-000231",2],[5,70000002,"i-000232",1]]}""",
+                Keys.page(spec.id, 0),
+                """{"d":[0,2,7,7],"p":[[4,70000001,"i-000231",2],[5,70000002,"i-000232",1]]}""",
                 PageRecord(
-                    BitSet().apply { set(0, 3); set(7) },
-                    listOf(StoredPlacement(4, 70_000_001, "i-000231", 2), StoredPlacement(5, 70_000_002, "i-000232", 1)),
+                    BitSet().apply {
+                        set(0, 3)
+                        set(7)
+                    },
+                    listOf(
+                        StoredPlacement(4, 70_000_001, "i-000231", 2),
+                        StoredPlacement(5, 70_000_002, "i-000232", 1),
+                    ),
                 ),
             ),
             Case(Keys.final(spec.id), """{"stage":"DONE","done":3}""", FinalRecord(JobStage.DONE, 3)),
--- a/src/test/kotlin/plankwall/WarmRoomTest.kt
+++ b/src/test/kotlin/plankwall/WarmRoomTest.kt
@@ -6,9 +6,9 @@
 import plankwall.core.jobs.ZoneRule
 import plankwall.core.placing.Room
 import plankwall.core.placing.WarmRoom
+import plankwall.lab.World
 import plankwall.model.Shape
 import plankwall.sim.CoreParts
-import plankwall.lab.World
 
 /** A task may fetch its image on a cold machine now, or wait for a machine that has it. */
 class WarmRoomTest {
@@ -16,8 +16,10 @@
     private val ctx = core.ctx
     private val warm = WarmRoom(ctx, Room(ctx, core.fleet))
 
-    private fun learn(number: Int, shape: Shape, gpus: Long, gb: Double, waitedS: Double = 0.0) =
-        core.learn(World.job(number, shape, tasks = 1, gpus = gpus, runS = 60.0).copy(image = "image", imageGb = gb), waitedS)
+    private fun learn(number: Int, shape: Shape, gpus: Long, gb: Double, waitedS: Double = 0.0) = core.learn(
+        World.job(number, shape, tasks = 1, gpus = gpus, runS = 60.0).copy(image = "image", imageGb = gb),
+        waitedS,
+    )
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -28,7 +30,14 @@
         "'a small image is not worth waiting', ARRAY, 6, 1, 0, false",
         "'a replica is wanted at once', SERVICE, 40, 10, 0, false",
     )
-    fun `waits for a warm machine only where that is clearly sooner`(name: String, shape: Shape, gb: Double, endsInS: Double, waitedS: Double, held: Boolean) {
+    fun `waits for a warm machine only where that is clearly sooner`(
+        name: String,
+        shape: Shape,
+        gb: Double,
+        endsInS: Double,
+        waitedS: Double,
+        held: Boolean,
+    ) {
         val busy = core.machine("i-1")
         core.book.place(learn(1, Shape.ARRAY, 4, gb), 0, busy, 1).runningSince = ctx.now - 60.0 + endsInS
         busy.noteImage(checkNotNull(core.book.find("job-000001")).image, gb, ctx.now - 1)
--- a/src/test/kotlin/plankwall/WireTest.kt
+++ b/src/test/kotlin/plankwall/WireTest.kt
@@ -1,7 +1,6 @@
 package plankwall
 
 import com.fasterxml.jackson.databind.node.ObjectNode
-import java.util.BitSet
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -46,6 +45,7 @@
 import plankwall.wire.WorkerCodec
 import plankwall.wire.Write
 import plankwall.wire.ZoneReach
+import java.util.BitSet
 
 class WireTest {
     private val good = """{"id":"job-000412","docket":"train","crew":"vision","shape":"ensemble","urgency":"urgent","pieces":16,
@@ -54,7 +54,9 @@
 
     /** Every field of PROTOCOL's table: missing, null, of a wrong type, out of range. Those that may be null may be absent too. */
     @ParameterizedTest(name = "{0}")
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+        delimiter = '|',
+        textBlock = """
         id           | false | 7        | "job-x"
         docket       | false | 7        | ""
         crew         | false | ["a"]    | ""
@@ -75,8 +77,14 @@
         guess_s      | false | "240"    | -1
         snapshot_s   | false | true     | -30
         stow_s       | false | "4"      | -4
-        due_s        | true  | "900"    | -900""")
-    fun `a submission has every field, each of its kind and within its range`(field: String, mayBeNull: Boolean, wrongType: String, outOfRange: String) {
+        due_s        | true  | "900"    | -900""",
+    )
+    fun `a submission has every field, each of its kind and within its range`(
+        field: String,
+        mayBeNull: Boolean,
+        wrongType: String,
+        outOfRange: String,
+    ) {
         val whole = SimWorker.json.readTree(good) as ObjectNode
         fun read(body: ObjectNode) = JobCodec.read(SimWorker.json.writeValueAsBytes(body))
         val without = whole.deepCopy().apply { remove(field) }
@@ -88,7 +96,9 @@
             assertThrows(BadMessage::class.java) { read(nulled) }
         }
         for (value in listOf(wrongType, outOfRange)) {
-            assertThrows(BadMessage::class.java) { read(whole.deepCopy().apply { set<ObjectNode>(field, SimWorker.json.readTree(value)) }) }
+            assertThrows(BadMessage::class.java) {
+                read(whole.deepCopy().apply { set<ObjectNode>(field, SimWorker.json.readTree(value)) })
+            }
         }
     }
 
@@ -112,7 +122,9 @@
         ],
     )
     fun `bad submissions are refused`(case: String) {
-        val body = if (!case.startsWith("FIELD:")) case else {
+        val body = if (!case.startsWith("FIELD:")) {
+            case
+        } else {
             val (_, name, value) = case.split(':', limit = 3)
             good.replace(Regex("\"$name\":(\\[[^]]*]|[^,}]*)"), "\"$name\":${Regex.escapeReplacement(value)}")
         }
@@ -121,7 +133,11 @@
 
     @ParameterizedTest(name = "awaits {0}")
     @CsvSource(
-        "'', ''", "'null', ''", "'[]', ''", "'[\"job-000398\"]', job-000398", "'[\"job-2\",\"job-1\",\"job-2\"]', job-2 job-1",
+        "'', ''",
+        "'null', ''",
+        "'[]', ''",
+        "'[\"job-000398\"]', job-000398",
+        "'[\"job-2\",\"job-1\",\"job-2\"]', job-2 job-1",
     )
     fun `dependencies are read, stored and shown`(value: String, expected: String) {
         val body = if (value.isEmpty()) good else good.replace("\"due_s\"", "\"awaits\":$value,\"due_s\"")
@@ -134,18 +150,36 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @ValueSource(strings = ["3", "\"job-000398\"", "{}", "[3]", "[null]", "[\"job-x\"]", "[[\"job-000398\"]]", "[\"job-000412\"]", "MANY"])
+    @ValueSource(
+        strings = ["3", "\"job-000398\"", "{}", "[3]", "[null]", "[\"job-x\"]", "[[\"job-000398\"]]", "[\"job-000412\"]", "MANY"],
+    )
     fun `bad dependencies are refused by the field's name`(value: String) {
         fun body(list: String) = good.replace("\"due_s\"", "\"awaits\":$list,\"due_s\"").encodeToByteArray()
         fun names(n: Int) = (1..n).joinToString(",", "[", "]") { "\"job-1%05d\"".format(it) }
         assertEquals(JobCodec.MAX_DEPENDENCIES, JobCodec.read(body(names(JobCodec.MAX_DEPENDENCIES))).dependencies.size)
-        val e = assertThrows(BadMessage::class.java) { JobCodec.read(body(if (value == "MANY") names(JobCodec.MAX_DEPENDENCIES + 1) else value)) }
+        val e = assertThrows(BadMessage::class.java) {
+            JobCodec.read(
+                body(
+                    if (value ==
+                        "MANY"
+                    ) {
+                        names(JobCodec.MAX_DEPENDENCIES + 1)
+                    } else {
+                        value
+                    },
+                ),
+            )
+        }
         assertTrue(e.message.orEmpty().startsWith("awaits: "), e.message)
     }
 
     @Test
     fun `the most dependencies fit a stored value of two KiB`() {
-        val spec = JobCodec.read(good.encodeToByteArray()).copy(dependencies = List(JobCodec.MAX_DEPENDENCIES) { "job-%06d".format(it) })
+        val spec = JobCodec.read(good.encodeToByteArray()).copy(
+            dependencies = List(JobCodec.MAX_DEPENDENCIES) {
+                "job-%06d".format(it)
+            },
+        )
         assertTrue(StateCodec.sizeOf(JobRecord(spec, 1_700_000_000_000, 1_700_000_000_000, 28)) <= 2048)
     }
 
@@ -171,10 +205,14 @@
         for (i in 0 until size step 2) done.set(99_000 + i)
         val placements = (1 until size step 2).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
         val worst = if (size > 1) placements else emptyList()
-        val txn = StateCodec.txn(StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(done, worst)))))
+        val txn = StateCodec.txn(
+            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(done, worst)))),
+        )
         assertTrue(txn.size <= valueKb * 1024 || size == 8, "page of $size tasks takes ${txn.size} bytes")
         val all = (0 until size).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
-        val full = StateCodec.txn(StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), all)))))
+        val full = StateCodec.txn(
+            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), all)))),
+        )
         assertTrue(full.size <= valueKb * 1024, "page of $size placements takes ${full.size} bytes")
     }
 
@@ -182,7 +220,13 @@
     fun `hundreds of arriving and returning machines fit a small stored value and are read back`() {
         // At 70 bytes a name only a part was stored, and a successor took the rest for machines that nobody rented.
         val group = GroupKey("kiln-small", "vadodara-floor", false)
-        val arrivals = (0 until 800).map { StoredArrival("i-%06d".format(it + it / 50), group, 1_700_000_000_000 + it / 50) }
+        val arrivals = (0 until 800).map {
+            StoredArrival(
+                "i-%06d".format(it + it / 50),
+                group,
+                1_700_000_000_000 + it / 50,
+            )
+        }
         val returning = (0 until 200).map { "i-%06d".format(2000 + it * 3) }
         val record = FleetRecord(listOf(StoredRental("r-7-1", group, 50)), arrivals, returning)
         assertTrue(StateCodec.sizeOf(record) < 8 * 1024, "${StateCodec.sizeOf(record)} bytes")
@@ -197,40 +241,89 @@
         }
     }
 
-    private val links = LinkReport(7, mapOf("berth-2" to 6L), listOf(4, -1, 900, 12_000), 8_000, 31, listOf(ZoneReach("a", 40, 2)), LeaderWord("berth-0", 9, 80), "berth-2")
+    private val links =
+        LinkReport(
+            7,
+            mapOf("berth-2" to 6L),
+            listOf(4, -1, 900, 12_000),
+            8_000,
+            31,
+            listOf(ZoneReach("a", 40, 2)),
+            LeaderWord("berth-0", 9, 80),
+            "berth-2",
+        )
     private val report = Report(
         "i-000007", "10.1.0.2:9000", "g8", "a", true, 2, 88, 41, 12.5,
-        listOf(TaskReport("job-000001", 3, 9, TaskStage.RUNNING, null, false), TaskReport("job-000002", 0, 1, TaskStage.EXITED, ExitCause.STOPPED, true)),
+        listOf(
+            TaskReport("job-000001", 3, 9, TaskStage.RUNNING, null, false),
+            TaskReport("job-000002", 0, 1, TaskStage.EXITED, ExitCause.STOPPED, true),
+        ),
     )
     private val frames: Map<String, PeerMessage> = mapOf(
         "first status" to PeerStatus("berth-1", 5, 7, true, 3, false, 4),
         "status" to PeerStatus("berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links),
-        "status without a leader" to PeerStatus("berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links.copy(leader = null, successor = null)),
-        "status with withdrawals" to PeerStatus("berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links, WithdrawalNews(4, listOf("job-000001", "job-000002"), 900, 8_000)),
+        "status without a leader" to
+            PeerStatus(
+                "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL,
+                links.copy(
+                    leader = null,
+                    successor = null,
+                ),
+            ),
+        "status with withdrawals" to
+            PeerStatus(
+                "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links,
+                WithdrawalNews(
+                    4,
+                    listOf("job-000001", "job-000002"),
+                    900,
+                    8_000,
+                ),
+            ),
         "progress" to ProgressNews(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
         "report" to RelayedReport("berth-1", 12, 700, "10.1.0.2", report),
-        "report of a quiet machine" to RelayedReport("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
+        "report of a quiet machine" to
+            RelayedReport("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
         "answer" to RelayedAnswer("berth-0", 12, 200, byteArrayOf(1, 2, 3)),
     )
 
     @ParameterizedTest
-    @ValueSource(strings = ["first status", "status", "status without a leader", "status with withdrawals", "progress", "report", "report of a quiet machine", "answer"])
+    @ValueSource(
+        strings = ["first status", "status", "status without a leader", "status with withdrawals", "progress", "report", "report of a quiet machine", "answer"],
+    )
     fun `peer frames are read back, short ones refused`(kind: String) {
         val message = frames.getValue(kind)
         val frame = PeerCodec.write(message)
         assertEquals(message, PeerCodec.read(frame))
         // A status is whole where an older version ends it: before its level, before its links, and before its withdrawals.
         val wholes = if (message is PeerStatus) {
-            listOf(message.copy(links = null)).map { PeerCodec.write(it).size }.flatMap { listOf(it - 4, it) } + PeerCodec.write(message.copy(withdrawals = null)).size
-        } else emptyList()
-        for (n in frame.indices - wholes.toSet()) assertThrows(BadMessage::class.java) { PeerCodec.read(frame.copyOf(n)) }
+            listOf(message.copy(links = null)).map { PeerCodec.write(it).size }.flatMap { listOf(it - 4, it) } +
+                PeerCodec.write(message.copy(withdrawals = null)).size
+        } else {
+            emptyList()
+        }
+        for (n in frame.indices - wholes.toSet()) {
+            assertThrows(BadMessage::class.java) {
+                PeerCodec.read(frame.copyOf(n))
+            }
+        }
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["0 job-000001 5", "1 job-1x 5", "1 job-000001 -1"])
     fun `a list of withdrawals that nobody can have written is refused`(what: String) {
         val (first, job, up) = what.split(' ')
-        val frame = PeerCodec.write(PeerStatus("berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links, WithdrawalNews(first.toLong(), listOf(job), 900, up.toLong())))
+        val frame = PeerCodec.write(
+            PeerStatus(
+                "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links,
+                WithdrawalNews(
+                    first.toLong(),
+                    listOf(job),
+                    900,
+                    up.toLong(),
+                ),
+            ),
+        )
         assertThrows(BadMessage::class.java) { PeerCodec.read(frame) }
     }
 }
--- a/src/test/kotlin/plankwall/WorkerDeskTest.kt
+++ b/src/test/kotlin/plankwall/WorkerDeskTest.kt
@@ -10,9 +10,9 @@
 import plankwall.core.jobs.StopCause
 import plankwall.core.placing.Placer
 import plankwall.core.workers.WorkerDesk
+import plankwall.lab.World
 import plankwall.model.Shape
 import plankwall.sim.CoreParts
-import plankwall.lab.World
 import plankwall.wire.ExitCause
 import plankwall.wire.Report
 import plankwall.wire.TaskReport
@@ -27,7 +27,8 @@
     private fun report(machine: String, seq: Long, tasks: List<TaskReport>) =
         Report(machine, "addr:$machine", "box", "a", false, 1, seq, 0, null, tasks)
 
-    private fun word(session: Long, seq: Long, token: Long) = Report("i-1", "addr:i-1", "box", "a", false, session, seq, token, null, emptyList())
+    private fun word(session: Long, seq: Long, token: Long) =
+        Report("i-1", "addr:i-1", "box", "a", false, session, seq, token, null, emptyList())
 
     private fun wait(seconds: Double) = core.ctx.time.advance(core.ctx.now + seconds, 0)
 
@@ -58,7 +59,9 @@
 
     @ParameterizedTest(name = "run was put into an answer: {0}")
     @ValueSource(booleans = [false, true])
-    fun `what never left for a machine that misses a report is taken back, all else waits for proof`(commanded: Boolean) {
+    fun `what never left for a machine that misses a report is taken back, all else waits for proof`(
+        commanded: Boolean,
+    ) {
         core.lead()
         val m = core.machine("i-1")
         desk.checkIn(word(session = 1, seq = 5, token = 2))
@@ -79,7 +82,10 @@
     fun `a first word proves no absence before it shows our token`() {
         core.lead()
         val m = core.machine("i-1").apply { session = 1 }
-        val p = book.place(core.learn(World.job(1)), 0, m, 7).apply { stored = true; commanded = true }
+        val p = book.place(core.learn(World.job(1)), 0, m, 7).apply {
+            stored = true
+            commanded = true
+        }
         book.stop(p, StopCause.WITHDRAWN, 0.0)
         desk.checkIn(word(session = 1, seq = 3, token = 2))
         assertTrue(p.job.placements[0] === p)
@@ -97,7 +103,12 @@
         "PEERS, fetching, '', false",
         "DONE, fetching, '', false",
     )
-    fun `a gang task that waited in vain is started again`(cause: ExitCause, mate: String, orders: String, stays: Boolean) {
+    fun `a gang task that waited in vain is started again`(
+        cause: ExitCause,
+        mate: String,
+        orders: String,
+        stays: Boolean,
+    ) {
         val spec = World.job(1, Shape.GANG, tasks = 2)
         val job = core.learn(spec)
         val placed = listOf("i-1", "i-2").mapIndexed { task, name ->
@@ -110,7 +121,9 @@
             "stopping" -> placed[1].apply { commanded = true }.let { book.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
-        val answer = desk.checkIn(report("i-1", 3, listOf(TaskReport(spec.id, 0, 7, TaskStage.EXITED, cause, false)))).orEmpty()
+        val answer = desk.checkIn(
+            report("i-1", 3, listOf(TaskReport(spec.id, 0, 7, TaskStage.EXITED, cause, false))),
+        ).orEmpty()
         assertEquals(orders, answer.filter { it.task == 0 }.joinToString(" ") { it.op.name })
         assertEquals(stays, job.placements[0] === placed[0])
     }
--- a/src/test/kotlin/plankwall/access/RightsReaderTest.kt
+++ b/src/test/kotlin/plankwall/access/RightsReaderTest.kt
@@ -29,7 +29,13 @@
         workers network "10.1.0.0/16";
     """.trimIndent()
 
-    private fun job(c: String, owner: String? = null, p: Priority = Priority.NORMAL, s: Shape = Shape.ARRAY, team: String = "t") = JobFacts(owner, c, team, p, s)
+    private fun job(
+        c: String,
+        owner: String? = null,
+        p: Priority = Priority.NORMAL,
+        s: Shape = Shape.ARRAY,
+        team: String = "t",
+    ) = JobFacts(owner, c, team, p, s)
 
     @ParameterizedTest(name = "{0} {1} {2} of {3}, {4}, {5}, {6}: {7}")
     @CsvSource(
@@ -41,7 +47,16 @@
         "gone, submit, x, , low, sweep, t, false", "max, audit, x, , low, sweep, t, true", "max, audit, x, , low, sweep, locked, false",
         "max, submit, board-matcher, , low, sweep, t, false", "nobody, show, x, , low, sweep, t, false",
     )
-    fun `deny wins, and nothing is allowed that no rule allows`(who: String, action: String, c: String, owner: String?, p: String, s: String, team: String, may: Boolean) {
+    fun `deny wins, and nothing is allowed that no rule allows`(
+        who: String,
+        action: String,
+        c: String,
+        owner: String?,
+        p: String,
+        s: String,
+        team: String,
+        may: Boolean,
+    ) {
         val policy = RightsReader.read(text, 7)
         val facts = job(c, owner, Words.priorities.getValue(p), Words.shapes.getValue(s), team)
         assertEquals(may, policy.judge(who, Action.entries.first { it.word == action }, facts).allowed)
@@ -51,7 +66,12 @@
     fun `of a job that nothing is known of, only rules without a condition speak`() {
         val policy = RightsReader.read(text, 7)
         assertTrue(policy.judge("lea", Action.SHOW, null).allowed)
-        assertEquals(listOf(false, false), listOf(Action.WITHDRAW, Action.SUBMIT).map { policy.judge("lea", it, null).allowed })
+        assertEquals(
+            listOf(false, false),
+            listOf(Action.WITHDRAW, Action.SUBMIT).map {
+                policy.judge("lea", it, null).allowed
+            },
+        )
         // Neither a condition nor its opposite holds: "team is not locked" must not let somebody at what has no team.
         assertEquals(false, policy.judge("max", Action.AUDIT, null).allowed)
     }
@@ -92,7 +112,12 @@
     )
     fun `errors name line and column, and what was meant`(wrong: String, expected: String) {
         val e = assertThrows(BadRights::class.java) { RightsReader.read(wrong, 1) }
-        val (place, words) = if (expected[0].isDigit()) expected.substringBefore(' ') to expected.substringAfter(' ', "") else "" to expected
+        val (place, words) = if (expected[0].isDigit()) {
+            expected.substringBefore(' ') to
+                expected.substringAfter(' ', "")
+        } else {
+            "" to expected
+        }
         if (place.isNotEmpty()) assertEquals(place, "${e.line}:${e.column}", e.message)
         assertTrue(words in e.message.orEmpty(), e.message)
     }
@@ -102,10 +127,20 @@
         fun rule(condition: String) = "person a { } rule r: allow show to a where $condition;"
         RightsReader.read(rule("(".repeat(30) + "class is x" + ")".repeat(30)), 1)
         for (deep in listOf("(".repeat(20_000), "not ".repeat(10_000))) {
-            assertTrue("deep" in assertThrows(BadRights::class.java) { RightsReader.read(rule(deep), 1) }.message.orEmpty())
+            assertTrue(
+                "deep" in assertThrows(BadRights::class.java) { RightsReader.read(rule(deep), 1) }.message.orEmpty(),
+            )
         }
         // Wide is no matter.
-        RightsReader.read(rule(List(3000) { "class is x" }.joinToString(" or ")).take(RightsReader.LONGEST).substringBeforeLast(" or") + ";", 1)
+        RightsReader.read(
+            rule(
+                List(3000) {
+                    "class is x"
+                }.joinToString(" or "),
+            ).take(RightsReader.LONGEST).substringBeforeLast(" or") +
+                ";",
+            1,
+        )
         assertThrows(BadRights::class.java) { RightsReader.read(" ".repeat(RightsReader.LONGEST + 1), 1) }
     }
 }
--- a/src/test/kotlin/plankwall/audit/VerifierTest.kt
+++ b/src/test/kotlin/plankwall/audit/VerifierTest.kt
@@ -15,7 +15,10 @@
     private val key = SigningKey.generate("n0", "k1")
     private val verifier = Verifier { node, id -> if (node == "n0" && id == "k1") PublicKey.of("k1", key.x) else null }
 
-    private fun entry(n: Int) = TrailEntry("d$n", 1_000L + n, 3, "ada", "k1", "10.0.0.0/24", "show", "job-00000${n % 7}", n % 3 != 0, "rule x", 2, 200, "q$n")
+    private fun entry(n: Int) = TrailEntry(
+        "d$n", 1_000L + n, 3, "ada", "k1", "10.0.0.0/24", "show", "job-00000${n % 7}",
+        n % 3 != 0, "rule x", 2, 200, "q$n",
+    )
 
     /** Three chains of 40 entries in segments of 4, sealed after every 10 of each. */
     private fun trail(): TrailCopy {
@@ -30,7 +33,14 @@
                 val line = TrailLines.write(n.toLong(), before, node, entry(n))
                 val segment = n / 4L
                 val old = chains.getValue(node)[segment]
-                chains.getValue(node)[segment] = if (old == null) TrailSegment(n.toLong(), before, listOf(line)) else old.copy(lines = old.lines + line)
+                chains.getValue(node)[segment] =
+                    if (old ==
+                        null
+                    ) {
+                        TrailSegment(n.toLong(), before, listOf(line))
+                    } else {
+                        old.copy(lines = old.lines + line)
+                    }
                 heads[node] = ChainHead(segment, n + 1L, TrailLines.hash(line))
             }
             if (n % 10 == 9) {
@@ -46,7 +56,8 @@
     private fun TrailCopy.with(node: String, change: (LinkedHashMap<Long, TrailSegment>) -> Unit) =
         TrailCopy(chains.mapValues { (n, s) -> if (n == node) LinkedHashMap(s).also(change) else s }, seals)
 
-    private fun TrailCopy.withSeals(change: (LinkedHashMap<Long, String>) -> Unit) = TrailCopy(chains, LinkedHashMap(seals).also(change))
+    private fun TrailCopy.withSeals(change: (LinkedHashMap<Long, String>) -> Unit) =
+        TrailCopy(chains, LinkedHashMap(seals).also(change))
 
     @Test
     fun `a whole trail holds together, also with a checkpoint that was kept`() {
@@ -62,7 +73,12 @@
         val found = LinkedHashMap<Long, TrailSegment>()
         entries.chunked(4).forEachIndexed { s, some ->
             val first = before
-            val lines = some.mapIndexed { n, e -> TrailLines.write(s * 4L + n, before, node, e).also { before = TrailLines.hash(it) } }
+            val lines = some.mapIndexed { n, e ->
+                TrailLines.write(s * 4L + n, before, node, e).also {
+                    before =
+                        TrailLines.hash(it)
+                }
+            }
             found[s.toLong()] = TrailSegment(s * 4L, first, lines)
         }
         return found
@@ -90,32 +106,94 @@
                 val c = random.nextInt(l[index].length)
                 l[index] = l[index].replaceRange(c, c + 1, if (l[index][c] == '7') "8" else "7")
             } to setOf(entry(at), entry(at + 1), segment(segment + 1))
-            1 -> lines { l -> l[index] = if ("\"ok\":1" in l[index]) l[index].replace("\"ok\":1", "\"ok\":0") else l[index].replace("\"ok\":0", "\"ok\":1") } to
-                setOf(if (at == 39) entry(39) else if (index == 3) segment(segment + 1) else entry(at + 1))
+            1 -> lines { l ->
+                l[index] =
+                    if ("\"ok\":1" in
+                        l[index]
+                    ) {
+                        l[index].replace("\"ok\":1", "\"ok\":0")
+                    } else {
+                        l[index].replace("\"ok\":0", "\"ok\":1")
+                    }
+            } to
+                setOf(
+                    if (at == 39) {
+                        entry(39)
+                    } else if (index == 3) {
+                        segment(segment + 1)
+                    } else {
+                        entry(at + 1)
+                    },
+                )
             // Delete an entry, or a segment.
             2 -> lines { it.removeAt(index) } to setOf(if (index == 3 && at != 39) segment(segment + 1) else entry(at))
             3 -> whole.with(node) { it.remove(segment) } to setOf(if (segment == 9L) entry(39) else segment(segment))
             // Reorder two entries of a segment, or two segments.
-            4 -> lines { l -> java.util.Collections.swap(l, index, (index + 1) % 4) } to setOf(entry(if (index == 3) at - 3 else at))
+            4 -> lines { l -> java.util.Collections.swap(l, index, (index + 1) % 4) } to
+                setOf(entry(if (index == 3) at - 3 else at))
             5 -> ((segment + 1) % 10).let { other ->
-                whole.with(node) { c -> val a = c.getValue(segment); c[segment] = c.getValue(other); c[other] = a } to setOf(segment(minOf(segment, other)))
+                whole.with(node) { c ->
+                    val a = c.getValue(segment)
+                    c[segment] = c.getValue(other)
+                    c[other] = a
+                } to
+                    setOf(segment(minOf(segment, other)))
             }
             // Truncate.
             6 -> whole.with(node) { c -> (segment..9).forEach { c.remove(it) } } to setOf(sealed(segment.toInt() * 4))
             // Splice: another chain's segment, or a segment of the same chain a second time.
-            7 -> whole.with(node) { it[segment] = whole.chains.getValue(if (node == "n0") "n1" else "n0").getValue(segment) } to
+            7 -> whole.with(node) {
+                it[segment] =
+                    whole.chains.getValue(if (node == "n0") "n1" else "n0").getValue(segment)
+            } to
                 setOf(if (segment == 0L) entry(0) else segment(segment))
             8 -> whole.with(node) { it[10] = it.getValue(segment) } to setOf(segment(10))
             // Fork: a chain that holds together by itself, without an entry or with another one.
-            9 -> whole.with(node) { c -> c.clear(); c.putAll(rebuilt(node, entries.filterIndexed { n, _ -> n != at })) } to setOf(sealed(at))
-            10 -> whole.with(node) { c -> c.clear(); c.putAll(rebuilt(node, entries.mapIndexed { n, e -> if (n == at) e.copy(who = "eve") else e })) } to setOf(sealed(at))
+            9 -> whole.with(node) { c ->
+                c.clear()
+                c.putAll(rebuilt(node, entries.filterIndexed { n, _ -> n != at }))
+            } to
+                setOf(sealed(at))
+            10 -> whole.with(node) { c ->
+                c.clear()
+                c.putAll(
+                    rebuilt(
+                        node,
+                        entries.mapIndexed { n, e ->
+                            if (n ==
+                                at
+                            ) {
+                                e.copy(who = "eve")
+                            } else {
+                                e
+                            }
+                        },
+                    ),
+                )
+            } to
+                setOf(sealed(at))
             // The seals themselves: edited, deleted, signed by somebody else, swapped.
-            11 -> random.nextInt(4).toLong().let { n -> whole.withSeals { it[n] = it.getValue(n).replaceRange(40, 41, if (it.getValue(n)[40] == 'A') "B" else "A") } to setOf("seal $n") }
+            11 -> random.nextInt(4).toLong().let { n ->
+                whole.withSeals {
+                    it[n] =
+                        it.getValue(n).replaceRange(40, 41, if (it.getValue(n)[40] == 'A') "B" else "A")
+                } to
+                    setOf("seal $n")
+            }
             12 -> random.nextInt(4).toLong().let { n -> whole.withSeals { it.remove(n) } to setOf("seal $n") }
             13 -> random.nextInt(4).toLong().let { n ->
-                whole.withSeals { it[n] = Seals.sign(Seals.read(it.getValue(n)), SigningKey.generate("n0", "k1")) } to setOf("seal $n")
+                whole.withSeals { it[n] = Seals.sign(Seals.read(it.getValue(n)), SigningKey.generate("n0", "k1")) } to
+                    setOf("seal $n")
+            }
+            else -> random.nextInt(3).toLong().let { n ->
+                whole.withSeals {
+                    val a = it.getValue(n)
+                    it[n] =
+                        it.getValue(n + 1)
+                    it[n + 1] = a
+                } to
+                    setOf("seal $n")
             }
-            else -> random.nextInt(3).toLong().let { n -> whole.withSeals { val a = it.getValue(n); it[n] = it.getValue(n + 1); it[n + 1] = a } to setOf("seal $n") }
         }
     }
 
@@ -140,10 +218,24 @@
         for (at in 0 until 39) {
             val tampered = whole.with("n1") { c ->
                 val s = c.getValue(at / 4L)
-                c[at / 4L] = s.copy(lines = s.lines.mapIndexed { n, l -> if (n == at % 4) l.replace("\"w\":\"ada\"", "\"w\":\"eve\"") else l })
+                c[at / 4L] =
+                    s.copy(
+                        lines = s.lines.mapIndexed { n, l ->
+                            if (n ==
+                                at % 4
+                            ) {
+                                l.replace("\"w\":\"ada\"", "\"w\":\"eve\"")
+                            } else {
+                                l
+                            }
+                        },
+                    )
             }
             val place = verifier.verify(tampered).broken.first().place
-            assertTrue(place == "trail of n1, entry ${at + 1}" || place == "trail of n1, segment ${at / 4 + 1}", "$at: $place")
+            assertTrue(
+                place == "trail of n1, entry ${at + 1}" || place == "trail of n1, segment ${at / 4 + 1}",
+                "$at: $place",
+            )
         }
     }
 }
--- a/src/test/kotlin/plankwall/backlog/BacklogTest.kt
+++ b/src/test/kotlin/plankwall/backlog/BacklogTest.kt
@@ -15,7 +15,13 @@
 /** Jobs of a class that should start within 30 s and be done within 60 or 90 s; each of four machines takes four tasks. */
 class BacklogTest {
     private val core = CoreParts(
-        listOf("class", "low", "high").flatMap { listOf(Objective("wait", it, 30.0, 0.9), Objective("finished", it, 60.0, 0.8), Objective("finished", it, 90.0, 0.9)) },
+        listOf("class", "low", "high").flatMap {
+            listOf(
+                Objective("wait", it, 30.0, 0.9),
+                Objective("finished", it, 60.0, 0.8),
+                Objective("finished", it, 90.0, 0.9),
+            )
+        },
     )
     private val backlog = Backlog(core.ctx, core.book, core.fleet)
 
@@ -26,7 +32,10 @@
     /** Jobs as `number:tasks:age`, and with `!` those that come from the team with a limit of 16 accelerators. */
     private fun learn(text: String): List<Job> = text.split(' ').map {
         val (number, tasks, age) = it.trimEnd('!').split(':').map(String::toInt)
-        core.learn(World.job(number, tasks = tasks, runS = 20.0, team = if (it.endsWith('!')) "red" else "blue"), age.toDouble())
+        core.learn(
+            World.job(number, tasks = tasks, runS = 20.0, team = if (it.endsWith('!')) "red" else "blue"),
+            age.toDouble(),
+        )
     }
 
     private fun order(jobs: List<Job>) = backlog.order(jobs).joinToString(" ") { it.spec.id.takeLast(1) }
@@ -66,10 +75,30 @@
         "'the others are below theirs', true, 0, 0, high",
         "'there is room for all', false, 0, 8, high",
     )
-    fun `a class below its floor goes before those above`(name: String, scarce: Boolean, low: Int, high: Int, first: String) {
+    fun `a class below its floor goes before those above`(
+        name: String,
+        scarce: Boolean,
+        low: Int,
+        high: Int,
+        first: String,
+    ) {
         backlog.isScarce = { scarce }
         var number = 1
-        fun of(kind: String) = core.learn(World.job(number++, tasks = 12, runS = 20.0, priority = if (kind == "low") Priority.LOW else Priority.HIGH).copy(jobClass = kind), 5.0)
+        fun of(kind: String) = core.learn(
+            World.job(
+                number++,
+                tasks = 12,
+                runS = 20.0,
+                priority = if (kind ==
+                    "low"
+                ) {
+                    Priority.LOW
+                } else {
+                    Priority.HIGH
+                },
+            ).copy(jobClass = kind),
+            5.0,
+        )
         val jobs = listOf(of("low"), of("high"), of("low"), of("high"))
         repeat(low) { core.book.place(jobs[0], it, core.machine("i-00000${it / 4}"), 100L + it) }
         repeat(high) { core.book.place(jobs[1], it, core.machine("i-00000${3 - it / 4}"), 200L + it) }
--- a/src/test/kotlin/plankwall/backlog/InTimeTest.kt
+++ b/src/test/kotlin/plankwall/backlog/InTimeTest.kt
@@ -22,7 +22,13 @@
         "'one by one is better than one large', 60 50 50 50, 60 160 160 160, 0, 1 2 3",
         "'nothing waits', '', '', 50, ''",
     )
-    fun `serves as many as possible in time`(name: String, works: String, dues: String, loadS: Double, expected: String) {
+    fun `serves as many as possible in time`(
+        name: String,
+        works: String,
+        dues: String,
+        loadS: Double,
+        expected: String,
+    ) {
         fun numbers(text: String) = text.split(' ').filter { it.isNotEmpty() }.map { it.toDouble() }
         val lots = numbers(works).zip(numbers(dues)).mapIndexed { i, (work, due) -> Lot(i, work, due) }
         assertEquals(expected, InTime.choose(lots, loadS).joinToString(" ") { it.job.toString() })
@@ -33,12 +39,16 @@
     fun `agrees with exhaustive search`() {
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(26L)
         repeat(2_000) { round ->
-            val lots = List(1 + random.nextInt(9)) { Lot(it, 1.0 + random.nextInt(30), (random.nextInt(100) - 5).toDouble()) }
+            val lots =
+                List(1 + random.nextInt(9)) { Lot(it, 1.0 + random.nextInt(30), (random.nextInt(100) - 5).toDouble()) }
             val loadS = random.nextInt(20).toDouble()
             val byDue = lots.sortedBy { it.dueS }
             val most = (0 until (1 shl lots.size)).filter { subset ->
                 var sum = loadS
-                byDue.filter { subset and (1 shl it.job) != 0 }.all { sum += it.workS; sum <= it.dueS }
+                byDue.filter { subset and (1 shl it.job) != 0 }.all {
+                    sum += it.workS
+                    sum <= it.dueS
+                }
             }.maxOf { Integer.bitCount(it) }
             assertEquals(most, InTime.choose(lots, loadS).size, "round $round")
         }
--- a/src/test/kotlin/plankwall/backlog/ShortOfRoomDaysTest.kt
+++ b/src/test/kotlin/plankwall/backlog/ShortOfRoomDaysTest.kt
@@ -18,7 +18,8 @@
         jobs.keys.filter { it !in doneAt && checker.isDone(it) }.forEach { doneAt[it] = clock.now }
     }
 
-    private fun inTime(jobs: Map<String, Double>) = jobs.count { (id, at) -> (doneAt[id] ?: 1e9) - at <= 82.0 } / jobs.size.toDouble()
+    private fun inTime(jobs: Map<String, Double>) =
+        jobs.count { (id, at) -> (doneAt[id] ?: 1e9) - at <= 82.0 } / jobs.size.toDouble()
 
     /** By age alone the first, the second and the limit served 0.19. The best possible, worked out from sizes and limit, is some 0.6 for them. */
     @ParameterizedTest(name = "{0}")
@@ -32,7 +33,14 @@
         "'a team at its limit beside a cloud with room', 60, 2.5, red, nothing, 0.4",
         "'far beyond it, and a leader that dies', 60, 0.6, red, crash, 0.15",
     )
-    fun `half and more is served in time`(name: String, capacity: Int, everyS: Double, team: String, trouble: String, least: Double) {
+    fun `half and more is served in time`(
+        name: String,
+        capacity: Int,
+        everyS: Double,
+        team: String,
+        trouble: String,
+        least: Double,
+    ) {
         val world = World(31, objectives = aims)
         world.cloud.capacity = capacity
         val jobs = LinkedHashMap<String, Double>()
@@ -71,14 +79,23 @@
     /** A higher class takes all room for minutes: nothing of the lower one was in time. */
     @Test
     fun `a class of low priority keeps its half beside a burst`() {
-        val world = World(32, objectives = aims + listOf(Objective("wait", "high", 40.0, 0.9), Objective("finished", "high", 80.0, 0.9)))
+        val world = World(
+            32,
+            objectives =
+            aims + listOf(Objective("wait", "high", 40.0, 0.9), Objective("finished", "high", 80.0, 0.9)),
+        )
         world.cloud.capacity = 12
         val low = LinkedHashMap<String, Double>()
         val high = LinkedHashMap<String, Double>()
         for (n in 1..200) {
             val at = 5.0 + n * 1.2
             val isLow = n % 3 == 0
-            val spec = World.job(n, tasks = 4, runS = 20.0, priority = if (isLow) Priority.LOW else Priority.HIGH).copy(jobClass = if (isLow) "class" else "high")
+            val spec = World.job(
+                n,
+                tasks = 4,
+                runS = 20.0,
+                priority = if (isLow) Priority.LOW else Priority.HIGH,
+            ).copy(jobClass = if (isLow) "class" else "high")
             (if (isLow) low else high)[spec.id] = at
             world.clock.after(at) { world.submit(spec) }
         }
--- a/src/test/kotlin/plankwall/build/ArchitectureTest.kt
+++ b/src/test/kotlin/plankwall/build/ArchitectureTest.kt
@@ -9,7 +9,8 @@
 
 /** Which package may use which. A direction that is not in the table has to be argued for in docs/design.md first. */
 class ArchitectureTest {
-    private val core = setOf("core.step", "core.links", "core.cancellations", "core.lead", "core.jobs", "core.backlog", "core.placing", "core.outlook", "core.sessions", "core.relay", "core.rental", "core.workers", "core.front")
+    private val core =
+        setOf("core.step", "core.links", "core.cancellations", "core.lead", "core.jobs", "core.backlog", "core.placing", "core.outlook", "core.sessions", "core.relay", "core.rental", "core.workers", "core.front")
 
     private val allowed: Map<String, Set<String>> = mapOf(
         "model" to emptySet(),
@@ -23,10 +24,31 @@
         "core.placing" to setOf("model", "wire", "core.step", "core.jobs", "core.backlog"),
         "core.outlook" to setOf("model", "wire", "core.step", "core.jobs"),
         "core.sessions" to setOf("model", "wire", "core.step", "core.links", "core.jobs"),
-        "core.relay" to setOf("model", "wire", "core.step", "core.links", "core.lead", "core.jobs", "core.outlook", "core.sessions"),
-        "core.rental" to setOf("model", "wire", "core.step", "core.lead", "core.jobs", "core.backlog", "core.placing", "core.outlook"),
+        "core.relay" to
+            setOf(
+                "model",
+                "wire",
+                "core.step",
+                "core.links",
+                "core.lead",
+                "core.jobs",
+                "core.outlook",
+                "core.sessions",
+            ),
+        "core.rental" to
+            setOf(
+                "model",
+                "wire",
+                "core.step",
+                "core.lead",
+                "core.jobs",
+                "core.backlog",
+                "core.placing",
+                "core.outlook",
+            ),
         "core.workers" to setOf("model", "wire", "core.step", "core.lead", "core.jobs"),
-        "core.front" to setOf("model", "wire", "core.step", "core.links", "core.cancellations", "core.lead", "core.jobs"),
+        "core.front" to
+            setOf("model", "wire", "core.step", "core.links", "core.cancellations", "core.lead", "core.jobs"),
         "core" to setOf("model", "wire") + core,
         "identity" to setOf("model", "wire", "core.step"),
         "access.grammar" to emptySet(),
@@ -38,18 +60,35 @@
         "lab.scale" to setOf("model", "wire", "io", "lab"),
         "cli.settings" to setOf("model", "identity", "access", "gate"),
         "cli.remote" to setOf("identity", "cli.settings"),
-        "cli.access" to setOf("model", "wire", "core.step", "identity", "access", "audit", "cli.settings", "cli.remote"),
-        "cli" to setOf("model", "wire", "core.step", "io", "identity", "gate", "lab", "lab.scale", "cli.settings", "cli.remote", "cli.access"),
+        "cli.access" to setOf(
+            "model",
+            "wire",
+            "core.step",
+            "identity",
+            "access",
+            "audit",
+            "cli.settings",
+            "cli.remote",
+        ),
+        "cli" to
+            setOf("model", "wire", "core.step", "io", "identity", "gate", "lab", "lab.scale", "cli.settings", "cli.remote", "cli.access"),
     )
 
-    private val classes = ClassFileImporter().withImportOption(ImportOption.DoNotIncludeTests()).importPackages("plankwall")
+    private val classes = ClassFileImporter().withImportOption(
+        ImportOption.DoNotIncludeTests(),
+    ).importPackages("plankwall")
 
     private fun name(c: JavaClass): String = c.baseComponentType.packageName.removePrefix("plankwall").removePrefix(".")
 
     @Test
     fun `packages use only what stands below them`() {
-        val wrong = classes.flatMap { c -> c.directDependenciesFromSelf.map { Triple(name(c), it.targetClass, it.description) } }
-            .filter { (from, target, _) -> target.baseComponentType.packageName.startsWith("plankwall") && name(target) != from }
+        val wrong = classes.flatMap { c ->
+            c.directDependenciesFromSelf.map { Triple(name(c), it.targetClass, it.description) }
+        }
+            .filter { (from, target, _) ->
+                target.baseComponentType.packageName.startsWith("plankwall") &&
+                    name(target) != from
+            }
             .filter { (from, target, _) -> name(target) !in allowed[from].orEmpty() }
             .map { it.third }
         assertEquals(emptyList<String>(), wrong)
@@ -66,7 +105,16 @@
 
     @Test
     fun `the core has no threads, sockets, files or clocks`() {
-        val forbidden = listOf("java.io.File", "java.nio.file", "java.net", "java.util.concurrent", "kotlinx.coroutines", "io.ktor", "java.time.Clock")
+        val forbidden =
+            listOf(
+                "java.io.File",
+                "java.nio.file",
+                "java.net",
+                "java.util.concurrent",
+                "kotlinx.coroutines",
+                "io.ktor",
+                "java.time.Clock",
+            )
         val wrong = classes.filter { name(it).startsWith("core") }.flatMap { it.directDependenciesFromSelf }
             .filter { d -> forbidden.any { d.targetClass.name.startsWith(it) } }.map { it.description }
         assertEquals(emptyList<String>(), wrong)
--- a/src/test/kotlin/plankwall/cli/IdentitiesFileTest.kt
+++ b/src/test/kotlin/plankwall/cli/IdentitiesFileTest.kt
@@ -31,7 +31,9 @@
         val old = System.out
         System.setOut(PrintStream(out))
         try {
-            val line = CommandLine(command).setExecutionExceptionHandler { e, _, _ -> if (e is BadSettings) 2.also { println(e.message) } else throw e }
+            val line = CommandLine(command).setExecutionExceptionHandler { e, _, _ ->
+                if (e is BadSettings) 2.also { println(e.message) } else throw e
+            }
             return line.execute(*args) to out.toString()
         } finally {
             System.setOut(old)
@@ -49,10 +51,17 @@
         assertEquals("lea", KeyFiles.signing(key).principal)
         assertEquals(2, run(KeysCommand(), "new", "lea", "--out", key.path).first, "never written over")
         val rights = file("rights", statement + "role r { allow show; allow administer; } grant r to lea;")
-        assertTrue("1 people, services and nodes, 1 of them with rights" in run(RightsCommand(), "check", rights.path).second)
+        assertTrue(
+            "1 people, services and nodes, 1 of them with rights" in run(RightsCommand(), "check", rights.path).second,
+        )
         for (mode in listOf("rw-r-----", "rw----r--", "rw--w----")) {
             Files.setPosixFilePermissions(key.toPath(), PosixFilePermissions.fromString(mode))
-            assertTrue("mode 0600" in assertThrows(BadSettings::class.java) { KeyFiles.signing(key) }.message.orEmpty(), mode)
+            assertTrue(
+                "mode 0600" in assertThrows(BadSettings::class.java) {
+                    KeyFiles.signing(key)
+                }.message.orEmpty(),
+                mode,
+            )
         }
     }
 
@@ -63,7 +72,16 @@
         val secret = Regex("\"d\":\"([^\"]+)\"").find(key.readText())?.groupValues?.get(1).orEmpty()
         assertEquals(43, secret.length)
         val read = KeyFiles.signing(key)
-        val broken = listOf(key.readText().replace("Ed25519", "X25519"), key.readText().replace("\"kid\"", "\"kit\""), key.readText().dropLast(4), key.readText().replace(secret, secret.dropLast(3) + "!!!"))
+        val broken =
+            listOf(
+                key.readText().replace("Ed25519", "X25519"),
+                key.readText().replace("\"kid\"", "\"kit\""),
+                key.readText().dropLast(4),
+                key.readText().replace(
+                    secret,
+                    secret.dropLast(3) + "!!!",
+                ),
+            )
         val words = broken.map { text ->
             key.writeText(text)
             assertThrows(BadSettings::class.java) { KeyFiles.signing(key) }.message.orEmpty()
@@ -93,8 +111,13 @@
         file("bad", "role { }")
         file("open", "keys: []")
         val root = YAMLMapper().readTree(text.replace("\\n", "\n"))
-        if (wrong == null) assertEquals("site", IdentitiesFile.read(root, folder).audience)
-        else assertTrue(wrong in assertThrows(BadSettings::class.java) { IdentitiesFile.read(root, folder) }.message.orEmpty())
+        if (wrong == null) {
+            assertEquals("site", IdentitiesFile.read(root, folder).audience)
+        } else {
+            assertTrue(
+                wrong in assertThrows(BadSettings::class.java) { IdentitiesFile.read(root, folder) }.message.orEmpty(),
+            )
+        }
     }
 
     @Test
@@ -108,22 +131,48 @@
 
     @Test
     fun `rights are explained and tested, also when nothing is expected of the job`() {
-        val rights = file("rights", "person lea { } person max { }\nrole r { allow submit where class is solve; allow show; }\ngrant r to lea;\nrule no: deny show to lea where team is red;\n")
+        val rights =
+            file(
+                "rights",
+                "person lea { } person max { }\nrole r { allow submit where class is solve; allow show; }\ngrant r to lea;\nrule no: deny show to lea where team is red;\n",
+            )
         val (code, told) = run(RightsCommand(), "explain", rights.path, "lea", "show", "--team", "red")
         assertEquals(0, code)
         assertTrue("lea may not show: rule no" in told && "line 4: deny show (rule no): decides" in told, told)
-        val good = file("good.yaml", "- {who: lea, may: [submit], class: solve}\n- {who: lea, may_not: submit, class: other}\n- {who: lea, may_not: administer}\n- {who: max, may_not: show}\n")
+        val good =
+            file(
+                "good.yaml",
+                "- {who: lea, may: [submit], class: solve}\n- {who: lea, may_not: submit, class: other}\n- {who: lea, may_not: administer}\n- {who: max, may_not: show}\n",
+            )
         assertEquals(0 to "4 passed, 0 failed\n", run(RightsCommand(), "test", rights.path, good.path))
         val bad = file("bad.yaml", "- {who: lea, may: submit, class: other}\n- {who: max, may_not: show}\n")
-        assertEquals(1 to "expectation 1: lea may not submit: nothing allows it\n1 passed, 1 failed\n", run(RightsCommand(), "test", rights.path, bad.path))
-        assertEquals(2, run(RightsCommand(), "test", rights.path, file("x.yaml", "- {whom: lea, may: show}\n").path).first)
+        assertEquals(
+            1 to "expectation 1: lea may not submit: nothing allows it\n1 passed, 1 failed\n",
+            run(RightsCommand(), "test", rights.path, bad.path),
+        )
+        assertEquals(
+            2,
+            run(RightsCommand(), "test", rights.path, file("x.yaml", "- {whom: lea, may: show}\n").path).first,
+        )
     }
 
     @Test
     fun `a copy of a trail that is cut off or no copy at all is told from one that was tampered with`() {
         val rights = file("rights", "person lea { }")
         assertEquals(2, run(AuditCommand(), "verify", file("empty", "").path, "--rights", rights.path).first)
-        assertEquals(2, run(AuditCommand(), "verify", file("cut", "{\"node\":\"n0\",\"segm").path, "--rights", rights.path).first)
-        assertEquals(1, run(AuditCommand(), "verify", file("odd", "{\"node\":\"n0\",\"segment\":0,\"value\":{\"f\":0,\"b\":\"x\",\"l\":[\"a\"]}}").path, "--rights", rights.path).first)
+        assertEquals(
+            2,
+            run(AuditCommand(), "verify", file("cut", "{\"node\":\"n0\",\"segm").path, "--rights", rights.path).first,
+        )
+        assertEquals(
+            1,
+            run(
+                AuditCommand(),
+                "verify",
+                file("odd", "{\"node\":\"n0\",\"segment\":0,\"value\":{\"f\":0,\"b\":\"x\",\"l\":[\"a\"]}}").path,
+                "--rights",
+                rights.path,
+            ).first,
+        )
     }
 }
--- a/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
+++ b/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
@@ -12,7 +12,11 @@
     @ValueSource(strings = ["rights", "token", "frame", "trail", "network"])
     fun `a bounded run on mutations`(name: String) {
         val random = Random(name.hashCode().toLong())
-        val corpus = File(checkNotNull(javaClass.getResource("JazzerFuzzInputs/$name")).toURI()).listFiles().orEmpty().sortedBy { it.name }
+        val corpus = File(
+            checkNotNull(javaClass.getResource("JazzerFuzzInputs/$name")).toURI(),
+        ).listFiles().orEmpty().sortedBy {
+            it.name
+        }
         assertTrue(corpus.isNotEmpty())
         val seeds = Targets.seeds(name) + corpus.map { it.readBytes() }
         seeds.forEach { Targets.run(name, it) }
@@ -29,14 +33,17 @@
     private fun mutate(b: ByteArray, random: Random): ByteArray {
         val at = random.nextInt(b.size + 1)
         val end = minOf(b.size, at + random.nextInt(12))
-        val words = listOf("(", ")", "\"", "not ", "{", "}", ";", ".", "e30", "=", "null", "-1", "99999999999999999999", "\u0000", "ä", "::", "/0", "..")
+        val words =
+            listOf("(", ")", "\"", "not ", "{", "}", ";", ".", "e30", "=", "null", "-1", "99999999999999999999", "\u0000", "ä", "::", "/0", "..")
         return when (random.nextInt(6)) {
             0 -> if (b.isEmpty()) b else b.copyOf().also { it[random.nextInt(b.size)] = random.nextInt(256).toByte() }
             1 -> b.copyOf(at)
             2 -> b.copyOfRange(0, at) + b.copyOfRange(end, b.size)
-            3 -> b.copyOfRange(0, at) + words[random.nextInt(words.size)].encodeToByteArray() + b.copyOfRange(at, b.size)
+            3 -> b.copyOfRange(0, at) + words[random.nextInt(words.size)].encodeToByteArray() +
+                b.copyOfRange(at, b.size)
             4 -> b.copyOfRange(0, end) + b.copyOfRange(at, b.size)
-            else -> b.copyOfRange(0, at) + ByteArray(random.nextInt(40)) { '('.code.toByte() } + b.copyOfRange(at, b.size)
+            else -> b.copyOfRange(0, at) + ByteArray(random.nextInt(40)) { '('.code.toByte() } +
+                b.copyOfRange(at, b.size)
         }
     }
 }
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -31,8 +31,19 @@
     )
     private val peerKey = PeerKey("k", ByteArray(32) { 3 })
     val token: String = Tokens.authorization(Tokens.sign(key, "site", "id", NOW, 30, "f"))
-    val frame: ByteArray = PeerSeal("n1", 1, listOf(peerKey), false, 0).seal(PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)), NOW)
-    val line: String = TrailLines.write(3, TrailLines.START, "n0", plankwall.audit.TrailEntry("a-1", NOW, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q"))
+    val frame: ByteArray = PeerSeal(
+        "n1",
+        1,
+        listOf(peerKey),
+        false,
+        0,
+    ).seal(PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)), NOW)
+    val line: String = TrailLines.write(
+        3,
+        TrailLines.START,
+        "n0",
+        plankwall.audit.TrailEntry("a-1", NOW, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q"),
+    )
     private val tokens = TokenReader("site", 2_000, 60_000)
 
     fun rights(text: String) {
@@ -46,12 +57,24 @@
 
     /** Only the token itself may be believed, or one that differs where base64 says nothing. */
     fun token(header: String) {
-        val result = tokens.read(header, NOW) { who, id -> if (who == "ada" && id == "k1") PublicKey.of("k1", key.x) else null }
-        check(result is TokenResult.Refused || header.trim().substringAfterLast(' ') == token.substringAfterLast(' ') || sameSignature(header)) { "believed: $header" }
+        val result = tokens.read(header, NOW) { who, id ->
+            if (who == "ada" &&
+                id == "k1"
+            ) {
+                PublicKey.of("k1", key.x)
+            } else {
+                null
+            }
+        }
+        check(
+            result is TokenResult.Refused ||
+                header.trim().substringAfterLast(' ') == token.substringAfterLast(' ') ||
+                sameSignature(header),
+        ) { "believed: $header" }
     }
 
-    private fun sameSignature(header: String): Boolean =
-        header.substringAfterLast(' ').substringBeforeLast('.') == token.substringAfterLast(' ').substringBeforeLast('.')
+    private fun sameSignature(header: String): Boolean = header.substringAfterLast(' ').substringBeforeLast('.') ==
+        token.substringAfterLast(' ').substringBeforeLast('.')
 
     fun frame(bytes: ByteArray) {
         val message = try {
@@ -79,10 +102,16 @@
             Unit
         }
         check(!Seals.isSigned(bytes.decodeToString()) { _, _ -> PublicKey.of("k1", key.x) }) { "a seal was believed" }
-        for (read in listOf<(ByteArray) -> Any>(KeeperCodec::readSegment, KeeperCodec::readSeal, KeeperCodec::publication, KeeperCodec::readRights)) try {
-            read(bytes)
-        } catch (_: BadMessage) {
-            continue
+        for (read in listOf<
+            (
+                ByteArray,
+            ) -> Any,
+            >(KeeperCodec::readSegment, KeeperCodec::readSeal, KeeperCodec::publication, KeeperCodec::readRights)) {
+            try {
+                read(bytes)
+            } catch (_: BadMessage) {
+                continue
+            }
         }
     }
 
@@ -102,8 +131,22 @@
         "rights" to Target(listOf(RIGHTS.encodeToByteArray())) { rights(it.decodeToString()) },
         "token" to Target(listOf(token.encodeToByteArray())) { token(it.decodeToString()) },
         "frame" to Target(listOf(frame, PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)))) { frame(it) },
-        "trail" to Target(listOf(line.encodeToByteArray(), """{"f":0,"b":"x","l":["a"]}""".encodeToByteArray(), """{"base":3,"text":"x"}""".encodeToByteArray())) { trail(it) },
-        "network" to Target(listOf("10.0.0.0/8", "2001:db8::/32", "[::1]:80").map { it.encodeToByteArray() }) { network(it.decodeToString()) },
+        "trail" to
+            Target(
+                listOf(
+                    line.encodeToByteArray(),
+                    """{"f":0,"b":"x","l":["a"]}""".encodeToByteArray(),
+                    """{"base":3,"text":"x"}""".encodeToByteArray(),
+                ),
+            ) {
+                trail(it)
+            },
+        "network" to
+            Target(
+                listOf("10.0.0.0/8", "2001:db8::/32", "[::1]:80").map {
+                    it.encodeToByteArray()
+                },
+            ) { network(it.decodeToString()) },
     )
     val names: Set<String> get() = all.keys
 
--- a/src/test/kotlin/plankwall/gate/Callers.kt
+++ b/src/test/kotlin/plankwall/gate/Callers.kt
@@ -5,10 +5,10 @@
 import plankwall.core.step.Proof
 import plankwall.identity.SigningKey
 import plankwall.identity.Tokens
-import plankwall.model.JobSpec
-import plankwall.lab.SimWorker
 import plankwall.lab.SimNode
+import plankwall.lab.SimWorker
 import plankwall.lab.World
+import plankwall.model.JobSpec
 import plankwall.wire.KeeperCodec
 
 /** People and services of a test site, their keys, and every request they made with what they were told. */
@@ -20,14 +20,28 @@
 
         /** What was sent as proof. */
         var authorization: String? = null
-        val stage: String? get() = if (status in 200..201) SimWorker.json.readTree(body).get("stage")?.asText() else null
+        val stage: String? get() = if (status in
+            200..201
+        ) {
+            SimWorker.json.readTree(body).get("stage")?.asText()
+        } else {
+            null
+        }
     }
 
     val asked = ArrayList<Asked>()
     private var nextId = 0
 
-    fun authorization(who: String, method: String, path: String, body: ByteArray, id: String, key: SigningKey = KEYS.getValue(who)): String =
-        Tokens.authorization(Tokens.sign(key, AUDIENCE, id, world.wallMs(), 30, Tokens.fingerprintOf(method, path, body)))
+    fun authorization(
+        who: String,
+        method: String,
+        path: String,
+        body: ByteArray,
+        id: String,
+        key: SigningKey = KEYS.getValue(who),
+    ): String = Tokens.authorization(
+        Tokens.sign(key, AUDIENCE, id, world.wallMs(), 30, Tokens.fingerprintOf(method, path, body)),
+    )
 
     /** Asks [node], or any, as [who]; [proof] may be spoilt by [spoil]. */
     fun ask(
@@ -56,28 +70,54 @@
 
     fun submit(who: String, spec: JobSpec, node: SimNode? = null, spoil: (Proof) -> Proof = { it }): Asked {
         world.expect(spec)
-        return ask(who, "submit", spec.id, "POST", "/api/jobs", spec.id.encodeToByteArray(), node, spoil = spoil) { r, p -> Input.Submit(r, spec, p) }
+        return ask(who, "submit", spec.id, "POST", "/api/jobs", spec.id.encodeToByteArray(), node, spoil = spoil) {
+                r,
+                p,
+            ->
+            Input.Submit(r, spec, p)
+        }
     }
 
     fun show(who: String, job: String, node: SimNode? = null, spoil: (Proof) -> Proof = { it }): Asked =
         ask(who, "show", job, "GET", "/api/jobs/$job", node = node, spoil = spoil) { r, p -> Input.Show(r, job, p) }
 
     fun withdraw(who: String, job: String, node: SimNode? = null, spoil: (Proof) -> Proof = { it }): Asked =
-        ask(who, "withdraw", job, "POST", "/api/jobs/$job/withdraw", node = node, spoil = spoil) { r, p -> Input.Withdraw(r, job, p) }
-
-    fun publish(who: String, base: Long, text: String, node: SimNode? = null): Asked =
-        keep(who, "administer", KeeperRequest.Publish(base, text), "POST", "/api/rights", KeeperCodec.publish(base, text), node)
+        ask(who, "withdraw", job, "POST", "/api/jobs/$job/withdraw", node = node, spoil = spoil) { r, p ->
+            Input.Withdraw(r, job, p)
+        }
 
-    fun keep(who: String, action: String, wanted: KeeperRequest, method: String, path: String, body: ByteArray = ByteArray(0), node: SimNode? = null): Asked =
-        ask(who, action, "", method, path, body, node) { r, p -> Input.Keep(r, wanted, p) }
+    fun publish(who: String, base: Long, text: String, node: SimNode? = null): Asked = keep(
+        who,
+        "administer",
+        KeeperRequest.Publish(base, text),
+        "POST",
+        "/api/rights",
+        KeeperCodec.publish(base, text),
+        node,
+    )
+
+    fun keep(
+        who: String,
+        action: String,
+        wanted: KeeperRequest,
+        method: String,
+        path: String,
+        body: ByteArray = ByteArray(0),
+        node: SimNode? = null,
+    ): Asked = ask(who, action, "", method, path, body, node) { r, p -> Input.Keep(r, wanted, p) }
 
     companion object {
         const val AUDIENCE = "test-site"
 
         /** Made once: only who holds which key matters to a test, never the key itself. */
-        val KEYS: Map<String, SigningKey> = (listOf("ada", "ben", "cas", "root", "eve") + (0..6).map { "n$it" }).associateWith { SigningKey.generate(it, "k1") }
+        val KEYS: Map<String, SigningKey> = (
+            listOf("ada", "ben", "cas", "root", "eve") + (0..6).map {
+                "n$it"
+            }
+            ).associateWith { SigningKey.generate(it, "k1") }
 
-        fun person(name: String, more: String = ""): String = """person $name { key k1 "${KEYS.getValue(name).x}"; $more }"""
+        fun person(name: String, more: String = ""): String =
+            """person $name { key k1 "${KEYS.getValue(name).x}"; $more }"""
 
         private val NODES = (0..6).joinToString("\n") { """node n$it { key k1 "${KEYS.getValue("n$it").x}"; }""" }
 
@@ -100,7 +140,20 @@
             $more
         """.trimIndent()
 
-        fun settings(node: String = "n0", rights: String = rights(), sealS: Double = 20.0, peerKeys: List<plankwall.identity.PeerKey> = emptyList()) =
-            GateSettings(AUDIENCE, rights, KEYS.getValue(node), peerKeys, sealS = sealS, denialsPerS = 1000.0, denialBurst = 1000.0, workersAtListedAddress = false)
+        fun settings(
+            node: String = "n0",
+            rights: String = rights(),
+            sealS: Double = 20.0,
+            peerKeys: List<plankwall.identity.PeerKey> = emptyList(),
+        ) = GateSettings(
+            AUDIENCE,
+            rights,
+            KEYS.getValue(node),
+            peerKeys,
+            sealS = sealS,
+            denialsPerS = 1000.0,
+            denialBurst = 1000.0,
+            workersAtListedAddress = false,
+        )
     }
 }
--- a/src/test/kotlin/plankwall/gate/GateDaysTest.kt
+++ b/src/test/kotlin/plankwall/gate/GateDaysTest.kt
@@ -7,17 +7,25 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.audit.Verifier
 import plankwall.core.step.Effect
+import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Shape
 import plankwall.model.StateLimits
-import plankwall.lab.World
 import plankwall.wire.StateOp
 import plankwall.wire.Write
 
 /** Whole sites in virtual time on which every request is tied to somebody. */
 class GateDaysTest {
-    private fun site(seed: Long, nodes: Int = 3, rights: String = Callers.rights(), small: Boolean = false): Pair<World, Callers> {
-        val world = World(seed, nodes, stateNext = if (small) StateLimits(250.0, 70.0, 2.0, 10) else null, gate = { Callers.settings(it, rights) })
+    private fun site(
+        seed: Long,
+        nodes: Int = 3,
+        rights: String = Callers.rights(),
+        small: Boolean = false,
+    ): Pair<World, Callers> {
+        val world =
+            World(seed, nodes, stateNext = if (small) StateLimits(250.0, 70.0, 2.0, 10) else null, gate = {
+                Callers.settings(it, rights)
+            })
         world.clock.runUntil(3.0)
         return world to Callers(world)
     }
@@ -25,7 +33,9 @@
     private fun World.assertSound(callers: Callers) {
         val checker = TrailChecker.of(state)
         assertEquals(emptyList<String>(), checker.check(callers.asked))
-        val verified = Verifier { node, _ -> plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x) }.verify(checker.copy)
+        val verified = Verifier { node, _ ->
+            plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x)
+        }.verify(checker.copy)
         assertEquals(emptyList<String>(), verified.broken.map { it.toString() })
         assertEquals(emptyList<String>(), this.checker.broken)
     }
@@ -68,7 +78,11 @@
         )
         for ((n, row) in table.withIndex()) {
             val asked = row.first()
-            assertEquals(row.second, world.until(asked), "row $n: ${asked.who} ${asked.action} ${asked.subject}: ${asked.body}")
+            assertEquals(
+                row.second,
+                world.until(asked),
+                "row $n: ${asked.who} ${asked.action} ${asked.subject}: ${asked.body}",
+            )
             // What a job's end makes of it is read by its new record.
             world.clock.runUntil(world.clock.now + 0.3)
         }
@@ -90,13 +104,24 @@
         val spec = World.job(1, team = "red")
         val key = Callers.KEYS.getValue("ada")
         val bound = plankwall.identity.Tokens.fingerprintOf("POST", "/api/jobs", spec.id.encodeToByteArray())
-        fun token(audience: String = Callers.AUDIENCE, at: Long = world.wallMs(), life: Int = 30, binds: String? = bound, by: plankwall.identity.SigningKey = key) =
-            plankwall.identity.Tokens.authorization(plankwall.identity.Tokens.sign(by, audience, "spoilt", at, life, binds))
+        fun token(
+            audience: String = Callers.AUDIENCE,
+            at: Long = world.wallMs(),
+            life: Int = 30,
+            binds: String? = bound,
+            by: plankwall.identity.SigningKey = key,
+        ) = plankwall.identity.Tokens.authorization(
+            plankwall.identity.Tokens.sign(by, audience, "spoilt", at, life, binds),
+        )
         val asked = callers.submit("ada", spec, world.nodes[0]) { p ->
             val header = when (spoilt) {
                 "as it was", "another request's body", "another path" -> p.authorization
                 "no header" -> null
-                "used already" -> p.authorization.also { first -> callers.submit("ada", spec, world.nodes[0]) { plankwall.core.step.Proof(it.method, it.path, it.body, first, it.address) } }
+                "used already" -> p.authorization.also { first ->
+                    callers.submit("ada", spec, world.nodes[0]) {
+                        plankwall.core.step.Proof(it.method, it.path, it.body, first, it.address)
+                    }
+                }
                 "wrong audience" -> token(audience = "elsewhere")
                 "expired" -> token(at = world.wallMs() - 40_000)
                 "not yet valid" -> token(at = world.wallMs() + 10_000)
@@ -109,7 +134,19 @@
                 else -> "ada"
             }
             val body = if (spoilt == "another request's body") "job-000002".encodeToByteArray() else p.body
-            plankwall.core.step.Proof(p.method, if (spoilt == "another path") "/api/jobs?" else p.path, body, header, "127.0.0.1")
+            plankwall.core.step.Proof(
+                p.method,
+                if (spoilt ==
+                    "another path"
+                ) {
+                    "/api/jobs?"
+                } else {
+                    p.path
+                },
+                body,
+                header,
+                "127.0.0.1",
+            )
         }
         assertEquals(expected, world.until(asked), asked.body)
         assertTrue(expected == 201 || "error" in asked.body)
@@ -137,9 +174,26 @@
         assertEquals("withdrawn", callers.show("ada", mine.id).also { world.until(it) }.stage)
         assertEquals("running", callers.show("cas", other.id).also { world.until(it) }.stage, "his rule lets it finish")
         val links = TrailChecker.of(world.state).entries.filter { it.get("a").asText() == "revoke" }
-        assertEquals(mapOf(mine.id to "withdraw", other.id to "finish"), links.associate { it.get("s").asText() to it.get("x").asText() })
+        assertEquals(
+            mapOf(mine.id to "withdraw", other.id to "finish"),
+            links.associate {
+                it.get("s").asText() to
+                    it.get("x").asText()
+            },
+        )
         assertEquals(2, links.size)
-        assertEquals(200, world.until(callers.keep("root", "administer", plankwall.core.step.KeeperRequest.Rollback(2, 1), "POST", "/api/rights")))
+        assertEquals(
+            200,
+            world.until(
+                callers.keep(
+                    "root",
+                    "administer",
+                    plankwall.core.step.KeeperRequest.Rollback(2, 1),
+                    "POST",
+                    "/api/rights",
+                ),
+            ),
+        )
         world.clock.runUntil(world.clock.now + 1.0)
         assertEquals(201, world.until(callers.submit("ada", World.job(9, team = "red"))), "as it was at first")
         world.clock.runUntil(world.clock.now + 25.0)
@@ -173,7 +227,11 @@
                     when (step) {
                         "submit" -> callers.submit("ada", spec)
                         "withdraw" -> callers.withdraw("ada", spec.id)
-                        "publish", "revoke" -> callers.publish("root", 1L, Callers.rights(red = "allow show where team is red;"))
+                        "publish", "revoke" -> callers.publish(
+                            "root",
+                            1L,
+                            Callers.rights(red = "allow show where team is red;"),
+                        )
                         "deny" -> callers.submit("cas", World.job(10 + k, team = "red"))
                         "turn" -> repeat(12) { callers.show("cas", spec.id) }
                         else -> callers.show("ada", spec.id)
@@ -181,7 +239,11 @@
                 }
             }
             world.clock.runUntil(75.0)
-            if (step == "revoke") assertEquals("withdrawn", callers.show("root", spec.id).also { world.until(it) }.stage, "crash $n")
+            if (step ==
+                "revoke"
+            ) {
+                assertEquals("withdrawn", callers.show("root", spec.id).also { world.until(it) }.stage, "crash $n")
+            }
             if (step == "publish") assertEquals(2L, world.nodes[0].house?.version, "crash $n")
             world.clock.runUntil(world.clock.now + 45.0)
             world.assertSound(callers)
@@ -196,10 +258,16 @@
         for (n in 0 until 30) {
             val (world, callers) = site(300L + n)
             val at = world.clock.now + 1.0
-            world.clock.after(1.0) { callers.publish("root", 1, Callers.rights(red = "allow show where team is red;"), world.nodes[0]) }
+            world.clock.after(1.0) {
+                callers.publish("root", 1, Callers.rights(red = "allow show where team is red;"), world.nodes[0])
+            }
             // The whole time from the publication's first write to the last node's hearing of it.
-            val asked = List(6) { k -> World.job(k + 1, team = "red", runS = 500.0) to world.nodes[1 + k % 2] }.mapIndexed { k, (spec, node) ->
-                ArrayList<Callers.Asked>().also { into -> world.clock.after(1.0 + n * 0.002 + k * 0.004) { into.add(callers.submit("ada", spec, node)) } }
+            val asked = List(6) { k ->
+                World.job(k + 1, team = "red", runS = 500.0) to world.nodes[1 + k % 2]
+            }.mapIndexed { k, (spec, node) ->
+                ArrayList<Callers.Asked>().also { into ->
+                    world.clock.after(1.0 + n * 0.002 + k * 0.004) { into.add(callers.submit("ada", spec, node)) }
+                }
             }
             world.clock.runUntil(at + 4.0)
             val published = world.state.version("access/head")
@@ -234,7 +302,20 @@
         assertEquals("done", callers.show("ada", short.id, world.nodes[1]).also { world.until(it) }.stage)
         assertEquals(403, world.until(callers.show("ben", short.id, world.nodes[1])))
         // Then it is replaced, and what was published meanwhile is seen to by whoever leads next.
-        assertEquals(200, world.until(callers.publish("root", 1, Callers.rights(red = "allow show where team is red;", more = "rule out: deny submit to ada on revoke withdraw;"), world.nodes[1])))
+        assertEquals(
+            200,
+            world.until(
+                callers.publish(
+                    "root",
+                    1,
+                    Callers.rights(
+                        red = "allow show where team is red;",
+                        more = "rule out: deny submit to ada on revoke withdraw;",
+                    ),
+                    world.nodes[1],
+                ),
+            ),
+        )
         world.clock.runUntil(world.clock.now + 5.0)
         old = emptySet()
         world.nodes[0].crash(3.0)
@@ -247,9 +328,13 @@
         val keys = (op as? StateOp.Txn)?.writes.orEmpty().filterIsInstance<Write.Put>().map { it.key }
         return when (step) {
             "publish" -> keys.any { it.startsWith("access/v/") || it == "access/head" }
-            "revoke" -> keys.any { it == "access/applied" || it.startsWith("j/") } || op is StateOp.Range && op.prefix == "j/"
+            "revoke" -> keys.any { it == "access/applied" || it.startsWith("j/") } ||
+                op is StateOp.Range &&
+                op.prefix == "j/"
             "turn" -> keys.any { it.startsWith("trail/") && !it.endsWith("/0000000000") }
-            "seal" -> keys.any { it.startsWith("seal/") } || op is StateOp.Get && (op.key.startsWith("seal/") || op.key.startsWith("trail/"))
+            "seal" -> keys.any { it.startsWith("seal/") } ||
+                op is StateOp.Get &&
+                (op.key.startsWith("seal/") || op.key.startsWith("trail/"))
             else -> keys.any { it.startsWith("trail/") }
         }
     }
@@ -264,8 +349,18 @@
         assertEquals("done", callers.show("cas", spec.id, world.nodes[1]).also { world.until(it) }.stage)
         world.state.outage = true
         world.clock.runUntil(50.0)
-        assertEquals("done", callers.show("ada", spec.id, world.nodes[1]).also { world.until(it) }.stage, "her own, which this node remembers")
-        assertEquals(503, world.until(callers.show("cas", spec.id, world.nodes[1])), "not hers, and the denial can't be recorded")
+        assertEquals(
+            "done",
+            callers.show("ada", spec.id, world.nodes[1]).also {
+                world.until(it)
+            }.stage,
+            "her own, which this node remembers",
+        )
+        assertEquals(
+            503,
+            world.until(callers.show("cas", spec.id, world.nodes[1])),
+            "not hers, and the denial can't be recorded",
+        )
         assertEquals(503, world.until(callers.submit("ada", World.job(2, team = "red"), world.nodes[1])))
         assertEquals(503, world.until(callers.withdraw("ada", spec.id, world.nodes[1])))
         world.state.outage = false
--- a/src/test/kotlin/plankwall/gate/TrailReplayTest.kt
+++ b/src/test/kotlin/plankwall/gate/TrailReplayTest.kt
@@ -9,9 +9,9 @@
 import plankwall.audit.Verifier
 import plankwall.core.step.Proof
 import plankwall.identity.PublicKey
-import plankwall.model.Shape
 import plankwall.lab.SimWorker
 import plankwall.lab.World
+import plankwall.model.Shape
 import plankwall.wire.JobRecord
 import plankwall.wire.Stored
 import plankwall.wire.TrailSegment
@@ -36,7 +36,9 @@
         world.clock.after(160.0) { world.lateWrites = 0.0 }
         for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.up }?.crash(4.0) }
         world.clock.after(110.0) { world.nodes.filter { it.up }.forEach { it.crash(6.0) } }
-        world.clock.after(150.0) { callers.publish("root", 1, Callers.rights(red = RED, more = "rule calm: deny submit to ben;")) }
+        world.clock.after(150.0) {
+            callers.publish("root", 1, Callers.rights(red = RED, more = "rule calm: deny submit to ben;"))
+        }
         world.clock.after(170.0) { callers.publish("root", 2, Callers.rights(red = RED)) }
         world.clock.runUntil(REQUESTS / 100.0 + 80.0)
     }
@@ -49,27 +51,66 @@
             in 4..5 -> callers.submit(who, job(id.takeLast(6).toInt()))
             in 6..7 -> callers.show(who, id)
             8 -> callers.withdraw(who, id)
-            else -> callers.show(who, id, spoil = { Proof(it.method, it.path, it.body, if (n % 2 == 0) null else it.authorization?.dropLast(3), it.address) })
+            else -> callers.show(who, id, spoil = {
+                Proof(
+                    it.method,
+                    it.path,
+                    it.body,
+                    if (n % 2 ==
+                        0
+                    ) {
+                        null
+                    } else {
+                        it.authorization?.dropLast(3)
+                    },
+                    it.address,
+                )
+            })
         }
     }
 
     /** The number decides the team, so that one id is one job whoever submits it. */
-    private fun job(n: Int) = World.job(n, if (n % 200 == 0) Shape.SERVICE else Shape.ARRAY, tasks = 1, runS = 2.0, team = if (n % 3 == 0) "blue" else "red")
+    private fun job(n: Int) = World.job(
+        n,
+        if (n % 200 ==
+            0
+        ) {
+            Shape.SERVICE
+        } else {
+            Shape.ARRAY
+        },
+        tasks = 1,
+        runS = 2.0,
+        team = if (n % 3 == 0) "blue" else "red",
+    )
 
-    private val stored: Map<String, Stored> by lazy { world.state.keys.associateWith { checkNotNull(world.state.value(it)) } }
+    private val stored: Map<String, Stored> by lazy {
+        world.state.keys.associateWith { checkNotNull(world.state.value(it)) }
+    }
 
     @Test
     fun `each decision stands in the trail exactly once, and none that was not made`() {
         val told = callers.asked.groupingBy { it.status }.eachCount()
         assertEquals(emptyList<String>(), TrailChecker(stored).check(callers.asked).take(10), "$told")
-        for (status in listOf(0, 200, 201, 401, 403, 503)) assertTrue((told[status] ?: 0) > 100, "status $status was met: $told")
+        for (status in listOf(
+            0,
+            200,
+            201,
+            401,
+            403,
+            503,
+        )) {
+            assertTrue((told[status] ?: 0) > 100, "status $status was met: $told")
+        }
         assertEquals(REQUESTS + 2, callers.asked.size)
         assertEquals(emptyList<String>(), world.checker.broken)
     }
 
     @Test
     fun `the chains hold together and are sealed to within the last seal's time`() {
-        val outcome = Verifier { node, _ -> PublicKey.of("k1", Callers.KEYS.getValue(node).x) }.verify(TrailChecker(stored).copy)
+        val outcome = Verifier { node, _ ->
+            PublicKey.of("k1", Callers.KEYS.getValue(node).x)
+        }.verify(TrailChecker(stored).copy)
         assertEquals(emptyList<String>(), outcome.broken.map { it.toString() })
         assertEquals(outcome.entries, outcome.sealed.values.sum())
         assertTrue(outcome.entries > 10_000, "${outcome.entries}")
@@ -77,7 +118,9 @@
 
     /** Faults planted into what is stored or was told: an entry lost, doubled, moved, turned, or made up; a job likewise. */
     @ParameterizedTest
-    @ValueSource(strings = ["lost", "twice", "another's", "turned", "made up", "job without entry", "entry without job", "told otherwise", "denial lost", "withdrawn by nobody"])
+    @ValueSource(
+        strings = ["lost", "twice", "another's", "turned", "made up", "job without entry", "entry without job", "told otherwise", "denial lost", "withdrawn by nobody"],
+    )
     fun `the checker finds what is planted`(fault: String) {
         val values = LinkedHashMap(stored)
         val asked = ArrayList(callers.asked)
@@ -92,12 +135,19 @@
         when (fault) {
             "lost" -> edit({ it.path("q").asText() in answered }) { emptyList() }
             "twice" -> edit({ it.path("q").asText() in answered }) { listOf(it, it) }
-            "another's" -> edit({ it.path("q").asText() in answered && it.path("w").asText() == "ada" }) { listOf(it.replace("\"w\":\"ada\"", "\"w\":\"ben\"")) }
+            "another's" -> edit({
+                it.path("q").asText() in answered && it.path("w").asText() == "ada"
+            }) { listOf(it.replace("\"w\":\"ada\"", "\"w\":\"ben\"")) }
             "turned" -> edit({ it.path("q").asText() in answered }) { listOf(it.replace("\"ok\":1", "\"ok\":0")) }
-            "made up" -> edit({ it.path("q").asText() in answered }) { listOf(it, it.replace("\"q\":\"", "\"q\":\"x").replace("\"i\":\"", "\"i\":\"x")) }
+            "made up" -> edit({
+                it.path("q").asText() in answered
+            }) { listOf(it, it.replace("\"q\":\"", "\"q\":\"x").replace("\"i\":\"", "\"i\":\"x")) }
             "job without entry" -> values["f/job-999999"] = values.getValue(values.keys.first { it.startsWith("f/") })
             "entry without job" -> values.remove(values.keys.first { it.startsWith("f/") })
-            "told otherwise" -> asked.first { it.status == 403 }.let { a -> asked[asked.indexOf(a)] = Callers.Asked(a.id, a.who, a.action, a.subject, a.at).also { it.status = 200 } }
+            "told otherwise" -> asked.first { it.status == 403 }.let { a ->
+                asked[asked.indexOf(a)] =
+                    Callers.Asked(a.id, a.who, a.action, a.subject, a.at).also { it.status = 200 }
+            }
             "denial lost" -> edit({ it.path("o").asInt() == 401 }) { emptyList() }
             else -> values["j/job-999999"] = JobRecord(World.job(999999), 1, 5, 28)
         }
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -20,16 +20,28 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = ["10.0.0.1/8", "10.0.0.0/33", "10.0.0", "ten", "", "10.0.0.0-10.0.0.9", "10.*.0.0", "2001:db8::1/32", "10.0.0.0/255.0.255.0", "2001:db8::/129"])
+    @ValueSource(
+        strings = ["10.0.0.1/8", "10.0.0.0/33", "10.0.0", "ten", "", "10.0.0.0-10.0.0.9", "10.*.0.0", "2001:db8::1/32", "10.0.0.0/255.0.255.0", "2001:db8::/129"],
+    )
     fun `what is no range is refused`(text: String) {
-        assertThrows(IllegalArgumentException::class.java) { Networks.of(listOf(text)) { throw IllegalArgumentException(it) } }
+        assertThrows(IllegalArgumentException::class.java) {
+            Networks.of(listOf(text)) { throw IllegalArgumentException(it) }
+        }
     }
 
     @ParameterizedTest(name = "{0} and {1}: {2}")
-    @CsvSource("10.0.0.1:9000, 10.0.0.1, true", "::ffff:10.0.0.1, 10.0.0.1, true", "2001:db8:0::1, 2001:db8::1, true", "10.0.0.1, 10.0.0.2, false", "w1, w1, true")
-    fun `one host is one host however it is written`(one: String, other: String, same: Boolean) = assertEquals(same, Networks.sameHost(one, other))
+    @CsvSource(
+        "10.0.0.1:9000, 10.0.0.1, true",
+        "::ffff:10.0.0.1, 10.0.0.1, true",
+        "2001:db8:0::1, 2001:db8::1, true",
+        "10.0.0.1, 10.0.0.2, false",
+        "w1, w1, true",
+    )
+    fun `one host is one host however it is written`(one: String, other: String, same: Boolean) =
+        assertEquals(same, Networks.sameHost(one, other))
 
     @ParameterizedTest(name = "{0} is limited as {1}")
     @CsvSource("10.1.2.3, 10.1.2.0/24", "2001:db8::9:1, 2001:db8::/64", "x, unreadable")
-    fun `a neighbourhood is limited as one`(address: String, name: String) = assertEquals(name, Networks.neighbourhood(address))
+    fun `a neighbourhood is limited as one`(address: String, name: String) =
+        assertEquals(name, Networks.neighbourhood(address))
 }
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.step.Context
 import plankwall.core.lead.Leadership
+import plankwall.core.step.Context
 import plankwall.gate.Callers
-import plankwall.model.Tuning
 import plankwall.lab.World
+import plankwall.model.Tuning
 import plankwall.wire.LeaderRecord
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
@@ -26,13 +26,16 @@
     private val newKey = PeerKey("2027-01", ByteArray(32) { (it + 7).toByte() })
     private val now: Long = 1_700_000_000_000L
 
-    private fun status(node: String, epoch: Long, leading: Boolean = false) = PeerStatus(node, 1, epoch, leading, 0, true, 0, PeerCodec.LEVEL)
+    private fun status(node: String, epoch: Long, leading: Boolean = false) =
+        PeerStatus(node, 1, epoch, leading, 0, true, 0, PeerCodec.LEVEL)
 
     private fun world(keys: List<PeerKey>) = World(7, 3, gate = { Callers.settings(it, peerKeys = keys) })
 
     @ParameterizedTest(name = "signed links: {0}")
     @CsvSource("false", "true")
-    fun `a forged status that names a high epoch makes a leader yield only where frames are not signed`(signed: Boolean) {
+    fun `a forged status that names a high epoch makes a leader yield only where frames are not signed`(
+        signed: Boolean,
+    ) {
         val world = world(if (signed) listOf(key) else emptyList())
         world.clock.runUntil(10.0)
         val leader = world.nodes.single { it.leading }
@@ -42,33 +45,54 @@
 
     @ParameterizedTest(name = "signed links: {0}")
     @CsvSource("false", "true")
-    fun `forged words that every peer follows count as proof that older leaders are silent only where frames are not signed`(signed: Boolean) {
-        val ctx = Context(World.settings("n0", 3), Tuning(), 1, Random(1)).apply { time.advance(1000.0, this@PeerFramesTest.now) }
+    fun `forged words that every peer follows count as proof that older leaders are silent only where frames are not signed`(
+        signed: Boolean,
+    ) {
+        val ctx = Context(World.settings("n0", 3), Tuning(), 1, Random(1)).apply {
+            time.advance(1000.0, this@PeerFramesTest.now)
+        }
         val leadership = Leadership(ctx, {}, {})
         win(ctx, leadership)
         val seal = PeerSeal("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
         val door = PeerDoor(seal) { null }
-        for (peer in listOf("n1", "n2")) door.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let { leadership.notePeer(it as PeerStatus) }
+        for (peer in listOf("n1", "n2")) {
+            door.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
+                leadership.notePeer(it as PeerStatus)
+            }
+        }
         val grace = leadership.wonAt + ctx.outageGraceS
         assertEquals(if (signed) grace else ctx.time.now, leadership.othersSilent)
         if (signed) assertEquals(2L, seal.dropped)
     }
 
     private fun win(ctx: Context, leadership: Leadership) {
-        fun answer(result: (StateOp) -> StateResult) = ctx.out.take().filterIsInstance<plankwall.core.step.Effect.StateCall>().forEach { ctx.out.resume(it.call, result(it.op)) }
+        fun answer(result: (StateOp) -> StateResult) =
+            ctx.out.take().filterIsInstance<plankwall.core.step.Effect.StateCall>().forEach {
+                ctx.out.resume(it.call, result(it.op))
+            }
         leadership.tick()
         answer { StateResult.Item(null) }
         answer { StateResult.Granted(1) }
-        answer { op -> StateResult.Committed(41).also { assertTrue((op as StateOp.Txn).writes.any { w -> (w as plankwall.wire.Write.Put).value is LeaderRecord }) } }
+        answer { op ->
+            StateResult.Committed(41).also {
+                assertTrue(
+                    (op as StateOp.Txn).writes.any { w ->
+                        (w as plankwall.wire.Write.Put).value is LeaderRecord
+                    },
+                )
+            }
+        }
         assertEquals(41L, leadership.epoch)
     }
 
-    private fun seal(node: String = "n1", life: Long = 5, keys: List<PeerKey> = listOf(key)) = PeerSeal(node, life, keys, false, 100)
+    private fun seal(node: String = "n1", life: Long = 5, keys: List<PeerKey> = listOf(key)) =
+        PeerSeal(node, life, keys, false, 100)
 
     @Test
     fun `what is not believed`() {
         val frame = PeerCodec.write(status("n1", 5))
-        fun open(bytes: ByteArray, at: Long = now, door: PeerDoor = PeerDoor(seal("n0")) { null }) = door.open(bytes, at)
+        fun open(bytes: ByteArray, at: Long = now, door: PeerDoor = PeerDoor(seal("n0")) { null }) =
+            door.open(bytes, at)
         val good = seal().seal(frame, now)
         assertNotNull(open(good))
         assertNull(open(frame), "not signed")
@@ -80,7 +104,16 @@
         assertNotNull(open(seal().seal(answer, now)))
         assertNull(open(good, now + 11_000), "held back for long")
         assertNull(open(good, now - 1_000), "from the future")
-        for (n in good.indices) assertNull(open(good.copyOf().also { it[n] = (it[n].toInt() xor 4).toByte() }), "byte $n changed")
+        for (n in good.indices) {
+            assertNull(
+                open(
+                    good.copyOf().also {
+                        it[n] = (it[n].toInt() xor 4).toByte()
+                    },
+                ),
+                "byte $n changed",
+            )
+        }
         for (n in good.indices) assertNull(open(good.copyOf(n)), "cut after $n")
     }
 
@@ -113,7 +146,12 @@
     @Test
     fun `a link from outside the peers' networks is not opened`() {
         val door = PeerDoor(seal()) { Networks.of(listOf("10.0.0.0/24")) { error(it) } }
-        assertEquals(listOf(true, false, false), listOf("10.0.0.7:4100", "10.0.1.7:4100", "127.0.0.1:4100").map { door.admits(it) })
+        assertEquals(
+            listOf(true, false, false),
+            listOf("10.0.0.7:4100", "10.0.1.7:4100", "127.0.0.1:4100").map {
+                door.admits(it)
+            },
+        )
     }
 
     @Test
--- a/src/test/kotlin/plankwall/identity/TokensTest.kt
+++ b/src/test/kotlin/plankwall/identity/TokensTest.kt
@@ -16,7 +16,15 @@
     private val reader = TokenReader("site", 2_000, 60_000)
 
     /** The old key runs out an hour from now, the new one holds from half an hour before that. */
-    private val keys = listOf(PublicKey.of("old", old.x, untilMs = now + hour), PublicKey.of("new", new.x, sinceMs = now + hour / 2))
+    private val keys = listOf(
+        PublicKey.of("old", old.x, untilMs = now + hour),
+        PublicKey.of(
+            "new",
+            new.x,
+            sinceMs =
+            now + hour / 2,
+        ),
+    )
 
     private fun proven(header: String, at: Long): Boolean =
         reader.read(header, at) { who, id -> keys.find { who == "ada" && it.id == id } } is TokenResult.Proven
@@ -25,7 +33,28 @@
     @CsvSource("old, 0, true", "new, 0, false", "old, 45, true", "new, 45, true", "old, 61, false", "new, 61, true")
     fun `one key replaces another with an overlap`(which: String, minute: Long, good: Boolean) {
         val at = now + minute * 60_000
-        assertEquals(good, proven(Tokens.authorization(Tokens.sign(if (which == "old") old else new, "site", "id", at, 30, null)), at))
+        assertEquals(
+            good,
+            proven(
+                Tokens.authorization(
+                    Tokens.sign(
+                        if (which ==
+                            "old"
+                        ) {
+                            old
+                        } else {
+                            new
+                        },
+                        "site",
+                        "id",
+                        at,
+                        30,
+                        null,
+                    ),
+                ),
+                at,
+            ),
+        )
     }
 
     @ParameterizedTest(name = "clock {0} ms ahead of the token: {1}")
@@ -46,7 +75,8 @@
             "[]", "", "x",
         ],
     )
-    fun `a header that is not exactly right proves nothing`(header: String) = assertEquals(false, proven(signed(header, CLAIMS), now))
+    fun `a header that is not exactly right proves nothing`(header: String) =
+        assertEquals(false, proven(signed(header, CLAIMS), now))
 
     @ParameterizedTest
     @ValueSource(
@@ -62,14 +92,16 @@
             "[]", "null", "",
         ],
     )
-    fun `claims that are not exactly right prove nothing`(claims: String) = assertEquals(false, proven(signed(HEADER, claims), now))
+    fun `claims that are not exactly right prove nothing`(claims: String) =
+        assertEquals(false, proven(signed(HEADER, claims), now))
 
     @Test
     fun `what is exactly right does`() = assertTrue(proven(signed(HEADER, CLAIMS), now))
 
     private fun signed(header: String, claims: String): String {
         val coder = java.util.Base64.getUrlEncoder().withoutPadding()
-        val text = coder.encodeToString(header.encodeToByteArray()) + "." + coder.encodeToString(claims.encodeToByteArray())
+        val text =
+            coder.encodeToString(header.encodeToByteArray()) + "." + coder.encodeToString(claims.encodeToByteArray())
         val signer = java.security.Signature.getInstance("Ed25519").apply { initSign(old.key) }
         signer.update(text.encodeToByteArray())
         return "Bearer $text." + coder.encodeToString(signer.sign())
@@ -77,12 +109,16 @@
 
     @Test
     fun `two requests have two fingerprints`() {
-        val all = listOf("GET" to "/a", "POST" to "/a", "POST" to "/a/withdraw", "POST/" to "a").flatMap { (m, p) -> listOf("", "b", "b ").map { Tokens.fingerprintOf(m, p, it.encodeToByteArray()) } }
+        val all = listOf("GET" to "/a", "POST" to "/a", "POST" to "/a/withdraw", "POST/" to "a").flatMap { (m, p) ->
+            listOf("", "b", "b ").map { Tokens.fingerprintOf(m, p, it.encodeToByteArray()) }
+        }
         assertEquals(all.size, all.toSet().size)
     }
 
     @ParameterizedTest
-    @ValueSource(strings = ["", "AAAA", "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "__________________________________________8"])
+    @ValueSource(
+        strings = ["", "AAAA", "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "__________________________________________8"],
+    )
     fun `a point that anybody could sign for is no key`(x: String) {
         assertThrows(BadKey::class.java) { PublicKey.of("k", x) }
     }
--- a/src/test/kotlin/plankwall/links/HalfCutDaysTest.kt
+++ b/src/test/kotlin/plankwall/links/HalfCutDaysTest.kt
@@ -26,9 +26,13 @@
 
     private val others get() = world.nodes.filter { it !== first }
 
-    private fun cut(nodes: List<SimNode>, what: String, how: Cut) = nodes.forEach { world.wiring.cutBoth(it.name, what, how) }
+    private fun cut(nodes: List<SimNode>, what: String, how: Cut) = nodes.forEach {
+        world.wiring.cutBoth(it.name, what, how)
+    }
 
-    private fun peersApart(how: Cut) = world.nodes.forEach { a -> world.nodes.filter { it !== a }.forEach { world.wiring.cut(a.name, it.name, how) } }
+    private fun peersApart(how: Cut) = world.nodes.forEach { a ->
+        world.nodes.filter { it !== a }.forEach { world.wiring.cut(a.name, it.name, how) }
+    }
 
     /** Goes on for [forS], heals, and looks for what was lost. */
     private fun survives(forS: Double = 40.0) {
@@ -68,14 +72,24 @@
         "'the only one with the store is without workers', 4, 1, REFUSE",
         "'all but one without workers, told at once', 0, 4, REFUSE",
     )
-    fun `nothing dies while any node reaches both, itself or through a peer`(name: String, withoutStore: Int, withoutWorkers: Int, how: Cut) {
+    fun `nothing dies while any node reaches both, itself or through a peer`(
+        name: String,
+        withoutStore: Int,
+        withoutWorkers: Int,
+        how: Cut,
+    ) {
         cut((listOf(first) + others).take(withoutWorkers), "workers", how)
         cut((if (withoutWorkers == 0) listOf(first) + others else others.reversed()).take(withoutStore), "state", how)
         survives()
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource("during an outage for all", "during a take-over", "while renewals go unanswered", "while the leader stands still")
+    @CsvSource(
+        "during an outage for all",
+        "during a take-over",
+        "while renewals go unanswered",
+        "while the leader stands still",
+    )
     fun `a leader cut from its workers in the midst of something else`(what: String) {
         when (what) {
             "during an outage for all" -> {
@@ -144,7 +158,13 @@
         world.clock.runUntil(world.clock.now + 3.0)
         cut(listOf(first), "workers", Cut.REFUSE)
         world.clock.runUntil(world.clock.now + 12.0)
-        assertTrue(!first.leading && world.nodes.any { it.leading }, "the older ones can't pass reports on, so one of them must lead")
+        assertTrue(
+            !first.leading &&
+                world.nodes.any {
+                    it.leading
+                },
+            "the older ones can't pass reports on, so one of them must lead",
+        )
         assertEquals(emptyList<String>(), world.checker.broken)
     }
 
@@ -174,7 +194,12 @@
         assertTrue(days.all { it.starts >= 1200 })
         // Several cuts on top of one another can strand some for a moment; whom somebody could have served must be few.
         val avoidable = days.sumOf { it.avoidable }
-        assertTrue(avoidable <= MAX_AVOIDABLE, "$avoidable of ${days.sumOf { it.leaseDeaths }} killed could have been served")
+        assertTrue(
+            avoidable <= MAX_AVOIDABLE,
+            "$avoidable of ${days.sumOf {
+                it.leaseDeaths
+            }} killed could have been served",
+        )
     }
 
     private companion object {
--- a/src/test/kotlin/plankwall/links/RoutingTest.kt
+++ b/src/test/kotlin/plankwall/links/RoutingTest.kt
@@ -98,9 +98,27 @@
         // The one that is named is not heard: nobody may wait for it.
         "'one that is gone is named', 3, 0, false, n3, 0.0",
     )
-    fun `who is reached by workers stands first`(name: String, here: Int, there: Int, lost: Boolean, named: String, standsAfterS: Double) {
+    fun `who is reached by workers stands first`(
+        name: String,
+        here: Int,
+        there: Int,
+        lost: Boolean,
+        named: String,
+        standsAfterS: Double,
+    ) {
         val succession = Succession(ctx, picture) { here }
-        val status = PeerStatus("n1", 1, 5, false, 0, true, 0, 2, links(1, mine, turnUps = there, successor = named.ifEmpty { null }))
+        val status =
+            PeerStatus(
+                "n1", 1, 5, false, 0, true, 0, 2,
+                links(
+                    1,
+                    mine,
+                    turnUps = there,
+                    successor = named.ifEmpty {
+                        null
+                    },
+                ),
+            )
         picture.hear(status)
         if (lost) succession.lostWorkers()
         assertEquals(named == "n0", succession.hear(status))
--- a/src/test/kotlin/plankwall/links/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/links/WorkerRelayTest.kt
@@ -42,7 +42,8 @@
     /** n1 leads as [epoch]; [late] of its 40 machines in zone a do not come to it straight. */
     private fun leads(epoch: Long, late: Int, known: Int = 40, plan: SessionPlan? = null) {
         val echo = picture.report(0, null, null).seq
-        val links = LinkReport(echo, mapOf("n0" to echo), emptyList(), 0, 0, listOf(ZoneReach("a", known, late)), null, null)
+        val links =
+            LinkReport(echo, mapOf("n0" to echo), emptyList(), 0, 0, listOf(ZoneReach("a", known, late)), null, null)
         routing.hearOf(epoch)
         picture.hear(PeerStatus("n1", 1, epoch, true, 0, true, 0, 2, links, null, SessionNews(100, plan)))
     }
@@ -52,7 +53,10 @@
             is Effect.Answer -> "${it.status}"
             is Effect.PeerSend -> when (val m = it.message) {
                 is RelayedReport -> "to:${it.to}".also { lastId = m.id }
-                is ReportBatch -> "batch:${it.to}:${m.epoch}:${m.reports.joinToString(",", transform = ::kind)}".also { lastId = m.reports.last().id }
+                is ReportBatch -> "batch:${it.to}:${m.epoch}:${m.reports.joinToString(",", transform = ::kind)}".also {
+                    lastId =
+                        m.reports.last().id
+                }
                 else -> error("$m")
             }
             is Effect.WorkerPost -> "try:${it.machine.removePrefix("i-")}"
@@ -63,21 +67,57 @@
     private fun kind(sent: BatchedReport) = if (sent is WholeReport) "whole" else "mark"
 
     /** As epoch `w[1]`, with the sessions of zone a at node `w[2]`. */
-    private fun spreads(w: List<String>) = leads(w[1].toLong(), 0, plan = SessionPlan(w[1].toLong(), mapOf("a" to listOf(SessionShare(w[2], 1)))))
+    private fun spreads(w: List<String>) = leads(
+        w[1].toLong(),
+        0,
+        plan = SessionPlan(
+            w[1].toLong(),
+            mapOf(
+                "a" to listOf(SessionShare(w[2], 1)),
+            ),
+        ),
+    )
 
-    private fun answers(w: List<String>) = relay.answered(AnswerBatch(w[1], w[2].toLong(), listOf(BatchedAnswer(lastId + (w.getOrNull(4)?.toLong() ?: 0), w[3].toInt(), byteArrayOf(1)))))
+    private fun answers(w: List<String>) = relay.answered(
+        AnswerBatch(
+            w[1],
+            w[2].toLong(),
+            listOf(
+                BatchedAnswer(
+                    lastId + (w.getOrNull(4)?.toLong() ?: 0),
+                    w[3].toInt(),
+                    byteArrayOf(1),
+                ),
+            ),
+        ),
+    )
 
     private fun step(word: String): String {
         when {
-            word.startsWith("w") -> relay.checkIn(Input.CheckIn(RequestId(++requests), Report("i-$word", "x", "box", "a", false, 1, requests, 0, null, emptyList())))
+            word.startsWith(
+                "w",
+            ) -> relay.checkIn(
+                Input.CheckIn(
+                    RequestId(++requests),
+                    Report("i-$word", "x", "box", "a", false, 1, requests, 0, null, emptyList()),
+                ),
+            )
             word.startsWith("+") -> {
                 ctx.time.advance(ctx.now + word.drop(1).toDouble(), 0)
                 relay.tick()
             }
             word.startsWith("spreads:") -> spreads(word.split(':'))
             word.startsWith("batch") -> answers(word.split(':'))
-            word.startsWith("leads:") -> word.split(':').let { leads(it[1].toLong(), it[2].toInt(), it.getOrNull(3)?.toInt() ?: 40) }
-            word.startsWith("answer") -> word.split(':').let { relay.answered(RelayedAnswer(it[1], lastId, it[2].toInt(), byteArrayOf(1))) }
+            word.startsWith("leads:") -> word.split(':').let {
+                leads(
+                    it[1].toLong(),
+                    it[2].toInt(),
+                    it.getOrNull(3)?.toInt() ?: 40,
+                )
+            }
+            word.startsWith("answer") -> word.split(':').let {
+                relay.answered(RelayedAnswer(it[1], lastId, it[2].toInt(), byteArrayOf(1)))
+            }
             word == "lead" -> relay.leads()
             word.startsWith("reached:") -> relay.reached("i-${word.drop(8)}")
             word == "strays" -> return "${relay.strays}"
--- a/src/test/kotlin/plankwall/load/GateCost.kt
+++ b/src/test/kotlin/plankwall/load/GateCost.kt
@@ -24,7 +24,8 @@
         val now = System.currentTimeMillis()
         val tokens = List(500) { Tokens.authorization(Tokens.sign(key, "site", "t$it", now, 60, "f")) }
         val reader = TokenReader("site", 2000, 60_000)
-        val entry = TrailEntry("abc-1", now, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "role all, line 1", 1, 201, "2f0a-77")
+        val entry =
+            TrailEntry("abc-1", now, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "role all, line 1", 1, 201, "2f0a-77")
         val line = TrailLines.write(7, TrailLines.START, "n0", entry)
         val segment = TrailSegment(0, TrailLines.START, List(20) { line })
         repeat(4) {
@@ -36,7 +37,12 @@
                     "network" to { Networks.neighbourhood("10.1.2.3") },
                     "line" to { TrailLines.hash(TrailLines.write(7, TrailLines.START, "n0", entry)) },
                     "end" to { ChainEnd.End(1, 2, segment).size },
-                    "txn" to { StateCodec.txn(StateOp.Txn(listOf(Guard("a", 1)), listOf(Write.Put("trail/n0/1", segment)))).size },
+                    "txn" to
+                        {
+                            StateCodec.txn(
+                                StateOp.Txn(listOf(Guard("a", 1)), listOf(Write.Put("trail/n0/1", segment))),
+                            ).size
+                        },
                 ).joinToString(", ") { (name, run) ->
                     val began = System.nanoTime()
                     repeat(500) { run(it) }
--- a/src/test/kotlin/plankwall/load/LoopbackServices.kt
+++ b/src/test/kotlin/plankwall/load/LoopbackServices.kt
@@ -59,13 +59,28 @@
         if (path.startsWith("/machines")) return 503 to """{"error":"no capacity"}"""
         requests.incrementAndGet()
         return when {
-            path == "/multi" -> synchronized(lock) { expire(); transact(json.readTree(body)) }
-            path == "/keys" -> synchronized(lock) { expire(); 200 to range(query) }
+            path == "/multi" -> synchronized(lock) {
+                expire()
+                transact(json.readTree(body))
+            }
+            path == "/keys" -> synchronized(lock) {
+                expire()
+                200 to range(query)
+            }
             path == "/changes" -> changes(query)
-            path.startsWith("/keys/") -> synchronized(lock) { expire(); get(path.removePrefix("/keys/")) }
+            path.startsWith("/keys/") -> synchronized(lock) {
+                expire()
+                get(path.removePrefix("/keys/"))
+            }
             path == "/grants" -> synchronized(lock) { grant(json.readTree(body).get("life_ms").asLong()) }
-            path.endsWith("/touch") -> synchronized(lock) { touch(path.removePrefix("/grants/").removeSuffix("/touch").toLong()) }
-            path.startsWith("/grants/") -> synchronized(lock) { drop(path.removePrefix("/grants/").toLong()); 200 to "{}" }
+            path.endsWith("/touch") -> synchronized(lock) {
+                touch(path.removePrefix("/grants/").removeSuffix("/touch").toLong())
+            }
+            path.startsWith("/grants/") -> synchronized(lock) {
+                drop(path.removePrefix("/grants/").toLong())
+                200 to
+                    "{}"
+            }
             else -> 404 to "{}"
         }
     }
@@ -104,30 +119,51 @@
     }
 
     private fun transact(t: JsonNode): Pair<Int, String> {
-        val failed = t.path("guards").filter { (entries[it.get("key").asText()]?.stamp ?: 0L) != it.get("stamp").asLong() }.map { it.get("key").asText() }
+        val failed = t.path("guards").filter {
+            (entries[it.get("key").asText()]?.stamp ?: 0L) !=
+                it.get("stamp").asLong()
+        }.map { it.get("key").asText() }
         if (failed.isNotEmpty()) return 409 to """{"failed":${json.writeValueAsString(failed)},"ledger":$revision}"""
         val writes = t.path("writes").toList()
-        if (writes.any { it.has("permit") && it.get("permit").asLong() !in leases }) return 400 to """{"error":"no such lease"}"""
+        if (writes.any { it.has("permit") && it.get("permit").asLong() !in leases }) {
+            return 400 to
+                """{"error":"no such lease"}"""
+        }
         if (writes.isNotEmpty()) revision++
         for (w in writes) {
             changes.incrementAndGet()
             val key = (w.get("set") ?: w.get("remove")).asText()
-            if (w.has("set")) entries[key] = Entry(w.get("data"), revision, w.get("permit")?.asLong()) else entries.remove(key)
+            if (w.has(
+                    "set",
+                )
+            ) {
+                entries[key] = Entry(w.get("data"), revision, w.get("permit")?.asLong())
+            } else {
+                entries.remove(key)
+            }
             note(News(key, w.get("data"), revision))
         }
         return 200 to """{"ledger":$revision}"""
     }
 
-    private fun item(key: String, e: Entry) = """{"key":${json.writeValueAsString(key)},"data":${e.data},"stamp":${e.stamp}}"""
+    private fun item(key: String, e: Entry) =
+        """{"key":${json.writeValueAsString(key)},"data":${e.data},"stamp":${e.stamp}}"""
 
-    private fun get(key: String): Pair<Int, String> = entries[key]?.let { 200 to item(key, it) } ?: (404 to """{"ledger":$revision}""")
+    private fun get(key: String): Pair<Int, String> =
+        entries[key]?.let { 200 to item(key, it) } ?: (404 to """{"ledger":$revision}""")
 
     private fun range(query: Map<String, String>): String {
         val prefix = query["prefix"].orEmpty()
         val from = query["from"]
-        val found = entries.tailMap(from ?: prefix, from == null).entries.asSequence().takeWhile { it.key.startsWith(prefix) }.take((query["page"]?.toInt() ?: 100) + 1).toList()
+        val found = entries.tailMap(from ?: prefix, from == null).entries.asSequence().takeWhile {
+            it.key.startsWith(prefix)
+        }.take(
+            (query["page"]?.toInt() ?: 100) + 1,
+        ).toList()
         val page = found.take(query["page"]?.toInt() ?: 100)
-        return """{"items":[${page.joinToString(",") { item(it.key, it.value) }}],"has_next":${found.size > page.size},"ledger":$revision}"""
+        return """{"items":[${page.joinToString(",") {
+            item(it.key, it.value)
+        }}],"has_next":${found.size > page.size},"ledger":$revision}"""
     }
 
     private fun changes(query: Map<String, String>): Pair<Int, String> = synchronized(lock) {
@@ -142,7 +178,13 @@
             if (news.isNotEmpty() || left <= 0) {
                 val told = news.joinToString(",") { n ->
                     val key = json.writeValueAsString(n.key)
-                    if (n.data == null) """{"remove":$key,"stamp":${n.stamp}}""" else """{"set":$key,"data":${n.data},"stamp":${n.stamp}}"""
+                    if (n.data ==
+                        null
+                    ) {
+                        """{"remove":$key,"stamp":${n.stamp}}"""
+                    } else {
+                        """{"set":$key,"data":${n.data},"stamp":${n.stamp}}"""
+                    }
                 }
                 return 200 to """{"ledger":$revision,"news":[$told]}"""
             }
--- a/src/test/kotlin/plankwall/load/PlacingPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacingPass.kt
@@ -28,7 +28,20 @@
             val m = core.machine("i-%06d".format(n)).apply { registeredAt = core.ctx.now }
             repeat(4) { core.book.place(running, n * 4 + it, m, n * 4L + it) }
         }
-        for (n in 2..JOBS + 1) core.learn(World.job(n, tasks = 40, runS = 30.0 + n % 60, priority = Priority.entries[n % 3]), waitedS = (n % 400).toDouble())
+        for (n in 2..JOBS + 1) {
+            core.learn(
+                World.job(
+                    n,
+                    tasks = 40,
+                    runS = 30.0 + n % 60,
+                    priority = Priority.entries[
+                        n %
+                            3,
+                    ],
+                ),
+                waitedS = (n % 400).toDouble(),
+            )
+        }
         val (plain, judging) = List(2) { Histogram(60_000_000, 3) }
         repeat(400) { round ->
             core.ctx.time.advance(core.ctx.now + 0.1, core.ctx.time.wallMs + 100)
@@ -39,6 +52,15 @@
             if (round >= 100) (if (round % 10 == 0) judging else plain).recordValue(tookUs)
         }
         fun Histogram.ms(p: Double) = getValueAtPercentile(p) / 1000.0
-        println("%8d  %-6s %10.1f %6.1f %18.1f %6.1f".format(machines, if (scarce) "full" else "open", plain.ms(50.0), plain.ms(99.0), judging.ms(50.0), judging.ms(99.0)))
+        println(
+            "%8d  %-6s %10.1f %6.1f %18.1f %6.1f".format(
+                machines,
+                if (scarce) "full" else "open",
+                plain.ms(50.0),
+                plain.ms(99.0),
+                judging.ms(50.0),
+                judging.ms(99.0),
+            ),
+        )
     }
 }
--- a/src/test/kotlin/plankwall/load/RevocationReach.kt
+++ b/src/test/kotlin/plankwall/load/RevocationReach.kt
@@ -23,6 +23,11 @@
                 reach.recordValue(((world.clock.now - told) * 1000).toLong())
             }
         }
-        println("ms from the answer until the last of 7 nodes: ${reach.totalCount} publications, " + listOf(50.0, 90.0, 99.0, 100.0).joinToString(", ") { "p${it.toInt()} ${reach.getValueAtPercentile(it)}" })
+        println(
+            "ms from the answer until the last of 7 nodes: ${reach.totalCount} publications, " +
+                listOf(50.0, 90.0, 99.0, 100.0).joinToString(", ") {
+                    "p${it.toInt()} ${reach.getValueAtPercentile(it)}"
+                },
+        )
     }
 }
--- a/src/test/kotlin/plankwall/meetings/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/meetings/CancellationsTest.kt
@@ -26,8 +26,26 @@
 
     private fun wait(seconds: Double) = ctx.time.advance(ctx.now + seconds, 0)
 
-    private fun says(node: String, news: WithdrawalNews?, echo: Long? = picture.report(0, null, null).seq, number: Long = ++seq, incarnation: Long = 1) {
-        val links = LinkReport(number, listOfNotNull(echo).associateBy { "n0" }, listOf(0, 0, 0, 0), 0, 0, emptyList(), null, null)
+    private fun says(
+        node: String,
+        news: WithdrawalNews?,
+        echo: Long? = picture.report(0, null, null).seq,
+        number: Long = ++seq,
+        incarnation: Long = 1,
+    ) {
+        val links =
+            LinkReport(
+                number,
+                listOfNotNull(echo).associateBy {
+                    "n0"
+                },
+                listOf(0, 0, 0, 0),
+                0,
+                0,
+                emptyList(),
+                null,
+                null,
+            )
         val status = PeerStatus(node, incarnation, 5, false, 0, true, 0, PeerCodec.LEVEL, links, news)
         // As it comes over the wire.
         val heard = PeerCodec.read(PeerCodec.write(status)) as PeerStatus
@@ -102,7 +120,10 @@
         "wait, ''",
         "one, job-000001 job-000002",
     )
-    fun `what was learned is repeated until each peer has had it, for as long as it matters`(what: String, told: String) {
+    fun `what was learned is repeated until each peer has had it, for as long as it matters`(
+        what: String,
+        told: String,
+    ) {
         listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::learn)
         assertEquals(listOf("job-000001", "job-000002"), learned)
         val frame = picture.report(0, null, null).seq
--- a/src/test/kotlin/plankwall/meetings/GapTest.kt
+++ b/src/test/kotlin/plankwall/meetings/GapTest.kt
@@ -8,8 +8,8 @@
 import plankwall.core.step.Effect
 import plankwall.core.step.Input
 import plankwall.lab.Cut
-import plankwall.lab.SimWorker
 import plankwall.lab.SimNode
+import plankwall.lab.SimWorker
 import plankwall.lab.World
 import plankwall.model.WorkerTimes
 import plankwall.wire.Keys
@@ -60,9 +60,24 @@
         world.clock.runUntil(world.clock.now + 200.0)
         assertEquals(withdrawals, told, "withdrawals confirmed")
         assertEquals(emptyList<String>(), world.checker.broken)
-        if (killed != null) assertEquals(killed, world.leaseDeaths > 0, "${world.leaseDeaths} tasks killed by their lease")
+        if (killed !=
+            null
+        ) {
+            assertEquals(killed, world.leaseDeaths > 0, "${world.leaseDeaths} tasks killed by their lease")
+        }
         // Whatever was killed meanwhile runs again: all but the withdrawn jobs, and nothing waits for ever.
-        (1..6).forEach { assertEquals(if (it <= withdrawals) "withdrawn" else "running", world.stageOf("job-%06d".format(it))) }
+        (1..6).forEach {
+            assertEquals(
+                if (it <=
+                    withdrawals
+                ) {
+                    "withdrawn"
+                } else {
+                    "running"
+                },
+                world.stageOf("job-%06d".format(it)),
+            )
+        }
     }
 
     @ParameterizedTest(name = "{0}")
@@ -92,14 +107,37 @@
         refuse(first, 14.0)
         when (how) {
             "a leader has just won" -> onSecond(by) { true }
-            "a leader reads the book page by page" -> onSecond(by) { e -> ((e as? Effect.StateCall)?.op as? StateOp.Range)?.prefix == Keys.PAGES }
+            "a leader reads the book page by page" -> onSecond(by) { e ->
+                ((e as? Effect.StateCall)?.op as? StateOp.Range)?.prefix ==
+                    Keys.PAGES
+            }
             "the old leader goes on beside the new one" -> {
                 world.cuts.add("${first.name}-peers")
                 world.clock.after(10.0) { gap(by) }
             }
-            else -> world.clock.after(if (how == "at the very moment") 0.0 else 0.5) { withdraw(by, 1) { after(how, by) } }
+            else -> world.clock.after(
+                if (how ==
+                    "at the very moment"
+                ) {
+                    0.0
+                } else {
+                    0.5
+                },
+            ) { withdraw(by, 1) { after(how, by) } }
+        }
+        if (!how.startsWith("a leader") &&
+            !how.startsWith("the old leader")
+        ) {
+            world.clock.after(
+                if (how ==
+                    "at the very moment"
+                ) {
+                    1.0
+                } else {
+                    1.5
+                },
+            ) { outage(60.0 - 8.0) }
         }
-        if (!how.startsWith("a leader") && !how.startsWith("the old leader")) world.clock.after(if (how == "at the very moment") 1.0 else 1.5) { outage(60.0 - 8.0) }
         if (how == "the peers can't be heard either") world.cuts.add("${first.name}-peers")
         if (how == "twice in a row") {
             withdrawals = 2
@@ -148,7 +186,11 @@
 
     @ParameterizedTest(name = "report {0} s, lease {1} s, cancel {2} s")
     @CsvSource("3, 18, 38", "3, 28, 53", "4, 18, 38", "5, 28, 53")
-    fun `in time by the operators' own figures, with the peers heard or not`(reportS: Double, leaseS: Double, cancelS: Double) {
+    fun `in time by the operators' own figures, with the peers heard or not`(
+        reportS: Double,
+        leaseS: Double,
+        cancelS: Double,
+    ) {
         for (heard in listOf(true, false)) {
             told = 0
             begin(WorkerTimes(reportS, leaseS, 45.0, 5.0, cancelS))
--- a/src/test/kotlin/plankwall/meetings/MeetingDaysTest.kt
+++ b/src/test/kotlin/plankwall/meetings/MeetingDaysTest.kt
@@ -15,9 +15,26 @@
     @Test
     fun `troubles drawn in pairs break no rule`() {
         val first = java.lang.Long.getLong("firstMeeting", 1L)
-        val days = LongStream.range(first, first + java.lang.Long.getLong("meetings", 12L)).parallel().mapToObj { MeetingDay(it, if (it % 2 == 0L) 3 else 5).play() }.toList()
+        val days = LongStream.range(first, first + java.lang.Long.getLong("meetings", 12L)).parallel().mapToObj {
+            MeetingDay(
+                it,
+                if (it %
+                    2 ==
+                    0L
+                ) {
+                    3
+                } else {
+                    5
+                },
+            ).play()
+        }.toList()
         val bad = days.filter { it.broken.isNotEmpty() || it.unserved.isNotEmpty() }
-        assertEquals(emptyList<String>(), bad.map { "day ${it.seed}: ${it.broken.take(3)} unserved ${it.unserved}; ${it.troubles}" })
+        assertEquals(
+            emptyList<String>(),
+            bad.map {
+                "day ${it.seed}: ${it.broken.take(3)} unserved ${it.unserved}; ${it.troubles}"
+            },
+        )
         assertTrue(days.all { it.withdrawn >= 20 })
         assertTrue(days.sumOf { it.felt.size } >= days.size, "troubles took hold")
     }
--- a/src/test/kotlin/plankwall/meetings/MeetingsTest.kt
+++ b/src/test/kotlin/plankwall/meetings/MeetingsTest.kt
@@ -22,7 +22,9 @@
     /** [jobs] arrays of ten tasks that run for [runS], all of them up: tens of machines. */
     private fun begin(nodes: Int = 3, jobs: Int = 6, runS: Double = 900.0, team: String = "blue") {
         world = World(7, nodeCount = nodes)
-        world.clock.after(2.0) { (1..jobs).forEach { world.submit(World.job(it, tasks = 10, runS = runS, team = team)) } }
+        world.clock.after(2.0) {
+            (1..jobs).forEach { world.submit(World.job(it, tasks = 10, runS = runS, team = team)) }
+        }
         world.clock.runUntil(60.0)
     }
 
@@ -40,7 +42,9 @@
         at(forS) { world.state.outage = false }
     }
 
-    private fun felt(vararg what: String) = what.forEach { assertTrue((world.felt[it] ?: 0) > 0, "$it did not happen: ${world.felt}") }
+    private fun felt(vararg what: String) = what.forEach {
+        assertTrue((world.felt[it] ?: 0) > 0, "$it did not happen: ${world.felt}")
+    }
 
     /** No rule broken; the jobs that were not cancelled are [stage]. */
     private fun unbroken(jobs: IntRange = 1..6, stage: String = "running") {
@@ -65,7 +69,10 @@
 
     @ParameterizedTest(name = "{0} of the machines mute, the leader ends: {1}")
     @CsvSource("0.3, false", "0.3, true", "1.0, true", "1.0, false")
-    fun `mute machines - their work starts elsewhere, cancelled tasks are stopped by direct commands, no lead moves`(share: Double, leaderEnds: Boolean) {
+    fun `mute machines - their work starts elsewhere, cancelled tasks are stopped by direct commands, no lead moves`(
+        share: Double,
+        leaderEnds: Boolean,
+    ) {
         begin()
         val before = world.wins
         val ids = world.cloud.workers.map { it.id }
@@ -81,32 +88,75 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = ["no other trouble", "the leader ends", "a node stands still", "a node has just started", "late writes", "lost answers", "a node is cut from the store"])
+    @ValueSource(
+        strings = ["no other trouble", "the leader ends", "a node stands still", "a node has just started", "late writes", "lost answers", "a node is cut from the store"],
+    )
     fun `users ask at all nodes and repeat themselves as jobs are accepted, end and are cancelled`(trouble: String) {
         world = World(9, nodeCount = 5)
         world.closeLooks = true
         world.cancelAtEnd = 0.3
-        for (n in 1..60) at(2.0 + n) { world.submit(World.job(n, tasks = 1 + n % 3, runS = 8.0, after = if (n % 10 == 0) listOf(n - 1) else emptyList()), if (n % 4 == 0) n % 3 * 5.0 else null) }
-        for (s in listOf(20.0, 40.0)) at(s) {
-            when (trouble) {
-                "the leader ends" -> leader.crash(3.0)
-                "a node stands still" -> world.nodes.first { !it.leading }.freeze(9.0)
-                "a node has just started" -> world.nodes.first { !it.leading }.crash(0.1)
-                "a node is cut from the store" -> world.nodes.first { !it.leading }.name.let { n -> world.cuts.add("$n-state"); at(10.0) { world.cuts.remove("$n-state") } }
-                "late writes" -> { world.lateWrites = 0.2; at(15.0) { world.lateWrites = 0.0 } }
-                "lost answers" -> { world.lostAnswers = 0.2; at(15.0) { world.lostAnswers = 0.0 } }
+        for (n in 1..60) {
+            at(2.0 + n) {
+                world.submit(
+                    World.job(
+                        n,
+                        tasks = 1 + n % 3,
+                        runS = 8.0,
+                        after = if (n % 10 ==
+                            0
+                        ) {
+                            listOf(n - 1)
+                        } else {
+                            emptyList()
+                        },
+                    ),
+                    if (n % 4 == 0) n % 3 * 5.0 else null,
+                )
+            }
+        }
+        for (s in listOf(20.0, 40.0)) {
+            at(s) {
+                when (trouble) {
+                    "the leader ends" -> leader.crash(3.0)
+                    "a node stands still" -> world.nodes.first { !it.leading }.freeze(9.0)
+                    "a node has just started" -> world.nodes.first { !it.leading }.crash(0.1)
+                    "a node is cut from the store" -> world.nodes.first { !it.leading }.name.let { n ->
+                        world.cuts.add("$n-state")
+                        at(10.0) { world.cuts.remove("$n-state") }
+                    }
+                    "late writes" -> {
+                        world.lateWrites = 0.2
+                        at(15.0) { world.lateWrites = 0.0 }
+                    }
+                    "lost answers" -> {
+                        world.lostAnswers = 0.2
+                        at(15.0) { world.lostAnswers = 0.0 }
+                    }
+                }
             }
         }
         go(200.0)
         felt("close looks", "cancelled at its end")
         assertEquals(emptyList<String>(), world.checker.broken.take(5))
-        (1..60).forEach { assertTrue(world.stageOf(id(it)) in setOf("done", "withdrawn"), "${id(it)} is ${world.stageOf(id(it))}") }
+        (1..60).forEach {
+            assertTrue(world.stageOf(id(it)) in setOf("done", "withdrawn"), "${id(it)} is ${world.stageOf(id(it))}")
+        }
     }
 
     @Test
     fun `odd requests are refused for what they are, and repeats of the accepted never`() {
         begin(nodes = 5, runS = 40.0)
-        repeat(60) { s -> at(s.toDouble()) { world.users.beOdd((1..6).map(::id).filter { world.checker.stageTold(it) == "done" }, (1..6).map(::id).filter { world.checker.stageTold(it) == null }) } }
+        repeat(60) { s ->
+            at(s.toDouble()) {
+                world.users.beOdd(
+                    (1..6).map(::id).filter {
+                        world.checker.stageTold(it) ==
+                            "done"
+                    },
+                    (1..6).map(::id).filter { world.checker.stageTold(it) == null },
+                )
+            }
+        }
         at(10.0) { leader.crash(3.0) }
         go(120.0)
         felt("odd requests")
@@ -117,17 +167,44 @@
     fun `an answer that is lost is no refusal, whatever was written`() {
         world = World(5, nodeCount = 3)
         world.lostAnswers = 0.4
-        for (n in 1..40) at(2.0 + n) { world.submit(World.job(n, tasks = 3, runS = 12.0), if (n % 4 == 0) 6.0 else null) }
+        for (n in 1..40) {
+            at(2.0 + n) {
+                world.submit(
+                    World.job(n, tasks = 3, runS = 12.0),
+                    if (n % 4 ==
+                        0
+                    ) {
+                        6.0
+                    } else {
+                        null
+                    },
+                )
+            }
+        }
         listOf(15.0, 30.0).forEach { at(it) { leader.crash(4.0) } }
         at(90.0) { world.lostAnswers = 0.0 }
         go(180.0)
-        felt("lost answer: j", "lost answer: t", "lost answer: f", "lost answer: fleet", "lost answer: leader", "lost answer: catalog")
+        felt(
+            "lost answer: j",
+            "lost answer: t",
+            "lost answer: f",
+            "lost answer: fleet",
+            "lost answer: leader",
+            "lost answer: catalog",
+        )
         assertEquals(emptyList<String>(), world.checker.broken.take(5))
         (1..40).forEach { assertEquals(if (it % 4 == 0) "withdrawn" else "done", world.stageOf(id(it)), id(it)) }
     }
 
     @ParameterizedTest(name = "machines {0}, {1}")
-    @CsvSource("cut off, the leader ends", "hang, the leader ends", "hang, the lead stays", "cut off, the lead stays", "deaf, the leader ends", "mute, the leader ends")
+    @CsvSource(
+        "cut off, the leader ends",
+        "hang, the leader ends",
+        "hang, the lead stays",
+        "cut off, the lead stays",
+        "deaf, the leader ends",
+        "mute, the leader ends",
+    )
     fun `a team at its limit while cancelled tasks can't be reached`(how: String, lead: String) {
         world = World(7, nodeCount = 3)
         world.clock.after(2.0) { (1..6).forEach { world.submit(World.job(it, tasks = 4, runS = 900.0, team = "red")) } }
@@ -136,10 +213,19 @@
         assertEquals(16_000L, limit.gpus, "the limit was reached")
         val machines = world.cloud.workers
         when (how) {
-            "cut off" -> { world.cutZones.addAll(listOf("a", "b")); at(25.0) { world.cutZones.clear() } }
+            "cut off" -> {
+                world.cutZones.addAll(listOf("a", "b"))
+                at(25.0) { world.cutZones.clear() }
+            }
             "hang" -> machines.forEach { it.hang(leaseS * 0.9) }
-            "deaf" -> { world.deaf.addAll(machines.map { it.id }); at(40.0) { world.deaf.clear() } }
-            else -> { world.mute.addAll(machines.map { it.id }); at(40.0) { world.mute.clear() } }
+            "deaf" -> {
+                world.deaf.addAll(machines.map { it.id })
+                at(40.0) { world.deaf.clear() }
+            }
+            else -> {
+                world.mute.addAll(machines.map { it.id })
+                at(40.0) { world.mute.clear() }
+            }
         }
         at(0.5) { (1..2).forEach { cancel(it) } }
         if (lead == "the leader ends") at(1.0) { leader.crash(5.0) }
@@ -164,7 +250,10 @@
         at(10.0) {
             when (how) {
                 "crash" -> leader.crash(6.0)
-                "yield" -> leader.name.let { l -> world.cuts.add("$l-state"); at(8.0) { world.cuts.remove("$l-state") } }
+                "yield" -> leader.name.let { l ->
+                    world.cuts.add("$l-state")
+                    at(8.0) { world.cuts.remove("$l-state") }
+                }
                 "freeze" -> leader.freeze(7.0)
                 else -> world.nodes.forEachIndexed { i, node -> at(i * 2.0) { node.crash(1.0) } }
             }
@@ -193,7 +282,9 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @ValueSource(strings = ["all as it was", "the machines begin a new session meanwhile", "half of the machines die with the leader", "cancelled meanwhile"])
+    @ValueSource(
+        strings = ["all as it was", "the machines begin a new session meanwhile", "half of the machines die with the leader", "cancelled meanwhile"],
+    )
     fun `old reports reach every node as a new leader begins`(how: String) {
         begin(nodes = 5)
         val before = world.wins
@@ -203,7 +294,11 @@
         val lost = world.cloud.workers.filterIndexed { i, _ -> i % 2 == 0 }
         when (how) {
             // Everybody is away until the leases are over; the copies are of the session before.
-            "the machines begin a new session meanwhile" -> world.nodes.forEach { it.crash(leaseS + 4.0 + world.random.nextDouble()) }
+            "the machines begin a new session meanwhile" -> world.nodes.forEach {
+                it.crash(
+                    leaseS + 4.0 + world.random.nextDouble(),
+                )
+            }
             "half of the machines die with the leader" -> {
                 lost.forEach { world.cloud.fail(it.id) }
                 leader.crash(4.0)
@@ -211,7 +306,15 @@
             else -> leader.crash(4.0)
         }
         if (how == "cancelled meanwhile") at(0.5) { cancel(1) }
-        go(if (how.startsWith("the machines")) leaseS + 30.0 else if (how.startsWith("half")) 45.0 else 26.0)
+        go(
+            if (how.startsWith("the machines")) {
+                leaseS + 30.0
+            } else if (how.startsWith("half")) {
+                45.0
+            } else {
+                26.0
+            },
+        )
         felt("copies for the next")
         assertTrue(world.felt.keys.any { it.startsWith("copies taken") }, "a leader took a copy for the first word")
         assertTrue(world.wins > before)
@@ -224,18 +327,37 @@
     fun `one-task jobs four a second, a quarter cancelled`() {
         world = World(3, nodeCount = 3)
         var asked = 0
-        for (n in 1..720) at(5.0 + n * 0.25) {
-            world.submit(World.job(n, tasks = 1, runS = 6.0), if (n % 4 == 0) world.random.nextDouble() * 8.0 else null)
-            asked++
+        for (n in 1..720) {
+            at(5.0 + n * 0.25) {
+                world.submit(
+                    World.job(n, tasks = 1, runS = 6.0),
+                    if (n % 4 ==
+                        0
+                    ) {
+                        world.random.nextDouble() * 8.0
+                    } else {
+                        null
+                    },
+                )
+                asked++
+            }
         }
         go(185.0)
         val changes = world.state.changes
         go(60.0)
         assertEquals(720, asked)
         assertEquals(emptyList<String>(), world.checker.broken.take(5))
-        (1..720).forEach { assertTrue(world.stageOf(id(it)) == "done" || it % 4 == 0 && world.stageOf(id(it)) == "withdrawn", "${id(it)} is ${world.stageOf(id(it))}") }
+        (1..720).forEach {
+            assertTrue(
+                world.stageOf(id(it)) == "done" || it % 4 == 0 && world.stageOf(id(it)) == "withdrawn",
+                "${id(it)} is ${world.stageOf(id(it))}",
+            )
+        }
         assertTrue(changes / 180.0 < world.settings.state.writeRps * 0.75, "${changes / 180.0} changes a second")
-        assertTrue(world.state.calls.beyond == 0 && world.state.writes.beyond == 0, "beyond the settings: ${world.state.calls.beyond} calls, ${world.state.writes.beyond} changes")
+        assertTrue(
+            world.state.calls.beyond == 0 && world.state.writes.beyond == 0,
+            "beyond the settings: ${world.state.calls.beyond} calls, ${world.state.writes.beyond} changes",
+        )
     }
 
     @ParameterizedTest(name = "hung for {0} leases")
@@ -256,7 +378,10 @@
     fun `a zone with workers and a controller is cut off for longer than a lease`() {
         begin(nodes = 5)
         val inside = world.nodes.first { !it.leading }
-        world.nodes.filter { it !== inside }.forEach { world.wiring.cutBoth("zone:a", it.name, Cut.HOLD); world.wiring.cutBoth(inside.name, it.name, Cut.HOLD) }
+        world.nodes.filter { it !== inside }.forEach {
+            world.wiring.cutBoth("zone:a", it.name, Cut.HOLD)
+            world.wiring.cutBoth(inside.name, it.name, Cut.HOLD)
+        }
         world.wiring.cutBoth(inside.name, "state", Cut.HOLD)
         at(5.0) { (1..2).forEach { cancel(it) } }
         at(leaseS * 2) { world.wiring.healAll() }
@@ -324,17 +449,48 @@
     fun `more work than room, urgent and not, over slow links`() {
         world = World(7, nodeCount = 3)
         world.cloud.capacity = 5
-        for (n in 1..24) at(2.0 + n) {
-            world.submit(World.job(n, tasks = 4, runS = 15.0, priority = if (n % 3 == 0) plankwall.model.Priority.HIGH else plankwall.model.Priority.LOW), if (n % 8 == 0) 10.0 else null)
+        for (n in 1..24) {
+            at(2.0 + n) {
+                world.submit(
+                    World.job(
+                        n,
+                        tasks = 4,
+                        runS = 15.0,
+                        priority = if (n % 3 ==
+                            0
+                        ) {
+                            plankwall.model.Priority.HIGH
+                        } else {
+                            plankwall.model.Priority.LOW
+                        },
+                    ),
+                    if (n % 8 == 0) 10.0 else null,
+                )
+            }
         }
         // Every ten seconds all that the nodes send each other, the store and the workers takes three seconds.
-        for (s in 1..10) at(s * 10.0) {
-            world.nodes.forEach { n -> listOf("state", "workers").forEach { world.wiring.cutBoth(n.name, it, Cut.HOLD) } }
-            at(3.0) { world.wiring.healAll() }
+        for (s in 1..10) {
+            at(s * 10.0) {
+                world.nodes.forEach { n ->
+                    listOf("state", "workers").forEach { world.wiring.cutBoth(n.name, it, Cut.HOLD) }
+                }
+                at(3.0) { world.wiring.healAll() }
+            }
         }
         go(330.0)
         assertEquals(emptyList<String>(), world.checker.broken.take(5))
         assertEquals(5, world.cloud.most)
-        (1..24).forEach { assertTrue(world.stageOf(id(it)) in if (it % 8 == 0) setOf("done", "withdrawn") else setOf("done"), "${id(it)} is ${world.stageOf(id(it))}") }
+        (1..24).forEach {
+            assertTrue(
+                world.stageOf(id(it)) in if (it % 8 ==
+                    0
+                ) {
+                    setOf("done", "withdrawn")
+                } else {
+                    setOf("done")
+                },
+                "${id(it)} is ${world.stageOf(id(it))}",
+            )
+        }
     }
 }
--- a/src/test/kotlin/plankwall/nights/BadNightsTest.kt
+++ b/src/test/kotlin/plankwall/nights/BadNightsTest.kt
@@ -28,7 +28,9 @@
         val world = World(77)
         world.submit(World.job(1, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION))
         world.clock.after(20.0) {
-            world.submit(World.job(2, tasks = 4_000, runS = 1.5, priority = Priority.LOW).copy(need = Resources(250, 0, 500)))
+            world.submit(
+                World.job(2, tasks = 4_000, runS = 1.5, priority = Priority.LOW).copy(need = Resources(250, 0, 500)),
+            )
             world.pollFactor = 10.0
         }
         world.clock.after(28.0) { world.nodes.first { it.leading }.crash(8.0) }
--- a/src/test/kotlin/plankwall/nights/BootTroubleTest.kt
+++ b/src/test/kotlin/plankwall/nights/BootTroubleTest.kt
@@ -29,7 +29,17 @@
         "'a new leader takes no sum of stragglers for trouble', 2, 0, 9, 0, 5, false, 0, 120",
         "'but knows a group that has a handful', 8, 0, 0, 0, 5, true, 4, 180",
     )
-    fun `late or lost`(name: String, late: Int, up: Int, lateThere: Int, upThere: Int, since: Double, troubled: Boolean, counted: Int, patienceS: Double) {
+    fun `late or lost`(
+        name: String,
+        late: Int,
+        up: Int,
+        lateThere: Int,
+        upThere: Int,
+        since: Double,
+        troubled: Boolean,
+        counted: Int,
+        patienceS: Double,
+    ) {
         val here = GroupKey("box", "a", false)
         val there = GroupKey("box", "b", false)
         val trouble = BootTrouble(ctx, BootTimes(), ctx.now - since)
--- a/src/test/kotlin/plankwall/nights/FaultEvidenceTest.kt
+++ b/src/test/kotlin/plankwall/nights/FaultEvidenceTest.kt
@@ -13,7 +13,8 @@
     private val core = CoreParts()
     private val evidence = FaultEvidence(core.ctx, core.book, core.fleet)
 
-    private fun job(number: Int): Job = core.book.find("job-%06d".format(number)) ?: core.learn(World.job(number, tasks = 20))
+    private fun job(number: Int): Job =
+        core.book.find("job-%06d".format(number)) ?: core.learn(World.job(number, tasks = 20))
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -44,14 +45,22 @@
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
         val live = core.book.live.sortedBy { it.spec.id }
         assertEquals(jobs, live.filter { it.doubtful }.joinToString(" ") { it.spec.id.last().toString() }, name)
-        live.forEach { assertEquals(it.doubtful, it.backoffUntil > core.ctx.now, "${it.spec.id} is put off only while in doubt") }
+        live.forEach {
+            assertEquals(it.doubtful, it.backoffUntil > core.ctx.now, "${it.spec.id} is put off only while in doubt")
+        }
     }
 
     @ParameterizedTest(name = "after {0} failures it is tried again in {1} s")
     @CsvSource("2, 3", "3, 6", "5, 24", "40, 120")
     fun `is tried again ever more rarely`(failures: Int, pauseS: Double) {
         val job = job(1)
-        repeat(failures) { n -> evidence.failed(core.book.place(job, job.waiting.first(), core.machine("m$n"), 1).also { core.book.release(it, "ended") }) }
+        repeat(failures) { n ->
+            evidence.failed(
+                core.book.place(job, job.waiting.first(), core.machine("m$n"), 1).also {
+                    core.book.release(it, "ended")
+                },
+            )
+        }
         assertEquals(pauseS, job.backoffUntil - core.ctx.now, 0.01)
     }
 
@@ -60,7 +69,10 @@
     fun `running on for a while clears a job as much as its end`(ranS: Double, doubtful: Boolean) {
         val job = job(1)
         listOf("A", "B").forEach { evidence.failed(core.book.place(job, job.waiting.first(), core.machine(it), 1)) }
-        val p = core.book.place(job, job.waiting.first(), core.machine("C"), 2).apply { runningSince = core.ctx.now - ranS }
+        val p = core.book.place(job, job.waiting.first(), core.machine("C"), 2).apply {
+            runningSince =
+                core.ctx.now - ranS
+        }
         evidence.runs(p)
         assertEquals(doubtful, job.doubtful)
     }
--- a/src/test/kotlin/plankwall/nights/GuestsTest.kt
+++ b/src/test/kotlin/plankwall/nights/GuestsTest.kt
@@ -18,7 +18,8 @@
 
 /** Work that nobody stated an aim for, and sweeps of short tasks: what they get, and what they leave to others. */
 class GuestsTest {
-    private val core = CoreParts(listOf(Objective("finished", "sweep", 400.0, 0.8), Objective("wait", "class", 100.0, 0.9)))
+    private val core =
+        CoreParts(listOf(Objective("finished", "sweep", 400.0, 0.8), Objective("wait", "class", 100.0, 0.9)))
     private val ctx = core.ctx
 
     /** The incidents: 25,000 tasks of four seconds, and 3,822 that may wait, took every machine of the cloud at the dearest price. */
@@ -33,10 +34,32 @@
         "'short tasks that may start a while later share places', class, 8, 2, true, false, 0, 1, 1",
         "'tasks as long as a boot have a place each', sweep, 40, 12, true, false, 0, 10, 10",
     )
-    fun `rents for them`(name: String, kind: String, tasks: Int, runS: Double, spot: Boolean, overlooked: Boolean, left: Int, rented: Int, ofSpot: Int) {
-        val job = core.learn(World.job(1, tasks = tasks, runS = runS, spot = spot).copy(jobClass = kind)).also { it.overlooked = overlooked }
+    fun `rents for them`(
+        name: String,
+        kind: String,
+        tasks: Int,
+        runS: Double,
+        spot: Boolean,
+        overlooked: Boolean,
+        left: Int,
+        rented: Int,
+        ofSpot: Int,
+    ) {
+        val job = core.learn(World.job(1, tasks = tasks, runS = runS, spot = spot).copy(jobClass = kind)).also {
+            it.overlooked =
+                overlooked
+        }
         val wanted = Estimator(ctx, core.book, World.CATALOG).estimate(
-            emptyList(), listOf(job), { it.waiting.size }, emptyList(), { true }, Growth.NONE, spare = SpareTimeRentals(left) { true }, owned = { 0 },
+            emptyList(),
+            listOf(job),
+            {
+                it.waiting.size
+            },
+            emptyList(),
+            { true },
+            Growth.NONE,
+            spare = SpareTimeRentals(left) { true },
+            owned = { 0 },
         )
         assertEquals(rented, wanted.values.sum(), name)
         assertEquals(ofSpot, wanted.filterKeys { it.spot }.values.sum(), name)
@@ -49,7 +72,15 @@
         val m = core.machine("i-000001").apply { registeredAt = ctx.now }
         val waiting = core.learn(World.job(1, tasks = 4, spot = true).copy(jobClass = kind))
         val wanted = Estimator(ctx, core.book, World.CATALOG).estimate(
-            listOf(m), listOf(waiting), { it.waiting.size }, emptyList(), { true }, Growth(Resources.NONE, World.CATALOG.types.single().capacity), owned = { 0 },
+            listOf(m),
+            listOf(waiting),
+            {
+                it.waiting.size
+            },
+            emptyList(),
+            { true },
+            Growth(Resources.NONE, World.CATALOG.types.single().capacity),
+            owned = { 0 },
         )
         assertEquals(more, wanted.filterKeys { !it.spot }.values.sum())
     }
@@ -60,8 +91,13 @@
         "100, 0, 0, true, 25", "100, 20, 0, true, 5", "100, 30, 0, true, 0", "100, 0, 40, true, 10", "100, 0, 60, true, 0",
         "100, 0, 60, false, 25", "8, 0, 4, true, 0", "8, 0, 4, false, 4", "8, 3, 8, false, 1", "0, 0, 0, true, 4",
     )
-    fun `the pace at which spare time is rented for`(fleet: Int, arriving: Int, taken: Double, contested: Boolean, left: Int) =
-        assertEquals(left, SpareTimeRentals.leftAt(fleet, arriving, taken, contested))
+    fun `the pace at which spare time is rented for`(
+        fleet: Int,
+        arriving: Int,
+        taken: Double,
+        contested: Boolean,
+        left: Int,
+    ) = assertEquals(left, SpareTimeRentals.leftAt(fleet, arriving, taken, contested))
 
     private fun ready(name: String) = core.machine(name).apply {
         registeredAt = ctx.now
@@ -76,7 +112,14 @@
         "'one that has waited long goes anywhere', spare, false, false, true, 2",
         "'others do as before', class, false, false, false, 2",
     )
-    fun `keeps no machine from being returned`(name: String, kind: String, replica: Boolean, surplus: Boolean, overlooked: Boolean, placed: Int) {
+    fun `keeps no machine from being returned`(
+        name: String,
+        kind: String,
+        replica: Boolean,
+        surplus: Boolean,
+        overlooked: Boolean,
+        placed: Int,
+    ) {
         val m = ready("i-000001").also { it.surplus = surplus }
         if (replica) core.book.place(core.learn(World.job(1, Shape.SERVICE, tasks = 1)), 0, m, 1)
         val job = core.learn(World.job(2, spot = true).copy(jobClass = kind)).also { it.overlooked = overlooked }
@@ -97,7 +140,12 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource("'with an aim', class, '', false, false", "'without', spare, '', false, true", "'a guaranteed team', spare, red, false, false", "'a stage of a pipeline', spare, '', true, false")
+    @CsvSource(
+        "'with an aim', class, '', false, false",
+        "'without', spare, '', false, true",
+        "'a guaranteed team', spare, red, false, false",
+        "'a stage of a pipeline', spare, '', true, false",
+    )
     fun `what counts as spare time`(name: String, kind: String, team: String, awaited: Boolean, spare: Boolean) {
         val job = core.learn(World.job(1, team = team.ifEmpty { "blue" }).copy(jobClass = kind))
         if (awaited) core.learn(World.job(2, after = listOf(1)))
@@ -117,7 +165,13 @@
     @Test
     fun `a class without an aim is served in the end, however little else there is to do`() {
         val world = World(61, objectives = listOf(Objective("finished", "class", 100.0, 0.9)))
-        for (n in 1..6) world.clock.after(2.0) { world.submit(World.job(n, tasks = 8, runS = 40.0, spot = true).copy(jobClass = "spare", priority = Priority.LOW)) }
+        for (n in 1..6) {
+            world.clock.after(2.0) {
+                world.submit(
+                    World.job(n, tasks = 8, runS = 40.0, spot = true).copy(jobClass = "spare", priority = Priority.LOW),
+                )
+            }
+        }
         world.clock.after(10.0) { world.submit(World.job(9, runS = 20.0)) }
         world.clock.runUntil(200.0)
         assertEquals(List(6) { "done" }, (1..6).map { world.stageOf("job-%06d".format(it)) })
--- a/src/test/kotlin/plankwall/scale/ScalePlanTest.kt
+++ b/src/test/kotlin/plankwall/scale/ScalePlanTest.kt
@@ -22,7 +22,7 @@
     fun `a plan is read, and what it does not say is the default`() {
         val plan =
             read(
-                "{workers: 40, phases: {fault_s: 20}, work: {running: 24}, faults: [{at_s: 3, kind: peers_apart, target: region-1, for_s: 5}]}"
+                "{workers: 40, phases: {fault_s: 20}, work: {running: 24}, faults: [{at_s: 3, kind: peers_apart, target: region-1, for_s: 5}]}",
             )
         assertEquals(listOf(40, 24, ScalePlan().controllers), listOf(plan.workers, plan.work.running, plan.controllers))
         assertEquals(FaultKind.PEERS_APART, plan.faults.single().kind)
@@ -55,14 +55,14 @@
         "9000, 15, 20000, 24000, false",
         "500, 3, 2000, 24000, false",
         "500, 3, 20000, 2000, false",
-        "500, 60, 20000, 24000, false"
+        "500, 60, 20000, 24000, false",
     )
     fun `what does not fit this machine is refused`(
         workers: Int,
         controllers: Int,
         files: Long,
         memoryMb: Long,
-        fits: Boolean
+        fits: Boolean,
     ) {
         val plan = ScalePlan(workers = workers, controllers = controllers)
         val check = { ScaleLimits.check(plan, files, memoryMb) }
@@ -78,7 +78,7 @@
         val plan = ScalePlan(workers = 100, zones = 5, regions = 2, teams = 7)
         assertEquals(
             listOf("region-1", "region-2", "region-1", "region-2", "region-1"),
-            plan.zoneNames.map(plan::regionOf)
+            plan.zoneNames.map(plan::regionOf),
         )
         val shared = ScaleRun.sharedSettings(plan)
         assertEquals(7, shared.teams.size)
--- a/src/test/kotlin/plankwall/scale/ServiceCodecsTest.kt
+++ b/src/test/kotlin/plankwall/scale/ServiceCodecsTest.kt
@@ -44,7 +44,7 @@
     fun `the state service understands transactions and is understood`() {
         val txn = StateOp.Txn(
             listOf(Guard(Keys.LEADER, 3)),
-            listOf(Write.Put(Keys.job(record.spec.id), record), Write.Put(Keys.LEADER, leader, 9), Write.Remove("x/1"))
+            listOf(Write.Put(Keys.job(record.spec.id), record), Write.Put(Keys.LEADER, leader, 9), Write.Remove("x/1")),
         )
         assertEquals(txn, StateServiceCodec.readTxn(StateCodec.txn(txn)))
         assertEquals(StateOp.Grant(2_500), StateServiceCodec.readGrant(StateCodec.grant(2_500)))
@@ -54,17 +54,17 @@
         assertEquals(items, StateCodec.items(StateServiceCodec.write(items)))
         val news = StateResult.News(
             listOf(StateEvent(Keys.job(record.spec.id), record, 5), StateEvent("j/2", null, 6)),
-            6
+            6,
         )
         assertEquals(news, StateCodec.news(StateServiceCodec.write(news)))
         assertEquals(StateResult.Committed(7), StateCodec.committed(StateServiceCodec.write(StateResult.Committed(7))))
         assertEquals(
             StateResult.Conflict(setOf("a")),
-            StateCodec.conflict(StateServiceCodec.write(StateResult.Conflict(setOf("a"))))
+            StateCodec.conflict(StateServiceCodec.write(StateResult.Conflict(setOf("a")))),
         )
         assertEquals(StateResult.Granted(3), StateCodec.granted(StateServiceCodec.write(StateResult.Granted(3))))
         assertThrows(
-            BadMessage::class.java
+            BadMessage::class.java,
         ) { StateServiceCodec.readTxn("{\"writes\":[{\"set\":\"unknown/1\",\"data\":{}}]}".encodeToByteArray()) }
     }
 
@@ -78,7 +78,7 @@
         assertEquals(catalog, CloudCodec.catalog(CloudServiceCodec.catalog(catalog)))
         val listed = CloudResult.Listed(
             ListedState.entries.map { ListedMachine("i-$it", "127.0.0.1:9", GroupKey("box", "a", false), it, 1.5) },
-            true
+            true,
         )
         assertEquals(listed, CloudCodec.listed(CloudServiceCodec.listed(listed)))
         assertEquals(CloudResult.Rented(listOf("i-3")), CloudCodec.rented(CloudServiceCodec.rented(listOf("i-3"))))
@@ -94,7 +94,7 @@
                 9,
                 stage,
                 if (stage == TaskStage.EXITED) ExitCause.STOPPED else null,
-                n % 2 == 0
+                n % 2 == 0,
             )
         }
         val report = Report("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
--- a/src/test/kotlin/plankwall/sessions/ReportBatchTest.kt
+++ b/src/test/kotlin/plankwall/sessions/ReportBatchTest.kt
@@ -119,10 +119,30 @@
     }
 
     private fun messages(): List<PeerMessage> = listOf(
-        ReportBatch("n0", 5, 77, listOf(WholeReport(1, "10.0.0.1", base), UnchangedReport(2, "", "i-000002", 1, 12, 6))),
-        AnswerBatch("n1", 5, listOf(BatchedAnswer(1, 200, byteArrayOf(1, 2)), BatchedAnswer(2, BatchedAnswer.RESEND, ByteArray(0)))),
+        ReportBatch(
+            "n0",
+            5,
+            77,
+            listOf(WholeReport(1, "10.0.0.1", base), UnchangedReport(2, "", "i-000002", 1, 12, 6)),
+        ),
+        AnswerBatch(
+            "n1",
+            5,
+            listOf(BatchedAnswer(1, 200, byteArrayOf(1, 2)), BatchedAnswer(2, BatchedAnswer.RESEND, ByteArray(0))),
+        ),
         PeerStatus(
-            "n1", 1, 5, true, 0, true, 0, 2, LinkReport(3, emptyMap(), emptyList(), 0, 0, emptyList(), null, null), WithdrawalNews(1, emptyList(), 0, 0),
+            "n1", 1, 5, true, 0, true, 0, 2,
+            LinkReport(
+                3,
+                emptyMap(),
+                emptyList(),
+                0,
+                0,
+                emptyList(),
+                null,
+                null,
+            ),
+            WithdrawalNews(1, emptyList(), 0, 0),
             SessionNews(700, SessionPlan(5, mapOf("a" to listOf(SessionShare("n0", 3), SessionShare("n2", 4))))),
         ),
     )
@@ -133,7 +153,11 @@
             val bytes = PeerCodec.write(message)
             assertEquals(message, PeerCodec.read(bytes))
             if (message is PeerStatus) continue
-            for (size in 1 until bytes.size) assertThrows(BadMessage::class.java, { PeerCodec.read(bytes.copyOf(size)) }, "$size of ${bytes.size} bytes")
+            for (size in 1 until bytes.size) {
+                assertThrows(BadMessage::class.java, {
+                    PeerCodec.read(bytes.copyOf(size))
+                }, "$size of ${bytes.size} bytes")
+            }
         }
     }
 }
--- a/src/test/kotlin/plankwall/sessions/SessionSharesTest.kt
+++ b/src/test/kotlin/plankwall/sessions/SessionSharesTest.kt
@@ -16,14 +16,28 @@
 class SessionSharesTest {
     private val machines = List(6_000) { "i-%06d".format(it) }
 
-    private fun plan(nodes: Map<String, Int>) = SessionPlan(7, mapOf("a" to nodes.map { SessionShare(it.key, it.value) }))
+    private fun plan(nodes: Map<String, Int>) = SessionPlan(
+        7,
+        mapOf(
+            "a" to nodes.map {
+                SessionShare(it.key, it.value)
+            },
+        ),
+    )
 
-    private fun homes(nodes: Map<String, Int>): Map<String, String> = plan(nodes).let { p -> machines.associateWith { SessionAssignment.nodeFor(p, it, "a")!! } }
+    private fun homes(nodes: Map<String, Int>): Map<String, String> = plan(nodes).let { p ->
+        machines.associateWith { SessionAssignment.nodeFor(p, it, "a")!! }
+    }
 
     @Test
     fun `workers are spread by weight`() {
         val counts = homes(mapOf("n1" to 100, "n2" to 100, "n3" to 200)).values.groupingBy { it }.eachCount()
-        assertTrue(counts.getValue("n1") in 1_400..1_600 && counts.getValue("n2") in 1_400..1_600 && counts.getValue("n3") in 2_850..3_150, "$counts")
+        assertTrue(
+            counts.getValue("n1") in 1_400..1_600 &&
+                counts.getValue("n2") in 1_400..1_600 &&
+                counts.getValue("n3") in 2_850..3_150,
+            "$counts",
+        )
     }
 
     @Test
@@ -36,7 +50,17 @@
     }
 
     @Test
-    fun `a zone that the plan does not name comes to the leader`() = assertNull(SessionAssignment.nodeFor(plan(mapOf("n1" to 1)), "i-000001", "b"))
+    fun `a zone that the plan does not name comes to the leader`() = assertNull(
+        SessionAssignment.nodeFor(
+            plan(
+                mapOf(
+                    "n1" to 1,
+                ),
+            ),
+            "i-000001",
+            "b",
+        ),
+    )
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -51,8 +75,16 @@
     )
     fun shares(name: String, demand: String, nodes: String, expected: String) {
         val workers = demand.split(' ').associate { it.substringBefore(':') to it.substringAfter(':').toInt() }
-        val given = nodes.split(' ').filter { it.isNotEmpty() }.map { n -> n.split(':').let { SessionNode(it[0], it[1], it[2].toInt()) } }
+        val given = nodes.split(' ').filter {
+            it.isNotEmpty()
+        }.map { n -> n.split(':').let { SessionNode(it[0], it[1], it[2].toInt()) } }
         val shares = SessionShares.of(workers, given)
-        assertEquals(expected, shares.entries.joinToString(" ") { (zone, s) -> "$zone=${s.joinToString(",") { "${it.node}:${it.weight}" }}" }, name)
+        assertEquals(
+            expected,
+            shares.entries.joinToString(" ") { (zone, s) ->
+                "$zone=${s.joinToString(",") { "${it.node}:${it.weight}" }}"
+            },
+            name,
+        )
     }
 }
--- a/src/test/kotlin/plankwall/sessions/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/sessions/SpreadSessionsTest.kt
@@ -28,14 +28,37 @@
 
     init {
         world.cloud.capacity = MACHINES
-        listOf("a", "b").forEach { zone -> world.cloud.addRunning(GroupKey("box", zone, false), MACHINES / 2) { world.random.nextDouble() * 3 } }
+        listOf("a", "b").forEach { zone ->
+            world.cloud.addRunning(GroupKey("box", zone, false), MACHINES / 2) {
+                world.random.nextDouble() *
+                    3
+            }
+        }
         world.onServed = { worker, node ->
             servedBy[worker.id] = node
             servedAt[worker.id] = world.clock.now
             served++
         }
-        for (n in 1..40) world.clock.after(8.0 + n * 0.1) { world.submit(World.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true)) }
-        for (n in 41..100) world.clock.after(20.0 + n * 1.2) { world.submit(World.job(n, tasks = 6, gpus = 0, runS = 8.0), withdrawAfter = if (n % 7 == 0) 3.0 else null) }
+        for (n in 1..40) {
+            world.clock.after(8.0 + n * 0.1) {
+                world.submit(World.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true))
+            }
+        }
+        for (n in 41..100) {
+            world.clock.after(20.0 + n * 1.2) {
+                world.submit(
+                    World.job(n, tasks = 6, gpus = 0, runS = 8.0),
+                    withdrawAfter = if (n %
+                        7 ==
+                        0
+                    ) {
+                        3.0
+                    } else {
+                        null
+                    },
+                )
+            }
+        }
     }
 
     private fun leader(): SimNode = world.nodes.first { it.leading }
@@ -99,7 +122,9 @@
             "reports come twice and late" -> during(30.0, { world.lateReports = 0.3 }) { world.lateReports = 0.0 }
             "machines restart" -> world.cloud.workers.take(30).forEach { it.hang(16.0) }
             "a worker reports to two at once" -> everywhere()
-            "the leader and the store's answers" -> during(20.0, { world.lostAnswers = 0.3 }) { world.lostAnswers = 0.0 }.also { leading.crash(3.0) }
+            "the leader and the store's answers" -> during(20.0, {
+                world.lostAnswers = 0.3
+            }) { world.lostAnswers = 0.0 }.also { leading.crash(3.0) }
             else -> error(what)
         }
         return home
@@ -141,7 +166,21 @@
         assertTrue(world.leaseDeaths <= killed, "${world.leaseDeaths} tasks killed")
         assertServed(lost = if (killed > 0) 30 else 0)
         assertSpread()
-        if (what.startsWith("frames")) assertTrue(world.felt.getOrDefault(if (what == "frames are lost") "frames lost" else "late frames", 0) >= 20, "${world.felt}")
+        if (what.startsWith("frames")) {
+            assertTrue(
+                world.felt.getOrDefault(
+                    if (what ==
+                        "frames are lost"
+                    ) {
+                        "frames lost"
+                    } else {
+                        "late frames"
+                    },
+                    0,
+                ) >= 20,
+                "${world.felt}",
+            )
+        }
     }
 
     @ParameterizedTest(name = "{0}")
@@ -162,7 +201,11 @@
         }
         world.clock.runUntil(52.0)
         val report = world.cloud.workers.first().report()
-        leading.frame(PeerCodec.write(ReportBatch(followers().first().name, epoch + offset, seq, listOf(WholeReport(FORGED, "", report)))))
+        leading.frame(
+            PeerCodec.write(
+                ReportBatch(followers().first().name, epoch + offset, seq, listOf(WholeReport(FORGED, "", report))),
+            ),
+        )
         assertEquals(if (read) 1 else 0, answered, name)
     }
 
--- a/src/test/kotlin/plankwall/sim/CoreParts.kt
+++ b/src/test/kotlin/plankwall/sim/CoreParts.kt
@@ -20,7 +20,9 @@
 
 /** The parts of a core that a table test needs, at a set moment and without a world around them. */
 class CoreParts(objectives: List<Objective> = emptyList()) {
-    val ctx = Context(World.settings("n0", 3).copy(objectives = objectives), Tuning(), 1, Random(1)).apply { time.advance(1000.0, WALL_MS) }
+    val ctx = Context(World.settings("n0", 3).copy(objectives = objectives), Tuning(), 1, Random(1)).apply {
+        time.advance(1000.0, WALL_MS)
+    }
     val leadership = Leadership(ctx, {}, {})
     val fleet = Fleet(ctx).apply { catalog = World.CATALOG }
     val book = JobBook(ctx, LeaderStore(ctx, leadership), fleet)
@@ -28,13 +30,15 @@
     /** Wins: from now on workers have to show [EPOCH]. */
     fun lead() {
         leadership.tick()
-        while (!leadership.leading) ctx.out.take().filterIsInstance<Effect.StateCall>().forEach { e ->
-            val answer = when (e.op) {
-                is StateOp.Grant -> StateResult.Granted(1)
-                is StateOp.Txn -> StateResult.Committed(EPOCH)
-                else -> StateResult.Item(null)
+        while (!leadership.leading) {
+            ctx.out.take().filterIsInstance<Effect.StateCall>().forEach { e ->
+                val answer = when (e.op) {
+                    is StateOp.Grant -> StateResult.Granted(1)
+                    is StateOp.Txn -> StateResult.Committed(EPOCH)
+                    else -> StateResult.Item(null)
+                }
+                ctx.out.resume(e.call, answer)
             }
-            ctx.out.resume(e.call, answer)
         }
     }
 
