--- a/src/main/kotlin/plankwall/access/RightsReader.kt
+++ b/src/main/kotlin/plankwall/access/RightsReader.kt
@@ -28,7 +28,8 @@
     private const val DEEPEST = 40
 
     private val soft = setOf(
-        "person", "service", "node", "key", "from", "until", "network", "disabled", "workers", "peers", "least", "most", "revoke", "finish", "withdraw",
+        "person", "service", "node", "key", "from", "until", "network", "disabled", "workers", "peers", "least", "most",
+        "revoke", "finish", "withdraw",
     )
 
     fun read(text: String, version: Long): Policy {
--- a/src/main/kotlin/plankwall/audit/TrailEntry.kt
+++ b/src/main/kotlin/plankwall/audit/TrailEntry.kt
@@ -6,8 +6,9 @@
 import okio.ByteString.Companion.encodeUtf8
 
 /**
- * One decision. [id]: unique for ever, by which one that was sent twice is known. [request]: the caller's own id of what he
- * asked, from his token. [network]: where it came from, which proves nothing. [status]: what the caller is told; 0: nobody was asked.
+ * One decision. [id]: unique for ever, by which one that was sent twice is known. [request]: the caller's own id of
+ * what he asked, from his token. [network]: where it came from, which proves nothing. [status]: what the caller is
+ * told; 0: nobody was asked.
  */
 data class TrailEntry(
     val id: String,
--- a/src/main/kotlin/plankwall/audit/TrailWriter.kt
+++ b/src/main/kotlin/plankwall/audit/TrailWriter.kt
@@ -12,10 +12,11 @@
 import plankwall.wire.Write
 
 /**
- * One node's chain. An entry and the change it allows are one transaction, so that neither is ever there without the other,
- * also when the transaction is applied late or its answer is lost. One transaction at a time is under way; what comes
- * meanwhile goes with the next one, all of it, so that a busy node writes few. Each is guarded on the newest segment's
- * stamp and on there being none behind it: of two that claim the same place in the chain only one can get through.
+ * One node's chain. An entry and the change it allows are one transaction, so that neither is ever there without the
+ * other, also when the transaction is applied late or its answer is lost. One transaction at a time is under way; what
+ * comes meanwhile goes with the next one, all of it, so that a busy node writes few. Each is guarded on the newest
+ * segment's stamp and on there being none behind it: of two that claim the same place in the chain only one can get
+ * through.
  */
 class TrailWriter(private val ctx: Context, private val node: String, share: Double) {
     private val log = LoggerFactory.getLogger("audit")
@@ -58,7 +59,9 @@
     fun note(entry: TrailEntry, then: (stored: Boolean) -> Unit) =
         queue(notes, Item(entry, null, ctx.now, PATIENCE_S) { then(it is StateResult.Committed) })
 
-    /** Keeps a decision that was told already until it can be stored. False: too many are kept, so it must not be told. */
+    /**
+     * Keeps a decision that was told already until it can be stored. False: too many are kept, so it must not be told.
+     */
     fun noteLater(entry: TrailEntry): Boolean {
         if (notes.size >= MAX_LATER) return false
         queue(
@@ -85,7 +88,8 @@
 
     fun tick() {
         if (end == null && !loading) load(emptyList())
-        // What waits too long is given up while its caller still listens; nothing of it was ever sent, or it would be busy.
+        // What waits too long is given up while its caller still listens; nothing of it was ever sent, or it would be
+        // busy.
         for (queue in listOf(changes, notes)) {
             val late = queue.filter { ctx.now - it.since > it.patienceS }
             queue.removeAll(late.toSet())
@@ -116,7 +120,9 @@
         }
     }
 
-    /** What was sent and not answered: stored if it is in the chain; else nobody can say yet, and a note is tried again. */
+    /**
+     * What was sent and not answered: stored if it is in the chain; else nobody can say yet, and a note is tried again.
+     */
     private fun unresolved(sent: List<Item>, landed: Set<String>) {
         busy = false
         for (item in sent.asReversed()) {
@@ -133,8 +139,8 @@
         if (busy || loading || ctx.now < retryAt || (changes.isEmpty() && notes.isEmpty())) return
         val room = budget.available()
         val waited = notes.firstOrNull()?.let { ctx.now - it.since } ?: 0.0
-        // The first note after a quiet moment goes at once. Those behind it wait for company, longer while the budget is low, so
-        // that a flood of them costs a few changes a second.
+        // The first note after a quiet moment goes at once. Those behind it wait for company, longer while the budget
+        // is low, so that a flood of them costs a few changes a second.
         if (room < 1 ||
             (changes.isEmpty() && (ctx.now < lastNotes + NOTE_GAP_S || room < half && waited < NOTE_WAIT_S))
         ) {
@@ -153,7 +159,9 @@
         while (from.isNotEmpty() && !(alone && batch.items.isNotEmpty()) && batch.add(from.first())) from.removeFirst()
     }
 
-    /** The next transaction: entries behind the chain's end, in its last segment or, where they don't fit, in a new one. */
+    /**
+     * The next transaction: entries behind the chain's end, in its last segment or, where they don't fit, in a new one.
+     */
     private inner class Batch(private val end: ChainEnd.End) {
         val items = ArrayList<Item>()
         private val lines = ArrayList<String>()
--- a/src/main/kotlin/plankwall/cli/LabCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LabCommand.kt
@@ -77,7 +77,10 @@
 
 @Command(
     name = "nights",
-    description = ["Days on which late boots, silent controllers, storms of polls, guests and failing jobs meet; exits 1 if a rule broke."],
+    description = [
+        "Days on which late boots, silent controllers, storms of polls, guests and failing jobs meet; " +
+            "exits 1 if a rule broke.",
+    ],
     mixinStandardHelpOptions = true,
 )
 class BadNights : Callable<Int> {
--- a/src/main/kotlin/plankwall/cli/Main.kt
+++ b/src/main/kotlin/plankwall/cli/Main.kt
@@ -39,7 +39,8 @@
 fun main(args: Array<String>) {
     configureLogging()
     val line = CommandLine(Plankwall())
-    // A node that starts on a third of a core need not load commands that it is not asked for, nor have them in its archive.
+    // A node that starts on a third of a core need not load commands that it is not asked for, nor have them in its
+    // archive.
     if (args.firstOrNull() !in setOf("serve", "warm-up")) {
         listOf(
             LabCommand(),
--- a/src/main/kotlin/plankwall/cli/ScaleCommand.kt
+++ b/src/main/kotlin/plankwall/cli/ScaleCommand.kt
@@ -75,7 +75,9 @@
     @Option(
         names = ["--folder"],
         paramLabel = "DIR",
-        description = ["Keeps settings and logs of the controllers here (default: a new folder under the temporary one)."],
+        description = [
+            "Keeps settings and logs of the controllers here (default: a new folder under the temporary one).",
+        ],
     )
     private var folder: File? = null
 
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -87,10 +87,13 @@
     private companion object {
         val EMPTY = "{}".encodeToByteArray()
         val REPORT = """{"berth":"i-1","address":"127.0.0.1:9","build":"b","yard":"z","loaners":false,"watch":1,"tally":1,
-            "baton":0,"recall_s":null,"pieces":[{"piece":"job-000001/0","try":1,"stage":"running"}]}""".encodeToByteArray()
+            "baton":0,"recall_s":null,"pieces":[{"piece":"job-000001/0","try":1,"stage":"running"}]}"""
+            .encodeToByteArray()
         val JOB = """{"id":"job-000001","docket":"c","crew":"t","shape":"sweep","urgency":"low","pieces":1,"cores":1.0,
-            "accelerators":0.0,"ram_gb":1.0,"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}""".encodeToByteArray()
-        val ITEMS = """{"items":[{"key":"f/job-000001","data":{"stage":"DONE","done":1},"stamp":3}],"has_next":false,"ledger":3}"""
+            "accelerators":0.0,"ram_gb":1.0,"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
             .encodeToByteArray()
+        val ITEMS =
+            """{"items":[{"key":"f/job-000001","data":{"stage":"DONE","done":1},"stamp":3}],"has_next":false,"ledger":3}"""
+                .encodeToByteArray()
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
@@ -28,7 +28,10 @@
     name = "rights",
     description = ["Check, explain, test and publish who may do what."],
     mixinStandardHelpOptions = true,
-    subcommands = [CheckRights::class, ExplainRights::class, TestRights::class, ShowRights::class, PublishRights::class, RollBackRights::class],
+    subcommands = [
+        CheckRights::class, ExplainRights::class, TestRights::class, ShowRights::class, PublishRights::class,
+        RollBackRights::class,
+    ],
 )
 class RightsCommand : Runnable {
     override fun run() = picocli.CommandLine.usage(this, System.out)
@@ -155,7 +158,10 @@
 @Command(
     name = "test",
     mixinStandardHelpOptions = true,
-    description = ["Try a text against expectations: a YAML list of maps with who, may or may_not, and class, team, owner, priority, shape."],
+    description = [
+        "Try a text against expectations: a YAML list of maps with who, may or may_not, " +
+            "and class, team, owner, priority, shape.",
+    ],
 )
 class TestRights : Callable<Int> {
     @Parameters(index = "0", paramLabel = "FILE")
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -11,7 +11,8 @@
 /** Reads the YAML that switches identities, rights and trail on. An unknown key is refused. */
 object IdentitiesFile {
     private val known = setOf(
-        "audience", "rights_file", "node_key_file", "peer_keys_file", "unsigned_peers", "clock_tolerance_ms", "max_token_s",
+        "audience", "rights_file", "node_key_file", "peer_keys_file", "unsigned_peers", "clock_tolerance_ms",
+        "max_token_s",
         "reads_only_after_s", "trail_share", "seal_s", "denials_per_s", "denial_burst", "workers_at_listed_address",
     )
 
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -189,9 +189,9 @@
     fun tokenFor(machine: String): Long = maxOf(store.epoch, fleet.find(machine)?.token ?: 0L)
 
     /**
-     * A worker that has seen a token beyond ours has a newer leader: we are no longer the one. Up to our newest write all are
-     * ours: a later leader's key is written after it. That counts for machines that are forgotten already, whose last report
-     * was held back by a cut and comes when it heals: one of those made a sound leader give up.
+     * A worker that has seen a token beyond ours has a newer leader: we are no longer the one. Up to our newest write
+     * all are ours: a later leader's key is written after it. That counts for machines that are forgotten already,
+     * whose last report was held back by a cut and comes when it heals: one of those made a sound leader give up.
      */
     fun isForeign(r: Report): Boolean {
         if (r.token <= maxOf(tokenFor(r.machine), store.lastRevision)) return false
--- a/src/main/kotlin/plankwall/core/backlog/Backlog.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Backlog.kt
@@ -10,9 +10,9 @@
 import plankwall.model.Team
 
 /**
- * The order in which waiting jobs are served. With room for all it is the order of standing and age. Where a team's limit or the
- * cloud's capacity leaves less room than there is work, what can still meet its aims goes before what can't any more: served strictly by
- * age, a backlog of two minutes makes every job that it serves late.
+ * The order in which waiting jobs are served. With room for all it is the order of standing and age. Where a team's
+ * limit or the cloud's capacity leaves less room than there is work, what can still meet its aims goes before what
+ * can't any more: served strictly by age, a backlog of two minutes makes every job that it serves late.
  */
 class Backlog(private val ctx: Context, private val book: JobBook, private val fleet: Fleet) {
     private val prospects = HashMap<Job, Prospect>()
@@ -30,7 +30,10 @@
     /** Told by the rental loop: whether the cloud has no machine now that a job may use. */
     var isScarce: (Job) -> Boolean = { false }
 
-    /** Whether the limit of its team keeps [job] waiting, whatever is rented. Live services go first within a limit, so they are not held. */
+    /**
+     * Whether the limit of its team keeps [job] waiting, whatever is rented. Live services go first within a limit, so
+     * they are not held.
+     */
     fun heldByLimit(job: Job): Boolean = job.team.value in binding.teams && job.spec.shape != Shape.SERVICE
 
     fun prospect(job: Job): Prospect = prospects[job] ?: Prospect.IN_TIME
@@ -169,8 +172,8 @@
     }
 
     /**
-     * How long one task of [job] should hold its place: its run, the fetch of its image as far as machines lack it, and the time until
-     * its worker has reported the end.
+     * How long one task of [job] should hold its place: its run, the fetch of its image as far as machines lack it, and
+     * the time until its worker has reported the end.
      */
     private fun holdsS(job: Job): Double {
         val fetch = fleet.catalog?.types?.minOfOrNull { it.fetchS(job.spec.imageGb) } ?: 0.0
--- a/src/main/kotlin/plankwall/core/backlog/Binding.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Binding.kt
@@ -26,7 +26,8 @@
         held.add(team)
         val t = ctx.settings.teams[team]
         say("team ${t.name}") {
-            "its limit (${used.gpus / 1000} of ${t.gpusMax / 1000} GPUs, ${used.cpus / 1000} of ${t.cpusMax / 1000} CPUs in use)" to
+            "its limit (${used.gpus / 1000} of ${t.gpusMax / 1000} GPUs, " +
+                "${used.cpus / 1000} of ${t.cpusMax / 1000} CPUs in use)" to
                 jobs
         }
     }
--- a/src/main/kotlin/plankwall/core/backlog/CatchingUp.kt
+++ b/src/main/kotlin/plankwall/core/backlog/CatchingUp.kt
@@ -1,13 +1,17 @@
 package plankwall.core.backlog
 
 /**
- * A part of the room that a class is given goes to what is out of reach, oldest first: put behind everything that can still be served, it would wait for
- * ever where new work never ends. What the others are given is counted, and an eighth of it is owed to those behind.
+ * A part of the room that a class is given goes to what is out of reach, oldest first: put behind everything that can
+ * still be served, it would wait for ever where new work never ends. What the others are given is counted, and an
+ * eighth of it is owed to those behind.
  */
 class CatchingUp {
     private var owedS = 0.0
 
-    /** Room worth [workS] seconds of the pool went to a job with a [prospect]. [behind]: whether any job is out of reach. */
+    /**
+     * Room worth [workS] seconds of the pool went to a job with a [prospect]. [behind]: whether any job is out of
+     * reach.
+     */
     fun gave(prospect: Prospect, workS: Double, behind: Boolean) {
         owedS = when {
             !behind -> 0.0
--- a/src/main/kotlin/plankwall/core/backlog/Due.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Due.kt
@@ -4,16 +4,16 @@
 import plankwall.model.Aims
 
 /**
- * By when a job must have started and be done to count for its users' aims, in milliseconds of the time of day. [either]: one of the
- * two is enough.
+ * By when a job must have started and be done to count for its users' aims, in milliseconds of the time of day.
+ * [either]: one of the two is enough.
  */
 class Due private constructor(private val startMs: Long, private val endMs: Long, private val either: Boolean) {
     /** Nobody said by when: it is never late. */
     val isOpen: Boolean get() = startMs == Long.MAX_VALUE && endMs == Long.MAX_VALUE
 
     /**
-     * The seconds from [nowMs] by which a job must be over whose tasks take [lastsS] each: it counts as started in time only if what
-     * is left of it starts before the start is due.
+     * The seconds from [nowMs] by which a job must be over whose tasks take [lastsS] each: it counts as started in time
+     * only if what is left of it starts before the start is due.
      */
     fun inS(nowMs: Long, lastsS: Double): Double {
         val byStart = until(startMs, nowMs) + lastsS
--- a/src/main/kotlin/plankwall/core/backlog/Floors.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Floors.kt
@@ -8,9 +8,10 @@
 import kotlin.math.ceil
 
 /**
- * A floor for each class while there is less room than work: as long as its tasks take less than somewhat over half of what it asks for
- * on average, its jobs go before those of higher priority, and these do not stop its tasks. Live services and guarantees are never put
- * behind it. Going by the room taken, not by what became of the jobs, it does not swing: what is given is not taken back a second later.
+ * A floor for each class while there is less room than work: as long as its tasks take less than somewhat over half of
+ * what it asks for on average, its jobs go before those of higher priority, and these do not stop its tasks. Live
+ * services and guarantees are never put behind it. Going by the room taken, not by what became of the jobs, it does not
+ * swing: what is given is not taken back a second later.
  */
 class Floors(private val ctx: Context) {
     private val offered = Offered(ctx)
@@ -20,8 +21,8 @@
     private var pool = Resources.NONE
 
     /**
-     * [short]: whether there is less room than work; else nobody has to give anything up for anybody. [pool]: the room that is not taken by
-     * replicas.
+     * [short]: whether there is less room than work; else nobody has to give anything up for anybody. [pool]: the room
+     * that is not taken by replicas.
      */
     fun refresh(live: Collection<Job>, short: Boolean, pool: Resources, eachS: (Job) -> Double) {
         offered.note(live, eachS)
@@ -64,7 +65,10 @@
     /** The part of all room on which [jobClass] can count. */
     fun shareOf(jobClass: String): Double = (shares[jobClass] ?: 1.0).coerceAtLeast(LEAST_SHARE)
 
-    /** [tasks] of [job] were placed since, or stopped where the number is below nothing: within one pass a floor could be overrun both ways. */
+    /**
+     * [tasks] of [job] were placed since, or stopped where the number is below nothing: within one pass a floor could
+     * be overrun both ways.
+     */
     fun placed(job: Job, tasks: Int) {
         if (job.spec.jobClass in taken) taken.merge(job.spec.jobClass, job.spec.need.partOf(pool) * tasks, Double::plus)
     }
@@ -72,11 +76,17 @@
     /** Whether the class of [job] has less than its floor. */
     fun isBelow(job: Job): Boolean = (taken[job.spec.jobClass] ?: return false) < (floors[job.spec.jobClass] ?: 0.0)
 
-    /** Whether the class of [job] would fall below its floor if one of its tasks were stopped: the next pass would only place it again. */
+    /**
+     * Whether the class of [job] would fall below its floor if one of its tasks were stopped: the next pass would only
+     * place it again.
+     */
     fun isSpared(job: Job): Boolean =
         (taken[job.spec.jobClass] ?: return false) - job.spec.need.partOf(pool) < (floors[job.spec.jobClass] ?: 0.0)
 
-    /** How many tasks of [job] may go before others: as many as reach the floor. The next pass sorts the rest by their own priority. */
+    /**
+     * How many tasks of [job] may go before others: as many as reach the floor. The next pass sorts the rest by their
+     * own priority.
+     */
     fun most(job: Job): Int {
         val floor = floors[job.spec.jobClass] ?: return Int.MAX_VALUE
         val missing = floor - (taken[job.spec.jobClass] ?: 0.0)
@@ -99,7 +109,10 @@
     }
 
     private companion object {
-        /** The users' own measure, that a day fails on which less than half of a class is served, and a tenth more for what goes wrong. */
+        /**
+         * The users' own measure, that a day fails on which less than half of a class is served, and a tenth more for
+         * what goes wrong.
+         */
         const val PART = 0.55
 
         /** A share is divided by. */
--- a/src/main/kotlin/plankwall/core/backlog/Offered.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Offered.kt
@@ -5,8 +5,8 @@
 import plankwall.model.Resources
 
 /**
- * How much room each class asks for on average, in what its tasks take and for how long: the work of all jobs that became demand
- * lately. A new leader begins with what is live.
+ * How much room each class asks for on average, in what its tasks take and for how long: the work of all jobs that
+ * became demand lately. A new leader begins with what is live.
  */
 class Offered(private val ctx: Context) {
     private class Work(val atMs: Long, val need: Resources, val seconds: Double)
--- a/src/main/kotlin/plankwall/core/backlog/Pool.kt
+++ b/src/main/kotlin/plankwall/core/backlog/Pool.kt
@@ -7,8 +7,9 @@
 import plankwall.model.Shape
 
 /**
- * Room that many jobs share and that can't grow now: what a team may use at once, or all machines where the cloud has no more. [whole]
- * is all of it, 0 in a part: no bound there. Replicas stay, so [placed] ones take their part of it away for good.
+ * Room that many jobs share and that can't grow now: what a team may use at once, or all machines where the cloud has
+ * no more. [whole] is all of it, 0 in a part: no bound there. Replicas stay, so [placed] ones take their part of it
+ * away for good.
  */
 class Pool(private val ctx: Context, whole: Resources, placed: Sequence<Placement>, waitingReplicas: Resources) {
     /** What is left of it beside replicas. */
@@ -34,8 +35,9 @@
     fun workS(job: Job, tasks: Int, eachS: Double): Double = part(job.spec.need) * tasks * eachS
 
     /**
-     * Sorts jobs by what can still come of them, after all that runs already. [blocks]: those of higher standing first. [share]: the part
-     * of the pool that is theirs, of which tasks of [jobClass], or of all, take up room now. [eachS]: how long a task holds its place.
+     * Sorts jobs by what can still come of them, after all that runs already. [blocks]: those of higher standing first.
+     * [share]: the part of the pool that is theirs, of which tasks of [jobClass], or of all, take up room now. [eachS]:
+     * how long a task holds its place.
      */
     fun judge(
         blocks: List<List<Job>>,
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -7,15 +7,18 @@
 import plankwall.wire.WithdrawalNews
 
 /**
- * What this node knows of withdrawn jobs, and up to when it knows them all. Whoever keeps a worker's lease alive keeps its
- * tasks alive, among them those of a job whose user was told that it is withdrawn; so a leader has to hear of that in time
- * though the state service refuses it, and has to stop answering when it can't be sure to have heard ([isAware]).
+ * What this node knows of withdrawn jobs, and up to when it knows them all. Whoever keeps a worker's lease alive keeps
+ * its tasks alive, among them those of a job whose user was told that it is withdrawn; so a leader has to hear of that
+ * in time though the state service refuses it, and has to stop answering when it can't be sure to have heard
+ * ([isAware]).
  *
  * Two moments by our own clock, neither of which ever goes back:
- * - [storedUpTo]: every withdrawal that was stored before it is known here: a reading of the store begun then, our own or a peer's.
- * - [knownUpTo]: every withdrawal that a user was told of before it is known here. What was told was stored before, so it is at
- *   least [storedUpTo]; beyond that each peer has to vouch for what it told, with a list that is whole ([PeerList]) and with an
- *   echo of our own that says how old its word can be. One that is silent or forgets what it told vouches for nothing.
+ * - [storedUpTo]: every withdrawal that was stored before it is known here: a reading of the store begun then, our own
+ * or a peer's.
+ * - [knownUpTo]: every withdrawal that a user was told of before it is known here. What was told was stored before, so
+ * it is at least [storedUpTo]; beyond that each peer has to vouch for what it told, with a list that is whole
+ * ([PeerList]) and with an echo of our own that says how old its word can be. One that is silent or forgets what it
+ * told vouches for nothing.
  */
 class Cancellations(private val ctx: Context, private val picture: LinkPicture) {
     private val log = LoggerFactory.getLogger("cancellations")
@@ -36,9 +39,10 @@
         private set
 
     /**
-     * How far behind [knownUpTo] may be while workers are answered: an answer of now keeps tasks for a lease, and whoever was told
-     * just after [knownUpTo] must not see them longer than `cancel_s`. Where that leaves nothing, no answer at all could keep
-     * the rule, and a machine that just can't be reached would break it too; a node that hears its peers goes on then.
+     * How far behind [knownUpTo] may be while workers are answered: an answer of now keeps tasks for a lease, and
+     * whoever was told just after [knownUpTo] must not see them longer than `cancel_s`. Where that leaves nothing, no
+     * answer at all could keep the rule, and a machine that just can't be reached would break it too; a node that hears
+     * its peers goes on then.
      */
     val patienceS: Double = (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(LinkPicture.FRESH_S)
 
@@ -54,7 +58,8 @@
 
     private fun note(job: String): Boolean {
         if (known.put(job, Unit) != null) return false
-        // Also what a peer said: our own list is whole only if it names all that we may read or tell later as known already.
+        // Also what a peer said: our own list is whole only if it names all that we may read or tell later as known
+        // already.
         own.add(job)
         onLearned(job)
         return true
@@ -71,7 +76,9 @@
         known.remove(job)
     }
 
-    /** To be told of each [status] that is the newest of its node; an older one says nothing that the newest does not. */
+    /**
+     * To be told of each [status] that is the newest of its node; an older one says nothing that the newest does not.
+     */
     fun hear(status: PeerStatus) {
         val news = status.withdrawals
         val links = status.links
@@ -101,7 +108,8 @@
     }
 
     private fun advance() {
-        // A peer's reading says as much as our own, if we have all that it read since and knew before; and one may bring in another.
+        // A peer's reading says as much as our own, if we have all that it read since and knew before; and one may
+        // bring in another.
         do {
             val before = storedUpTo
             for (peer in peers.values) {
--- a/src/main/kotlin/plankwall/core/cancellations/OwnList.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/OwnList.kt
@@ -3,7 +3,10 @@
 import plankwall.core.step.Context
 import plankwall.wire.WithdrawalNews
 
-/** What this node came to know as withdrawn, in the order in which it did: told to the peers until it is known to have arrived. */
+/**
+ * What this node came to know as withdrawn, in the order in which it did: told to the peers until it is known to have
+ * arrived.
+ */
 internal class OwnList(private val ctx: Context) {
     private class Entry(val job: String, val at: Double)
 
@@ -28,8 +31,8 @@
     }
 
     /**
-     * The entries that some peer may lack. Whoever has heard nothing for `cancel_s` is not waited for: by then it has either
-     * stopped answering workers or learned of them from the store.
+     * The entries that some peer may lack. Whoever has heard nothing for `cancel_s` is not waited for: by then it has
+     * either stopped answering workers or learned of them from the store.
      */
     fun news(seq: Long, readAgeMs: Long, upMs: Long): WithdrawalNews {
         while (entries.isNotEmpty() && ctx.now - entries.first().at > ctx.settings.workers.cancelS) drop()
--- a/src/main/kotlin/plankwall/core/front/FrontDesk.kt
+++ b/src/main/kotlin/plankwall/core/front/FrontDesk.kt
@@ -50,8 +50,8 @@
     private val valueBytes = (ctx.settings.stateTight.valueKb * 1024).toInt()
 
     /**
-     * A node's part of the common rate. The users do not come in equal parts, so it is more than the equal one. They are
-     * divided among the nodes that have the state service: where only one has, all come to it.
+     * A node's part of the common rate. The users do not come in equal parts, so it is more than the equal one. They
+     * are divided among the nodes that have the state service: where only one has, all come to it.
      */
     private val calls = Budget(ctx.time, rateAmong(ctx.settings.nodes))
 
@@ -170,8 +170,9 @@
     }
 
     /**
-     * Waiting for a job tells when and how it ends, so it takes the right to see it. The other way round nothing is asked:
-     * whoever lets a job wait for another's accepts that it is withdrawn with it. [absent]: those never accepted.
+     * Waiting for a job tells when and how it ends, so it takes the right to see it. The other way round nothing is
+     * asked: whoever lets a job wait for another's accepts that it is withdrawn with it. [absent]: those never
+     * accepted.
      */
     private fun ifVisible(visit: Visit, allowed: Allowed, spec: JobSpec, absent: List<String>, then: () -> Unit) {
         val visitor = visit.visitor
@@ -229,7 +230,8 @@
                         spec.id,
                         StateCodec.sizeOf(record),
                     )
-                    // Its size is looked at before the guards: an earlier try may have been accepted while larger values were.
+                    // Its size is looked at before the guards: an earlier try may have been accepted while larger
+                    // values were.
                     refuse(visit, allowed, Refusal(400, TOO_LONG))
                 }
                 else -> visit.later("the state service did not confirm")
@@ -262,7 +264,9 @@
         }
     }
 
-    /** The state of a live job, which another node may already have called withdrawn for the sake of one that it needs. */
+    /**
+     * The state of a live job, which another node may already have called withdrawn for the sake of one that it needs.
+     */
     private fun answerLive(visit: Visit, allowed: Allowed, id: String, record: JobRecord) {
         when {
             record.withdrawnMs > 0 -> visit.accepted(allowed, 200, withdrawnView(id))
@@ -338,8 +342,9 @@
     }
 
     /**
-     * Says whether the live job [id] is withdrawn. That follows from the records of the jobs it needs, so no node has to
-     * wait for the leader to have written it; but where one of them is over and nobody here knows how, that is read first.
+     * Says whether the live job [id] is withdrawn. That follows from the records of the jobs it needs, so no node has
+     * to wait for the leader to have written it; but where one of them is over and nobody here knows how, that is read
+     * first.
      */
     private fun settle(visit: Visit, id: String, then: (withdrawn: Boolean) -> Unit) {
         val names = finder.unsettled(id)
@@ -432,8 +437,8 @@
     }
 
     /**
-     * The record as withdrawn. One that was stored while values could be larger must still be written: what only a start
-     * would need is left out of it then.
+     * The record as withdrawn. One that was stored while values could be larger must still be written: what only a
+     * start would need is left out of it then.
      */
     private fun withdrawn(record: JobRecord): JobRecord {
         val whole = record.copy(withdrawnMs = ctx.time.wallMs)
--- a/src/main/kotlin/plankwall/core/front/JobLedger.kt
+++ b/src/main/kotlin/plankwall/core/front/JobLedger.kt
@@ -48,7 +48,9 @@
 
     fun factsOf(id: String): JobFacts? = facts[id]
 
-    /** Whether a live job is withdrawn, by its user or through a job that it needs, as far as their ends are known here. */
+    /**
+     * Whether a live job is withdrawn, by its user or through a job that it needs, as far as their ends are known here.
+     */
     fun isWithdrawn(id: String): Boolean = dependencies.isWithdrawn(id)
 
     /** Jobs that [id] needs and that are over: until it is known how, nobody can say whether [id] is withdrawn. */
--- a/src/main/kotlin/plankwall/core/front/Visit.kt
+++ b/src/main/kotlin/plankwall/core/front/Visit.kt
@@ -14,12 +14,12 @@
 internal class Allowed(val action: Action, val job: String, val verdict: Verdict?)
 
 /**
- * A request at the front desk, answered once. [visitor]: null where nobody has to prove who he is; he may do anything then,
- * and nothing is recorded. [othersCan]: other nodes have the state service and this one does not; a caller that is refused is
- * to come back through the load balancer then, rather than over a connection that leads here again.
+ * A request at the front desk, answered once. [visitor]: null where nobody has to prove who he is; he may do anything
+ * then, and nothing is recorded. [othersCan]: other nodes have the state service and this one does not; a caller that
+ * is refused is to come back through the load balancer then, rather than over a connection that leads here again.
  *
- * What a node read before it stood still for a minute is no answer any more: its user has given up after [patienceS] and may have been
- * told more by another node since. So whatever would be said later than that is not said.
+ * What a node read before it stood still for a minute is no answer any more: its user has given up after [patienceS]
+ * and may have been told more by another node since. So whatever would be said later than that is not said.
  */
 internal class Visit(
     private val ctx: Context,
@@ -63,8 +63,8 @@
     fun accepted(allowed: Allowed, status: Int, view: JobView) = told(allowed, status, JobCodec.accepted(view))
 
     /**
-     * What the rights say of [action] on [job] with [facts]; null if it was denied, which is being told then. Facts are null for
-     * a job that does not exist or whose owner nobody knows, so that a denial does not tell the two apart.
+     * What the rights say of [action] on [job] with [facts]; null if it was denied, which is being told then. Facts are
+     * null for a job that does not exist or whose owner nobody knows, so that a denial does not tell the two apart.
      */
     fun judge(action: Action, job: String, facts: JobFacts?): Allowed? {
         if (visitor == null) return Allowed(action, job, null)
--- a/src/main/kotlin/plankwall/core/jobs/Dependencies.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Dependencies.kt
@@ -1,10 +1,10 @@
 package plankwall.core.jobs
 
 /**
- * Which jobs wait for which others, and what follows from how those end. A job may start when all that it names are done;
- * it is withdrawn when one of them is, directly or through others. Both rest on stored facts that never change back, so
- * every node that has read them comes to the same result: the leader for what may start, each node for what users are
- * told. Chains may be of any length, hence no recursion.
+ * Which jobs wait for which others, and what follows from how those end. A job may start when all that it names are
+ * done; it is withdrawn when one of them is, directly or through others. Both rest on stored facts that never change
+ * back, so every node that has read them comes to the same result: the leader for what may start, each node for what
+ * users are told. Chains may be of any length, hence no recursion.
  */
 class Dependencies {
     /** By job: those it names that are not known to be done. */
--- a/src/main/kotlin/plankwall/core/jobs/JobBook.kt
+++ b/src/main/kotlin/plankwall/core/jobs/JobBook.kt
@@ -195,8 +195,8 @@
     }
 
     /**
-     * A user was told that [id] is withdrawn, by whatever node, so it is stored though not read here yet. Its tasks are stopped at
-     * once, which needs nothing stored, and none starts; that anything is gone is proven as ever.
+     * A user was told that [id] is withdrawn, by whatever node, so it is stored though not read here yet. Its tasks are
+     * stopped at once, which needs nothing stored, and none starts; that anything is gone is proven as ever.
      */
     fun cancelled(id: String) {
         val job = jobs[id] ?: return
--- a/src/main/kotlin/plankwall/core/jobs/JobWriter.kt
+++ b/src/main/kotlin/plankwall/core/jobs/JobWriter.kt
@@ -158,7 +158,9 @@
         if (!alone) refusedBytes = StateCodec.sizeOf(content.record)
     }
 
-    /** Each page is guarded on its own version and its job's: no write follows a withdrawal, and none is applied twice. */
+    /**
+     * Each page is guarded on its own version and its job's: no write follows a withdrawal, and none is applied twice.
+     */
     private fun write(contents: List<Content>, then: (StateResult) -> Unit) {
         val jobs = contents.map { it.job }.distinct().map { Guard(Keys.job(it.spec.id), it.version) }
         val pages = contents.map { Guard(it.key, it.page.version) }
@@ -194,9 +196,9 @@
     }
 
     /**
-     * Divides a page that no longer fits a stored value among several keys. The page itself comes last and says so: until
-     * then the parts count for nothing, whoever leads, and the page stands as it was. What changed meanwhile is written
-     * afterwards, so nothing is taken for stored by this alone.
+     * Divides a page that no longer fits a stored value among several keys. The page itself comes last and says so:
+     * until then the parts count for nothing, whoever leads, and the page stands as it was. What changed meanwhile is
+     * written afterwards, so nothing is taken for stored by this alone.
      */
     private fun divide(job: Job, page: Page): Int {
         val size = limits.pageTasks
--- a/src/main/kotlin/plankwall/core/jobs/Jobs.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Jobs.kt
@@ -73,7 +73,9 @@
     /** 0, or how many tasks each of the keys holds among which this page is divided. */
     var partSize = 0
 
-    /** The size at which the store refused it for good; and that it was refused among others, so is to be tried alone. */
+    /**
+     * The size at which the store refused it for good; and that it was refused among others, so is to be tried alone.
+     */
     var refusedBytes = 0
     var alone = false
 
@@ -136,8 +138,9 @@
         }
 
     /**
-     * Nobody said by when it should start or be done, no guarantee covers it and no other job waits for it: it takes what is left.
-     * It goes last among its equals, keeps no ordinary machine from being returned, and is rented for only by the way.
+     * Nobody said by when it should start or be done, no guarantee covers it and no other job waits for it: it takes
+     * what is left. It goes last among its equals, keeps no ordinary machine from being returned, and is rented for
+     * only by the way.
      */
     val spareTime: Boolean
         get() = !expected &&
@@ -147,7 +150,10 @@
             dueMs == Long.MAX_VALUE &&
             spec.dependencies.isEmpty()
 
-    /** Spare-time work that has waited for long: where what is left never comes, it starves, so it may cost more from now on. */
+    /**
+     * Spare-time work that has waited for long: where what is left never comes, it starves, so it may cost more from
+     * now on.
+     */
     var overlooked = false
         set(value) {
             field = value
@@ -184,7 +190,10 @@
     /** Machines on which a task of it failed, and that are not known to be faulty themselves. */
     val failedOn = HashSet<Int>()
 
-    /** A task of it came to its end, or ran for long where others failed at once: whatever fails from now on, the job does not. */
+    /**
+     * A task of it came to its end, or ran for long where others failed at once: whatever fails from now on, the job
+     * does not.
+     */
     var sound = false
 
     /** The longest, in seconds, that a task of it ran before it failed. */
@@ -194,8 +203,9 @@
     var failedProbes = 0
 
     /**
-     * It failed on more than one machine and ran well nowhere: likely submitted with a mistake. It is tried again one task at a
-     * time, ever more rarely; until it runs well it rents nothing, preempts nobody, and says nothing against a machine.
+     * It failed on more than one machine and ran well nowhere: likely submitted with a mistake. It is tried again one
+     * task at a time, ever more rarely; until it runs well it rents nothing, preempts nobody, and says nothing against
+     * a machine.
      */
     val doubtful: Boolean get() = !sound && failedOn.size >= 2
 
--- a/src/main/kotlin/plankwall/core/jobs/Machines.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Machine.kt
@@ -33,7 +33,9 @@
     var lastPoked = NEVER
     var lastHeard = NEVER
 
-    /** When the last report arrived that this leader answered, or may have: the lease counts from there at the latest. */
+    /**
+     * When the last report arrived that this leader answered, or may have: the lease counts from there at the latest.
+     */
     var lastAnswered = NEVER
 
     /** The worker has seen this leader's token, so nobody older can command it any more. */
@@ -58,14 +60,17 @@
     var exitsShown = 0
 
     /**
-     * Whether its report can take one task more. A report may have 64 KiB: beyond that no node could read it, and the worker
-     * would lose its lease with all that is on it. Hundreds of small tasks of a sweep, as many exits beside them, come near.
+     * Whether its report can take one task more. A report may have 64 KiB: beyond that no node could read it, and the
+     * worker would lose its lease with all that is on it. Hundreds of small tasks of a sweep, as many exits beside
+     * them, come near.
      */
     val fitsReport: Boolean get() = placements.size + exitsShown < MOST_IN_REPORT
     var used = Resources.NONE
         private set
 
-    /** Images believed cached, least recently used first, with the moment they should be there. Looking is not using. */
+    /**
+     * Images believed cached, least recently used first, with the moment they should be there. Looking is not using.
+     */
     val images = LinkedHashMap<Int, CachedImage>()
     var fetchBusyUntil = 0.0
     val failedJobs = HashSet<Int>()
@@ -92,8 +97,8 @@
     var surplus = false
 
     /**
-     * Room that the last placing pass kept for gangs that are not complete yet. Anything but [Resources.NONE] itself says
-     * that the machine is kept, even where nothing of it is free yet.
+     * Room that the last placing pass kept for gangs that are not complete yet. Anything but [Resources.NONE] itself
+     * says that the machine is kept, even where nothing of it is free yet.
      */
     var held = Resources.NONE
 
--- a/src/main/kotlin/plankwall/core/jobs/Pipelines.kt
+++ b/src/main/kotlin/plankwall/core/jobs/Pipelines.kt
@@ -109,7 +109,10 @@
         }
     }
 
-    /** What [from] needs counts at least as much as it does. One more dependent can only raise, so no others are looked at. */
+    /**
+     * What [from] needs counts at least as much as it does. One more dependent can only raise, so no others are looked
+     * at.
+     */
     private fun raiseNeeded(from: Job) {
         val next = ArrayDeque(listOf(from))
         while (next.isNotEmpty()) {
--- a/src/main/kotlin/plankwall/core/jobs/ProgressTeller.kt
+++ b/src/main/kotlin/plankwall/core/jobs/ProgressTeller.kt
@@ -3,7 +3,10 @@
 import plankwall.wire.JobProgress
 import plankwall.wire.ProgressNews
 
-/** What the leader tells of its jobs: what changed since it last told, and a part of the rest each time for those who missed it. */
+/**
+ * What the leader tells of its jobs: what changed since it last told, and a part of the rest each time for those who
+ * missed it.
+ */
 class ProgressTeller(private val book: JobBook) {
     private val told = HashMap<String, JobProgress>()
     private var turn = 0
--- a/src/main/kotlin/plankwall/core/jobs/ZoneRule.kt
+++ b/src/main/kotlin/plankwall/core/jobs/ZoneRule.kt
@@ -2,7 +2,8 @@
 
 /**
  * What `one zone` and `spread` allow for the next task of a job, given all its tasks that are not proven gone. A task
- * on a machine of unknown zone rules out every further one. [without]: tasks to be replaced, which only a plan may leave out.
+ * on a machine of unknown zone rules out every further one. [without]: tasks to be replaced, which only a plan may
+ * leave out.
  */
 class ZoneRule(private val job: Job, without: Set<Placement> = emptySet()) {
     private val perZone = HashMap<String, Int>()
--- a/src/main/kotlin/plankwall/core/lead/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/lead/Leadership.kt
@@ -78,8 +78,8 @@
     val mayWrite: Boolean get() = leading && ctx.now < validUntil
 
     /**
-     * May answer workers: bounded, so that a successor can tell when we have surely stopped, and so that no task outlives
-     * a withdrawal that we don't know of.
+     * May answer workers: bounded, so that a successor can tell when we have surely stopped, and so that no task
+     * outlives a withdrawal that we don't know of.
      */
     val mayAnswer: Boolean get() = leading && ctx.now < validUntil + ctx.outageGraceS && cancellations.isAware
 
@@ -182,7 +182,8 @@
                 } else {
                     // Lost the race, or the outcome is unknown: whatever was written must not outlive this try.
                     ctx.out.state(StateOp.Drop(granted.lease)) {}
-                    // Somebody else has won, and the workers are at the door already: who it is had better be known at once.
+                    // Somebody else has won, and the workers are at the door already: who it is had better be known at
+                    // once.
                     nextPoll = minOf(nextPoll, ctx.now)
                 }
             }
@@ -195,7 +196,10 @@
         if (leading && heard > epoch) yield("epoch $heard heard from $from")
     }
 
-    /** Epochs prove the same however late the word of them comes; what else [status] says is believed only while it is the newest. */
+    /**
+     * Epochs prove the same however late the word of them comes; what else [status] says is believed only while it is
+     * the newest.
+     */
     fun notePeer(status: PeerStatus) {
         noteEpoch(status.epochSeen, "peer ${status.node}")
         if (leading && othersSilentFrom == null && status.epochSeen >= epoch && !status.leading) {
@@ -238,7 +242,8 @@
     }
 
     fun status(strayWorkers: Int, links: LinkReport, sessions: SessionPlan? = null) = PeerStatus(
-        ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, picture.storeReachable, strayWorkers, PeerCodec.LEVEL, links,
+        ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, picture.storeReachable, strayWorkers,
+        PeerCodec.LEVEL, links,
         cancellations.news(links.seq), SessionNews(ctx.settings.sessionCapacity, sessions),
     )
 
--- a/src/main/kotlin/plankwall/core/lead/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/lead/StoreLimits.kt
@@ -13,8 +13,8 @@
         private set
 
     /**
-     * Whether values may be divided among keys that the first version does not read. Only when no process of it can lead
-     * any more, or it would go on with a part: see [Upgrade].
+     * Whether values may be divided among keys that the first version does not read. Only when no process of it can
+     * lead any more, or it would go on with a part: see [Upgrade].
      */
     var mayDivide = false
 
@@ -26,8 +26,8 @@
 
     /**
      * The store will never take a write of [ops] changes whose largest value has [largest] bytes. Beyond the announced
-     * limits that says that they are in force, which they are only after the upgrade; within them, that they are smaller
-     * than anybody said.
+     * limits that says that they are in force, which they are only after the upgrade; within them, that they are
+     * smaller than anybody said.
      */
     fun rejected(ops: Int, largest: Int) {
         val known = ops > txnOps || largest > valueBytes
--- a/src/main/kotlin/plankwall/core/lead/Upgrade.kt
+++ b/src/main/kotlin/plankwall/core/lead/Upgrade.kt
@@ -10,8 +10,9 @@
 
 /**
  * Whether a process of an older version may still lead. While nodes are replaced a few at a time either version takes
- * over from the other, so nothing is stored that the older one would read in part. Once every node has shown the level of
- * this version that is stored for good: nodes are not put back, and a node that is away later need not be heard again.
+ * over from the other, so nothing is stored that the older one would read in part. Once every node has shown the level
+ * of this version that is stored for good: nodes are not put back, and a node that is away later need not be heard
+ * again.
  */
 class Upgrade(private val leadership: Leadership, private val store: LeaderStore) {
     private val log = LoggerFactory.getLogger("upgrade")
--- a/src/main/kotlin/plankwall/core/links/LinkPicture.kt
+++ b/src/main/kotlin/plankwall/core/links/LinkPicture.kt
@@ -13,8 +13,8 @@
  * What this node knows of links, its own and its peers', and how old that is. Beliefs only: they choose whom to ask and
  * where to send a worker; nothing counts as gone, and nobody as out of office, because of them.
  *
- * Frames can be held back by a cut for minutes and then come all at once. So each names the newest frame that its sender
- * has had from us: it was made after we sent that one, which bounds its age by our own clock alone.
+ * Frames can be held back by a cut for minutes and then come all at once. So each names the newest frame that its
+ * sender has had from us: it was made after we sent that one, which bounds its age by our own clock alone.
  */
 class LinkPicture(private val ctx: Context) {
     private class Heard(val status: PeerStatus, val at: Double, val provenAt: Double, val echoedAt: Double)
@@ -29,7 +29,8 @@
     private var storeMisses = 0
     private var storeSilentSince = Double.NaN
 
-    // A restarted process begins beyond all that it can have sent before: a frame a second, against a thousand numbers a second.
+    // A restarted process begins beyond all that it can have sent before: a frame a second, against a thousand numbers
+    // a second.
     private var seq = ctx.incarnation
     private val sentAt = LinkedHashMap<Long, Double>()
 
@@ -65,7 +66,10 @@
     /** When the newest word of [node] was surely not made yet, in seconds of our clock; negative infinity: unknown. */
     fun provenAt(node: String): Double = peers[node]?.provenAt ?: Double.NEGATIVE_INFINITY
 
-    /** Like [provenAt], but by a frame of ours that [node] shows and by nothing else: a node that shows none may be of any age. */
+    /**
+     * Like [provenAt], but by a frame of ours that [node] shows and by nothing else: a node that shows none may be of
+     * any age.
+     */
     fun echoedAt(node: String): Double = peers[node]?.echoedAt ?: Double.NEGATIVE_INFINITY
 
     fun isFresh(node: String): Boolean = ctx.now - provenAt(node) < FRESH_S
--- a/src/main/kotlin/plankwall/core/links/Routing.kt
+++ b/src/main/kotlin/plankwall/core/links/Routing.kt
@@ -10,9 +10,9 @@
 }
 
 /**
- * Who leads, by the freshest proof: the store's record, a leader's own frame, or what a peer knows by one of the two. The
- * highest epoch counts. A node that knows of a higher epoch than any claim names nobody: so wherever a worker is sent, the
- * epochs only rise, and it can't go in circles.
+ * Who leads, by the freshest proof: the store's record, a leader's own frame, or what a peer knows by one of the two.
+ * The highest epoch counts. A node that knows of a higher epoch than any claim names nobody: so wherever a worker is
+ * sent, the epochs only rise, and it can't go in circles.
  */
 class Routing(private val ctx: Context, private val picture: LinkPicture, private val leaseS: Double) {
     private var stored: Claim? = null
@@ -47,8 +47,9 @@
     }
 
     /**
-     * A record read long ago is believed only by a node that hears nobody: where peers are heard, one of them would know.
-     * A leader that lost the store goes on answering for the outage grace, so that long its record may still hold.
+     * A record read long ago is believed only by a node that hears nobody: where peers are heard, one of them would
+     * know. A leader that lost the store goes on answering for the outage grace, so that long its record may still
+     * hold.
      */
     private fun freshStored(): Claim? = stored?.takeIf {
         ctx.now - it.at < if (picture.live().isEmpty()) ctx.outageGraceS else leaseS + LinkPicture.FRESH_S
@@ -63,7 +64,8 @@
     private fun isInOffice(claim: Claim): Boolean {
         if (claim.epoch < epochSeen) return false
         val word = picture.word(claim.node) ?: return true
-        // Exact, however late the word comes: an epoch that was resigned is over, and whoever knows of it without leading does not lead.
+        // Exact, however late the word comes: an epoch that was resigned is over, and whoever knows of it without
+        // leading does not lead.
         return word.resignedEpoch < claim.epoch && (word.leading || word.epochSeen < claim.epoch)
     }
 }
--- a/src/main/kotlin/plankwall/core/links/Succession.kt
+++ b/src/main/kotlin/plankwall/core/links/Succession.kt
@@ -5,8 +5,8 @@
 
 /**
  * Who should take a lead that is free, by who can do what: the store is a must, since nothing can be stored without it;
- * among those that have it, whoever workers reach goes first. A node that workers don't reach leads all the same if it is
- * the only one: their reports come through the others.
+ * among those that have it, whoever workers reach goes first. A node that workers don't reach leads all the same if it
+ * is the only one: their reports come through the others.
  */
 class Succession(private val ctx: Context, private val picture: LinkPicture, private val turnUps: () -> Int) {
     private var freeSince = Double.NaN
@@ -58,7 +58,9 @@
         /** Two polls of the leader's key by a node that does not wait. */
         const val STAND_BACK_S = 1.3
 
-        /** Longer than a lease of the leader's key and a stand-back together: an older choice was for another vacancy. */
+        /**
+         * Longer than a lease of the leader's key and a stand-back together: an older choice was for another vacancy.
+         */
         const val FORGET_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/core/outlook/Outlook.kt
+++ b/src/main/kotlin/plankwall/core/outlook/Outlook.kt
@@ -9,12 +9,12 @@
 import plankwall.wire.ListedState
 
 /**
- * What the leader makes of machines that it does not hear: on their way to it, behind a cut, or lost. These are beliefs,
- * good for renting and for leaving machines alone; that a task is gone takes proof, which is not found here.
+ * What the leader makes of machines that it does not hear: on their way to it, behind a cut, or lost. These are
+ * beliefs, good for renting and for leaving machines alone; that a task is gone takes proof, which is not found here.
  *
  * [startedAt] is when this leader took over, in seconds of the steady clock. What it has never heard itself, but knows
- * from the store or the cloud's list, counts like any other machine: a leader that judged only by those that found their
- * way to it would take a cut zone for so many single deaths.
+ * from the store or the cloud's list, counts like any other machine: a leader that judged only by those that found
+ * their way to it would take a cut zone for so many single deaths.
  */
 class Outlook(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
     private val reportS = ctx.settings.workers.reportS
@@ -27,7 +27,10 @@
     /** Zones of which nearly all are late already: machines there do not fall silent by themselves. */
     private var lateZones: Set<String> = emptySet()
 
-    /** Whether machines have fallen silent one by one, rather than so many at once that it may be this leader's own ears. */
+    /**
+     * Whether machines have fallen silent one by one, rather than so many at once that it may be this leader's own
+     * ears.
+     */
     var fewSilent = true
         private set
 
@@ -85,8 +88,9 @@
 
     /**
      * Replicas of live services on machines believed lost, by job. They count as placed until there is proof, and start
-     * nowhere before; but no rule asks for proof before a machine is rented for them, and booting one takes as long. A cut
-     * shows as lateness of the whole zone before the first of its machines counts as silent, so none is rented for a cut.
+     * nowhere before; but no rule asks for proof before a machine is rented for them, and booting one takes as long. A
+     * cut shows as lateness of the whole zone before the first of its machines counts as silent, so none is rented for
+     * a cut.
      */
     fun endangered(): Map<Job, Set<Placement>> = fleet.machines
         .filter { isSilent(it) && it.group?.zone !in cutZones && it.group?.zone !in lateZones }
--- a/src/main/kotlin/plankwall/core/placing/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placing/CandidateQueue.kt
@@ -6,9 +6,9 @@
 import java.util.PriorityQueue
 
 /**
- * The machines for the tasks of one job within one pass, best first: the same choices as [Room.best] for each task, but the
- * machines are looked at once for all of them. Placing a task changes only the machine that it goes to, and what does not
- * admit a task any more does not admit a later one of the same pass.
+ * The machines for the tasks of one job within one pass, best first: the same choices as [Room.best] for each task, but
+ * the machines are looked at once for all of them. Placing a task changes only the machine that it goes to, and what
+ * does not admit a task any more does not admit a later one of the same pass.
  */
 class CandidateQueue(private val room: Room, private val job: Job, machines: List<Machine>, zones: ZoneRule) {
     /** [order]: among equals the first of the list wins. */
--- a/src/main/kotlin/plankwall/core/placing/Room.kt
+++ b/src/main/kotlin/plankwall/core/placing/Room.kt
@@ -52,8 +52,9 @@
         !(job.spareTime && wouldStayFor(job, m))
 
     /**
-     * Whether an ordinary machine could soon go back but for a spare-time task put there: none of its work is to stay. Spot machines
-     * cost a third, and beside replicas the machine stays anyway; work that may not use spot machines has no other place.
+     * Whether an ordinary machine could soon go back but for a spare-time task put there: none of its work is to stay.
+     * Spot machines cost a third, and beside replicas the machine stays anyway; work that may not use spot machines has
+     * no other place.
      */
     private fun wouldStayFor(job: Job, m: Machine): Boolean =
         job.spec.spot && m.group?.spot == false && (m.surplus || (m.lastingShare == 0.0 && !job.overlooked))
--- a/src/main/kotlin/plankwall/core/relay/DirectReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReach.kt
@@ -9,9 +9,9 @@
 import plankwall.wire.ZoneReach
 
 /**
- * Which machines can reach the leader itself, and when those that come through other nodes are called back. A worker that
- * tries in vain loses several seconds of its lease and lands anywhere, so none is called on suspicion: the leader first
- * reaches the machine itself, which takes packets both ways.
+ * Which machines can reach the leader itself, and when those that come through other nodes are called back. A worker
+ * that tries in vain loses several seconds of its lease and lands anywhere, so none is called on suspicion: the leader
+ * first reaches the machine itself, which takes packets both ways.
  */
 class DirectReach(
     private val ctx: Context,
@@ -28,7 +28,10 @@
         var notBefore = Machine.NEVER
         var pauseS = 0.0
 
-        /** While its reports came through others there was a time when nobody of its zone came straight: the zone's link, not its own. */
+        /**
+         * While its reports came through others there was a time when nobody of its zone came straight: the zone's
+         * link, not its own.
+         */
         var withZone = false
 
         /** The node that is to serve its session, when that last did, and when it was last sent there. */
@@ -65,9 +68,9 @@
     }
 
     /**
-     * The node that the worker of [m] is to be sent to, whose report came to [through]; null if it is to be served as it came. A worker
-     * that was at its node a lease ago has left it for a reason, and one that was sent there and is here has not got there: both are
-     * served as they come for a while, longer each time.
+     * The node that the worker of [m] is to be sent to, whose report came to [through]; null if it is to be served as
+     * it came. A worker that was at its node a lease ago has left it for a reason, and one that was sent there and is
+     * here has not got there: both are served as they come for a while, longer each time.
      */
     fun elsewhere(m: Machine, zone: String, through: String): String? {
         val home = sessions.homeOf(m.id, zone) ?: return null
@@ -106,7 +109,8 @@
         }
         reach.withZone = !isOpen(m) || (reach.withZone && reach.relayedAt > reach.directAt)
         val reached = ctx.now - reach.reachedAt < times.longestReportS
-        // Where a whole zone was shut and one of it gets through again, all do; one by one they would take half a minute.
+        // Where a whole zone was shut and one of it gets through again, all do; one by one they would take half a
+        // minute.
         val open = ctx.now >= reach.notBefore && (reached || (reach.withZone && isOpen(m)))
         if (!open) {
             reach.relayedAt = ctx.now
@@ -130,8 +134,8 @@
     }
 
     /**
-     * Out of reach for direct commands, which would go nowhere and take the place of others: its reports come through other
-     * nodes, and either nobody of its zone comes straight or it was called in vain.
+     * Out of reach for direct commands, which would go nowhere and take the place of others: its reports come through
+     * other nodes, and either nobody of its zone comes straight or it was called in vain.
      */
     fun onlyThroughOthers(m: Machine): Boolean {
         if (sessions.homeOf(m) != null) return isShut(m)
@@ -140,8 +144,8 @@
     }
 
     /**
-     * Commands to the machine's zone go unanswered. Half of the time they are let through all the same, so that it shows when
-     * the way is open again.
+     * Commands to the machine's zone go unanswered. Half of the time they are let through all the same, so that it
+     * shows when the way is open again.
      */
     private fun isShut(m: Machine): Boolean {
         val zone = m.group?.zone ?: return false
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -6,9 +6,9 @@
 import plankwall.core.step.Context
 
 /**
- * When a leader that holds the store gives up the lead because of where the workers are. Their reports through other nodes
- * are as good as straight ones, so a link that is cut for a while moves nothing; a lead that changes hands costs everything
- * that a leader learns.
+ * When a leader that holds the store gives up the lead because of where the workers are. Their reports through other
+ * nodes are as good as straight ones, so a link that is cut for a while moves nothing; a lead that changes hands costs
+ * everything that a leader learns.
  */
 class LeadershipTransfer(
     private val ctx: Context,
@@ -21,11 +21,12 @@
     private var mostlyThroughSince = Double.NaN
 
     /**
-     * Most workers have missed a report here, straight and through others, and turn up at peers instead, which surely reach
-     * them ([WorkerRelay.strays]): whoever can answer them should lead, and soon, for their leases are running out. Where no peer is heard that could tell of it, all must
-     * be silent: a leader whose peers and most of whose machines are in another zone, which is cut off, has to go on with
-     * the rest. Machines that a new leader knows of and has never heard count too: one that can't be reached from the start
-     * must not keep the lead, and a lease must not run out meanwhile.
+     * Most workers have missed a report here, straight and through others, and turn up at peers instead, which surely
+     * reach them ([WorkerRelay.strays]): whoever can answer them should lead, and soon, for their leases are running
+     * out. Where no peer is heard that could tell of it, all must be silent: a leader whose peers and most of whose
+     * machines are in another zone, which is cut off, has to go on with the rest. Machines that a new leader knows of
+     * and has never heard count too: one that can't be reached from the start must not keep the lead, and a lease must
+     * not run out meanwhile.
      */
     fun tick() {
         val known = fleet.machines.filter { (it.registered && !it.returning) || outlook.isAwaited(it) }
@@ -49,7 +50,10 @@
         leadership.yieldForWorkers("$silent of $known machines silent here, $elsewhere")
     }
 
-    /** Served through others for longer than any passing cut: the lead goes to whoever is reached, if one is reached by most. */
+    /**
+     * Served through others for longer than any passing cut: the lead goes to whoever is reached, if one is reached by
+     * most.
+     */
     private fun giveUpDistant(known: Int) {
         val through = reach.throughOthers
         if (through * 2 <= known) {
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -37,10 +37,10 @@
     val turnUps: Int get() = workers.values.count { ctx.now - it.at < times.longestReportS }
 
     /**
-     * Workers that could not be served lately, neither here nor, as far as is known, by the leader, and that this node could
-     * answer. A worker whose reports arrive and that hears nobody goes round all nodes like one that can't reach the leader;
-     * a lead that moved for its sake would serve no one more. So only those count that a direct command has reached, and of the
-     * rest as many as by these.
+     * Workers that could not be served lately, neither here nor, as far as is known, by the leader, and that this node
+     * could answer. A worker whose reports arrive and that hears nobody goes round all nodes like one that can't reach
+     * the leader; a lead that moved for its sake would serve no one more. So only those count that a direct command has
+     * reached, and of the rest as many as by these.
      */
     val unserved: Int
         get() {
@@ -84,7 +84,9 @@
     private fun isUnserved(seen: SeenWorker): Boolean =
         seen.unserved && !seen.passedOn && ctx.now - seen.at < UNSERVED_S
 
-    /** With no token at all, a command is refused, changes nothing, and shows that the way is open in both directions. */
+    /**
+     * With no token at all, a command is refused, changes nothing, and shows that the way is open in both directions.
+     */
     private fun tryUnserved() {
         for ((machine, seen) in workers) {
             if (!isUnserved(seen) || seen.address.isEmpty() || ctx.now - seen.triedAt < UNSERVED_S) continue
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -21,9 +21,10 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * What a node that does not lead does with workers: sends them to the leader, or, where they can't reach it, passes their
- * reports on and its answers back. The answer is the leader's, token and all, and is handed out only to the request that it
- * belongs to and only while that waits; so to the worker and to the proofs it is an answer like any other.
+ * What a node that does not lead does with workers: sends them to the leader, or, where they can't reach it, passes
+ * their reports on and its answers back. The answer is the leader's, token and all, and is handed out only to the
+ * request that it belongs to and only while that waits; so to the worker and to the proofs it is an answer like any
+ * other.
  */
 class WorkerRelay(private val ctx: Context, private val picture: LinkPicture, private val routing: Routing) {
     private class Waiting(
@@ -66,7 +67,8 @@
         val home = leader?.let { homeOf(it, input.report) }
         when {
             leader == null -> refuse(input.request, "no leader is known")
-            // Where sessions are spread the leader knows whether this worker had better go elsewhere; without it, its plan says.
+            // Where sessions are spread the leader knows whether this worker had better go elsewhere; without it, its
+            // plan says.
             home != null && relay(input, leader) -> Unit
             home != null &&
                 home != ctx.settings.node &&
@@ -100,8 +102,9 @@
     }
 
     /**
-     * Nobody of [zone] is known to have come straight to this leader. One that has just taken over may be out of reach of all
-     * of them, and whoever led before has them all at its door: sent away together they would lose half their lease together.
+     * Nobody of [zone] is known to have come straight to this leader. One that has just taken over may be out of reach
+     * of all of them, and whoever led before has them all at its door: sent away together they would lose half their
+     * lease together.
      */
     private fun isUntried(leader: Claim, zone: String): Boolean {
         val reach = wordOf(leader)?.links?.zones?.find { it.zone == zone }
@@ -124,9 +127,9 @@
         seen.sentTo == leader.epoch && seen.sentToNode == node && (seen.relayed || ctx.now - seen.sentAt < times.leaseS)
 
     /**
-     * The leader misses many of [zone] that should come straight to it. Then a first try there would cost this worker several
-     * seconds of its lease, and who knows where it ends up after; the leader sends it over once it can be reached again.
-     * Other zones that are cut off say nothing of this one.
+     * The leader misses many of [zone] that should come straight to it. Then a first try there would cost this worker
+     * several seconds of its lease, and who knows where it ends up after; the leader sends it over once it can be
+     * reached again. Other zones that are cut off say nothing of this one.
      */
     private fun isOutOfReach(leader: Claim, zone: String): Boolean {
         val reach = wordOf(leader)?.links?.zones?.find { it.zone == zone } ?: return false
@@ -150,8 +153,9 @@
     }
 
     /**
-     * Back from a leader that can't be reached from here either: another node may do better. After a while the worker is sent
-     * there again: when a cut between zones heals, its own way may be open before that of the nodes is known to be.
+     * Back from a leader that can't be reached from here either: another node may do better. After a while the worker
+     * is sent there again: when a cut between zones heals, its own way may be open before that of the nodes is known to
+     * be.
      */
     private fun turnAway(request: RequestId, seen: SeenWorker, leader: Claim) {
         if (seen.sentTo == leader.epoch &&
@@ -252,7 +256,10 @@
         /** Well below the 4 s that a worker waits, and far above what two frames take. */
         const val ANSWER_S = 1.5
 
-        /** Machines that died lately are late too, by a quarter of a zone and more; behind a cut all are late before the first is here. */
+        /**
+         * Machines that died lately are late too, by a quarter of a zone and more; behind a cut all are late before the
+         * first is here.
+         */
         const val BROADLY_LATE = 0.5
         const val LINE_S = 5.0
         const val SCOUTS = 2
--- a/src/main/kotlin/plankwall/core/rental/BootTrouble.kt
+++ b/src/main/kotlin/plankwall/core/rental/BootTrouble.kt
@@ -7,12 +7,14 @@
 import plankwall.model.GroupKey
 
 /**
- * Groups (type, zone, kind) whose new machines come up late or not at all, many together. A single straggler is replaced at once; where
- * a third of a group is overdue, each replacement would be overdue in its turn, and one wave of demand was once rented four times over
- * while nothing came up for 90 s. So in such a group a late boot is not taken for a lost one: two of three overdue machines still count
- * as room about to arrive, they are given up only after twice the usual patience, and other groups are rented in first.
+ * Groups (type, zone, kind) whose new machines come up late or not at all, many together. A single straggler is
+ * replaced at once; where a third of a group is overdue, each replacement would be overdue in its turn, and one wave of
+ * demand was once rented four times over while nothing came up for 90 s. So in such a group a late boot is not taken
+ * for a lost one: two of three overdue machines still count as room about to arrive, they are given up only after twice
+ * the usual patience, and other groups are rented in first.
  *
- * It needs no memory of its own: who was rented when is in the fleet's record, so a new leader sees the same trouble at once.
+ * It needs no memory of its own: who was rented when is in the fleet's record, so a new leader sees the same trouble at
+ * once.
  */
 class BootTrouble(private val ctx: Context, private val boots: BootTimes, private val startedAt: Double) {
     private val log = LoggerFactory.getLogger("rental")
@@ -35,7 +37,8 @@
             if (ctx.now - a.rentedAt >= boots.trustedS(type)) overdue.getOrPut(a.group) { ArrayList() }.add(a)
         }
         val up = overdue.keys.associateWith { g -> recentlyUp(g, catalog) }
-        // A new leader has not seen who came up before: it believes a group's own handful, not the sum of single stragglers.
+        // A new leader has not seen who came up before: it believes a group's own handful, not the sum of single
+        // stragglers.
         val broad = ctx.now > startedAt + longestS(catalog) && isMany(overdue.values.sumOf { it.size }, up.values.sum())
         val now = overdue.filter { (g, late) ->
             val came = up[g] ?: 0
--- a/src/main/kotlin/plankwall/core/rental/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/rental/Estimator.kt
@@ -57,9 +57,10 @@
     private fun newMachineIn(job: Job, type: MachineType) = type.bootS + type.fetchS(job.spec.imageGb)
 
     /**
-     * Machines to rent, by group. [lost]: replicas to be replaced beside what waits, though nothing proves them gone yet.
-     * [mayExpandTroubled]: where anybody may if there is no such group; [mayExpandForLive]: where a live service may have machines when no group that [mayExpand] allows would do. [spare]: what
-     * may be rented for work that nobody waits for.
+     * Machines to rent, by group. [lost]: replicas to be replaced beside what waits, though nothing proves them gone
+     * yet. [mayExpandTroubled]: where anybody may if there is no such group; [mayExpandForLive]: where a live service
+     * may have machines when no group that [mayExpand] allows would do. [spare]: what may be rented for work that
+     * nobody waits for.
      */
     fun estimate(
         running: List<Machine>,
@@ -131,7 +132,8 @@
         val (spareTime, expected) = unplaced.partition { it.spareTime }
         expected.forEach(::pack)
         ahead(growth, bins, mayExpand, owned).forEach { (group, count) -> wanted.merge(group, count, Int::plus) }
-        // Last, and beside what is kept for what is still to come: it once took that room, and more was rented for ever.
+        // Last, and beside what is kept for what is still to come: it once took that room, and more was rented for
+        // ever.
         spareTime.forEach(::pack)
         return wanted
     }
--- a/src/main/kotlin/plankwall/core/rental/FleetMemory.kt
+++ b/src/main/kotlin/plankwall/core/rental/FleetMemory.kt
@@ -85,8 +85,8 @@
     private fun most() = if (limits.mayDivide) limits.txnOps else 1
 
     /**
-     * The whole record in as few pieces as fit. Only what fits none of this is left for later: first what has arrived in
-     * the meantime would count as missing room, so it is the last resort.
+     * The whole record in as few pieces as fit. Only what fits none of this is left for later: first what has arrived
+     * in the meantime would count as missing room, so it is the last resort.
      */
     private fun pieces(whole: FleetRecord): List<FleetRecord> {
         var part = 1.0
--- a/src/main/kotlin/plankwall/core/rental/RentalLoop.kt
+++ b/src/main/kotlin/plankwall/core/rental/RentalLoop.kt
@@ -56,8 +56,9 @@
 
     /**
      * Rented ahead is for teams with a guarantee only: theirs need not wait, while to others a late start is worth less
-     * than an idle machine costs. What is there already is kept for all that should come. What a team's limit holds back counts for
-     * nothing: for a team at its limit 900 machines were once rented, a third of them for work that was not allowed to start.
+     * than an idle machine costs. What is there already is kept for all that should come. What a team's limit holds
+     * back counts for nothing: for a team at its limit 900 machines were once rented, a third of them for work that was
+     * not allowed to start.
      */
     private val owed = GrowthWatch(ctx, startedAt) {
         ctx.settings.teams[it.team.value].hasGuarantee &&
@@ -100,7 +101,8 @@
     fun tick() {
         cloudList.poll()
         arrivals.values.removeIf { arrived(it) }
-        // What can't be stored is not decided: a leader that is cut off would log rentals and returns that never happen.
+        // What can't be stored is not decided: a leader that is cut off would log rentals and returns that never
+        // happen.
         if (ctx.now >= nextRound && store.mayWrite) {
             nextRound = ctx.now + ROUND_S
             round()
@@ -137,9 +139,11 @@
         val usable = fleet.machines.filter { placer.usable(it) }
         val halted = ctx.now < haltedUntil
         if (halted || outlook.settling) {
-            // Those still on their way count as there, with what room they have beside what is stored as placed on them.
+            // Those still on their way count as there, with what room they have beside what is stored as placed on
+            // them.
             val present = usable + fleet.machines.filter { it.type != null && outlook.isAwaited(it) }
-            // Live services alone go on during a halt: what waits of them is known from the store, not from who is silent.
+            // Live services alone go on during a halt: what waits of them is known from the store, not from who is
+            // silent.
             expand(catalog, present, Growth.NONE) { !halted || it.spec.shape == Shape.SERVICE }
             return
         }
@@ -160,7 +164,8 @@
         val spare = spareTime(catalog, running, arriving.size)
         val owned = fleet.machines.filter { !it.returning }.groupingBy { it.group?.zone }.eachCount()
         val wanted = Estimator(ctx, book, catalog).estimate(
-            running, waiting, placer::unreserved, arriving, ::mayExpand, growth, lost, ::mayExpandTroubled, ::mayExpandForLive, spare,
+            running, waiting, placer::unreserved, arriving, ::mayExpand, growth, lost, ::mayExpandTroubled,
+            ::mayExpandForLive, spare,
         ) { zone -> owned[zone] ?: 0 }
         wanted.forEach { (group, count) -> rent(group, count, waiting.size) }
     }
--- a/src/main/kotlin/plankwall/core/rental/Returns.kt
+++ b/src/main/kotlin/plankwall/core/rental/Returns.kt
@@ -51,8 +51,9 @@
 
     /**
      * A machine that falls silent with work on it, alone: an answered deletion frees the work sooner than the lease
-     * would. Whole zones and whole fleets that fall silent are cut off, and keep working; they are left alone, by a leader
-     * that has never heard them as by one that did: a new one once deleted 63 sound machines in a zone cut off before its time.
+     * would. Whole zones and whole fleets that fall silent are cut off, and keep working; they are left alone, by a
+     * leader that has never heard them as by one that did: a new one once deleted 63 sound machines in a zone cut off
+     * before its time.
      */
     private fun silentAlone(m: Machine): Boolean {
         if (fleet.isReady(m) || m.placements.isEmpty() || !registry.inGoodShape || !outlook.fewSilent) return false
@@ -66,8 +67,9 @@
     }
 
     /**
-     * It may as well hang, and come back with its images: a boot and a fetch are lost with it then. For a replica every second
-     * counts, and where the lease would prove nothing for longer than a lease, for everything; other work waits for the lease.
+     * It may as well hang, and come back with its images: a boot and a fetch are lost with it then. For a replica every
+     * second counts, and where the lease would prove nothing for longer than a lease, for everything; other work waits
+     * for the lease.
      */
     private fun isWorthDeleting(m: Machine): Boolean =
         m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.withdrawn } ||
@@ -111,7 +113,8 @@
                         ctx.tuning.unneededS,
                         if (m.surplus) boot * SURPLUS_PATIENCE else restoreS(m, wantedImages),
                     ) &&
-                    // What is rented in one group says nothing of another, whose machines the waiting tasks may not use.
+                    // What is rented in one group says nothing of another, whose machines the waiting tasks may not
+                    // use.
                     ctx.now - rentedAt(m.group) >= orElse(ctx.tuning.afterRentalS, boot)
             }
             .take(maxOf(MIN_RETURNS_PER_ROUND, fleet.machines.size / 50))
--- a/src/main/kotlin/plankwall/core/rental/SpareTimeRentals.kt
+++ b/src/main/kotlin/plankwall/core/rental/SpareTimeRentals.kt
@@ -4,8 +4,9 @@
 import plankwall.model.GroupKey
 
 /**
- * What may be rented in one round for work that nobody said anything about: [left] machines, of groups that [allowed] has nothing
- * against. Guests of a quiet hour once filled every machine that the cloud had, and the operators' own work waited behind them.
+ * What may be rented in one round for work that nobody said anything about: [left] machines, of groups that [allowed]
+ * has nothing against. Guests of a quiet hour once filled every machine that the cloud had, and the operators' own work
+ * waited behind them.
  */
 class SpareTimeRentals(private var left: Int, private val allowed: (GroupKey) -> Boolean) {
     /** A machine for it, if any may still be rented. */
@@ -13,16 +14,20 @@
 
     fun mayRent(job: Job, group: GroupKey): Boolean = mayFill(job, group) && allowed(group)
 
-    /** Whether room of [group] counts for [job]: until it has waited long, it does without what costs three times as much. */
+    /**
+     * Whether room of [group] counts for [job]: until it has waited long, it does without what costs three times as
+     * much.
+     */
     fun mayFill(job: Job, group: GroupKey): Boolean = !job.spareTime || group.spot || !job.spec.spot || job.overlooked
 
     companion object {
         val NONE: SpareTimeRentals get() = SpareTimeRentals(0) { false }
 
         /**
-         * The pace: while little else is [arriving], a quarter of the [fleet] at a time, or a handful. While work with an aim waits, or
-         * did lately ([contested]), such jobs ([taken], in machines) take no more than half of the fleet, so that the others find room
-         * in the cloud. In quiet hours the bound goes: where a class had no aim, four fifths of its jobs once starved beside an idle cloud.
+         * The pace: while little else is [arriving], a quarter of the [fleet] at a time, or a handful. While work with
+         * an aim waits, or did lately ([contested]), such jobs ([taken], in machines) take no more than half of the
+         * fleet, so that the others find room in the cloud. In quiet hours the bound goes: where a class had no aim,
+         * four fifths of its jobs once starved beside an idle cloud.
          */
         fun leftAt(fleet: Int, arriving: Int, taken: Double, contested: Boolean): Int {
             val pace = maxOf(HANDFUL, fleet / PACE) - arriving
--- a/src/main/kotlin/plankwall/core/rental/Turnover.kt
+++ b/src/main/kotlin/plankwall/core/rental/Turnover.kt
@@ -6,8 +6,9 @@
 import plankwall.model.Shape
 
 /**
- * How often one place serves a job's tasks. Tasks that are over long before a rented machine would be up follow each other on the
- * machines there are: a sweep of 25,000 tasks of four seconds once rented the whole capacity of the cloud, for a minute's work.
+ * How often one place serves a job's tasks. Tasks that are over long before a rented machine would be up follow each
+ * other on the machines there are: a sweep of 25,000 tasks of four seconds once rented the whole capacity of the cloud,
+ * for a minute's work.
  */
 class Turnover(private val ctx: Context, private val catalog: Catalog) {
     /** How many of [waiting] tasks of [job] need a place of their own. */
--- a/src/main/kotlin/plankwall/core/sessions/ReportBases.kt
+++ b/src/main/kotlin/plankwall/core/sessions/ReportBases.kt
@@ -6,8 +6,8 @@
 import plankwall.wire.WholeReport
 
 /**
- * The leader's copy of the newest whole report of each worker, by the node that sent it: what an [UnchangedReport] refers
- * to. A report that can't be told surely is not told at all: its sender is asked for the whole one.
+ * The leader's copy of the newest whole report of each worker, by the node that sent it: what an [UnchangedReport]
+ * refers to. A report that can't be told surely is not told at all: its sender is asked for the whole one.
  */
 class ReportBases {
     private class Base(val id: Long, val report: Report)
--- a/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
@@ -10,8 +10,8 @@
 import plankwall.wire.WholeReport
 
 /**
- * Collects the reports of the workers whose sessions this node serves into few frames for the leader, and says of a report
- * that only repeats what the leader has from here already just that.
+ * Collects the reports of the workers whose sessions this node serves into few frames for the leader, and says of a
+ * report that only repeats what the leader has from here already just that.
  */
 class ReportBatcher(private val ctx: Context, private val picture: LinkPicture) {
     /** A whole report that the leader of [epoch] has answered, so it has it. */
@@ -33,8 +33,8 @@
         private set
 
     /**
-     * Takes [report] under the number [id] for [leader]; what was collected for another leader goes nowhere. True if it goes whole:
-     * its answer shows that the leader has it.
+     * Takes [report] under the number [id] for [leader]; what was collected for another leader goes nowhere. True if it
+     * goes whole: its answer shows that the leader has it.
      */
     fun add(id: Long, leader: Claim, address: String, report: Report, whole: Boolean = false): Boolean {
         val batch =
@@ -58,7 +58,9 @@
         return base == null
     }
 
-    /** All but the number and the highest token. A notice runs down by itself, so a report with one is never the same. */
+    /**
+     * All but the number and the highest token. A notice runs down by itself, so a report with one is never the same.
+     */
     private fun saysTheSame(base: Report, report: Report): Boolean =
         report.noticeS == null && base == report.copy(seq = base.seq, token = base.token)
 
@@ -72,8 +74,9 @@
     }
 
     /**
-     * The frames for the leader of [epoch] that are due: at once where something changed, else after a while. What was collected
-     * for another leader goes nowhere: its workers ask again. [isAwaited]: whether a report is still waited for.
+     * The frames for the leader of [epoch] that are due: at once where something changed, else after a while. What was
+     * collected for another leader goes nowhere: its workers ask again. [isAwaited]: whether a report is still waited
+     * for.
      */
     fun due(epoch: Long, isAwaited: (id: Long) -> Boolean): List<ReportBatch> {
         val batch = open?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
--- a/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
@@ -6,8 +6,8 @@
 import kotlin.math.ln
 
 /**
- * Which node serves a worker's session: rendezvous hashing, weighted. Every node works out the same from the same plan, and
- * a node that joins or leaves moves only the workers that it gets or had.
+ * Which node serves a worker's session: rendezvous hashing, weighted. Every node works out the same from the same plan,
+ * and a node that joins or leaves moves only the workers that it gets or had.
  */
 object SessionAssignment {
     /** Null where [plan] says nothing of [zone]: the worker comes to the leader. */
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -78,7 +78,10 @@
         }
     }
 
-    /** Spread beyond the part that the settings name, gathered again well below it: a few machines more or less move nobody. */
+    /**
+     * Spread beyond the part that the settings name, gathered again well below it: a few machines more or less move
+     * nobody.
+     */
     private fun decide(machines: Int, nodes: List<SessionNode>) {
         val limit = ownCapacity * ctx.tuning.spreadSessionsAt
         spread = when {
@@ -92,8 +95,9 @@
     private fun isInheriting(): Boolean = before != null && ctx.now < startedAt + ctx.settings.workers.leaseS
 
     /**
-     * Other nodes that hear this one and are heard, serve sessions, and have done so for a while. One that is not heard stays for half a
-     * lease: its workers find another way by themselves, and where this node itself stood still for a moment, all would be moved for nothing.
+     * Other nodes that hear this one and are heard, serve sessions, and have done so for a while. One that is not heard
+     * stays for half a lease: its workers find another way by themselves, and where this node itself stood still for a
+     * moment, all would be moved for nothing.
      */
     private fun nodesIn(): List<SessionNode> {
         for (status in picture.fresh()) {
--- a/src/main/kotlin/plankwall/core/sessions/SessionShares.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionShares.kt
@@ -12,8 +12,8 @@
     const val PLANNED_PART = 0.8
 
     /**
-     * [demand]: workers by zone. A zone's own nodes serve it where they have the room, so that its workers' reports leave it
-     * in few frames; all nodes together, by what room they have left, where they don't.
+     * [demand]: workers by zone. A zone's own nodes serve it where they have the room, so that its workers' reports
+     * leave it in few frames; all nodes together, by what room they have left, where they don't.
      */
     fun of(demand: Map<String, Int>, nodes: List<SessionNode>): Map<String, List<SessionShare>> {
         if (nodes.isEmpty()) return emptyMap()
--- a/src/main/kotlin/plankwall/core/step/Context.kt
+++ b/src/main/kotlin/plankwall/core/step/Context.kt
@@ -107,7 +107,9 @@
         return true
     }
 
-    /** Like [take], but what exceeds the whole burst is let through when it is full, or it would be refused for ever. */
+    /**
+     * Like [take], but what exceeds the whole burst is let through when it is full, or it would be refused for ever.
+     */
     fun takeOrBorrow(n: Int): Boolean {
         if (available() < minOf(n.toDouble(), burst)) return false
         left -= n
--- a/src/main/kotlin/plankwall/core/step/Gate.kt
+++ b/src/main/kotlin/plankwall/core/step/Gate.kt
@@ -4,7 +4,9 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** What came with a request that could prove who asks. [address]: the caller's, which never proves anything by itself. */
+/**
+ * What came with a request that could prove who asks. [address]: the caller's, which never proves anything by itself.
+ */
 class Proof(val method: String, val path: String, val body: ByteArray, val authorization: String?, val address: String)
 
 enum class Action(val word: String) {
@@ -35,8 +37,8 @@
     fun record(decision: Decision, then: (stored: Boolean) -> Unit)
 
     /**
-     * Stores a change together with its decision, or neither. Guarded on the rights that allowed it: if they were replaced,
-     * the result is a conflict on their key, and by the time [then] hears of it the new ones are known.
+     * Stores a change together with its decision, or neither. Guarded on the rights that allowed it: if they were
+     * replaced, the result is a conflict on their key, and by the time [then] hears of it the new ones are known.
      */
     fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit)
 }
@@ -73,7 +75,9 @@
 
     fun keep(request: RequestId, proof: Proof, asked: KeeperRequest)
 
-    /** Why a worker's report from [address] is not listened to, or null. [listed]: what the cloud says its address is. */
+    /**
+     * Why a worker's report from [address] is not listened to, or null. [listed]: what the cloud says its address is.
+     */
     fun workerRefused(address: String, claimed: String, listed: String?): String?
 
     /** [power]: null while this node does not lead. */
--- a/src/main/kotlin/plankwall/core/workers/FaultEvidence.kt
+++ b/src/main/kotlin/plankwall/core/workers/FaultEvidence.kt
@@ -9,12 +9,12 @@
 import plankwall.core.step.Context
 
 /**
- * Who is to blame for tasks that fail: a machine that fails whatever it gets, or a job submitted with a mistake, which fails wherever
- * it runs. One failure can't tell. What tells is the others: a job that ran well elsewhere accuses the machine, a machine where
- * other jobs run well accuses the job.
+ * Who is to blame for tasks that fail: a machine that fails whatever it gets, or a job submitted with a mistake, which
+ * fails wherever it runs. One failure can't tell. What tells is the others: a job that ran well elsewhere accuses the
+ * machine, a machine where other jobs run well accuses the job.
  *
- * Nothing of it is stored. A new leader begins without suspicions; that costs one round of tasks for each job with a mistake, and a
- * change for every failure would cost more.
+ * Nothing of it is stored. A new leader begins without suspicions; that costs one round of tasks for each job with a
+ * mistake, and a change for every failure would cost more.
  */
 class FaultEvidence(private val ctx: Context, private val book: JobBook, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger("workers")
--- a/src/main/kotlin/plankwall/core/workers/WorkerDesk.kt
+++ b/src/main/kotlin/plankwall/core/workers/WorkerDesk.kt
@@ -31,7 +31,8 @@
     fun checkIn(r: Report): List<Order>? {
         val m = fleet.machine(r.machine)
         if (r.session < m.session || (r.session == m.session && r.seq <= m.checkInSeq)) return null
-        // The answer to a direct command overtook it: what it shows may be out of date, what it lacks proves as much as ever.
+        // The answer to a direct command overtook it: what it shows may be out of date, what it lacks proves as much as
+        // ever.
         val overtaken = r.session == m.session && r.seq < m.seq
         hear(m, r)
         m.lastAnswered = ctx.now
@@ -105,7 +106,9 @@
         return stops.map { Order(OrderOp.STOP, it.job.spec.id, it.task, it.attempt, it.graceS) }
     }
 
-    /** A report that came as the body of a direct command's answer: what it shows is true, what it lacks proves nothing. */
+    /**
+     * A report that came as the body of a direct command's answer: what it shows is true, what it lacks proves nothing.
+     */
     fun overheard(r: Report) {
         val m = fleet.find(r.machine) ?: return
         if (r.session < m.session || (r.session == m.session && r.seq <= m.seq)) return
@@ -116,9 +119,10 @@
     }
 
     private fun hear(m: Machine, r: Report) {
-        // Its lease ran out though its reports were answered: it does not hear us, and what is placed there would not start. One that
-        // has shown our token may have heard us once and not since; any other shows by the token that it does. What we took for its
-        // word may have been an old report, held back until we led, which says nothing against the machine.
+        // Its lease ran out though its reports were answered: it does not hear us, and what is placed there would not
+        // start. One that has shown our token may have heard us once and not since; any other shows by the token that
+        // it does. What we took for its word may have been an old report, held back until we led, which says nothing
+        // against the machine.
         if (m.session in 1 until r.session && ctx.now - m.lastAnswered < ctx.settings.workers.leaseS) {
             if (r.token >= leadership.epoch) m.blockedUntil = ctx.now + ctx.surelyOverS else m.deaf = true
             log.info(
@@ -226,9 +230,10 @@
 
     /**
      * Placements that a check-in does not show. One report is in flight at a time, so every earlier answer has been
-     * taken or dropped; and since the worker has seen our token, no older leader's answer can follow. That the session is over
-     * proves it without the token: what ran in it was killed, and no answer to a report of it is taken any more. A worker whose
-     * reports arrive and that hears no answer never shows our token; its tasks waited for as long as that went on.
+     * taken or dropped; and since the worker has seen our token, no older leader's answer can follow. That the session
+     * is over proves it without the token: what ran in it was killed, and no answer to a report of it is taken any
+     * more. A worker whose reports arrive and that hears no answer never shows our token; its tasks waited for as long
+     * as that went on.
      */
     private fun settleAbsent(m: Machine, reported: Set<Placement>) {
         for (p in m.placements.values.toList()) {
@@ -244,7 +249,10 @@
         }
     }
 
-    /** Releases what is on machines whose worker's lease is surely over, and takes back what never left for one that has gone quiet. */
+    /**
+     * Releases what is on machines whose worker's lease is surely over, and takes back what never left for one that has
+     * gone quiet.
+     */
     fun releaseSilent() {
         for (m in fleet.machines) {
             if (m.placements.isEmpty()) continue
@@ -263,8 +271,9 @@
     }
 
     /**
-     * `run` was put into no answer, so nothing of it can start: no proof is needed to place it elsewhere. What we know of the machine may be
-     * one old report that was held back until we led, of a machine that is long gone; its lease would be waited for in vain.
+     * `run` was put into no answer, so nothing of it can start: no proof is needed to place it elsewhere. What we know
+     * of the machine may be one old report that was held back until we led, of a machine that is long gone; its lease
+     * would be waited for in vain.
      */
     private fun takeBack(m: Machine) {
         for (p in m.placements.values.filter { it.stored && !it.commanded }) {
--- a/src/main/kotlin/plankwall/gate/RevocationSweep.kt
+++ b/src/main/kotlin/plankwall/gate/RevocationSweep.kt
@@ -19,10 +19,10 @@
 import plankwall.wire.Write
 
 /**
- * What new rights mean for jobs that were accepted under older ones. The leader goes through the live jobs once for each
- * version: a job whose owner may not submit it any more is marked with that version, and withdrawn if the rule says so,
- * in one transaction with the trail's entry that links the two. A version counts as applied once no job is left; a new
- * leader goes on where that was not stored, and finds those that are marked already.
+ * What new rights mean for jobs that were accepted under older ones. The leader goes through the live jobs once for
+ * each version: a job whose owner may not submit it any more is marked with that version, and withdrawn if the rule
+ * says so, in one transaction with the trail's entry that links the two. A version counts as applied once no job is
+ * left; a new leader goes on where that was not stored, and finds those that are marked already.
  */
 internal class RevocationSweep(
     private val ctx: Context,
@@ -52,7 +52,11 @@
             page(term, null, Pass(version))
         } else {
             ctx.out.state(StateOp.Get(AccessKeys.APPLIED)) { result ->
-                if (result is StateResult.Item) applied = (result.item?.value as? RightsApplied)?.version ?: 0L else pause()
+                if (result is StateResult.Item) {
+                    applied = (result.item?.value as? RightsApplied)?.version ?: 0L
+                } else {
+                    pause()
+                }
                 busy = false
             }
         }
--- a/src/main/kotlin/plankwall/gate/RightsBook.kt
+++ b/src/main/kotlin/plankwall/gate/RightsBook.kt
@@ -129,12 +129,15 @@
             then((result as? StateResult.Items)?.items?.mapNotNull { (it.value as? RightsPart)?.text })
         }
 
-    /** A version that is ready to be published once its head is: [txn] writes the head, guarded on all that it names. */
+    /**
+     * A version that is ready to be published once its head is: [txn] writes the head, guarded on all that it names.
+     */
     class Prepared(val version: Long, val txn: StateOp.Txn)
 
     /**
-     * Stores the parts of [text] as the version after [base] and hands on what publishes it. The parts count for nothing
-     * until the head names them; it is guarded on each, so that two who publish at the same time can't be mixed.
+     * Stores the parts of [text] as the version after [base] and hands on what publishes it. The parts count for
+     * nothing until the head names them; it is guarded on each, so that two who publish at the same time can't be
+     * mixed.
      */
     fun prepare(base: Long, baseStamp: Long, text: String, by: String, then: (Prepared?) -> Unit) {
         val version = base + 1
--- a/src/main/kotlin/plankwall/identity/Keys.kt
+++ b/src/main/kotlin/plankwall/identity/Keys.kt
@@ -15,7 +15,9 @@
 /** A file of keys, or a key in the rights, that can't be used. The text never holds any of a key. */
 class BadKey(reason: String) : Exception(reason)
 
-/** One of a principal's keys (RFC 8037). Several may hold at the same time, so that one can replace another in peace. */
+/**
+ * One of a principal's keys (RFC 8037). Several may hold at the same time, so that one can replace another in peace.
+ */
 class PublicKey private constructor(
     val id: String,
     private val point: ByteArray,
@@ -23,8 +25,8 @@
     private val untilMs: Long,
 ) {
     /**
-     * Whether the last part of a compact JWS is this key's signature (RFC 8032) of all before it. Bouncy Castle checks it in an
-     * eighth of the time that the JDK takes where only the first compiler runs, as on the small machine.
+     * Whether the last part of a compact JWS is this key's signature (RFC 8032) of all before it. Bouncy Castle checks
+     * it in an eighth of the time that the JDK takes where only the first compiler runs, as on the small machine.
      */
     fun hasSigned(compact: String): Boolean {
         val dot = compact.lastIndexOf('.')
@@ -60,7 +62,9 @@
     }
 }
 
-/** A private key as it stands in its file, a JWK: `{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"meera","x":…,"d":…}`. */
+/**
+ * A private key as it stands in its file, a JWK: `{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"meera","x":…,"d":…}`.
+ */
 class SigningKey private constructor(
     val principal: String,
     val id: String,
--- a/src/main/kotlin/plankwall/identity/PeerDoor.kt
+++ b/src/main/kotlin/plankwall/identity/PeerDoor.kt
@@ -13,8 +13,8 @@
     override fun open(sealed: ByteArray, wallMs: Long): PeerMessage? {
         val opened = seal.open(sealed, wallMs) ?: return null
         val message = PeerCodec.read(opened.frame)
-        // One controller must not speak in another's name: each peer's own word counts when a leader takes over, and an answer
-        // to a relayed report goes to the worker as the leader's.
+        // One controller must not speak in another's name: each peer's own word counts when a leader takes over, and an
+        // answer to a relayed report goes to the worker as the leader's.
         return message.takeIf { opened.sender == null || it.speaker == null || it.speaker == opened.sender }
     }
 
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -10,9 +10,10 @@
 }
 
 /**
- * Frames between controllers, each with a keyed hash over who sent it, in which life, as which of its frames and when. A
- * forged status could make a leader yield, or make it believe that no older one answers workers any more; one that was
- * captured could do so later. Frames of an earlier life, in the wrong order or too old are dropped like forged ones.
+ * Frames between controllers, each with a keyed hash over who sent it, in which life, as which of its frames and when.
+ * A forged status could make a leader yield, or make it believe that no older one answers workers any more; one that
+ * was captured could do so later. Frames of an earlier life, in the wrong order or too old are dropped like forged
+ * ones.
  */
 class PeerSeal(
     private val node: String,
@@ -39,7 +40,10 @@
         return signed + mac(key, signed)
     }
 
-    /** What [sealed] carries and who sent it; null if it is not believed. The sender is null for a frame that names none. */
+    /**
+     * What [sealed] carries and who sent it; null if it is not believed. The sender is null for a frame that names
+     * none.
+     */
     fun open(sealed: ByteArray, wallMs: Long): Opened? {
         val opened = if (sealed.isNotEmpty() &&
             sealed[0].toInt() == SEALED
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -53,8 +53,8 @@
 }
 
 /**
- * Reads `Authorization` headers for one service, [audience]. [toleranceMs]: how far two clocks may differ. [maxLifeMs]: how
- * long a token may be good for at the most.
+ * Reads `Authorization` headers for one service, [audience]. [toleranceMs]: how far two clocks may differ. [maxLifeMs]:
+ * how long a token may be good for at the most.
  */
 class TokenReader(private val audience: String, private val toleranceMs: Long, private val maxLifeMs: Long) {
     /** [keyOf] gives the key of a principal by both names, or null. [wallMs]: the time of day in milliseconds. */
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Jackson rather than jose4j, whose parser takes a buffer of 32 KiB for each text: three of them for a token of 400 bytes, on a
-     * heap of 64 MiB. A name that stands twice is refused, since two readers could choose differently.
+     * Jackson rather than jose4j, whose parser takes a buffer of 32 KiB for each text: three of them for a token of 400
+     * bytes, on a heap of 64 MiB. A name that stands twice is refused, since two readers could choose differently.
      */
     private fun decode(part: String): ObjectNode? = try {
         json.readTree(Base64.getUrlDecoder().decode(part)) as? ObjectNode
@@ -105,7 +105,8 @@
         ) {
             return MALFORMED
         }
-        // The claims name the key's owner, so they are read before they are believed; nothing of them is used until then.
+        // The claims name the key's owner, so they are read before they are believed; nothing of them is used until
+        // then.
         val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME } ?: return MALFORMED
         val kid = header.text("kid") ?: return MALFORMED
         val key = keyOf(principal, kid) ?: return UNPROVEN
@@ -153,7 +154,8 @@
             .with(StreamReadFeature.STRICT_DUPLICATE_DETECTION).with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
         val MALFORMED = TokenResult.Refused("the token can't be read")
 
-        // One sentence for every way of not being who one claims to be: which names and keys exist is nobody's business.
+        // One sentence for every way of not being who one claims to be: which names and keys exist is nobody's
+        // business.
         val UNPROVEN = TokenResult.Refused("the token proves nobody known here")
     }
 }
--- a/src/main/kotlin/plankwall/io/CloudClient.kt
+++ b/src/main/kotlin/plankwall/io/CloudClient.kt
@@ -53,7 +53,8 @@
         if (outcome !is Outcome.Answered) return CloudResult.Trouble
         return when {
             outcome.status == 400 -> CloudResult.Malformed.also { log.warn("{}: {}", op, describe(outcome)) }
-            outcome.status == 503 && op is CloudOp.Rent && "no capacity" in outcome.body.decodeToString() -> CloudResult.NoCapacity
+            outcome.status == 503 && op is CloudOp.Rent && "no capacity" in outcome.body.decodeToString() ->
+                CloudResult.NoCapacity
             else -> CloudResult.Trouble
         }
     }
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -41,7 +41,8 @@
     val authorization: String? get() = head.headers["Authorization"]?.toString()
 
     /** The caller's address without a port; empty if it has none. */
-    val from: String get() = (socketAddress.toJavaAddress() as? java.net.InetSocketAddress)?.address?.hostAddress.orEmpty()
+    val from: String
+        get() = (socketAddress.toJavaAddress() as? java.net.InetSocketAddress)?.address?.hostAddress.orEmpty()
 }
 
 /** A message that can't be read on; the connection is of no more use. */
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -27,7 +27,9 @@
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerMessage
 
-/** One connection to every other controller, carrying length-prefixed frames. Only the newest frames wait to be sent. */
+/**
+ * One connection to every other controller, carrying length-prefixed frames. Only the newest frames wait to be sent.
+ */
 class PeerLinks(
     private val scope: CoroutineScope,
     private val selector: SelectorManager,
@@ -72,10 +74,10 @@
     }
 
     /**
-     * Sends what comes until the link fails, is closed or grows old. A receiver closes a link that was silent for a while,
-     * as in a cut; frames written to it afterwards went nowhere and raised no error, for as long as both processes lived,
-     * and every later leader waited in vain for the word of all its peers. Nothing is ever sent back, so the first thing
-     * read is the end; and a link whose end was lost on the way is given up for its age.
+     * Sends what comes until the link fails, is closed or grows old. A receiver closes a link that was silent for a
+     * while, as in a cut; frames written to it afterwards went nowhere and raised no error, for as long as both
+     * processes lived, and every later leader waited in vain for the word of all its peers. Nothing is ever sent back,
+     * so the first thing read is the end; and a link whose end was lost on the way is given up for its age.
      */
     private suspend fun feed(socket: Socket, queue: Channel<ByteArray>) = coroutineScope {
         val output = socket.openWriteChannel(autoFlush = false)
--- a/src/main/kotlin/plankwall/lab/BadNight.kt
+++ b/src/main/kotlin/plankwall/lab/BadNight.kt
@@ -9,11 +9,14 @@
 import plankwall.model.Shape
 
 /**
- * A day drawn by [seed] on which what the operators met comes together: machines late or never, silent controllers, storms of polls,
- * guests, jobs that fail everywhere beside machines that fail everything.
+ * A day drawn by [seed] on which what the operators met comes together: machines late or never, silent controllers,
+ * storms of polls, guests, jobs that fail everywhere beside machines that fail everything.
  */
 class BadNight(private val seed: Long, private val nodes: Int) {
-    /** [unserved]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and probes included. */
+    /**
+     * [unserved]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and
+     * probes included.
+     */
     class Result(
         val seed: Long,
         val nodes: Int,
--- a/src/main/kotlin/plankwall/lab/ImpatientUsers.kt
+++ b/src/main/kotlin/plankwall/lab/ImpatientUsers.kt
@@ -8,7 +8,10 @@
 class ImpatientUsers(private val world: World) {
     private var odd = 900_000
 
-    /** At all nodes within milliseconds: a question, the submission again and, where it is [withdrawn], the cancellation again. */
+    /**
+     * At all nodes within milliseconds: a question, the submission again and, where it is [withdrawn], the cancellation
+     * again.
+     */
     fun look(id: String, withdrawn: Boolean = false) {
         world.felt.merge("close looks", 1, Int::plus)
         val spec = world.submitted(id) ?: return
@@ -19,7 +22,10 @@
         }
     }
 
-    /** What can never run: it fits no machine, is of nobody's team, needs more than its team may have, or has to lie in two zones and in one. */
+    /**
+     * What can never run: it fits no machine, is of nobody's team, needs more than its team may have, or has to lie in
+     * two zones and in one.
+     */
     private fun impossible(): List<JobSpec> {
         fun next() = World.job(++odd)
         return listOf(
--- a/src/main/kotlin/plankwall/lab/LinkDay.kt
+++ b/src/main/kotlin/plankwall/lab/LinkDay.kt
@@ -7,14 +7,14 @@
 import plankwall.model.Shape
 
 /**
- * A day of link troubles drawn by [seed], at a site of [nodes] nodes and some [machines] machines, nearly all of them at work on
- * replicas of live services.
+ * A day of link troubles drawn by [seed], at a site of [nodes] nodes and some [machines] machines, nearly all of them
+ * at work on replicas of live services.
  */
 class LinkDay(private val seed: Long, private val nodes: Int, private val machines: Int) {
     /**
-     * [leaseDeaths]: tasks killed by their worker as its lease ran out; [avoidable]: of these, where the worker did reach a node,
-     * after its last answer and within its lease, that led or could reach one that did. [servedMs]: from the start of each trouble to
-     * the next answer that each worker took.
+     * [leaseDeaths]: tasks killed by their worker as its lease ran out; [avoidable]: of these, where the worker did
+     * reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
+     * the start of each trouble to the next answer that each worker took.
      */
     class Result(
         val seed: Long,
@@ -68,7 +68,10 @@
             if (now != null) leader = now
         }
         world.clock.runUntil(endS)
-        return Result(seed, nodes, drawn, world.checker.broken.toList(), world.leaseDeaths, avoidable, leads, world.checker.starts, served)
+        return Result(
+            seed, nodes, drawn, world.checker.broken.toList(), world.leaseDeaths, avoidable, leads,
+            world.checker.starts, served,
+        )
     }
 
     private fun work(world: World) {
--- a/src/main/kotlin/plankwall/lab/LinkTrouble.kt
+++ b/src/main/kotlin/plankwall/lab/LinkTrouble.kt
@@ -22,7 +22,9 @@
         private const val EARLIEST_S = 50.0
         private const val EPISODES = 6
 
-        /** Troubles that overlap now and then, drawn from [random], for a site of [nodes] nodes; over by [end] seconds. */
+        /**
+         * Troubles that overlap now and then, drawn from [random], for a site of [nodes] nodes; over by [end] seconds.
+         */
         fun draw(random: UniformRandomProvider, nodes: Int, end: Double): List<LinkTrouble> = List(EPISODES) {
             val at = EARLIEST_S + random.nextDouble() * (end - EARLIEST_S - 45.0)
             val forS = 5.0 + random.nextDouble() * 35.0
--- a/src/main/kotlin/plankwall/lab/MeetingDay.kt
+++ b/src/main/kotlin/plankwall/lab/MeetingDay.kt
@@ -5,7 +5,10 @@
 import plankwall.model.Priority
 import plankwall.model.Shape
 
-/** A day drawn by [seed] on which troubles meet in pairs, three times, while users withdraw every second job and ask for all. */
+/**
+ * A day drawn by [seed] on which troubles meet in pairs, three times, while users withdraw every second job and ask for
+ * all.
+ */
 class MeetingDay(private val seed: Long, private val nodes: Int) {
     /** [unserved]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
     class Result(
--- a/src/main/kotlin/plankwall/lab/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/lab/RuleChecker.kt
@@ -29,7 +29,10 @@
     private val told = HashMap<String, String>()
     private val toldAt = HashMap<String, Double>()
 
-    /** Tasks that were commanded to start after their user was told that the job is cancelled. What was commanded before may still start. */
+    /**
+     * Tasks that were commanded to start after their user was told that the job is cancelled. What was commanded before
+     * may still start.
+     */
     var startsAfterCancel = 0
         private set
 
@@ -146,7 +149,10 @@
         return found
     }
 
-    /** [stage] is what the answer called the job, [askedAt] when it was asked for: what another node tells meanwhile makes it no older answer. */
+    /**
+     * [stage] is what the answer called the job, [askedAt] when it was asked for: what another node tells meanwhile
+     * makes it no older answer.
+     */
     fun submitted(spec: JobSpec, status: Int, now: Double = 0.0, stage: String? = null, askedAt: Double = now) {
         if (status == 422 && spec.dependencies.all { it in accepted }) refused.add(spec.id)
         if (status == 200 || status == 201) {
@@ -222,8 +228,8 @@
     private val stallingSince = HashMap<String, Double>()
 
     /**
-     * In calm, no job is left waiting while one of [machines] that fits has room and its team is under its limit. [machines]: those
-     * that are sound and reached, with what each has.
+     * In calm, no job is left waiting while one of [machines] that fits has room and its team is under its limit.
+     * [machines]: those that are sound and reached, with what each has.
      */
     fun checkStalled(machines: Map<SimWorker, Resources>, now: Double) {
         if (now < calmFrom) return
--- a/src/main/kotlin/plankwall/lab/SimNode.kt
+++ b/src/main/kotlin/plankwall/lab/SimNode.kt
@@ -15,7 +15,10 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** One controller of a [World]: the real core with virtual clocks; its calls go to the stand-ins over links that may fail. */
+/**
+ * One controller of a [World]: the real core with virtual clocks; its calls go to the stand-ins over links that may
+ * fail.
+ */
 class SimNode(private val world: World, val name: String, private val own: Settings) {
     private val clock = world.clock
     private val state = world.state
--- a/src/main/kotlin/plankwall/lab/SimState.kt
+++ b/src/main/kotlin/plankwall/lab/SimState.kt
@@ -34,7 +34,10 @@
             field = value
         }
 
-    /** Refuses what goes beyond the rates of the settings, as the service does. Off: it is only counted in [calls] and [writes]. */
+    /**
+     * Refuses what goes beyond the rates of the settings, as the service does. Off: it is only counted in [calls] and
+     * [writes].
+     */
     var refusesBeyondRates = false
 
     /** Null: no limits. Larger values and transactions are refused for good, changes beyond the rate for now. */
@@ -69,7 +72,9 @@
     val calls = Meter(rates.rps)
     val writes = Meter(rates.writeRps)
 
-    /** What the service would have answered with 429: beyond [rate] a second, with bursts of [burstS] seconds' worth. */
+    /**
+     * What the service would have answered with 429: beyond [rate] a second, with bursts of [burstS] seconds' worth.
+     */
     class Meter(private val rate: Double, burstS: Double = 1.0) {
         private val most = rate * burstS
         private var left = most
--- a/src/main/kotlin/plankwall/lab/Wiring.kt
+++ b/src/main/kotlin/plankwall/lab/Wiring.kt
@@ -13,8 +13,8 @@
 }
 
 /**
- * The links of a site, each direction for itself. Hosts are nodes, `state`, `cloud` and machines; a machine is also meant by
- * its zone (`zone:a`) and by `workers`.
+ * The links of a site, each direction for itself. Hosts are nodes, `state`, `cloud` and machines; a machine is also
+ * meant by its zone (`zone:a`) and by `workers`.
  */
 class Wiring(private val clock: SimClock) {
     private class Link(val how: Cut) {
@@ -62,7 +62,10 @@
     private fun names(host: String, zone: String): List<String> =
         if (host.startsWith("i-")) listOf(host, "zone:$zone", "workers") else listOf(host)
 
-    /** Carries something over the link after [delayS], if it can: [refused] is called where the sender learns at once that it can't. [zone]: of the machine at one end. */
+    /**
+     * Carries something over the link after [delayS], if it can: [refused] is called where the sender learns at once
+     * that it can't. [zone]: of the machine at one end.
+     */
     fun carry(
         from: String,
         to: String,
--- a/src/main/kotlin/plankwall/lab/World.kt
+++ b/src/main/kotlin/plankwall/lab/World.kt
@@ -69,7 +69,10 @@
     /** Links by pair and direction, for whatever [cuts] can't say. */
     val wiring = Wiring(clock)
 
-    /** Nodes of the version before links were told of: they send no such words, and end a link that carries unknown frames. */
+    /**
+     * Nodes of the version before links were told of: they send no such words, and end a link that carries unknown
+     * frames.
+     */
     val older = HashSet<String>()
 
     /** Tasks that workers killed as their lease ran out. */
@@ -98,7 +101,10 @@
     /** Share of the workers' reports of which a copy arrives again, up to two leases later. */
     var lateReports = 0.0
 
-    /** Share of the workers' reports of which a copy is kept and reaches every node as the next leader begins, and again a little later. */
+    /**
+     * Share of the workers' reports of which a copy is kept and reaches every node as the next leader begins, and again
+     * a little later.
+     */
     var copiesForNext = 0.0
     private val copies = ArrayList<Pair<SimWorker, Report>>()
 
@@ -132,7 +138,10 @@
 
     val users = ImpatientUsers(this)
 
-    /** Users ask at all nodes within milliseconds, and repeat what they asked for, right after a job was accepted, ended or cancelled. */
+    /**
+     * Users ask at all nodes within milliseconds, and repeat what they asked for, right after a job was accepted, ended
+     * or cancelled.
+     */
     var closeLooks = false
 
     /** Share of the jobs that end which are cancelled at that moment. */
--- a/src/main/kotlin/plankwall/lab/scale/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ControllerFiles.kt
@@ -6,7 +6,10 @@
 import plankwall.model.Settings
 import java.io.File
 
-/** Where one controller listens and reaches the stand-ins. [peers]: the addresses under which it reaches the others, by name. */
+/**
+ * Where one controller listens and reaches the stand-ins. [peers]: the addresses under which it reaches the others, by
+ * name.
+ */
 data class ControllerAddresses(
     val front: Address,
     val internal: Address,
@@ -17,15 +20,18 @@
 
 /** The platform's settings files of the controllers, and the command that the deploy file starts them with. */
 object ControllerFiles {
-    /** The `run` line of [deploy], with the settings file that is to be appended, and the operators' own settings of a run. */
+    /**
+     * The `run` line of [deploy], with the settings file that is to be appended, and the operators' own settings of a
+     * run.
+     */
     fun command(deploy: File, settings: File, tuning: File): List<String> {
         val run = TomlMapper().readTree(deploy).get("run")?.asText() ?: throw BadScalePlan("$deploy: no run line")
         return run.split(' ').filter { it.isNotEmpty() } + listOf(settings.path, "--tuning", tuning.path)
     }
 
     /**
-     * The operators' [own] settings. Machines without work are kept for the whole run: it measures a size, not how fast machines
-     * are returned.
+     * The operators' [own] settings. Machines without work are kept for the whole run: it measures a size, not how fast
+     * machines are returned.
      */
     fun writeTuning(file: File, own: File?) = file.writeText(
         own?.readText().orEmpty().trimEnd() + "\nunneeded_s: 7200\n",
--- a/src/main/kotlin/plankwall/lab/scale/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/lab/scale/FaultTimeline.kt
@@ -1,6 +1,9 @@
 package plankwall.lab.scale
 
-/** What a fault hit and how long it took until 99% of the workers had an answer to a report sent after it; null: not within the run. */
+/**
+ * What a fault hit and how long it took until 99% of the workers had an answer to a report sent after it; null: not
+ * within the run.
+ */
 data class FaultOutcome(val fault: Fault, val hit: List<String>, val servedAgainS: Double?)
 
 /** Brings the faults of a plan about. */
--- a/src/main/kotlin/plankwall/lab/scale/FreePorts.kt
+++ b/src/main/kotlin/plankwall/lab/scale/FreePorts.kt
@@ -6,7 +6,10 @@
 import java.net.ServerSocket
 import java.net.Socket
 
-/** Ports for processes that are started later: below those that the system hands out by itself, so that none is taken meanwhile. */
+/**
+ * Ports for processes that are started later: below those that the system hands out by itself, so that none is taken
+ * meanwhile.
+ */
 object FreePorts {
     fun take(count: Int): List<Int> {
         val all = ephemeralFrom() - FIRST
--- a/src/main/kotlin/plankwall/lab/scale/IoLane.kt
+++ b/src/main/kotlin/plankwall/lab/scale/IoLane.kt
@@ -8,7 +8,10 @@
 import kotlinx.coroutines.cancel
 import java.util.concurrent.Executors
 
-/** A thread and a selector for a part of the workers' sockets. What a worker does with its sockets stays on one lane, so it needs no lock. */
+/**
+ * A thread and a selector for a part of the workers' sockets. What a worker does with its sockets stays on one lane, so
+ * it needs no lock.
+ */
 class IoLane(name: String) {
     private val selecting = singleThread("$name-selector")
     private val dispatcher = singleThread(name)
--- a/src/main/kotlin/plankwall/lab/scale/ScalePlan.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScalePlan.kt
@@ -18,13 +18,16 @@
     /** Workers of a zone or region get neither answers nor commands. */
     ANSWERS_LOST,
 
-    /** Frames between the controllers of a zone or region and all others are held back, and come in order when it is over. */
+    /**
+     * Frames between the controllers of a zone or region and all others are held back, and come in order when it is
+     * over.
+     */
     PEERS_APART,
 }
 
 /**
- * A fault, [atS] seconds into the fault phase, for [forS] seconds (of [FaultKind.KILL]: how long a controller stays away).
- * [target]: `leader`, `all`, a controller, a zone or a region.
+ * A fault, [atS] seconds into the fault phase, for [forS] seconds (of [FaultKind.KILL]: how long a controller stays
+ * away). [target]: `leader`, `all`, a controller, a zone or a region.
  */
 data class Fault(val atS: Double, val kind: FaultKind, val target: String, val forS: Double)
 
--- a/src/main/kotlin/plankwall/lab/scale/ScaleReport.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleReport.kt
@@ -156,7 +156,10 @@
         )
         val total = p.reportsServed + p.reportsFailed
         appendLine(
-            "  reports answered within 1 s %.4f of %d, leases lost %d; stand-ins use %.2f of a core, late p99 %.0f ms".format(
+            (
+                "  reports answered within 1 s %.4f of %d, leases lost %d; " +
+                    "stand-ins use %.2f of a core, late p99 %.0f ms"
+                ).format(
                 if (total ==
                     0L
                 ) {
@@ -188,7 +191,8 @@
         p.nodes.forEach { n ->
             appendLine(
                 "  %-11s %8.2f %10.2f %4.0f %9d %10.1f %8.1f %8.1f %10.1f %7.1f %12.1f".format(
-                    n.node + if (n.leads) "*" else "", n.cpuMean, n.cpuBusiestSecond, n.residentMb, n.sockets, n.reports, n.polls, n.stateRequests, n.stateRefused, n.puts, n.frameKb,
+                    n.node + if (n.leads) "*" else "", n.cpuMean, n.cpuBusiestSecond, n.residentMb, n.sockets,
+                    n.reports, n.polls, n.stateRequests, n.stateRefused, n.puts, n.frameKb,
                 ),
             )
         }
--- a/src/main/kotlin/plankwall/lab/scale/ScaleRun.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleRun.kt
@@ -17,9 +17,8 @@
 import java.io.File
 
 /**
- * A scale run from start to end. [deploy]: the file whose `run` line starts a controller. [folder]: for settings and logs.
- * [tuning]: the operators' own settings.
- * [tell]: takes lines of progress.
+ * A scale run from start to end. [deploy]: the file whose `run` line starts a controller. [folder]: for settings and
+ * logs. [tuning]: the operators' own settings. [tell]: takes lines of progress.
  */
 class ScaleRun(
     private val plan: ScalePlan,
--- a/src/main/kotlin/plankwall/lab/scale/ScaleSite.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleSite.kt
@@ -25,8 +25,8 @@
 import java.util.Random
 
 /**
- * The stand-ins of a scale run, on one thread and one clock that follows real time: state service, cloud, workers and the
- * rule checker. Whoever comes from a socket goes through [enter], so that nothing sees the clock stand still.
+ * The stand-ins of a scale run, on one thread and one clock that follows real time: state service, cloud, workers and
+ * the rule checker. Whoever comes from a socket goes through [enter], so that nothing sees the clock stand still.
  */
 class ScaleSite(
     val plan: ScalePlan,
--- a/src/main/kotlin/plankwall/lab/scale/ScaleUsers.kt
+++ b/src/main/kotlin/plankwall/lab/scale/ScaleUsers.kt
@@ -69,7 +69,8 @@
                 number,
             ),
             kind, "team-${number % plan.teams + 1}", shape, priority, tasks, Resources(2_000, gpus, 8_000),
-            "image-${number % IMAGES}", 1.0, null, null, false, shape == Shape.SERVICE && plan.zones > 1, false, runS, 0.0, 0.0, null,
+            "image-${number % IMAGES}", 1.0, null, null, false, shape == Shape.SERVICE && plan.zones > 1, false, runS,
+            0.0, 0.0, null,
         )
     }
 
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -39,7 +39,9 @@
     val gangPeerS: Double,
     val cancelS: Double,
 ) {
-    /** The longest, in seconds, that a sound worker goes without a report: they come up to a quarter late (PROTOCOL). */
+    /**
+     * The longest, in seconds, that a sound worker goes without a report: they come up to a quarter late (PROTOCOL).
+     */
     val longestReportS: Double get() = reportS * 1.25
 
     /** A worker that was not heard for longer has missed a report, whatever a network adds to it. */
--- a/src/main/kotlin/plankwall/wire/JobCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobCodec.kt
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Throws [BadMessage] for anything missing or out of bounds: what is let in here is stored for good. A submission has to be
-     * [whole]: a flag that is missing is no false one, since the job would be placed where its owner may not have meant it to be.
+     * Throws [BadMessage] for anything missing or out of bounds: what is let in here is stored for good. A submission
+     * has to be [whole]: a flag that is missing is no false one, since the job would be placed where its owner may not
+     * have meant it to be.
      */
     fun read(p: JsonParser, whole: Boolean = false): JobSpec {
         var id: String? = null
--- a/src/main/kotlin/plankwall/wire/Json.kt
+++ b/src/main/kotlin/plankwall/wire/Json.kt
@@ -49,7 +49,10 @@
     writeEndArray()
 }
 
-/** Walks the fields of the object that the parser stands on. [field] must not move past its value; leftovers are skipped. */
+/**
+ * Walks the fields of the object that the parser stands on. [field] must not move past its value; leftovers are
+ * skipped.
+ */
 internal inline fun JsonParser.fields(field: JsonParser.(String) -> Unit) {
     if (currentToken() != JsonToken.START_OBJECT) throw BadMessage("not an object")
     while (nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/kotlin/plankwall/wire/PeerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/PeerCodec.kt
@@ -77,7 +77,9 @@
         val links = if (b.exhausted()) null else LinkCodec.read(b)
         val withdrawals = if (b.exhausted()) null else WithdrawalCodec.read(b)
         val sessions = if (b.exhausted()) null else SessionCodec.read(b)
-        return PeerStatus(node, incarnation, epochSeen, leading, resigned, reachable, strays, level, links, withdrawals, sessions)
+        return PeerStatus(
+            node, incarnation, epochSeen, leading, resigned, reachable, strays, level, links, withdrawals, sessions,
+        )
     }
 
     private fun readProgress(b: Buffer): ProgressNews {
--- a/src/main/kotlin/plankwall/wire/PeerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/PeerMessages.kt
@@ -62,8 +62,8 @@
 )
 
 /**
- * Jobs that a node knows as withdrawn, numbered from 1 in the order in which it came to know them since it started: [jobs] begin
- * with number [first]. All that it knew when the frame was made is numbered up to the last of them.
+ * Jobs that a node knows as withdrawn, numbered from 1 in the order in which it came to know them since it started:
+ * [jobs] begin with number [first]. All that it knew when the frame was made is numbered up to the last of them.
  */
 data class WithdrawalNews(
     val first: Long,
@@ -82,8 +82,9 @@
 data class LeaderWord(val node: String, val epoch: Long, val ageMs: Int)
 
 /**
- * A worker's report that reached [from], for the leader that only [from] can reach. [echo]: the newest frame that [from]
- * has had from the leader, which tells the leader how old this can be. [address]: where the report came from, or empty.
+ * A worker's report that reached [from], for the leader that only [from] can reach. [echo]: the newest frame that
+ * [from] has had from the leader, which tells the leader how old this can be. [address]: where the report came from, or
+ * empty.
  */
 data class RelayedReport(val from: String, val id: Long, val echo: Long, val address: String, val report: Report) :
     PeerMessage {
--- a/src/main/kotlin/plankwall/wire/Records.kt
+++ b/src/main/kotlin/plankwall/wire/Records.kt
@@ -30,18 +30,24 @@
     val owner: String? get() = owned?.owner
 }
 
-/** [withdrawOnRevoke]: by the rule that allowed it. [revokedBy]: the version of the rights that took the right away, or 0. */
+/**
+ * [withdrawOnRevoke]: by the rule that allowed it. [revokedBy]: the version of the rights that took the right away, or
+ * 0.
+ */
 data class Ownership(val owner: String, val withdrawOnRevoke: Boolean, val revokedBy: Long = 0)
 
 data class StoredPlacement(val task: Int, val attempt: Long, val machine: String, val session: Long)
 
 /**
- * The state of up to [JobRecord.pageSize] tasks of one job. Only the leader writes it. A page that outgrew a stored value
- * is divided: it then holds its first [partSize] tasks, and further keys ([Keys.part]) as many each. 0: not divided.
+ * The state of up to [JobRecord.pageSize] tasks of one job. Only the leader writes it. A page that outgrew a stored
+ * value is divided: it then holds its first [partSize] tasks, and further keys ([Keys.part]) as many each. 0: not
+ * divided.
  */
 data class PageRecord(val done: BitSet, val placements: List<StoredPlacement>, val partSize: Int = 0) : Stored
 
-/** How a job ended, and when (0: not known). Kept for ever and apart from the live records. [facts]: only of owned jobs. */
+/**
+ * How a job ended, and when (0: not known). Kept for ever and apart from the live records. [facts]: only of owned jobs.
+ */
 data class FinalRecord(val stage: JobStage, val done: Int, val endedMs: Long = 0, val facts: JobFacts? = null) : Stored
 
 data class StoredRental(val request: String, val group: GroupKey, val count: Int)
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -2,7 +2,10 @@
 
 import okio.Buffer
 
-/** Reports and answers on their way through another node. Binary: the leader reads them by the hundred when links are cut. */
+/**
+ * Reports and answers on their way through another node. Binary: the leader reads them by the hundred when links are
+ * cut.
+ */
 internal object RelayCodec {
     fun write(b: Buffer, r: RelayedReport): ByteArray {
         b.name(r.from).writeLong(r.id).writeLong(r.echo).text(r.address)
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -1,15 +1,23 @@
 package plankwall.wire
 
-/** A node's part in serving workers' sessions. [capacity]: how many it has connections for. [plan]: of the leader, while it spreads them. */
+/**
+ * A node's part in serving workers' sessions. [capacity]: how many it has connections for. [plan]: of the leader, while
+ * it spreads them.
+ */
 data class SessionNews(val capacity: Int, val plan: SessionPlan? = null)
 
-/** Which nodes serve the workers of each zone while the leader of [epoch] leads. Workers of other zones come to the leader. */
+/**
+ * Which nodes serve the workers of each zone while the leader of [epoch] leads. Workers of other zones come to the
+ * leader.
+ */
 data class SessionPlan(val epoch: Long, val zones: Map<String, List<SessionShare>>)
 
 /** [node] serves a part of a zone's workers in proportion to [weight]. */
 data class SessionShare(val node: String, val weight: Int)
 
-/** One worker's report in a [ReportBatch]. [id] is the sender's number for it; [address]: where it came from, or empty. */
+/**
+ * One worker's report in a [ReportBatch]. [id] is the sender's number for it; [address]: where it came from, or empty.
+ */
 sealed interface BatchedReport {
     val id: Long
     val address: String
@@ -31,8 +39,8 @@
 ) : BatchedReport
 
 /**
- * Reports of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from] had had
- * from the leader before the first of them came, which tells the leader how old they can be.
+ * Reports of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from] had
+ * had from the leader before the first of them came, which tells the leader how old they can be.
  */
 data class ReportBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedReport>) :
     PeerMessage {
--- a/src/test/kotlin/plankwall/EstimatorTest.kt
+++ b/src/test/kotlin/plankwall/EstimatorTest.kt
@@ -19,7 +19,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, accelerators wanted, seconds waited, seconds until the running task should end, arriving machines, machines rented
+        // name, accelerators wanted, seconds waited, seconds until the running task should end, arriving machines,
+        // machines rented
         "'room comes free before a new machine could', 4, 0, 5, 0, 0",
         "'a task put off with that for a while is put off no more', 4, 10, 5, 0, 1",
         "'room comes free too late', 4, 0, 100, 0, 1",
@@ -55,7 +56,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, replicas, of them on a machine believed lost, spread, healthy groups, where starts do not fail, machines rented
+        // name, replicas, of them on a machine believed lost, spread, healthy groups, where starts do not fail,
+        // machines rented
         "'four replicas fill one machine', 8, 4, false, true, true, 1",
         "'their own zone is open to them again', 8, 4, true, true, true, 1",
         "'a limit that the lost ones still use up', 16, 8, false, true, true, 2",
--- a/src/test/kotlin/plankwall/FaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/FaultDaysTest.kt
@@ -54,8 +54,10 @@
     @ParameterizedTest(name = "{0}, seed {1}")
     @CsvSource(
         "quiet,1", "one crash,2", "all crash,3", "rolling,4", "outage,5", "long outage,6", "leader cut from state,7",
-        "leader cut from workers,8", "leader cut from state and peers,9", "machines fail,10", "late writes,11", "lost answers,12",
-        "everything,13", "everything,14", "everything,15", "machines never come,16", "cloud outage,17", "late writes,18",
+        "leader cut from workers,8", "leader cut from state and peers,9", "machines fail,10", "late writes,11",
+        "lost answers,12",
+        "everything,13", "everything,14", "everything,15", "machines never come,16", "cloud outage,17",
+        "late writes,18",
     )
     fun `keeps the rules and finishes`(day: String, seed: Long) {
         val world = World(seed)
--- a/src/test/kotlin/plankwall/OutlookDaysTest.kt
+++ b/src/test/kotlin/plankwall/OutlookDaysTest.kt
@@ -9,7 +9,9 @@
 import plankwall.lab.World
 import plankwall.model.Shape
 
-/** Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven. */
+/**
+ * Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven.
+ */
 class OutlookDaysTest {
     private val world = World(5)
 
--- a/src/test/kotlin/plankwall/PipelineDaysTest.kt
+++ b/src/test/kotlin/plankwall/PipelineDaysTest.kt
@@ -69,7 +69,8 @@
 
     @ParameterizedTest(name = "{0} at {1}")
     @CsvSource(
-        "none, 10", "leader crash, 22", "leader crash, 27", "leader crash, 34", "all crash, 24", "all crash, 33", "outage, 20", "outage, 26",
+        "none, 10", "leader crash, 22", "leader crash, 27", "leader crash, 34", "all crash, 24", "all crash, 33",
+        "outage, 20", "outage, 26",
         "late writes, 25", "lost answers, 25",
     )
     fun `stages run in order whatever fails`(trouble: String, at: Double) {
@@ -85,7 +86,8 @@
 
     @ParameterizedTest(name = "{0} withdrawn at {1}, {2}")
     @CsvSource(
-        "1, 5, none", "1, 20, leader crash", "1, 20, outage", "1, 18, all crash", "2, 5, leader crash", "2, 28, leader crash", "2, 28, outage",
+        "1, 5, none", "1, 20, leader crash", "1, 20, outage", "1, 18, all crash", "2, 5, leader crash",
+        "2, 28, leader crash", "2, 28, outage",
         "3, 8, all crash", "4, 30, none", "4, 30, leader crash", "1, 20, late writes", "2, 25, lost answers",
     )
     fun `what is cancelled takes with it all that needs it, and nothing else`(stage: Int, at: Double, trouble: String) {
--- a/src/test/kotlin/plankwall/RuleCheckerTest.kt
+++ b/src/test/kotlin/plankwall/RuleCheckerTest.kt
@@ -115,8 +115,10 @@
     @ParameterizedTest
     @ValueSource(
         strings = [
-            "ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back", "too_early", "orphaned",
-            "forgotten in calm", "forgotten on repeating", "forgotten as invalid", "went_back on repeating", "went_back on cancelling", "stalled",
+            "ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented", "not_done", "went_back",
+            "too_early", "orphaned",
+            "forgotten in calm", "forgotten on repeating", "forgotten as invalid", "went_back on repeating",
+            "went_back on cancelling", "stalled",
         ],
     )
     fun `sees a planted violation`(rule: String) {
--- a/src/test/kotlin/plankwall/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/SmallerLimitsTest.kt
@@ -41,7 +41,8 @@
 
     @ParameterizedTest(name = "{0} tasks, leader ends {1} s after the limits came, announced {2}")
     @CsvSource(
-        "120, -1, true", "120, 0.2, true", "120, 0.6, true", "240, -1, true", "240, 0.3, true", "700, -1, true", "700, 0.2, true", "700, 0.4, true",
+        "120, -1, true", "120, 0.2, true", "120, 0.6, true", "240, -1, true", "240, 0.3, true", "700, -1, true",
+        "700, 0.2, true", "700, 0.4, true",
         "700, 0.8, true", "240, -1, false", "700, 0.5, false",
     )
     fun `large pages that are stored already go on changing`(tasks: Int, crashAfter: Double, announced: Boolean) {
--- a/src/test/kotlin/plankwall/VersionsTest.kt
+++ b/src/test/kotlin/plankwall/VersionsTest.kt
@@ -40,7 +40,9 @@
 import plankwall.wire.TrailSegment
 import java.util.BitSet
 
-/** What the first version stored and sent, taken from running it, and what it makes of what this one stores and sends. */
+/**
+ * What the first version stored and sent, taken from running it, and what it makes of what this one stores and sends.
+ */
 class VersionsTest {
     class Case(val key: String, val json: String, val record: Stored) {
         override fun toString() = "$key ${json.take(40)}"
@@ -127,7 +129,8 @@
             .copy(types = listOf("box"), zone = "a", deadlineS = 900.0)
         private const val SPEC =
             """{"id":"job-000412","docket":"class","crew":"blue","shape":"ensemble","urgency":"urgent","pieces":3,""" +
-                """"cores":2.0,"accelerators":1.0,"ram_gb":8.0,"mould":"image-1","size_gb":2.0,"builds":["box"],"yard":"a","together":true,""" +
+                """"cores":2.0,"accelerators":1.0,"ram_gb":8.0,"mould":"image-1","size_gb":2.0,"builds":["box"],""" +
+                """"yard":"a","together":true,""" +
                 """"scatter":false,"loaners":true,"guess_s":20.0,"snapshot_s":0.0,"stow_s":0.0,"due_s":900.0}"""
         private val group = GroupKey("box", "a", true)
         private val fleet = FleetRecord(
@@ -175,7 +178,8 @@
             ),
             Case(
                 Keys.CATALOG,
-                """{"builds":[{"name":"box","cores":16.0,"accelerators":4.0,"ram_gb":64.0,"cache_gb":100.0,"pull_gb_per_s":1.0,""" +
+                """{"builds":[{"name":"box","cores":16.0,"accelerators":4.0,"ram_gb":64.0,"cache_gb":100.0,""" +
+                    """"pull_gb_per_s":1.0,""" +
                     """"rate":10.0,"low_price":3.0,"ready_s":10.0,"yards":["a","b"]}]}""",
                 CatalogRecord(World.CATALOG),
             ),
--- a/src/test/kotlin/plankwall/WarmRoomTest.kt
+++ b/src/test/kotlin/plankwall/WarmRoomTest.kt
@@ -23,7 +23,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, shape, image in GB (and seconds to fetch), seconds until the warm machine has room, seconds waited, held
+        // name, shape, image in GB (and seconds to fetch), seconds until the warm machine has room, seconds waited,
+        // held
         "'room comes much sooner than the image would', ARRAY, 40, 10, 0, true",
         "'room comes a little sooner: estimates are often wrong', ARRAY, 40, 30, 0, false",
         "'what has waited for long waits no more', ARRAY, 40, 10, 15, false",
--- a/src/test/kotlin/plankwall/WireTest.kt
+++ b/src/test/kotlin/plankwall/WireTest.kt
@@ -52,7 +52,10 @@
         "cores":8.0,"accelerators":1.0,"ram_gb":64.0,"mould":"img-07","size_gb":6.2,"builds":["g8"],"yard":null,"together":true,
         "scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"stow_s":4.0,"due_s":900.0,"new_field":[{"x":1}]}"""
 
-    /** Every field of PROTOCOL's table: missing, null, of a wrong type, out of range. Those that may be null may be absent too. */
+    /**
+     * Every field of PROTOCOL's table: missing, null, of a wrong type, out of range. Those that may be null may be
+     * absent too.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         delimiter = '|',
@@ -115,9 +118,12 @@
     @ParameterizedTest
     @ValueSource(
         strings = [
-            "", "x", "[]", "3", "{}", "{} {}", "FIELD:pieces:0", "FIELD:pieces:100001", "FIELD:pieces:1.5", "FIELD:pieces:\"3\"",
-            "FIELD:cores:-1", "FIELD:cores:1e300", "FIELD:cores:null", "FIELD:id:\"job-x\"", "FIELD:id:\"job-1/2\"", "FIELD:id:7",
-            "FIELD:shape:\"swarm\"", "FIELD:urgency:\"\"", "FIELD:together:1", "FIELD:builds:\"g8\"", "FIELD:builds:[1]",
+            "", "x", "[]", "3", "{}", "{} {}", "FIELD:pieces:0", "FIELD:pieces:100001", "FIELD:pieces:1.5",
+            "FIELD:pieces:\"3\"",
+            "FIELD:cores:-1", "FIELD:cores:1e300", "FIELD:cores:null", "FIELD:id:\"job-x\"", "FIELD:id:\"job-1/2\"",
+            "FIELD:id:7",
+            "FIELD:shape:\"swarm\"", "FIELD:urgency:\"\"", "FIELD:together:1", "FIELD:builds:\"g8\"",
+            "FIELD:builds:[1]",
             "FIELD:guess_s:-0.1", "FIELD:mould:\"\"", "FIELD:due_s:\"soon\"",
         ],
     )
@@ -151,7 +157,10 @@
 
     @ParameterizedTest(name = "{0}")
     @ValueSource(
-        strings = ["3", "\"job-000398\"", "{}", "[3]", "[null]", "[\"job-x\"]", "[[\"job-000398\"]]", "[\"job-000412\"]", "MANY"],
+        strings = [
+            "3", "\"job-000398\"", "{}", "[3]", "[null]", "[\"job-x\"]", "[[\"job-000398\"]]", "[\"job-000412\"]",
+            "MANY",
+        ],
     )
     fun `bad dependencies are refused by the field's name`(value: String) {
         fun body(list: String) = good.replace("\"due_s\"", "\"awaits\":$list,\"due_s\"").encodeToByteArray()
@@ -289,13 +298,17 @@
 
     @ParameterizedTest
     @ValueSource(
-        strings = ["first status", "status", "status without a leader", "status with withdrawals", "progress", "report", "report of a quiet machine", "answer"],
+        strings = [
+            "first status", "status", "status without a leader", "status with withdrawals", "progress", "report",
+            "report of a quiet machine", "answer",
+        ],
     )
     fun `peer frames are read back, short ones refused`(kind: String) {
         val message = frames.getValue(kind)
         val frame = PeerCodec.write(message)
         assertEquals(message, PeerCodec.read(frame))
-        // A status is whole where an older version ends it: before its level, before its links, and before its withdrawals.
+        // A status is whole where an older version ends it: before its level, before its links, and before its
+        // withdrawals.
         val wholes = if (message is PeerStatus) {
             listOf(message.copy(links = null)).map { PeerCodec.write(it).size }.flatMap { listOf(it - 4, it) } +
                 PeerCodec.write(message.copy(withdrawals = null)).size
--- a/src/test/kotlin/plankwall/access/RightsReaderTest.kt
+++ b/src/test/kotlin/plankwall/access/RightsReaderTest.kt
@@ -39,12 +39,19 @@
 
     @ParameterizedTest(name = "{0} {1} {2} of {3}, {4}, {5}, {6}: {7}")
     @CsvSource(
-        "lea, submit, rota-solve, , normal, sweep, t, true", "lea, submit, rota-solve, , urgent, sweep, t, false", "lea, submit, other, , normal, sweep, t, false",
-        "lea, withdraw, rota-solve, lea, normal, sweep, t, true", "lea, withdraw, rota-solve, max, normal, sweep, t, false", "lea, withdraw, rota-solve, , normal, sweep, t, false",
-        "lea, withdraw, board-matcher, lea, normal, service, t, false", "lea, show, anything, max, low, sweep, t, true", "lea, administer, x, , low, sweep, t, false",
-        "renders, submit, box-render, , low, ensemble, t, true", "renders, submit, other, , low, sweep, studio-chitra, true",
-        "renders, submit, other, , low, ensemble, studio-chitra, false", "renders, show, box-render, renders, low, sweep, t, false",
-        "gone, submit, x, , low, sweep, t, false", "max, audit, x, , low, sweep, t, true", "max, audit, x, , low, sweep, locked, false",
+        "lea, submit, rota-solve, , normal, sweep, t, true", "lea, submit, rota-solve, , urgent, sweep, t, false",
+        "lea, submit, other, , normal, sweep, t, false",
+        "lea, withdraw, rota-solve, lea, normal, sweep, t, true",
+        "lea, withdraw, rota-solve, max, normal, sweep, t, false",
+        "lea, withdraw, rota-solve, , normal, sweep, t, false",
+        "lea, withdraw, board-matcher, lea, normal, service, t, false", "lea, show, anything, max, low, sweep, t, true",
+        "lea, administer, x, , low, sweep, t, false",
+        "renders, submit, box-render, , low, ensemble, t, true",
+        "renders, submit, other, , low, sweep, studio-chitra, true",
+        "renders, submit, other, , low, ensemble, studio-chitra, false",
+        "renders, show, box-render, renders, low, sweep, t, false",
+        "gone, submit, x, , low, sweep, t, false", "max, audit, x, , low, sweep, t, true",
+        "max, audit, x, , low, sweep, locked, false",
         "max, submit, board-matcher, , low, sweep, t, false", "nobody, show, x, , low, sweep, t, false",
     )
     fun `deny wins, and nothing is allowed that no rule allows`(
--- a/src/test/kotlin/plankwall/backlog/BacklogTest.kt
+++ b/src/test/kotlin/plankwall/backlog/BacklogTest.kt
@@ -12,7 +12,9 @@
 import plankwall.model.Shape
 import plankwall.sim.CoreParts
 
-/** Jobs of a class that should start within 30 s and be done within 60 or 90 s; each of four machines takes four tasks. */
+/**
+ * Jobs of a class that should start within 30 s and be done within 60 or 90 s; each of four machines takes four tasks.
+ */
 class BacklogTest {
     private val core = CoreParts(
         listOf("class", "low", "high").flatMap {
@@ -69,7 +71,8 @@
     /** A day on which a class of low priority was served at a tenth, beside others at nine tenths. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, whether the cloud has no more, tasks of low and of high priority running of sixteen places, who goes first
+        // name, whether the cloud has no more, tasks of low and of high priority running of sixteen places, who goes
+        // first
         "'starved beside others', true, 0, 8, low",
         "'it has its floor', true, 12, 4, high",
         "'the others are below theirs', true, 0, 0, high",
--- a/src/test/kotlin/plankwall/backlog/ShortOfRoomDaysTest.kt
+++ b/src/test/kotlin/plankwall/backlog/ShortOfRoomDaysTest.kt
@@ -9,7 +9,10 @@
 import plankwall.model.Objective
 import plankwall.model.Priority
 
-/** Days with more work than room, played whole: what share of the jobs is done in time, and that the others are not forgotten. */
+/**
+ * Days with more work than room, played whole: what share of the jobs is done in time, and that the others are not
+ * forgotten.
+ */
 class ShortOfRoomDaysTest {
     private val aims = listOf(Objective("wait", "class", 40.0, 0.9), Objective("finished", "class", 80.0, 0.9))
     private val doneAt = HashMap<String, Double>()
@@ -21,10 +24,14 @@
     private fun inTime(jobs: Map<String, Double>) =
         jobs.count { (id, at) -> (doneAt[id] ?: 1e9) - at <= 82.0 } / jobs.size.toDouble()
 
-    /** By age alone the first, the second and the limit served 0.19. The best possible, worked out from sizes and limit, is some 0.6 for them. */
+    /**
+     * By age alone the first, the second and the limit served 0.19. The best possible, worked out from sizes and limit,
+     * is some 0.6 for them.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, machines that the cloud has, jobs every how many seconds, team, what happens at 120 s, least share done in time
+        // name, machines that the cloud has, jobs every how many seconds, team, what happens at 120 s, least share done
+        // in time
         "'a cloud with half of the machines', 10, 1.0, blue, nothing, 0.5",
         "'and a leader that dies', 10, 1.0, blue, crash, 0.45",
         "'and an outage of the state service', 10, 1.0, blue, outage, 0.4",
@@ -59,7 +66,8 @@
         }
         world.clock.runUntil(260.0)
         assertTrue(inTime(jobs) >= least, "in time ${inTime(jobs)}")
-        // What a limit holds back rents nothing: 16 accelerators are four machines, and a few more while they come and go.
+        // What a limit holds back rents nothing: 16 accelerators are four machines, and a few more while they come and
+        // go.
         if (team == "red") assertTrue(world.cloud.most <= 8, "${world.cloud.most} machines")
         // What was given up is caught up with.
         world.clock.runUntil(900.0 + 4 * count)
--- a/src/test/kotlin/plankwall/build/ArchitectureTest.kt
+++ b/src/test/kotlin/plankwall/build/ArchitectureTest.kt
@@ -10,7 +10,10 @@
 /** Which package may use which. A direction that is not in the table has to be argued for in docs/design.md first. */
 class ArchitectureTest {
     private val core =
-        setOf("core.step", "core.links", "core.cancellations", "core.lead", "core.jobs", "core.backlog", "core.placing", "core.outlook", "core.sessions", "core.relay", "core.rental", "core.workers", "core.front")
+        setOf(
+            "core.step", "core.links", "core.cancellations", "core.lead", "core.jobs", "core.backlog", "core.placing",
+            "core.outlook", "core.sessions", "core.relay", "core.rental", "core.workers", "core.front",
+        )
 
     private val allowed: Map<String, Set<String>> = mapOf(
         "model" to emptySet(),
@@ -71,7 +74,10 @@
             "cli.remote",
         ),
         "cli" to
-            setOf("model", "wire", "core.step", "io", "identity", "gate", "lab", "lab.scale", "cli.settings", "cli.remote", "cli.access"),
+            setOf(
+                "model", "wire", "core.step", "io", "identity", "gate", "lab", "lab.scale", "cli.settings",
+                "cli.remote", "cli.access",
+            ),
     )
 
     private val classes = ClassFileImporter().withImportOption(
--- a/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
+++ b/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
@@ -6,7 +6,9 @@
 import java.io.File
 import java.util.Random
 
-/** The bounded run: seeds, those of `src/test/resources` among them, and mutations of them that are the same every time. */
+/**
+ * The bounded run: seeds, those of `src/test/resources` among them, and mutations of them that are the same every time.
+ */
 class FuzzTest {
     @ParameterizedTest
     @ValueSource(strings = ["rights", "token", "frame", "trail", "network"])
@@ -34,7 +36,10 @@
         val at = random.nextInt(b.size + 1)
         val end = minOf(b.size, at + random.nextInt(12))
         val words =
-            listOf("(", ")", "\"", "not ", "{", "}", ";", ".", "e30", "=", "null", "-1", "99999999999999999999", "\u0000", "ä", "::", "/0", "..")
+            listOf(
+                "(", ")", "\"", "not ", "{", "}", ";", ".", "e30", "=", "null", "-1", "99999999999999999999", "\u0000",
+                "ä", "::", "/0", "..",
+            )
         return when (random.nextInt(6)) {
             0 -> if (b.isEmpty()) b else b.copyOf().also { it[random.nextInt(b.size)] = random.nextInt(256).toByte() }
             1 -> b.copyOf(at)
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -21,7 +21,9 @@
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
 
-/** What strangers can send, and what must never come of it: another exception than the stated one, or being believed. */
+/**
+ * What strangers can send, and what must never come of it: another exception than the stated one, or being believed.
+ */
 object Targets {
     const val NOW = 1_700_000_000_000L
 
@@ -42,7 +44,9 @@
         3,
         TrailLines.START,
         "n0",
-        plankwall.audit.TrailEntry("a-1", NOW, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q"),
+        plankwall.audit.TrailEntry(
+            "a-1", NOW, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q",
+        ),
     )
     private val tokens = TokenReader("site", 2_000, 60_000)
 
--- a/src/test/kotlin/plankwall/gate/Callers.kt
+++ b/src/test/kotlin/plankwall/gate/Callers.kt
@@ -121,7 +121,10 @@
 
         private val NODES = (0..6).joinToString("\n") { """node n$it { key k1 "${KEYS.getValue("n$it").x}"; }""" }
 
-        /** ada runs red's jobs, ben blue's; cas may look; root keeps rights and trail. eve holds a key that nobody knows. */
+        /**
+         * ada runs red's jobs, ben blue's; cas may look; root keeps rights and trail. eve holds a key that nobody
+         * knows.
+         */
         fun rights(
             people: String = listOf("ada", "ben", "cas", "root").joinToString("\n") { person(it) },
             red: String = """allow submit, resubmit, show, withdraw where team is red;""",
--- a/src/test/kotlin/plankwall/gate/GateDaysTest.kt
+++ b/src/test/kotlin/plankwall/gate/GateDaysTest.kt
@@ -95,8 +95,10 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource(
-        "as it was, 201", "no header, 401", "another request's body, 401", "another path, 401", "used already, 401", "wrong audience, 401",
-        "expired, 401", "not yet valid, 401", "lives too long, 401", "wrong key, 401", "unbound, 401", "truncated, 401", "64 KiB, 401",
+        "as it was, 201", "no header, 401", "another request's body, 401", "another path, 401", "used already, 401",
+        "wrong audience, 401",
+        "expired, 401", "not yet valid, 401", "lives too long, 401", "wrong key, 401", "unbound, 401", "truncated, 401",
+        "64 KiB, 401",
         "alg none, 401", "a header that names a user, 401",
     )
     fun `a proof that is none gets 401, from loopback as from anywhere`(spoilt: String, expected: Int) {
--- a/src/test/kotlin/plankwall/gate/GateLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gate/GateLimitsTest.kt
@@ -14,7 +14,9 @@
 import plankwall.model.Tuning
 import java.util.Random
 
-/** What bounds the gate: floods, room for used tokens, the state service's limits, and the doors that are not users'. */
+/**
+ * What bounds the gate: floods, room for used tokens, the state service's limits, and the doors that are not users'.
+ */
 class GateLimitsTest {
     private fun limited(node: String, more: String = "", listed: Boolean = false) = GateSettings(
         Callers.AUDIENCE,
--- a/src/test/kotlin/plankwall/gate/TrailReplayTest.kt
+++ b/src/test/kotlin/plankwall/gate/TrailReplayTest.kt
@@ -16,7 +16,9 @@
 import plankwall.wire.Stored
 import plankwall.wire.TrailSegment
 
-/** 20,000 requests, allowed and denied, over seven nodes on a bad day; then the trail against what callers were told. */
+/**
+ * 20,000 requests, allowed and denied, over seven nodes on a bad day; then the trail against what callers were told.
+ */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class TrailReplayTest {
     private val world = World(2026, 7, gate = { Callers.settings(it, Callers.rights(red = RED), sealS = 15.0) })
@@ -116,10 +118,16 @@
         assertTrue(outcome.entries > 10_000, "${outcome.entries}")
     }
 
-    /** Faults planted into what is stored or was told: an entry lost, doubled, moved, turned, or made up; a job likewise. */
+    /**
+     * Faults planted into what is stored or was told: an entry lost, doubled, moved, turned, or made up; a job
+     * likewise.
+     */
     @ParameterizedTest
     @ValueSource(
-        strings = ["lost", "twice", "another's", "turned", "made up", "job without entry", "entry without job", "told otherwise", "denial lost", "withdrawn by nobody"],
+        strings = [
+            "lost", "twice", "another's", "turned", "made up", "job without entry", "entry without job",
+            "told otherwise", "denial lost", "withdrawn by nobody",
+        ],
     )
     fun `the checker finds what is planted`(fault: String) {
         val values = LinkedHashMap(stored)
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -45,9 +45,7 @@
 
     @ParameterizedTest(name = "signed links: {0}")
     @CsvSource("false", "true")
-    fun `forged words that every peer follows count as proof that older leaders are silent only where frames are not signed`(
-        signed: Boolean,
-    ) {
+    fun `forged words that peers follow prove older leaders silent only where frames are unsigned`(signed: Boolean) {
         val ctx = Context(World.settings("n0", 3), Tuning(), 1, Random(1)).apply {
             time.advance(1000.0, this@PeerFramesTest.now)
         }
--- a/src/test/kotlin/plankwall/identity/TokensTest.kt
+++ b/src/test/kotlin/plankwall/identity/TokensTest.kt
@@ -68,10 +68,14 @@
     @ParameterizedTest
     @ValueSource(
         strings = [
-            """{"alg":"none","kid":"old","typ":"plankwall+jwt"}""", """{"alg":"HS256","kid":"old","typ":"plankwall+jwt"}""",
-            """{"alg":"EdDSA","kid":"new","typ":"plankwall+jwt"}""", """{"alg":"EdDSA","kid":"old","typ":"JWT"}""", """{"alg":"EdDSA","kid":"old"}""",
-            """{"alg":"EdDSA","typ":"plankwall+jwt"}""", """{"alg":"EdDSA","kid":"old","typ":"plankwall+jwt","crit":["exp"]}""",
-            """{"alg":"EdDSA","alg":"none","kid":"old","typ":"plankwall+jwt"}""", """{"alg":"EdDSA","kid":"old","typ":"plankwall+jwt","jwk":{"kty":"OKP"}""",
+            """{"alg":"none","kid":"old","typ":"plankwall+jwt"}""",
+            """{"alg":"HS256","kid":"old","typ":"plankwall+jwt"}""",
+            """{"alg":"EdDSA","kid":"new","typ":"plankwall+jwt"}""", """{"alg":"EdDSA","kid":"old","typ":"JWT"}""",
+            """{"alg":"EdDSA","kid":"old"}""",
+            """{"alg":"EdDSA","typ":"plankwall+jwt"}""",
+            """{"alg":"EdDSA","kid":"old","typ":"plankwall+jwt","crit":["exp"]}""",
+            """{"alg":"EdDSA","alg":"none","kid":"old","typ":"plankwall+jwt"}""",
+            """{"alg":"EdDSA","kid":"old","typ":"plankwall+jwt","jwk":{"kty":"OKP"}""",
             "[]", "", "x",
         ],
     )
@@ -81,14 +85,20 @@
     @ParameterizedTest
     @ValueSource(
         strings = [
-            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000}""", """{"sub":"ada","aud":"site","jti":"a","exp":1700000030}""",
-            """{"sub":"ada","aud":"site","iat":1700000000,"exp":1700000030}""", """{"aud":"site","jti":"a","iat":1700000000,"exp":1700000030}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000}""",
+            """{"sub":"ada","aud":"site","jti":"a","exp":1700000030}""",
+            """{"sub":"ada","aud":"site","iat":1700000000,"exp":1700000030}""",
+            """{"aud":"site","jti":"a","iat":1700000000,"exp":1700000030}""",
             """{"sub":"ada","sub":"root","aud":"site","jti":"a","iat":1700000000,"exp":1700000030}""",
-            """{"sub":"ada","aud":["site","other"],"jti":"a","iat":1700000000,"exp":1700000030}""", """{"sub":"ada","jti":"a","iat":1700000000,"exp":1700000030}""",
-            """{"sub":"ada","aud":"site","jti":"a","iat":"now","exp":1700000030}""", """{"sub":["ada"],"aud":"site","jti":"a","iat":1700000000,"exp":1700000030}""",
-            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1700000090}""", """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1699999999}""",
+            """{"sub":"ada","aud":["site","other"],"jti":"a","iat":1700000000,"exp":1700000030}""",
+            """{"sub":"ada","jti":"a","iat":1700000000,"exp":1700000030}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":"now","exp":1700000030}""",
+            """{"sub":["ada"],"aud":"site","jti":"a","iat":1700000000,"exp":1700000030}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1700000090}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1699999999}""",
             """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1700000030,"nbf":1700000020}""",
-            """{"sub":"ada","aud":"site","jti":"a","iat":-9e999,"exp":9e999}""", """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1700000030,"req":5}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":-9e999,"exp":9e999}""",
+            """{"sub":"ada","aud":"site","jti":"a","iat":1700000000,"exp":1700000030,"req":5}""",
             "[]", "null", "",
         ],
     )
@@ -117,7 +127,10 @@
 
     @ParameterizedTest
     @ValueSource(
-        strings = ["", "AAAA", "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "__________________________________________8"],
+        strings = [
+            "", "AAAA", "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "AQAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA",
+            "__________________________________________8",
+        ],
     )
     fun `a point that anybody could sign for is no key`(x: String) {
         assertThrows(BadKey::class.java) { PublicKey.of("k", x) }
--- a/src/test/kotlin/plankwall/links/RoutingTest.kt
+++ b/src/test/kotlin/plankwall/links/RoutingTest.kt
@@ -30,7 +30,10 @@
         picture.hear(status)
     }
 
-    /** Words: read:NODE@EPOCH, free, leads:NODE@EPOCH (a frame that answers ours), late: (one that answers nothing recent), old: (of an older version), resigned:, follows:, told:NODE@EPOCH (n4 says so), wait:SECONDS. */
+    /**
+     * Words: read:NODE@EPOCH, free, leads:NODE@EPOCH (a frame that answers ours), late: (one that answers nothing
+     * recent), old: (of an older version), resigned:, follows:, told:NODE@EPOCH (n4 says so), wait:SECONDS.
+     */
     private fun happen(words: String) = words.split(' ').filter { it.isNotEmpty() }.forEachIndexed { i, word ->
         val seq = 10L + i
         val (kind, what) = word.split(':', limit = 2).let { it[0] to it.getOrElse(1) { "" } }
@@ -73,7 +76,8 @@
         // An epoch beyond all claims: somebody newer leads, and to send a worker to an older one could go in circles.
         "read:n1@5 follows:n3@7, -",
         "read:n1@5 follows:n3@7 read:n2@7, n2",
-        // Frames of one node in the wrong order are told apart by their numbers elsewhere; an old record ages away where peers are heard.
+        // Frames of one node in the wrong order are told apart by their numbers elsewhere; an old record ages away
+        // where peers are heard.
         "read:n1@5 wait:30 follows:n3@5, -",
         // Alone, without store and peers: the record is all there is, for as long as that leader may go on.
         "read:n1@5 wait:30, n1",
@@ -87,7 +91,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, workers that turn up here, at peer n1, this node lost its workers as a leader, named, seconds until it stands
+        // name, workers that turn up here, at peer n1, this node lost its workers as a leader, named, seconds until it
+        // stands
         "'nobody knows anything', 0, 0, false, '', 0.0",
         "'workers turn up at a peer only', 0, 4, false, '', 0.6",
         "'workers turn up here too', 1, 4, false, '', 0.0",
--- a/src/test/kotlin/plankwall/links/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/links/WorkerRelayTest.kt
@@ -156,7 +156,8 @@
         "'an answer to another report', 'spreads:5:n0 w1 +0.1 batch:n1:5:200:1 batch:n1:5:200:-1 batch:n1:5:200', '- - batch:n1:5:whole - - 200'",
         "'collected for one leader, another leads', 'spreads:5:n0 w1 spreads:9:n0 +0.1 w2 +0.1', '- - - - - batch:n1:9:whole'",
         "'this node wins with a batch not sent', 'spreads:5:n0 w1 lead +0.1', '- - 503 -'",
-        // Strays are told to the leader as far as this node could serve them: one that hears nobody's answers goes round all nodes too.
+        // Strays are told to the leader as far as this node could serve them: one that hears nobody's answers goes
+        // round all nodes too.
         "'those that a command reaches count', 'w1 w2 +0.1 reached:w1 reached:w2 strays', '503 503 try:w1 try:w2 - - 2'",
         "'none that hears nobody', 'w1 w2 +0.1 +1.5 strays', '503 503 try:w1 try:w2 - 0'",
         "'nor before any try had its time', 'w1 w2 +0.1 strays', '503 503 try:w1 try:w2 0'",
--- a/src/test/kotlin/plankwall/load/GateCost.kt
+++ b/src/test/kotlin/plankwall/load/GateCost.kt
@@ -15,7 +15,9 @@
 import plankwall.wire.TrailSegment
 import plankwall.wire.Write
 
-/** What the gate's parts take, by hand; with the flags of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`. */
+/**
+ * What the gate's parts take, by hand; with the flags of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`.
+ */
 object GateCost {
     @JvmStatic
     fun main(args: Array<String>) {
@@ -25,7 +27,10 @@
         val tokens = List(500) { Tokens.authorization(Tokens.sign(key, "site", "t$it", now, 60, "f")) }
         val reader = TokenReader("site", 2000, 60_000)
         val entry =
-            TrailEntry("abc-1", now, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "role all, line 1", 1, 201, "2f0a-77")
+            TrailEntry(
+                "abc-1", now, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "role all, line 1", 1, 201,
+                "2f0a-77",
+            )
         val line = TrailLines.write(7, TrailLines.START, "n0", entry)
         val segment = TrailSegment(0, TrailLines.START, List(20) { line })
         repeat(4) {
--- a/src/test/kotlin/plankwall/load/LoopbackServices.kt
+++ b/src/test/kotlin/plankwall/load/LoopbackServices.kt
@@ -10,7 +10,10 @@
 import java.util.concurrent.Executors
 import java.util.concurrent.atomic.AtomicLong
 
-/** State service and cloud as PROTOCOL has them, over HTTP on loopback, for real processes. The cloud has types and no machines. */
+/**
+ * State service and cloud as PROTOCOL has them, over HTTP on loopback, for real processes. The cloud has types and no
+ * machines.
+ */
 class LoopbackServices : AutoCloseable {
     private class Entry(val data: JsonNode, val stamp: Long, val lease: Long?)
 
@@ -201,7 +204,8 @@
 
     private companion object {
         const val KEPT = 10_000
-        const val CATALOG = """{"builds":[{"name":"box","cores":64,"accelerators":8,"ram_gb":512,"cache_gb":200,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"ready_s":45,"yards":["a"]}]}"""
+        const val CATALOG = """{"builds":[{"name":"box","cores":64,"accelerators":8,"ram_gb":512,""" +
+            """"cache_gb":200,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"ready_s":45,"yards":["a"]}]}"""
     }
 }
 
--- a/src/test/kotlin/plankwall/load/PlacingPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacingPass.kt
@@ -8,8 +8,9 @@
 import plankwall.sim.CoreParts
 
 /**
- * What a placing pass costs where there is no room: 1,000 jobs of 40 tasks wait on full machines. By hand, with the flags of the small
- * machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`. Passes on which the backlog is judged anew, one in ten, are told apart.
+ * What a placing pass costs where there is no room: 1,000 jobs of 40 tasks wait on full machines. By hand, with the
+ * flags of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`. Passes on which the backlog is judged anew,
+ * one in ten, are told apart.
  */
 object PlacingPass {
     private const val JOBS = 1_000
--- a/src/test/kotlin/plankwall/load/SignedLoad.kt
+++ b/src/test/kotlin/plankwall/load/SignedLoad.kt
@@ -17,8 +17,9 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * Measures by hand, not in CI: three real processes on loopback under submissions, with identities on and off by turns in one
- * run. Run by `mvn -q test-compile exec:java -Dexec.classpathScope=test -Dexec.mainClass=plankwall.load.SignedLoadKt`.
+ * Measures by hand, not in CI: three real processes on loopback under submissions, with identities on and off by turns
+ * in one run. Run by `mvn -q test-compile exec:java -Dexec.classpathScope=test
+ * -Dexec.mainClass=plankwall.load.SignedLoadKt`.
  */
 class SignedLoad(
     private val jar: File,
@@ -86,7 +87,10 @@
             rps = 5.0
             """.trimIndent(),
         )
-        val flags = "-Xmx64m -Xms32m -Xss256k -XX:MaxMetaspaceSize=64m -XX:ReservedCodeCacheSize=24m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto".split(
+        val flags = (
+            "-Xmx64m -Xms32m -Xss256k -XX:MaxMetaspaceSize=64m -XX:ReservedCodeCacheSize=24m " +
+                "-XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto"
+            ).split(
             ' ',
         )
         val proofs = if (signed) listOf("--identities", folder.resolve("identities.yaml").path) else emptyList()
@@ -203,9 +207,9 @@
 
     private fun request(what: String, n: Int): HttpRequest {
         val id = "job-%09d".format(n)
-        fun job(team: String) =
-            """{"id":"$id","docket":"c","crew":"$team","shape":"sweep","urgency":"low","pieces":1,"cores":1.0,"accelerators":0.0,"ram_gb":1.0,""" +
-                """"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
+        fun job(team: String) = """{"id":"$id","docket":"c","crew":"$team","shape":"sweep","urgency":"low",""" +
+            """"pieces":1,"cores":1.0,"accelerators":0.0,"ram_gb":1.0,""" +
+            """"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
         return when (what) {
             "submit" -> request("POST", "/api/jobs", job("t"), n)
             "denied" -> request("POST", "/api/jobs", job("u"), n)
--- a/src/test/kotlin/plankwall/meetings/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/meetings/CancellationsTest.kt
@@ -56,8 +56,9 @@
         WithdrawalNews(1, jobs.toList(), readAgeS?.let { (it * 1000).toLong() } ?: -1, (upS * 1000).toLong())
 
     /**
-     * read, wait:SECONDS, whole:NODE, slow:NODE (made up to 10 s ago), unechoed:NODE, older:NODE (of a version that tells nothing), replayed:NODE,
-     * restarted:NODE/UP_S, gap:NODE (numbers are missing before its first), reads:NODE/AGE_S (it has read the store itself).
+     * read, wait:SECONDS, whole:NODE, slow:NODE (made up to 10 s ago), unechoed:NODE, older:NODE (of a version that
+     * tells nothing), replayed:NODE, restarted:NODE/UP_S, gap:NODE (numbers are missing before its first),
+     * reads:NODE/AGE_S (it has read the store itself).
      */
     private fun happen(words: String) = words.split(' ').forEach { word ->
         val (kind, what) = word.split(':', limit = 2).let { it[0] to it.getOrElse(1) { "" } }
@@ -89,7 +90,8 @@
         "read whole:n1 slow:n2, 10.0",
         "read wait:5 whole:n1 unechoed:n2, 5.0",
         "read wait:5 whole:n1 older:n2, 5.0",
-        // A list that is whole from a node's start proves nothing of what it told before, but all if it has been up since the reading.
+        // A list that is whole from a node's start proves nothing of what it told before, but all if it has been up
+        // since the reading.
         "read wait:5 whole:n1 restarted:n2/2, 5.0",
         "read wait:5 whole:n1 restarted:n2/30, 0.0",
         "read whole:n1 whole:n2 wait:5 whole:n1 restarted:n2/1, 5.0",
@@ -97,7 +99,8 @@
         "read wait:5 whole:n1 gap:n2, 5.0",
         "read wait:5 gap:n2 wait:1 read wait:2 whole:n1 gap:n2, 0.0",
         "read whole:n1 whole:n2 wait:5 replayed:n1 whole:n2, 5.0",
-        // What a peer has read serves as well, where its list is whole from before our own reading; else it is nobody's proof.
+        // What a peer has read serves as well, where its list is whole from before our own reading; else it is nobody's
+        // proof.
         "read whole:n1 whole:n2 wait:5 reads:n1/1, 1.0",
         "reads:n1/1 reads:n2/1, -",
         "read wait:5 restarted:n1/2, 5.0",
--- a/src/test/kotlin/plankwall/meetings/GapTest.kt
+++ b/src/test/kotlin/plankwall/meetings/GapTest.kt
@@ -16,8 +16,8 @@
 import plankwall.wire.StateOp
 
 /**
- * The store refuses the leader alone, another node confirms a withdrawal, then the store is away for all for longer than
- * `cancel_s`, while workers report to the old leader. The checker says `ran_cancelled` by the user's clock.
+ * The store refuses the leader alone, another node confirms a withdrawal, then the store is away for all for longer
+ * than `cancel_s`, while workers report to the old leader. The checker says `ran_cancelled` by the user's clock.
  */
 class GapTest {
     private lateinit var world: World
--- a/src/test/kotlin/plankwall/meetings/MeetingDaysTest.kt
+++ b/src/test/kotlin/plankwall/meetings/MeetingDaysTest.kt
@@ -39,7 +39,10 @@
         assertTrue(days.sumOf { it.felt.size } >= days.size, "troubles took hold")
     }
 
-    /** The leader crashes [crashAfterS] after [deaf] machines stopped hearing answers; what ran there starts again elsewhere. */
+    /**
+     * The leader crashes [crashAfterS] after [deaf] machines stopped hearing answers; what ran there starts again
+     * elsewhere.
+     */
     private fun startsWithDeaf(deaf: Int, crashAfterS: Double): Int {
         val world = World(3, nodeCount = 3)
         world.clock.after(2.0) { (1..3).forEach { world.submit(World.job(it, tasks = 4, runS = 400.0)) } }
--- a/src/test/kotlin/plankwall/meetings/MeetingsTest.kt
+++ b/src/test/kotlin/plankwall/meetings/MeetingsTest.kt
@@ -10,7 +10,10 @@
 import plankwall.lab.World
 import plankwall.model.Shape
 
-/** Fault combinations that the operators name, each by itself: that it took hold, that no rule broke, and what became of the jobs. */
+/**
+ * Fault combinations that the operators name, each by itself: that it took hold, that no rule broke, and what became of
+ * the jobs.
+ */
 class MeetingsTest {
     private lateinit var world: World
     private val leader get() = world.nodes.first { it.leading }
@@ -89,7 +92,10 @@
 
     @ParameterizedTest
     @ValueSource(
-        strings = ["no other trouble", "the leader ends", "a node stands still", "a node has just started", "late writes", "lost answers", "a node is cut from the store"],
+        strings = [
+            "no other trouble", "the leader ends", "a node stands still", "a node has just started", "late writes",
+            "lost answers", "a node is cut from the store",
+        ],
     )
     fun `users ask at all nodes and repeat themselves as jobs are accepted, end and are cancelled`(trouble: String) {
         world = World(9, nodeCount = 5)
@@ -237,7 +243,8 @@
 
     @ParameterizedTest(name = "{0}, cancelled {1} s after")
     @CsvSource(
-        "crash, -0.5", "crash, -0.05", "crash, 0.0", "crash, 0.2", "crash, 1.0", "crash, 2.5", "crash, 3.0", "crash, 3.5",
+        "crash, -0.5", "crash, -0.05", "crash, 0.0", "crash, 0.2", "crash, 1.0", "crash, 2.5", "crash, 3.0",
+        "crash, 3.5",
         "yield, -0.05", "yield, 0.0", "yield, 0.5", "yield, 1.5", "yield, 3.0",
         "freeze, -0.1", "freeze, 0.5", "freeze, 2.7", "freeze, 3.5",
         "roll, 0.0", "roll, 1.0", "roll, 4.0",
@@ -283,7 +290,10 @@
 
     @ParameterizedTest(name = "{0}")
     @ValueSource(
-        strings = ["all as it was", "the machines begin a new session meanwhile", "half of the machines die with the leader", "cancelled meanwhile"],
+        strings = [
+            "all as it was", "the machines begin a new session meanwhile", "half of the machines die with the leader",
+            "cancelled meanwhile",
+        ],
     )
     fun `old reports reach every node as a new leader begins`(how: String) {
         begin(nodes = 5)
--- a/src/test/kotlin/plankwall/nights/BadNightsTest.kt
+++ b/src/test/kotlin/plankwall/nights/BadNightsTest.kt
@@ -22,7 +22,10 @@
         assertEquals(emptyList<String>(), nights.flatMap { n -> n.unserved.map { "${n.seed}: $it not done" } })
     }
 
-    /** A sweep and a storm of polls as the leader dies: replicas stay up, the sweep comes to one end, and polls are answered. */
+    /**
+     * A sweep and a storm of polls as the leader dies: replicas stay up, the sweep comes to one end, and polls are
+     * answered.
+     */
     @Test
     fun `a sweep amid a storm of polls survives two leaders`() {
         val world = World(77)
@@ -44,8 +47,8 @@
     }
 
     /**
-     * A leader that lost the store answers workers for a stated while and not a second longer, since a successor reckons with that.
-     * Neither the days above nor any test saw it when the bound was taken away.
+     * A leader that lost the store answers workers for a stated while and not a second longer, since a successor
+     * reckons with that. Neither the days above nor any test saw it when the bound was taken away.
      */
     @Test
     fun `a leader without the store stops answering when its grace is over`() {
--- a/src/test/kotlin/plankwall/nights/BootTroubleTest.kt
+++ b/src/test/kotlin/plankwall/nights/BootTroubleTest.kt
@@ -12,13 +12,17 @@
 import plankwall.model.GroupKey
 import plankwall.sim.CoreParts
 
-/** Machines that come up late or never: when a group is troubled, and which of what is overdue still counts as room to come. */
+/**
+ * Machines that come up late or never: when a group is troubled, and which of what is overdue still counts as room to
+ * come.
+ */
 class BootTroubleTest {
     private val ctx = CoreParts().ctx
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, overdue here, up here, overdue in another group, up there, seconds since the take-over, troubled, counted on, patience
+        // name, overdue here, up here, overdue in another group, up there, seconds since the take-over, troubled,
+        // counted on, patience
         "'all is well', 0, 10, 0, 10, 500, false, 0, 120",
         "'a straggler is replaced at once', 1, 10, 0, 10, 500, false, 0, 120",
         "'a handful among many', 4, 20, 0, 0, 500, false, 0, 120",
--- a/src/test/kotlin/plankwall/nights/GuestsTest.kt
+++ b/src/test/kotlin/plankwall/nights/GuestsTest.kt
@@ -22,10 +22,14 @@
         CoreParts(listOf(Objective("finished", "sweep", 400.0, 0.8), Objective("wait", "class", 100.0, 0.9)))
     private val ctx = core.ctx
 
-    /** The incidents: 25,000 tasks of four seconds, and 3,822 that may wait, took every machine of the cloud at the dearest price. */
+    /**
+     * The incidents: 25,000 tasks of four seconds, and 3,822 that may wait, took every machine of the cloud at the
+     * dearest price.
+     */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, class, tasks, run time, may use spot, has waited long, machines allowed in this round, machines rented, of them spot
+        // name, class, tasks, run time, may use spot, has waited long, machines allowed in this round, machines rented,
+        // of them spot
         "'work with an aim is rented for, spot where it may', class, 40, 60, true, false, 3, 10, 10",
         "'spare-time work at a pace', spare, 40, 60, true, false, 3, 3, 3",
         "'not at all while much is under way', spare, 40, 60, true, false, 0, 0, 0",
@@ -65,7 +69,10 @@
         assertEquals(ofSpot, wanted.filterKeys { it.spot }.values.sum(), name)
     }
 
-    /** What waited of guests once filled, in the estimate, the room that was kept for guaranteed teams, and more was rented for ever. */
+    /**
+     * What waited of guests once filled, in the estimate, the room that was kept for guaranteed teams, and more was
+     * rented for ever.
+     */
     @ParameterizedTest(name = "a class of {0}: {1} more machines for what is expected")
     @CsvSource("spare, 0", "class, 1")
     fun `what is still to come is reckoned with before spare-time work`(kind: String, more: Int) {
@@ -85,10 +92,14 @@
         assertEquals(more, wanted.filterKeys { !it.spot }.values.sum())
     }
 
-    /** On a small day of which only one class had an aim, the bound of half the fleet starved another beside an idle cloud. */
+    /**
+     * On a small day of which only one class had an aim, the bound of half the fleet starved another beside an idle
+     * cloud.
+     */
     @ParameterizedTest(name = "{0} machines, {1} arriving, {2} taken, others wait {3}: {4} more")
     @CsvSource(
-        "100, 0, 0, true, 25", "100, 20, 0, true, 5", "100, 30, 0, true, 0", "100, 0, 40, true, 10", "100, 0, 60, true, 0",
+        "100, 0, 0, true, 25", "100, 20, 0, true, 5", "100, 30, 0, true, 0", "100, 0, 40, true, 10",
+        "100, 0, 60, true, 0",
         "100, 0, 60, false, 25", "8, 0, 4, true, 0", "8, 0, 4, false, 4", "8, 3, 8, false, 1", "0, 0, 0, true, 4",
     )
     fun `the pace at which spare time is rented for`(
@@ -127,7 +138,10 @@
         assertEquals(placed, job.placements.size, name)
     }
 
-    /** A guest's work once could not be stopped for a guarantee, since only what exceeds one's own guarantee may, and it had none. */
+    /**
+     * A guest's work once could not be stopped for a guarantee, since only what exceeds one's own guarantee may, and it
+     * had none.
+     */
     @ParameterizedTest(name = "work of team {0} on the only machine: room made for {1}")
     @CsvSource("blue, 2", "red, 0")
     fun `a guarantee comes before whatever guests run`(team: String, made: Int) {
@@ -152,7 +166,10 @@
         assertEquals(spare, job.spareTime, name)
     }
 
-    /** Hundreds of tiny tasks on one machine, and as many exits that wait to be stored, come near what a report may hold. */
+    /**
+     * Hundreds of tiny tasks on one machine, and as many exits that wait to be stored, come near what a report may
+     * hold.
+     */
     @ParameterizedTest(name = "{0} exits shown: {1} placed")
     @CsvSource("0, 20", "690, 10", "700, 0")
     fun `a machine gets no more tasks than its report can show`(exits: Int, placed: Int) {
--- a/src/test/kotlin/plankwall/sessions/ReportBatchTest.kt
+++ b/src/test/kotlin/plankwall/sessions/ReportBatchTest.kt
@@ -62,7 +62,10 @@
     }
 
     @ParameterizedTest(name = "{0}")
-    @CsvSource("nothing,true", "token,true", "session,false", "address,false", "stage,false", "ended,false", "attempt,false", "one more,false", "one less,false", "notice,false")
+    @CsvSource(
+        "nothing,true", "token,true", "session,false", "address,false", "stage,false", "ended,false", "attempt,false",
+        "one more,false", "one less,false", "notice,false",
+    )
     fun `only a report that says the same is marked, and the leader reads it as it is`(what: String, marked: Boolean) {
         val bases = ReportBases()
         bases.resolve("n0", sent(base, 1))
--- a/src/test/kotlin/plankwall/sessions/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/sessions/SpreadSessionsTest.kt
@@ -19,7 +19,9 @@
 import plankwall.wire.ReportBatch
 import plankwall.wire.WholeReport
 
-/** Workers' sessions on every node, with five nodes and three hundred workers in virtual time, and what can fail there. */
+/**
+ * Workers' sessions on every node, with five nodes and three hundred workers in virtual time, and what can fail there.
+ */
 class SpreadSessionsTest {
     private val world = World(71, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.2, unneededS = 7200.0))
     private val servedBy = HashMap<String, SimNode>()
@@ -149,9 +151,12 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource(
         // what happens, how many tasks may be killed by their lease: only what hung for longer than that
-        "'a session''s node ends', 0", "'it is frozen', 0", "'it is cut from the leader', 0", "'it is cut from the leader, frames held', 0",
-        "'it is cut from the workers', 0", "'it is cut from the store', 0", "'the leader ends', 0", "'the leader and a session''s node end', 0",
-        "'all controllers end', 0", "'frames are lost', 0", "'frames come twice and late', 0", "'reports come twice and late', 0",
+        "'a session''s node ends', 0", "'it is frozen', 0", "'it is cut from the leader', 0",
+        "'it is cut from the leader, frames held', 0",
+        "'it is cut from the workers', 0", "'it is cut from the store', 0", "'the leader ends', 0",
+        "'the leader and a session''s node end', 0",
+        "'all controllers end', 0", "'frames are lost', 0", "'frames come twice and late', 0",
+        "'reports come twice and late', 0",
         "'machines restart', 90", "'a worker reports to two at once', 0", "'the leader and the store''s answers', 0",
     )
     fun `no rule breaks and no lease is lost`(what: String, killed: Int) {
@@ -212,7 +217,8 @@
     @ParameterizedTest(name = "{0} older nodes")
     @CsvSource("1", "4")
     fun `beside older nodes the others serve what they can`(older: Int) {
-        // Older ones send no word of sessions, so they are given none; where only they are left, all come to the leader.
+        // Older ones send no word of sessions, so they are given none; where only they are left, all come to the
+        // leader.
         world.nodes.drop(1).take(older).forEach { world.older.add(it.name) }
         world.clock.runUntil(100.0)
         assertEquals(emptyList<String>(), world.checker.broken)
