--- /dev/null
+++ b/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
@@ -0,0 +1,107 @@
+package plankwall.wire
+
+import org.junit.jupiter.api.Assertions.assertArrayEquals
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.MethodSource
+import plankwall.audit.Seals
+import plankwall.audit.TrailLines
+import plankwall.fuzz.Targets
+import plankwall.identity.PeerKey
+import plankwall.identity.PeerSeal
+import plankwall.sim.RecordJson
+import java.util.HexFormat
+
+/**
+ * Bytes that earlier builds have stored or sent, in `resources/golden`: stored values under their keys, frames between
+ * controllers, requests and answers of the protocols. Each is written again byte for byte, and read back to what it
+ * was written from. A deliberate change of a format adds a line; lines that stand stay.
+ */
+class GoldenBytesTest {
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("storedRecords")
+    fun `a stored record keeps its bytes`(name: String, golden: String) {
+        val record = GoldenValues.records.getValue(name)
+        assertEquals(golden, RecordJson.encode(record))
+        val key = name.substringBefore(' ')
+        assertEquals(record, RecordJson.decode(key, golden))
+        assertEquals(golden, RecordJson.encode(RecordJson.decode(key, golden)!!))
+    }
+
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("peerFrames")
+    fun `a frame between controllers keeps its bytes`(name: String, golden: String) {
+        val message = GoldenValues.frames.getValue(name)
+        val bytes = HexFormat.of().parseHex(golden)
+        assertArrayEquals(bytes, PeerCodec.write(message), HexFormat.of().formatHex(PeerCodec.write(message)))
+        assertEquals(message, PeerCodec.read(bytes))
+        assertArrayEquals(bytes, PeerCodec.write(PeerCodec.read(bytes)))
+    }
+
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("protocolMessages")
+    fun `a message of the protocols keeps its bytes`(name: String, golden: String) {
+        val message = GoldenValues.messages.getValue(name)
+        assertEquals(golden, message.write().decodeToString())
+        message.rewrite?.let { assertEquals(golden, it(golden.encodeToByteArray()).decodeToString()) }
+    }
+
+    @ParameterizedTest(name = "{0}")
+    @MethodSource("olderRecords")
+    fun `a record of an earlier build is still read`(name: String, stored: String) {
+        assertEquals(GoldenValues.older.getValue(name), RecordJson.decode(name.substringBefore(' '), stored))
+    }
+
+    @Test
+    fun `a sealed frame keeps its bytes and is opened`() {
+        fun seal(node: String) = PeerSeal(node, 1, listOf(PeerKey("k", ByteArray(32) { 3 })), false, 0)
+        val frame = PeerCodec.write(GoldenValues.frames.getValue("status of the first level"))
+        val golden = lines("sealed").single().second
+        assertEquals(golden, HexFormat.of().formatHex(seal("n1").seal(frame, Targets.NOW)))
+        val opened = seal("n0").open(HexFormat.of().parseHex(golden), Targets.NOW)
+        assertEquals("n1", opened?.sender)
+        assertArrayEquals(frame, opened?.frame)
+    }
+
+    @Test
+    fun `an entry of the audit log keeps its bytes, its hash and its seal`() {
+        val (line, hash, jws) = lines("audit").map { it.second }
+        assertEquals(line, TrailLines.write(3, TrailLines.START, "n0", GoldenValues.entry))
+        val read = TrailLines.read(line)
+        assertEquals(line, TrailLines.write(read.number, read.before, read.node, read.entry))
+        assertEquals(hash, TrailLines.hash(line))
+        assertEquals(jws, Seals.sign(GoldenValues.seal, Targets.key))
+        assertEquals(GoldenValues.seal, Seals.read(jws))
+    }
+
+    @Test
+    fun `every kind of stored record and of frame has golden bytes`() {
+        fun kinds(sealed: Class<*>): Set<String> = sealed.permittedSubclasses.map { it.simpleName }.toSet()
+        assertEquals(kinds(Stored::class.java), GoldenValues.records.values.map { it.javaClass.simpleName }.toSet())
+        assertEquals(kinds(PeerMessage::class.java), GoldenValues.frames.values.map { it.javaClass.simpleName }.toSet())
+        assertEquals(GoldenValues.records.keys, lines("records").map { it.first }.toSet())
+        assertEquals(GoldenValues.frames.keys, lines("frames").map { it.first }.toSet())
+        assertEquals(GoldenValues.messages.keys, lines("messages").map { it.first }.toSet())
+    }
+
+    private companion object {
+        fun lines(file: String): List<Pair<String, String>> =
+            GoldenBytesTest::class.java.getResource("/golden/$file.txt")!!.readText().lines().filter { it.isNotEmpty() }
+                .map { it.substringBefore('\t') to it.substringAfter('\t') }
+
+        private fun cases(file: String) = lines(file).map { arrayOf<Any>(it.first, it.second) }
+
+        @JvmStatic
+        fun storedRecords() = cases("records")
+
+        @JvmStatic
+        fun olderRecords() = cases("older")
+
+        @JvmStatic
+        fun peerFrames() = cases("frames")
+
+        @JvmStatic
+        fun protocolMessages() = cases("messages")
+    }
+}
