--- a/src/main/kotlin/plankwall/audit/ChainEnd.kt
+++ b/src/main/kotlin/plankwall/audit/ChainEnd.kt
@@ -1,6 +1,6 @@
 package plankwall.audit
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
 import plankwall.wire.TrailSegment
 
--- a/src/main/kotlin/plankwall/audit/LastNumbered.kt
+++ b/src/main/kotlin/plankwall/audit/LastNumbered.kt
@@ -1,6 +1,6 @@
 package plankwall.audit
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.StateItem
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
--- a/src/main/kotlin/plankwall/audit/Sealer.kt
+++ b/src/main/kotlin/plankwall/audit/Sealer.kt
@@ -1,8 +1,8 @@
 package plankwall.audit
 
 import org.slf4j.LoggerFactory
-import plankwall.core.step.Context
-import plankwall.core.step.TermPower
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.TermPower
 import plankwall.identity.SigningKey
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
--- a/src/main/kotlin/plankwall/audit/TrailWriter.kt
+++ b/src/main/kotlin/plankwall/audit/TrailWriter.kt
@@ -1,8 +1,8 @@
 package plankwall.audit
 
 import org.slf4j.LoggerFactory
-import plankwall.core.step.Budget
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
 import plankwall.wire.StateCodec
--- a/src/main/kotlin/plankwall/access/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -1,7 +1,7 @@
-package plankwall.access
+package plankwall.authorization
 
-import plankwall.core.step.Action
-import plankwall.core.step.Verdict
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Verdict
 import plankwall.identity.Networks
 import plankwall.identity.PublicKey
 import plankwall.model.JobFacts
--- a/src/main/kotlin/plankwall/access/RightsReader.kt
+++ b/src/main/kotlin/plankwall/authorization/RightsReader.kt
@@ -1,4 +1,4 @@
-package plankwall.access
+package plankwall.authorization
 
 import org.antlr.v4.runtime.BaseErrorListener
 import org.antlr.v4.runtime.CharStreams
@@ -8,9 +8,9 @@
 import org.antlr.v4.runtime.Recognizer
 import org.antlr.v4.runtime.Token
 import org.apache.commons.text.similarity.LevenshteinDistance
-import plankwall.access.grammar.RightsLexer
-import plankwall.access.grammar.RightsParser
-import plankwall.core.step.Action
+import plankwall.authorization.grammar.RightsLexer
+import plankwall.authorization.grammar.RightsParser
+import plankwall.core.statemachine.Action
 import plankwall.identity.BadKey
 import plankwall.identity.Networks
 import plankwall.identity.PublicKey
--- a/src/main/kotlin/plankwall/cli/GateParts.kt
+++ b/src/main/kotlin/plankwall/cli/GateParts.kt
@@ -1,8 +1,8 @@
 package plankwall.cli
 
 import plankwall.cli.settings.BadSettings
-import plankwall.gate.GateSettings
-import plankwall.gate.Gatehouse
+import plankwall.gateway.GateSettings
+import plankwall.gateway.Gatehouse
 import plankwall.identity.PeerDoor
 import plankwall.identity.PeerSeal
 import plankwall.io.Identities
--- a/src/main/kotlin/plankwall/cli/LabCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LabCommand.kt
@@ -4,8 +4,8 @@
 import picocli.CommandLine
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
-import plankwall.lab.BadNight
-import plankwall.lab.LinkDay
+import plankwall.simulation.BadNight
+import plankwall.simulation.LinkDay
 import java.util.concurrent.Callable
 import java.util.stream.IntStream
 
--- a/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
@@ -7,13 +7,13 @@
 import picocli.CommandLine.Mixin
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
-import plankwall.access.BadRights
-import plankwall.access.Policy
-import plankwall.access.RightsReader
-import plankwall.access.Standing
+import plankwall.authorization.BadRights
+import plankwall.authorization.Policy
+import plankwall.authorization.RightsReader
+import plankwall.authorization.Standing
 import plankwall.cli.remote.NodeCalls
 import plankwall.cli.settings.BadSettings
-import plankwall.core.step.Action
+import plankwall.core.statemachine.Action
 import plankwall.model.JobFacts
 import plankwall.model.Priority
 import plankwall.model.Shape
@@ -62,7 +62,7 @@
         val (able, idle) = policy.principals.values.partition { policy.rulesOf(it.name).any { r -> r.allows } }
         println("$file: ${policy.principals.size} people, services and nodes, ${able.size} of them with rights")
         idle.filter {
-            it.kind != plankwall.access.PrincipalKind.NODE
+            it.kind != plankwall.authorization.PrincipalKind.NODE
         }.forEach { println("note: nothing is allowed to ${it.name}") }
         if (able.none {
                 policy.judge(it.name, Action.ADMINISTER, null).allowed
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
-import plankwall.access.BadRights
-import plankwall.access.RightsReader
-import plankwall.gate.GateSettings
+import plankwall.authorization.BadRights
+import plankwall.authorization.RightsReader
+import plankwall.gateway.GateSettings
 import java.io.File
 import java.io.IOException
 
--- a/src/main/kotlin/plankwall/core/CatalogWriter.kt
+++ b/src/main/kotlin/plankwall/core/CatalogWriter.kt
@@ -1,8 +1,8 @@
 package plankwall.core
 
-import plankwall.core.front.Market
-import plankwall.core.lead.Divided
-import plankwall.core.lead.LeaderStore
+import plankwall.core.api.Market
+import plankwall.core.store.Divided
+import plankwall.core.store.LeaderStore
 import plankwall.model.Catalog
 import plankwall.wire.Keys
 import plankwall.wire.StateResult
--- a/src/main/kotlin/plankwall/core/front/FrontDesk.kt
+++ b/src/main/kotlin/plankwall/core/api/FrontDesk.kt
@@ -1,14 +1,14 @@
-package plankwall.core.front
+package plankwall.core.api
 
 import org.slf4j.LoggerFactory
-import plankwall.core.lead.Leadership
-import plankwall.core.lead.StoreLimits
-import plankwall.core.step.Action
-import plankwall.core.step.Budget
-import plankwall.core.step.Context
-import plankwall.core.step.Decision
-import plankwall.core.step.RequestId
-import plankwall.core.step.Visitor
+import plankwall.core.election.Leadership
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Decision
+import plankwall.core.statemachine.RequestId
+import plankwall.core.statemachine.Visitor
+import plankwall.core.store.StoreLimits
 import plankwall.model.Catalog
 import plankwall.model.JobFacts
 import plankwall.model.JobSpec
--- a/src/main/kotlin/plankwall/core/front/JobFinder.kt
+++ b/src/main/kotlin/plankwall/core/api/JobFinder.kt
@@ -1,6 +1,6 @@
-package plankwall.core.front
+package plankwall.core.api
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.FinalRecord
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
--- a/src/main/kotlin/plankwall/core/front/JobLedger.kt
+++ b/src/main/kotlin/plankwall/core/api/JobLedger.kt
@@ -1,9 +1,9 @@
-package plankwall.core.front
+package plankwall.core.api
 
 import org.slf4j.LoggerFactory
 import plankwall.core.cancellations.Cancellations
-import plankwall.core.jobs.Dependencies
-import plankwall.core.step.Context
+import plankwall.core.state.Dependencies
+import plankwall.core.statemachine.Context
 import plankwall.model.JobFacts
 import plankwall.model.JobStage
 import plankwall.model.factsFor
--- a/src/main/kotlin/plankwall/core/front/Market.kt
+++ b/src/main/kotlin/plankwall/core/api/Market.kt
@@ -1,7 +1,7 @@
-package plankwall.core.front
+package plankwall.core.api
 
-import plankwall.core.lead.Divided
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
+import plankwall.core.store.Divided
 import plankwall.model.Catalog
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
--- a/src/main/kotlin/plankwall/core/front/ProgressBoard.kt
+++ b/src/main/kotlin/plankwall/core/api/ProgressBoard.kt
@@ -1,4 +1,4 @@
-package plankwall.core.front
+package plankwall.core.api
 
 import plankwall.wire.JobProgress
 import plankwall.wire.ProgressNews
--- a/src/main/kotlin/plankwall/core/front/Visit.kt
+++ b/src/main/kotlin/plankwall/core/api/Visit.kt
@@ -1,11 +1,11 @@
-package plankwall.core.front
+package plankwall.core.api
 
-import plankwall.core.step.Action
-import plankwall.core.step.Context
-import plankwall.core.step.Decision
-import plankwall.core.step.RequestId
-import plankwall.core.step.Verdict
-import plankwall.core.step.Visitor
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Decision
+import plankwall.core.statemachine.RequestId
+import plankwall.core.statemachine.Verdict
+import plankwall.core.statemachine.Visitor
 import plankwall.model.JobFacts
 import plankwall.model.JobView
 import plankwall.wire.JobCodec
--- a/src/main/kotlin/plankwall/core/rental/BootTimes.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootTimes.kt
@@ -1,4 +1,4 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
 import org.HdrHistogram.Histogram
 import plankwall.model.MachineType
--- a/src/main/kotlin/plankwall/core/rental/BootTrouble.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootTrouble.kt
@@ -1,8 +1,8 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Arrival
-import plankwall.core.step.Context
+import plankwall.core.state.Arrival
+import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 
--- a/src/main/kotlin/plankwall/core/rental/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -1,10 +1,10 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
-import plankwall.core.jobs.Arrival
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Machine
-import plankwall.core.outlook.Outlook
-import plankwall.core.step.Context
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.state.Arrival
+import plankwall.core.state.Fleet
+import plankwall.core.state.Machine
+import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
 import plankwall.wire.ListedState
 
--- a/src/main/kotlin/plankwall/core/rental/Consolidation.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Consolidation.kt
@@ -1,7 +1,7 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Machine
+import plankwall.core.state.Fleet
+import plankwall.core.state.Machine
 import plankwall.model.Resources
 
 /**
--- a/src/main/kotlin/plankwall/core/rental/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -1,12 +1,12 @@
-package plankwall.core.rental
-
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.Placement
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.placing.Placer
-import plankwall.core.step.Context
+package plankwall.core.autoscaling
+
+import plankwall.core.placement.Placer
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.Placement
+import plankwall.core.state.ZoneRule
+import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.MachineType
--- a/src/main/kotlin/plankwall/core/rental/FleetMemory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/FleetMemory.kt
@@ -1,8 +1,8 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.lead.Divided
-import plankwall.core.lead.LeaderStore
+import plankwall.core.store.Divided
+import plankwall.core.store.LeaderStore
 import plankwall.wire.FleetRecord
 import plankwall.wire.Guard
 import plankwall.wire.Keys
--- a/src/main/kotlin/plankwall/core/rental/Growth.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Growth.kt
@@ -1,7 +1,7 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
-import plankwall.core.jobs.Job
-import plankwall.core.step.Context
+import plankwall.core.state.Job
+import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 import plankwall.model.Shape
 
--- a/src/main/kotlin/plankwall/core/rental/RentalLoop.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/RentalLoop.kt
@@ -1,15 +1,15 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Arrival
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.lead.LeaderStore
-import plankwall.core.outlook.Outlook
-import plankwall.core.placing.Placer
-import plankwall.core.step.Context
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.placement.Placer
+import plankwall.core.state.Arrival
+import plankwall.core.state.Fleet
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.statemachine.Context
+import plankwall.core.store.LeaderStore
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.Resources
--- a/src/main/kotlin/plankwall/core/rental/Returns.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Returns.kt
@@ -1,13 +1,13 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.StopCause
-import plankwall.core.lead.LeaderStore
-import plankwall.core.outlook.Outlook
-import plankwall.core.step.Context
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.state.Fleet
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.StopCause
+import plankwall.core.statemachine.Context
+import plankwall.core.store.LeaderStore
 import plankwall.model.GroupKey
 import plankwall.model.Resources
 import plankwall.model.Shape
--- a/src/main/kotlin/plankwall/core/rental/SpareTimeRentals.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/SpareTimeRentals.kt
@@ -1,6 +1,6 @@
-package plankwall.core.rental
+package plankwall.core.autoscaling
 
-import plankwall.core.jobs.Job
+import plankwall.core.state.Job
 import plankwall.model.GroupKey
 
 /**
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -1,8 +1,8 @@
 package plankwall.core.cancellations
 
 import org.slf4j.LoggerFactory
-import plankwall.core.links.LinkPicture
-import plankwall.core.step.Context
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.statemachine.Context
 import plankwall.wire.PeerStatus
 import plankwall.wire.WithdrawalNews
 
--- a/src/main/kotlin/plankwall/core/cancellations/OwnList.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/OwnList.kt
@@ -1,6 +1,6 @@
 package plankwall.core.cancellations
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.WithdrawalNews
 
 /**
--- a/src/main/kotlin/plankwall/core/links/LinkPicture.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LinkPicture.kt
@@ -1,6 +1,6 @@
-package plankwall.core.links
+package plankwall.core.connectivity
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.CloudResult
 import plankwall.wire.LinkReport
 import plankwall.wire.PeerStatus
--- a/src/main/kotlin/plankwall/core/links/Routing.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/Routing.kt
@@ -1,6 +1,6 @@
-package plankwall.core.links
+package plankwall.core.connectivity
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.wire.LeaderWord
 import plankwall.wire.PeerStatus
 
--- a/src/main/kotlin/plankwall/core/lead/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -1,13 +1,13 @@
-package plankwall.core.lead
+package plankwall.core.election
 
 import org.slf4j.LoggerFactory
 import plankwall.core.cancellations.Cancellations
-import plankwall.core.links.Claim
-import plankwall.core.links.LinkPicture
-import plankwall.core.links.Routing
-import plankwall.core.links.Succession
-import plankwall.core.step.Context
-import plankwall.core.step.Effect
+import plankwall.core.connectivity.Claim
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.Routing
+import plankwall.core.connectivity.Succession
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Effect
 import plankwall.wire.Guard
 import plankwall.wire.Keys
 import plankwall.wire.LeaderRecord
--- a/src/main/kotlin/plankwall/core/outlook/Outlook.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/Outlook.kt
@@ -1,10 +1,10 @@
-package plankwall.core.outlook
+package plankwall.core.failuredetector
 
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.Placement
-import plankwall.core.step.Context
+import plankwall.core.state.Fleet
+import plankwall.core.state.Job
+import plankwall.core.state.Machine
+import plankwall.core.state.Placement
+import plankwall.core.statemachine.Context
 import plankwall.model.Shape
 import plankwall.wire.ListedState
 
--- a/src/main/kotlin/plankwall/core/workers/FaultEvidence.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultEvidence.kt
@@ -1,12 +1,12 @@
-package plankwall.core.workers
+package plankwall.core.heartbeat
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.Placement
-import plankwall.core.step.Context
+import plankwall.core.state.Fleet
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.Placement
+import plankwall.core.statemachine.Context
 
 /**
  * Who is to blame for tasks that fail: a machine that fails whatever it gets, or a job submitted with a mistake, which
--- a/src/main/kotlin/plankwall/core/workers/WorkerDesk.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/WorkerDesk.kt
@@ -1,13 +1,13 @@
-package plankwall.core.workers
+package plankwall.core.heartbeat
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.Placement
-import plankwall.core.jobs.StopCause
-import plankwall.core.lead.Leadership
-import plankwall.core.step.Context
+import plankwall.core.election.Leadership
+import plankwall.core.state.Fleet
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.Placement
+import plankwall.core.state.StopCause
+import plankwall.core.statemachine.Context
 import plankwall.model.ImageIx
 import plankwall.model.Shape
 import plankwall.wire.ExitCause
--- a/src/main/kotlin/plankwall/core/placing/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
@@ -1,8 +1,8 @@
-package plankwall.core.placing
+package plankwall.core.placement
 
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.ZoneRule
+import plankwall.core.state.Job
+import plankwall.core.state.Machine
+import plankwall.core.state.ZoneRule
 import java.util.PriorityQueue
 
 /**
--- a/src/main/kotlin/plankwall/core/placing/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -1,12 +1,12 @@
-package plankwall.core.placing
+package plankwall.core.placement
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.step.Context
+import plankwall.core.state.Fleet
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.ZoneRule
+import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
 import plankwall.model.Resources
 
--- a/src/main/kotlin/plankwall/core/placing/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -1,15 +1,15 @@
-package plankwall.core.placing
+package plankwall.core.placement
 
 import org.slf4j.LoggerFactory
-import plankwall.core.backlog.Backlog
-import plankwall.core.jobs.FitKey
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.Placement
-import plankwall.core.jobs.StopCause
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.step.Context
+import plankwall.core.queue.Backlog
+import plankwall.core.state.FitKey
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.state.Placement
+import plankwall.core.state.StopCause
+import plankwall.core.state.ZoneRule
+import plankwall.core.statemachine.Context
 import plankwall.model.Priority
 import plankwall.model.TeamIx
 
--- a/src/main/kotlin/plankwall/core/placing/WarmRoom.kt
+++ b/src/main/kotlin/plankwall/core/placement/WarmRoom.kt
@@ -1,9 +1,9 @@
-package plankwall.core.placing
+package plankwall.core.placement
 
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.Machine
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.step.Context
+import plankwall.core.state.Job
+import plankwall.core.state.Machine
+import plankwall.core.state.ZoneRule
+import plankwall.core.statemachine.Context
 import plankwall.model.Shape
 
 /**
--- a/src/main/kotlin/plankwall/core/backlog/Backlog.kt
+++ b/src/main/kotlin/plankwall/core/queue/Backlog.kt
@@ -1,10 +1,10 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.JobBook
-import plankwall.core.jobs.Machine
-import plankwall.core.step.Context
+import plankwall.core.state.Fleet
+import plankwall.core.state.Job
+import plankwall.core.state.JobBook
+import plankwall.core.state.Machine
+import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 import plankwall.model.Shape
 import plankwall.model.Team
--- a/src/main/kotlin/plankwall/core/backlog/Binding.kt
+++ b/src/main/kotlin/plankwall/core/queue/Binding.kt
@@ -1,8 +1,8 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Job
-import plankwall.core.step.Context
+import plankwall.core.state.Job
+import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 
 /** What holds waiting work back, said once every while as long as it does: which limit, since when, how much waits. */
--- a/src/main/kotlin/plankwall/core/backlog/CatchingUp.kt
+++ b/src/main/kotlin/plankwall/core/queue/CatchingUp.kt
@@ -1,4 +1,4 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
 /**
  * A part of the room that a class is given goes to what is out of reach, oldest first: put behind everything that can
--- a/src/main/kotlin/plankwall/core/backlog/Due.kt
+++ b/src/main/kotlin/plankwall/core/queue/Due.kt
@@ -1,6 +1,6 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
-import plankwall.core.jobs.Job
+import plankwall.core.state.Job
 import plankwall.model.Aims
 
 /**
--- a/src/main/kotlin/plankwall/core/backlog/Floors.kt
+++ b/src/main/kotlin/plankwall/core/queue/Floors.kt
@@ -1,7 +1,7 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
-import plankwall.core.jobs.Job
-import plankwall.core.step.Context
+import plankwall.core.state.Job
+import plankwall.core.statemachine.Context
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
--- a/src/main/kotlin/plankwall/core/backlog/InTime.kt
+++ b/src/main/kotlin/plankwall/core/queue/InTime.kt
@@ -1,4 +1,4 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
 import java.util.PriorityQueue
 
--- a/src/main/kotlin/plankwall/core/backlog/Pool.kt
+++ b/src/main/kotlin/plankwall/core/queue/Pool.kt
@@ -1,8 +1,8 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
-import plankwall.core.jobs.Job
-import plankwall.core.jobs.Placement
-import plankwall.core.step.Context
+import plankwall.core.state.Job
+import plankwall.core.state.Placement
+import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 import plankwall.model.Shape
 
--- a/src/main/kotlin/plankwall/core/backlog/Prospect.kt
+++ b/src/main/kotlin/plankwall/core/queue/Prospect.kt
@@ -1,4 +1,4 @@
-package plankwall.core.backlog
+package plankwall.core.queue
 
 /** What can still come of a waiting job, in the order in which such jobs are served. */
 enum class Prospect {
--- a/src/main/kotlin/plankwall/core/relay/DirectReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReach.kt
@@ -1,11 +1,11 @@
 package plankwall.core.relay
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Machine
-import plankwall.core.outlook.Outlook
+import plankwall.core.failuredetector.Outlook
 import plankwall.core.sessions.SessionPlanner
-import plankwall.core.step.Context
+import plankwall.core.state.Fleet
+import plankwall.core.state.Machine
+import plankwall.core.statemachine.Context
 import plankwall.wire.ZoneReach
 
 /**
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -1,9 +1,9 @@
 package plankwall.core.relay
 
-import plankwall.core.jobs.Fleet
-import plankwall.core.lead.Leadership
-import plankwall.core.outlook.Outlook
-import plankwall.core.step.Context
+import plankwall.core.election.Leadership
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.state.Fleet
+import plankwall.core.statemachine.Context
 
 /**
  * When a leader that holds the store gives up the lead because of where the workers are. Their reports through other
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -1,8 +1,8 @@
 package plankwall.core.relay
 
-import plankwall.core.step.Budget
-import plankwall.core.step.Context
-import plankwall.core.step.Effect
+import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Effect
 import plankwall.wire.Report
 import plankwall.wire.WorkerCodec
 
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -1,15 +1,15 @@
 package plankwall.core.relay
 
 import org.slf4j.LoggerFactory
-import plankwall.core.links.Claim
-import plankwall.core.links.LinkPicture
-import plankwall.core.links.Routing
+import plankwall.core.connectivity.Claim
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.Routing
 import plankwall.core.sessions.ReportBatcher
 import plankwall.core.sessions.SessionAssignment
-import plankwall.core.step.Context
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.core.step.RequestId
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
+import plankwall.core.statemachine.RequestId
 import plankwall.wire.AnswerBatch
 import plankwall.wire.BatchedAnswer
 import plankwall.wire.JobCodec
--- a/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
@@ -1,8 +1,8 @@
 package plankwall.core.sessions
 
-import plankwall.core.links.Claim
-import plankwall.core.links.LinkPicture
-import plankwall.core.step.Context
+import plankwall.core.connectivity.Claim
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.statemachine.Context
 import plankwall.wire.BatchedReport
 import plankwall.wire.Report
 import plankwall.wire.ReportBatch
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -1,10 +1,10 @@
 package plankwall.core.sessions
 
 import org.slf4j.LoggerFactory
-import plankwall.core.jobs.Fleet
-import plankwall.core.jobs.Machine
-import plankwall.core.links.LinkPicture
-import plankwall.core.step.Context
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.state.Fleet
+import plankwall.core.state.Machine
+import plankwall.core.statemachine.Context
 import plankwall.wire.ListedState
 import plankwall.wire.SessionPlan
 import plankwall.wire.SessionShare
--- a/src/main/kotlin/plankwall/core/jobs/Dependencies.kt
+++ b/src/main/kotlin/plankwall/core/state/Dependencies.kt
@@ -1,4 +1,4 @@
-package plankwall.core.jobs
+package plankwall.core.state
 
 /**
  * Which jobs wait for which others, and what follows from how those end. A job may start when all that it names are
--- a/src/main/kotlin/plankwall/core/jobs/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -1,6 +1,6 @@
-package plankwall.core.jobs
+package plankwall.core.state
 
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.MachineIx
--- a/src/main/kotlin/plankwall/core/jobs/JobBook.kt
+++ b/src/main/kotlin/plankwall/core/state/JobBook.kt
@@ -1,8 +1,8 @@
-package plankwall.core.jobs
+package plankwall.core.state
 
 import org.slf4j.LoggerFactory
-import plankwall.core.lead.LeaderStore
-import plankwall.core.step.Context
+import plankwall.core.statemachine.Context
+import plankwall.core.store.LeaderStore
 import plankwall.model.ImageIx
 import plankwall.model.JobIx
 import plankwall.model.JobStage
--- a/src/main/kotlin/plankwall/core/jobs/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -1,4 +1,4 @@
-package plankwall.core.jobs
+package plankwall.core.state
 
 import plankwall.model.GroupKey
 import plankwall.model.ImageIx
--- a/src/main/kotlin/plankwall/core/jobs/ZoneRule.kt
+++ b/src/main/kotlin/plankwall/core/state/ZoneRule.kt
@@ -1,4 +1,4 @@
-package plankwall.core.jobs
+package plankwall.core.state
 
 /**
  * What `one zone` and `spread` allow for the next task of a job, given all its tasks that are not proven gone. A task
--- a/src/main/kotlin/plankwall/core/step/Messages.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Messages.kt
@@ -1,4 +1,4 @@
-package plankwall.core.step
+package plankwall.core.statemachine
 
 import plankwall.model.JobSpec
 import plankwall.wire.CloudOp
--- a/src/main/kotlin/plankwall/core/lead/Divided.kt
+++ b/src/main/kotlin/plankwall/core/store/Divided.kt
@@ -1,4 +1,4 @@
-package plankwall.core.lead
+package plankwall.core.store
 
 import plankwall.model.Catalog
 import plankwall.wire.CatalogRecord
--- a/src/main/kotlin/plankwall/core/lead/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -1,8 +1,9 @@
-package plankwall.core.lead
+package plankwall.core.store
 
 import org.slf4j.LoggerFactory
-import plankwall.core.step.Budget
-import plankwall.core.step.Context
+import plankwall.core.election.Leadership
+import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Context
 import plankwall.wire.Guard
 import plankwall.wire.Keys
 import plankwall.wire.StateCodec
--- a/src/main/kotlin/plankwall/core/lead/Upgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/Upgrade.kt
@@ -1,6 +1,7 @@
-package plankwall.core.lead
+package plankwall.core.store
 
 import org.slf4j.LoggerFactory
+import plankwall.core.election.Leadership
 import plankwall.wire.Keys
 import plankwall.wire.LevelRecord
 import plankwall.wire.PeerCodec
--- a/src/main/kotlin/plankwall/gate/GateSettings.kt
+++ b/src/main/kotlin/plankwall/gateway/GateSettings.kt
@@ -1,4 +1,4 @@
-package plankwall.gate
+package plankwall.gateway
 
 import plankwall.identity.PeerKey
 import plankwall.identity.SigningKey
--- a/src/main/kotlin/plankwall/gate/Keeper.kt
+++ b/src/main/kotlin/plankwall/gateway/Keeper.kt
@@ -1,14 +1,14 @@
-package plankwall.gate
+package plankwall.gateway
 
-import plankwall.access.BadRights
-import plankwall.access.RightsReader
-import plankwall.core.step.Action
-import plankwall.core.step.Context
-import plankwall.core.step.Decision
-import plankwall.core.step.KeeperRequest
-import plankwall.core.step.Proof
-import plankwall.core.step.RequestId
-import plankwall.core.step.Verdict
+import plankwall.authorization.BadRights
+import plankwall.authorization.RightsReader
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Decision
+import plankwall.core.statemachine.KeeperRequest
+import plankwall.core.statemachine.Proof
+import plankwall.core.statemachine.RequestId
+import plankwall.core.statemachine.Verdict
 import plankwall.wire.AccessKeys
 import plankwall.wire.JobCodec
 import plankwall.wire.KeeperCodec
--- a/src/main/kotlin/plankwall/gate/Limits.kt
+++ b/src/main/kotlin/plankwall/gateway/Limits.kt
@@ -1,7 +1,7 @@
-package plankwall.gate
+package plankwall.gateway
 
-import plankwall.core.step.Budget
-import plankwall.core.step.Time
+import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Time
 
 /**
  * How often each of many may still be denied before it is no longer judged. Bounded: the one unseen for longest is
--- a/src/main/kotlin/plankwall/gate/RevocationSweep.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationSweep.kt
@@ -1,12 +1,12 @@
-package plankwall.gate
+package plankwall.gateway
 
 import org.slf4j.LoggerFactory
 import plankwall.audit.TrailEntry
 import plankwall.audit.TrailWriter
-import plankwall.core.step.Action
-import plankwall.core.step.Context
-import plankwall.core.step.TermPower
-import plankwall.core.step.Verdict
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.TermPower
+import plankwall.core.statemachine.Verdict
 import plankwall.model.factsFor
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
--- a/src/main/kotlin/plankwall/gate/RightsBook.kt
+++ b/src/main/kotlin/plankwall/gateway/RightsBook.kt
@@ -1,11 +1,11 @@
-package plankwall.gate
+package plankwall.gateway
 
 import okio.ByteString.Companion.encodeUtf8
 import org.slf4j.LoggerFactory
-import plankwall.access.BadRights
-import plankwall.access.Policy
-import plankwall.access.RightsReader
-import plankwall.core.step.Context
+import plankwall.authorization.BadRights
+import plankwall.authorization.Policy
+import plankwall.authorization.RightsReader
+import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
 import plankwall.wire.RightsHead
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -10,10 +10,10 @@
 import kotlinx.coroutines.sync.withPermit
 import org.slf4j.LoggerFactory
 import plankwall.core.Controller
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.core.step.Proof
-import plankwall.core.step.RequestId
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
+import plankwall.core.statemachine.Proof
+import plankwall.core.statemachine.RequestId
 import plankwall.model.Address
 import plankwall.model.Settings
 import plankwall.model.Tuning
--- a/src/main/kotlin/plankwall/io/KeeperRoutes.kt
+++ b/src/main/kotlin/plankwall/io/KeeperRoutes.kt
@@ -1,6 +1,6 @@
 package plankwall.io
 
-import plankwall.core.step.KeeperRequest
+import plankwall.core.statemachine.KeeperRequest
 import plankwall.wire.KeeperCodec
 
 /** Paths of the rights and the trail. */
--- a/src/main/kotlin/plankwall/lab/scale/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -1,8 +1,8 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import plankwall.io.HttpReply
 import plankwall.io.HttpRequest
-import plankwall.lab.SimState
+import plankwall.simulation.SimState
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
 import plankwall.wire.CloudServiceCodec
--- a/src/main/kotlin/plankwall/lab/scale/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.databind.node.ObjectNode
 import com.fasterxml.jackson.dataformat.toml.TomlMapper
--- a/src/main/kotlin/plankwall/lab/scale/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 /**
  * What a fault hit and how long it took until 99% of the workers had an answer to a report sent after it; null: not
--- a/src/main/kotlin/plankwall/lab/scale/FreePorts.kt
+++ b/src/main/kotlin/plankwall/loadtest/FreePorts.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import java.io.File
 import java.io.IOException
--- a/src/main/kotlin/plankwall/lab/scale/Meters.kt
+++ b/src/main/kotlin/plankwall/loadtest/Meters.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import org.HdrHistogram.Histogram
 
--- a/src/main/kotlin/plankwall/lab/scale/PeerProxy.kt
+++ b/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import io.ktor.network.sockets.Socket
 import io.ktor.network.sockets.aSocket
--- a/src/main/kotlin/plankwall/lab/scale/Sampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/Sampler.kt
@@ -1,8 +1,8 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
-import plankwall.lab.SimWorker
+import plankwall.simulation.SimWorker
 
 /** Samples the controllers once a second and sums up what happened since a phase began. */
 class Sampler(private val site: ScaleSite, private val controllers: List<ControllerProcess>) {
--- a/src/main/kotlin/plankwall/lab/scale/ScaleLimits.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScaleLimits.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 /** What a run takes of this machine, worked out before anything is started. */
 object ScaleLimits {
--- a/src/main/kotlin/plankwall/lab/scale/ScalePlanFile.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScalePlanFile.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.core.JacksonException
 import com.fasterxml.jackson.databind.JsonNode
--- a/src/main/kotlin/plankwall/lab/scale/ScaleReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScaleReport.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.databind.ObjectMapper
 import com.fasterxml.jackson.databind.node.ObjectNode
--- a/src/main/kotlin/plankwall/lab/scale/ScaleRun.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScaleRun.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import io.ktor.network.selector.SelectorManager
 import kotlinx.coroutines.CoroutineScope
@@ -9,11 +9,11 @@
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
 import plankwall.io.HttpServer
-import plankwall.lab.SimState
 import plankwall.model.Address
 import plankwall.model.Objective
 import plankwall.model.Settings
 import plankwall.model.Team
+import plankwall.simulation.SimState
 import java.io.File
 
 /**
--- a/src/main/kotlin/plankwall/lab/scale/ScaleSite.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScaleSite.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.databind.JsonNode
 import io.ktor.network.selector.SelectorManager
@@ -7,18 +7,18 @@
 import kotlinx.coroutines.isActive
 import kotlinx.coroutines.withContext
 import org.HdrHistogram.Histogram
-import plankwall.lab.RuleChecker
-import plankwall.lab.SimClock
-import plankwall.lab.SimCloud
-import plankwall.lab.SimState
-import plankwall.lab.SimWorker
-import plankwall.lab.WorkerHost
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.JobSpec
 import plankwall.model.MachineType
 import plankwall.model.Resources
 import plankwall.model.Settings
+import plankwall.simulation.RuleChecker
+import plankwall.simulation.SimClock
+import plankwall.simulation.SimCloud
+import plankwall.simulation.SimState
+import plankwall.simulation.SimWorker
+import plankwall.simulation.WorkerHost
 import plankwall.wire.Keys
 import plankwall.wire.LeaderRecord
 import plankwall.wire.Report
--- a/src/main/kotlin/plankwall/lab/scale/ScaleUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/ScaleUsers.kt
@@ -1,16 +1,16 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.databind.JsonNode
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import plankwall.io.HttpClient
 import plankwall.io.Outcome
-import plankwall.lab.SimWorker
 import plankwall.model.Address
 import plankwall.model.JobSpec
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
+import plankwall.simulation.SimWorker
 import plankwall.wire.JobCodec
 
 /** Submits, polls and cancels as PROTOCOL has it, through a load balancer that passes over nodes that refuse. */
--- a/src/main/kotlin/plankwall/lab/scale/StateEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/StateEndpoint.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.delay
--- a/src/main/kotlin/plankwall/lab/scale/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -1,4 +1,4 @@
-package plankwall.lab.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.databind.node.JsonNodeFactory
@@ -11,8 +11,8 @@
 import plankwall.io.HttpRequest
 import plankwall.io.HttpServer
 import plankwall.io.Outcome
-import plankwall.lab.SimWorker
 import plankwall.model.Address
+import plankwall.simulation.SimWorker
 import plankwall.wire.Report
 import plankwall.wire.WorkerCodec
 import java.util.concurrent.ConcurrentHashMap
--- a/src/main/kotlin/plankwall/lab/LinkDay.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkDay.kt
@@ -1,4 +1,4 @@
-package plankwall.lab
+package plankwall.simulation
 
 import org.HdrHistogram.Histogram
 import org.apache.commons.rng.simple.RandomSource
--- a/src/main/kotlin/plankwall/lab/MeetingDay.kt
+++ b/src/main/kotlin/plankwall/simulation/MeetingDay.kt
@@ -1,4 +1,4 @@
-package plankwall.lab
+package plankwall.simulation
 
 import org.apache.commons.rng.UniformRandomProvider
 import org.apache.commons.rng.simple.RandomSource
--- a/src/main/kotlin/plankwall/lab/SimClock.kt
+++ b/src/main/kotlin/plankwall/simulation/SimClock.kt
@@ -1,4 +1,4 @@
-package plankwall.lab
+package plankwall.simulation
 
 import java.util.PriorityQueue
 
--- a/src/main/kotlin/plankwall/lab/SimNode.kt
+++ b/src/main/kotlin/plankwall/simulation/SimNode.kt
@@ -1,10 +1,10 @@
-package plankwall.lab
+package plankwall.simulation
 
 import plankwall.core.Controller
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.core.step.RequestId
-import plankwall.gate.Gatehouse
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
+import plankwall.core.statemachine.RequestId
+import plankwall.gateway.Gatehouse
 import plankwall.identity.PeerDoor
 import plankwall.identity.PeerSeal
 import plankwall.model.Settings
--- a/src/main/kotlin/plankwall/lab/Wiring.kt
+++ b/src/main/kotlin/plankwall/simulation/Wiring.kt
@@ -1,4 +1,4 @@
-package plankwall.lab
+package plankwall.simulation
 
 /** How a cut link fails those who use it. */
 enum class Cut {
--- a/src/main/kotlin/plankwall/lab/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -1,4 +1,4 @@
-package plankwall.lab
+package plankwall.simulation
 
 import com.fasterxml.jackson.databind.JsonNode
 import plankwall.model.JobSpec
--- a/src/main/kotlin/plankwall/lab/World.kt
+++ b/src/main/kotlin/plankwall/simulation/World.kt
@@ -1,9 +1,9 @@
-package plankwall.lab
+package plankwall.simulation
 
 import com.fasterxml.jackson.databind.JsonNode
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.gate.GateSettings
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
+import plankwall.gateway.GateSettings
 import plankwall.model.Address
 import plankwall.model.Catalog
 import plankwall.model.CloudLimits
--- a/src/test/kotlin/plankwall/access/RightsReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/RightsReaderTest.kt
@@ -1,4 +1,4 @@
-package plankwall.access
+package plankwall.authorization
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.step.Action
+import plankwall.core.statemachine.Action
 import plankwall.model.JobFacts
 import plankwall.model.Priority
 import plankwall.model.Shape
--- a/src/test/kotlin/plankwall/cli/IdentitiesFileTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/IdentitiesFileTest.kt
@@ -1,4 +1,4 @@
-package plankwall.cli
+package plankwall.cli.settings
 
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -13,9 +13,6 @@
 import plankwall.cli.access.AuditCommand
 import plankwall.cli.access.KeysCommand
 import plankwall.cli.access.RightsCommand
-import plankwall.cli.settings.BadSettings
-import plankwall.cli.settings.IdentitiesFile
-import plankwall.cli.settings.KeyFiles
 import java.io.ByteArrayOutputStream
 import java.io.File
 import java.io.PrintStream
--- a/src/test/kotlin/plankwall/SettingsTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.cli.settings
 
 import com.fasterxml.jackson.dataformat.toml.TomlMapper
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
@@ -8,9 +8,6 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.cli.settings.BadSettings
-import plankwall.cli.settings.SettingsFile
-import plankwall.cli.settings.TuningFile
 import plankwall.model.StateLimits
 
 class SettingsTest {
--- a/src/test/kotlin/plankwall/JobLedgerTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobLedgerTest.kt
@@ -1,12 +1,11 @@
-package plankwall
+package plankwall.core.api
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import plankwall.core.front.JobLedger
-import plankwall.core.step.Context
-import plankwall.core.step.Effect
-import plankwall.lab.World
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Effect
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
 import plankwall.wire.StateEvent
--- a/src/test/kotlin/plankwall/BootTimesTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootTimesTest.kt
@@ -1,10 +1,9 @@
-package plankwall
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.rental.BootTimes
-import plankwall.lab.World
+import plankwall.simulation.World
 
 /** For how long a machine on its way is counted on, after boots of machines whose type should take 10 s. */
 class BootTimesTest {
--- a/src/test/kotlin/plankwall/nights/BootTroubleTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootTroubleTest.kt
@@ -1,16 +1,14 @@
-package plankwall.nights
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.Arrival
-import plankwall.core.rental.BootTimes
-import plankwall.core.rental.BootTrouble
-import plankwall.lab.World
+import plankwall.core.state.Arrival
+import plankwall.fixtures.CoreParts
 import plankwall.model.GroupKey
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /**
  * Machines that come up late or never: when a group is troubled, and which of what is overdue still counts as room to
--- a/src/test/kotlin/plankwall/ConsolidationTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ConsolidationTest.kt
@@ -1,13 +1,11 @@
-package plankwall
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.rental.ArrivalRate
-import plankwall.core.rental.Consolidation
-import plankwall.lab.World
+import plankwall.fixtures.CoreParts
 import plankwall.model.Resources
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /** What the fleet could do without, and how much work is to be expected. */
 class ConsolidationTest {
--- a/src/test/kotlin/plankwall/EstimatorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/EstimatorTest.kt
@@ -1,13 +1,11 @@
-package plankwall
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.rental.Estimator
-import plankwall.core.rental.Growth
-import plankwall.lab.World
+import plankwall.fixtures.CoreParts
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /** What is rented for one waiting task beside one busy machine. */
 class EstimatorTest {
--- a/src/test/kotlin/plankwall/RegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/RegistryTest.kt
@@ -1,16 +1,15 @@
-package plankwall
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.Arrival
-import plankwall.core.jobs.Fleet
-import plankwall.core.outlook.Outlook
-import plankwall.core.rental.ClusterStateRegistry
-import plankwall.core.step.Context
-import plankwall.lab.World
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.state.Arrival
+import plankwall.core.state.Fleet
+import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import java.util.Random
 
 /** The registry's questions (S1 to S3 of the paper) on fleets given as counts. */
--- a/src/test/kotlin/plankwall/RentalLoopTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/RentalLoopTest.kt
@@ -1,14 +1,13 @@
-package plankwall
+package plankwall.core.autoscaling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.lead.LeaderStore
-import plankwall.core.outlook.Outlook
-import plankwall.core.placing.Placer
-import plankwall.core.rental.RentalLoop
-import plankwall.core.step.Effect
-import plankwall.sim.CoreParts
+import plankwall.core.failuredetector.Outlook
+import plankwall.core.placement.Placer
+import plankwall.core.statemachine.Effect
+import plankwall.core.store.LeaderStore
+import plankwall.fixtures.CoreParts
 import plankwall.wire.ListedState
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
--- a/src/test/kotlin/plankwall/meetings/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -1,15 +1,14 @@
-package plankwall.meetings
+package plankwall.core.cancellations
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.cancellations.Cancellations
-import plankwall.core.links.LinkPicture
-import plankwall.core.step.Context
-import plankwall.lab.World
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.statemachine.Context
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.LinkReport
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
--- a/src/test/kotlin/plankwall/links/RoutingTest.kt
+++ b/src/test/kotlin/plankwall/core/connectivity/RoutingTest.kt
@@ -1,14 +1,11 @@
-package plankwall.links
+package plankwall.core.connectivity
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.links.LinkPicture
-import plankwall.core.links.Routing
-import plankwall.core.links.Succession
-import plankwall.core.step.Context
-import plankwall.lab.World
+import plankwall.core.statemachine.Context
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.LeaderWord
 import plankwall.wire.LinkReport
 import plankwall.wire.PeerStatus
--- a/src/test/kotlin/plankwall/nights/FaultEvidenceTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultEvidenceTest.kt
@@ -1,12 +1,11 @@
-package plankwall.nights
+package plankwall.core.heartbeat
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.Job
-import plankwall.core.workers.FaultEvidence
-import plankwall.lab.World
-import plankwall.sim.CoreParts
+import plankwall.core.state.Job
+import plankwall.fixtures.CoreParts
+import plankwall.simulation.World
 
 /** Who is blamed after tasks of jobs 1, 2, … failed (-) or were done (+) on machines A, B, …, in this order. */
 class FaultEvidenceTest {
--- a/src/test/kotlin/plankwall/WorkerDeskTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/WorkerDeskTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.core.heartbeat
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -7,12 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.core.jobs.StopCause
-import plankwall.core.placing.Placer
-import plankwall.core.workers.WorkerDesk
-import plankwall.lab.World
+import plankwall.core.placement.Placer
+import plankwall.core.state.StopCause
+import plankwall.fixtures.CoreParts
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 import plankwall.wire.ExitCause
 import plankwall.wire.Report
 import plankwall.wire.TaskReport
--- a/src/test/kotlin/plankwall/CandidateQueueTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
@@ -1,16 +1,14 @@
-package plankwall
+package plankwall.core.placement
 
 import org.junit.jupiter.api.Assertions.assertSame
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.placing.CandidateQueue
-import plankwall.core.placing.Room
-import plankwall.lab.World
+import plankwall.core.state.ZoneRule
+import plankwall.fixtures.CoreParts
 import plankwall.model.GroupKey
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 import java.util.Random
 
 class CandidateQueueTest {
--- a/src/test/kotlin/plankwall/WarmRoomTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/WarmRoomTest.kt
@@ -1,14 +1,12 @@
-package plankwall
+package plankwall.core.placement
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.ZoneRule
-import plankwall.core.placing.Room
-import plankwall.core.placing.WarmRoom
-import plankwall.lab.World
+import plankwall.core.state.ZoneRule
+import plankwall.fixtures.CoreParts
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /** A task may fetch its image on a cold machine now, or wait for a machine that has it. */
 class WarmRoomTest {
--- a/src/test/kotlin/plankwall/backlog/BacklogTest.kt
+++ b/src/test/kotlin/plankwall/core/queue/BacklogTest.kt
@@ -1,16 +1,15 @@
-package plankwall.backlog
+package plankwall.core.queue
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.backlog.Backlog
-import plankwall.core.jobs.Job
-import plankwall.lab.World
+import plankwall.core.state.Job
+import plankwall.fixtures.CoreParts
 import plankwall.model.Objective
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /**
  * Jobs of a class that should start within 30 s and be done within 60 or 90 s; each of four machines takes four tasks.
--- a/src/test/kotlin/plankwall/backlog/InTimeTest.kt
+++ b/src/test/kotlin/plankwall/core/queue/InTimeTest.kt
@@ -1,14 +1,10 @@
-package plankwall.backlog
+package plankwall.core.queue
 
 import org.apache.commons.rng.simple.RandomSource
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.backlog.CatchingUp
-import plankwall.core.backlog.InTime
-import plankwall.core.backlog.Lot
-import plankwall.core.backlog.Prospect
 
 class InTimeTest {
     @ParameterizedTest(name = "{0}")
--- a/src/test/kotlin/plankwall/links/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -1,19 +1,18 @@
-package plankwall.links
+package plankwall.core.relay
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.links.LinkPicture
-import plankwall.core.links.Routing
-import plankwall.core.relay.WorkerRelay
-import plankwall.core.step.Context
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.core.step.RequestId
-import plankwall.lab.World
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.Routing
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
+import plankwall.core.statemachine.RequestId
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.AnswerBatch
 import plankwall.wire.BatchedAnswer
 import plankwall.wire.BatchedReport
--- a/src/test/kotlin/plankwall/sessions/ReportBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/ReportBatchTest.kt
@@ -1,4 +1,4 @@
-package plankwall.sessions
+package plankwall.core.sessions
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -6,13 +6,11 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.links.Claim
-import plankwall.core.links.LinkPicture
-import plankwall.core.sessions.ReportBases
-import plankwall.core.sessions.ReportBatcher
-import plankwall.core.step.Context
-import plankwall.lab.World
+import plankwall.core.connectivity.Claim
+import plankwall.core.connectivity.LinkPicture
+import plankwall.core.statemachine.Context
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.AnswerBatch
 import plankwall.wire.BadMessage
 import plankwall.wire.BatchedAnswer
--- a/src/test/kotlin/plankwall/sessions/SessionSharesTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/SessionSharesTest.kt
@@ -1,4 +1,4 @@
-package plankwall.sessions
+package plankwall.core.sessions
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -6,9 +6,6 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.sessions.SessionAssignment
-import plankwall.core.sessions.SessionNode
-import plankwall.core.sessions.SessionShares
 import plankwall.wire.SessionPlan
 import plankwall.wire.SessionShare
 
--- a/src/test/kotlin/plankwall/DependenciesTest.kt
+++ b/src/test/kotlin/plankwall/core/state/DependenciesTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.core.state
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
@@ -6,7 +6,6 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.Dependencies
 
 /** What follows from how jobs end, on graphs written as `job:those it needs`. */
 class DependenciesTest {
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -1,11 +1,11 @@
 package plankwall.fuzz
 
-import plankwall.access.BadRights
-import plankwall.access.RightsReader
 import plankwall.audit.BadLine
 import plankwall.audit.Seals
 import plankwall.audit.TrailLines
-import plankwall.core.step.Action
+import plankwall.authorization.BadRights
+import plankwall.authorization.RightsReader
+import plankwall.core.statemachine.Action
 import plankwall.identity.BadKey
 import plankwall.identity.Networks
 import plankwall.identity.PeerDoor
--- a/src/test/kotlin/plankwall/gate/Callers.kt
+++ b/src/test/kotlin/plankwall/gateway/Callers.kt
@@ -1,14 +1,14 @@
-package plankwall.gate
+package plankwall.gateway
 
-import plankwall.core.step.Input
-import plankwall.core.step.KeeperRequest
-import plankwall.core.step.Proof
+import plankwall.core.statemachine.Input
+import plankwall.core.statemachine.KeeperRequest
+import plankwall.core.statemachine.Proof
 import plankwall.identity.SigningKey
 import plankwall.identity.Tokens
-import plankwall.lab.SimNode
-import plankwall.lab.SimWorker
-import plankwall.lab.World
 import plankwall.model.JobSpec
+import plankwall.simulation.SimNode
+import plankwall.simulation.SimWorker
+import plankwall.simulation.World
 import plankwall.wire.KeeperCodec
 
 /** People and services of a test site, their keys, and every request they made with what they were told. */
@@ -54,7 +54,7 @@
         node: SimNode? = null,
         address: String = "127.0.0.1",
         spoil: (Proof) -> Proof = { it },
-        input: (plankwall.core.step.RequestId, Proof) -> Input,
+        input: (plankwall.core.statemachine.RequestId, Proof) -> Input,
     ): Asked {
         val id = "q${nextId++}"
         val record = Asked(id, who, action, subject, world.clock.now).also { asked.add(it) }
--- a/src/test/kotlin/plankwall/gate/GateDaysTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GateDaysTest.kt
@@ -1,4 +1,4 @@
-package plankwall.gate
+package plankwall.gateway
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.audit.Verifier
-import plankwall.core.step.Effect
-import plankwall.lab.World
+import plankwall.core.statemachine.Effect
 import plankwall.model.Priority
 import plankwall.model.Shape
 import plankwall.model.StateLimits
+import plankwall.simulation.World
 import plankwall.wire.StateOp
 import plankwall.wire.Write
 
@@ -121,7 +121,7 @@
                 "no header" -> null
                 "used already" -> p.authorization.also { first ->
                     callers.submit("ada", spec, world.nodes[0]) {
-                        plankwall.core.step.Proof(it.method, it.path, it.body, first, it.address)
+                        plankwall.core.statemachine.Proof(it.method, it.path, it.body, first, it.address)
                     }
                 }
                 "wrong audience" -> token(audience = "elsewhere")
@@ -136,7 +136,7 @@
                 else -> "ada"
             }
             val body = if (spoilt == "another request's body") "job-000002".encodeToByteArray() else p.body
-            plankwall.core.step.Proof(
+            plankwall.core.statemachine.Proof(
                 p.method,
                 if (spoilt ==
                     "another path"
@@ -190,7 +190,7 @@
                 callers.keep(
                     "root",
                     "administer",
-                    plankwall.core.step.KeeperRequest.Rollback(2, 1),
+                    plankwall.core.statemachine.KeeperRequest.Rollback(2, 1),
                     "POST",
                     "/api/rights",
                 ),
--- a/src/test/kotlin/plankwall/gate/GateLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GateLimitsTest.kt
@@ -1,4 +1,4 @@
-package plankwall.gate
+package plankwall.gateway
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -6,12 +6,12 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.step.Context
-import plankwall.core.step.Proof
+import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Proof
 import plankwall.identity.ReplayGuard
-import plankwall.lab.World
 import plankwall.model.StateLimits
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import java.util.Random
 
 /**
--- a/src/test/kotlin/plankwall/gate/TrailChecker.kt
+++ b/src/test/kotlin/plankwall/gateway/TrailChecker.kt
@@ -1,9 +1,9 @@
-package plankwall.gate
+package plankwall.gateway
 
 import com.fasterxml.jackson.databind.JsonNode
 import plankwall.audit.TrailCopy
-import plankwall.lab.SimState
-import plankwall.lab.SimWorker
+import plankwall.simulation.SimState
+import plankwall.simulation.SimWorker
 import plankwall.wire.JobRecord
 import plankwall.wire.Stored
 import plankwall.wire.TrailSeal
--- a/src/test/kotlin/plankwall/gate/TrailReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/TrailReplayTest.kt
@@ -1,4 +1,4 @@
-package plankwall.gate
+package plankwall.gateway
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -7,11 +7,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
 import plankwall.audit.Verifier
-import plankwall.core.step.Proof
+import plankwall.core.statemachine.Proof
 import plankwall.identity.PublicKey
-import plankwall.lab.SimWorker
-import plankwall.lab.World
 import plankwall.model.Shape
+import plankwall.simulation.SimWorker
+import plankwall.simulation.World
 import plankwall.wire.JobRecord
 import plankwall.wire.Stored
 import plankwall.wire.TrailSegment
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.lead.Leadership
-import plankwall.core.step.Context
-import plankwall.gate.Callers
-import plankwall.lab.World
+import plankwall.core.election.Leadership
+import plankwall.core.statemachine.Context
+import plankwall.gateway.Callers
 import plankwall.model.Tuning
+import plankwall.simulation.World
 import plankwall.wire.LeaderRecord
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
@@ -65,7 +65,7 @@
 
     private fun win(ctx: Context, leadership: Leadership) {
         fun answer(result: (StateOp) -> StateResult) =
-            ctx.out.take().filterIsInstance<plankwall.core.step.Effect.StateCall>().forEach {
+            ctx.out.take().filterIsInstance<plankwall.core.statemachine.Effect.StateCall>().forEach {
                 ctx.out.resume(it.call, result(it.op))
             }
         leadership.tick()
--- a/src/test/kotlin/plankwall/load/PlacingPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacingPass.kt
@@ -1,11 +1,11 @@
 package plankwall.load
 
 import org.HdrHistogram.Histogram
-import plankwall.core.placing.Placer
-import plankwall.lab.World
+import plankwall.core.placement.Placer
+import plankwall.fixtures.CoreParts
 import plankwall.model.Objective
 import plankwall.model.Priority
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /**
  * What a placing pass costs where there is no room: 1,000 jobs of 40 tasks wait on full machines. By hand, with the
--- a/src/test/kotlin/plankwall/load/RevocationReach.kt
+++ b/src/test/kotlin/plankwall/load/RevocationReach.kt
@@ -1,8 +1,8 @@
 package plankwall.load
 
 import org.HdrHistogram.Histogram
-import plankwall.gate.Callers
-import plankwall.lab.World
+import plankwall.gateway.Callers
+import plankwall.simulation.World
 
 /** How long after a publication was confirmed the last of seven nodes goes by it; by hand, in virtual time. */
 object RevocationReach {
--- a/src/test/kotlin/plankwall/scale/ScalePlanTest.kt
+++ b/src/test/kotlin/plankwall/loadtest/ScalePlanTest.kt
@@ -1,4 +1,4 @@
-package plankwall.scale
+package plankwall.loadtest
 
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -7,12 +7,6 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.scale.BadScalePlan
-import plankwall.lab.scale.FaultKind
-import plankwall.lab.scale.ScaleLimits
-import plankwall.lab.scale.ScalePlan
-import plankwall.lab.scale.ScalePlanFile
-import plankwall.lab.scale.ScaleRun
 
 /** What a scale run is told, and what it refuses before it starts anything. */
 class ScalePlanTest {
--- a/src/test/kotlin/plankwall/LargeSiteTest.kt
+++ b/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
@@ -1,9 +1,8 @@
-package plankwall
+package plankwall.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Shape
 
--- a/src/test/kotlin/plankwall/PipelineDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/PipelineDaysTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -6,13 +6,12 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.core.step.Input
-import plankwall.lab.World
+import plankwall.core.statemachine.Input
+import plankwall.fixtures.CoreParts
 import plankwall.model.JobSpec
 import plankwall.model.Priority
 import plankwall.model.Shape
 import plankwall.model.StateLimits
-import plankwall.sim.CoreParts
 import plankwall.wire.JobRecord
 
 /** Jobs that wait for others, on whole sites in virtual time. */
--- a/src/test/kotlin/plankwall/RentalDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/RentalDaysTest.kt
@@ -1,11 +1,10 @@
-package plankwall
+package plankwall.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.World
 import plankwall.model.Shape
 import plankwall.model.Tuning
 
--- a/src/test/kotlin/plankwall/RuleCheckerTest.kt
+++ b/src/test/kotlin/plankwall/simulation/RuleCheckerTest.kt
@@ -1,12 +1,9 @@
-package plankwall
+package plankwall.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.lab.RuleChecker
-import plankwall.lab.SimWorker
-import plankwall.lab.World
 import plankwall.model.GroupKey
 import plankwall.model.JobSpec
 
--- a/src/test/kotlin/plankwall/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.simulation
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertNull
@@ -7,9 +7,8 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.core.lead.Divided
-import plankwall.core.lead.StoreLimits
-import plankwall.lab.World
+import plankwall.core.store.Divided
+import plankwall.core.store.StoreLimits
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.StateLimits
--- a/src/test/kotlin/plankwall/VersionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/VersionsTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.simulation
 
 import com.fasterxml.jackson.databind.node.ObjectNode
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -6,15 +6,13 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import plankwall.core.lead.Divided
-import plankwall.lab.SimWorker
-import plankwall.lab.World
+import plankwall.core.store.Divided
+import plankwall.fixtures.RecordJson.decode
+import plankwall.fixtures.RecordJson.encode
 import plankwall.model.GroupKey
 import plankwall.model.JobStage
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.sim.RecordJson.decode
-import plankwall.sim.RecordJson.encode
 import plankwall.wire.CatalogRecord
 import plankwall.wire.FinalRecord
 import plankwall.wire.FleetRecord
--- a/src/test/kotlin/plankwall/nights/BadNightsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BadNightsTest.kt
@@ -1,16 +1,16 @@
-package plankwall.nights
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.BadNight
-import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
 import plankwall.model.Tuning
+import plankwall.simulation.BadNight
+import plankwall.simulation.World
 
 /** All that the operators met, together and by chance; more of the same outside CI with `lab nights`. */
 class BadNightsTest {
--- a/src/test/kotlin/plankwall/FaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultDaysTest.kt
@@ -1,12 +1,12 @@
-package plankwall
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.World
 import plankwall.model.Priority
 import plankwall.model.Shape
+import plankwall.simulation.World
 
 /** Whole days in virtual time, each with its troubles and several seeds: no rule may break, and the work gets done. */
 class FaultDaysTest {
--- a/src/test/kotlin/plankwall/meetings/GapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/GapTest.kt
@@ -1,17 +1,17 @@
-package plankwall.meetings
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.lab.Cut
-import plankwall.lab.SimNode
-import plankwall.lab.SimWorker
-import plankwall.lab.World
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
 import plankwall.model.WorkerTimes
+import plankwall.simulation.Cut
+import plankwall.simulation.SimNode
+import plankwall.simulation.SimWorker
+import plankwall.simulation.World
 import plankwall.wire.Keys
 import plankwall.wire.StateOp
 
--- a/src/test/kotlin/plankwall/nights/GuestsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/GuestsTest.kt
@@ -1,20 +1,20 @@
-package plankwall.nights
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.jobs.StopCause
-import plankwall.core.placing.Placer
-import plankwall.core.rental.Estimator
-import plankwall.core.rental.Growth
-import plankwall.core.rental.SpareTimeRentals
-import plankwall.lab.World
+import plankwall.core.autoscaling.Estimator
+import plankwall.core.autoscaling.Growth
+import plankwall.core.autoscaling.SpareTimeRentals
+import plankwall.core.placement.Placer
+import plankwall.core.state.StopCause
+import plankwall.fixtures.CoreParts
 import plankwall.model.Objective
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.sim.CoreParts
+import plankwall.simulation.World
 
 /** Work that nobody stated an aim for, and sweeps of short tasks: what they get, and what they leave to others. */
 class GuestsTest {
--- a/src/test/kotlin/plankwall/links/HalfCutDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/HalfCutDaysTest.kt
@@ -1,4 +1,4 @@
-package plankwall.links
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.lab.Cut
-import plankwall.lab.LinkDay
-import plankwall.lab.SimNode
-import plankwall.lab.World
 import plankwall.model.Shape
+import plankwall.simulation.Cut
+import plankwall.simulation.LinkDay
+import plankwall.simulation.SimNode
+import plankwall.simulation.World
 
 /** Links cut in part: whoever can reach a leader through anybody keeps its work. Leases are 15 s here. */
 class HalfCutDaysTest {
--- a/src/test/kotlin/plankwall/meetings/MeetingDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MeetingDaysTest.kt
@@ -1,12 +1,12 @@
-package plankwall.meetings
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.MeetingDay
-import plankwall.lab.World
+import plankwall.simulation.MeetingDay
+import plankwall.simulation.World
 import java.util.stream.LongStream
 
 /** Troubles that meet: every rule that the checker knows, and every job that nobody withdrew is done in the end. */
--- a/src/test/kotlin/plankwall/meetings/MeetingsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MeetingsTest.kt
@@ -1,4 +1,4 @@
-package plankwall.meetings
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
@@ -6,9 +6,9 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.lab.Cut
-import plankwall.lab.World
 import plankwall.model.Shape
+import plankwall.simulation.Cut
+import plankwall.simulation.World
 
 /**
  * Fault combinations that the operators name, each by itself: that it took hold, that no rule broke, and what became of
--- a/src/test/kotlin/plankwall/OutlookDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/OutlookDaysTest.kt
@@ -1,13 +1,13 @@
-package plankwall
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.SimNode
-import plankwall.lab.World
 import plankwall.model.Shape
+import plankwall.simulation.SimNode
+import plankwall.simulation.World
 
 /**
  * Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven.
--- a/src/test/kotlin/plankwall/backlog/ShortOfRoomDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/ShortOfRoomDaysTest.kt
@@ -1,13 +1,13 @@
-package plankwall.backlog
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.lab.World
 import plankwall.model.Objective
 import plankwall.model.Priority
+import plankwall.simulation.World
 
 /**
  * Days with more work than room, played whole: what share of the jobs is done in time, and that the others are not
--- a/src/test/kotlin/plankwall/sessions/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -1,18 +1,18 @@
-package plankwall.sessions
+package plankwall.simulation.faults
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.core.step.Effect
-import plankwall.core.step.Input
-import plankwall.lab.Cut
-import plankwall.lab.SimNode
-import plankwall.lab.World
+import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.Input
 import plankwall.model.GroupKey
 import plankwall.model.Shape
 import plankwall.model.Tuning
+import plankwall.simulation.Cut
+import plankwall.simulation.SimNode
+import plankwall.simulation.World
 import plankwall.wire.AnswerBatch
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
--- a/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.provider.MethodSource
 import plankwall.audit.Seals
 import plankwall.audit.TrailLines
+import plankwall.fixtures.RecordJson
 import plankwall.fuzz.Targets
 import plankwall.identity.PeerKey
 import plankwall.identity.PeerSeal
-import plankwall.sim.RecordJson
 import java.util.HexFormat
 
 /**
--- a/src/test/kotlin/plankwall/scale/ServiceCodecsTest.kt
+++ b/src/test/kotlin/plankwall/wire/ServiceCodecsTest.kt
@@ -1,39 +1,15 @@
-package plankwall.scale
+package plankwall.wire
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
-import plankwall.lab.SimClock
-import plankwall.lab.SimState
-import plankwall.lab.World
-import plankwall.lab.scale.ScalePlan
-import plankwall.lab.scale.ScaleSite
+import plankwall.loadtest.ScalePlan
+import plankwall.loadtest.ScaleSite
 import plankwall.model.GroupKey
 import plankwall.model.StateLimits
-import plankwall.wire.BadMessage
-import plankwall.wire.CloudCodec
-import plankwall.wire.CloudOp
-import plankwall.wire.CloudResult
-import plankwall.wire.CloudServiceCodec
-import plankwall.wire.ExitCause
-import plankwall.wire.Guard
-import plankwall.wire.JobCodec
-import plankwall.wire.JobRecord
-import plankwall.wire.Keys
-import plankwall.wire.LeaderRecord
-import plankwall.wire.ListedMachine
-import plankwall.wire.ListedState
-import plankwall.wire.Report
-import plankwall.wire.StateCodec
-import plankwall.wire.StateEvent
-import plankwall.wire.StateItem
-import plankwall.wire.StateOp
-import plankwall.wire.StateResult
-import plankwall.wire.StateServiceCodec
-import plankwall.wire.TaskReport
-import plankwall.wire.TaskStage
-import plankwall.wire.WorkerCodec
-import plankwall.wire.Write
+import plankwall.simulation.SimClock
+import plankwall.simulation.SimState
+import plankwall.simulation.World
 
 /** The stand-ins' side of the protocols is read by the controllers' own, and the other way round. */
 class ServiceCodecsTest {
--- a/src/test/kotlin/plankwall/WireTest.kt
+++ b/src/test/kotlin/plankwall/wire/WireTest.kt
@@ -1,4 +1,4 @@
-package plankwall
+package plankwall.wire
 
 import com.fasterxml.jackson.databind.node.ObjectNode
 import org.junit.jupiter.api.Assertions.assertEquals
@@ -8,43 +8,15 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.core.lead.StoreLimits
-import plankwall.lab.SimWorker
+import plankwall.core.store.StoreLimits
+import plankwall.fixtures.RecordJson
 import plankwall.model.GroupKey
 import plankwall.model.JobStage
 import plankwall.model.JobView
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.sim.RecordJson
-import plankwall.wire.BadMessage
-import plankwall.wire.ExitCause
-import plankwall.wire.FleetRecord
-import plankwall.wire.JobCodec
-import plankwall.wire.JobProgress
-import plankwall.wire.JobRecord
-import plankwall.wire.Keys
-import plankwall.wire.LeaderWord
-import plankwall.wire.LinkReport
-import plankwall.wire.PageRecord
-import plankwall.wire.PeerCodec
-import plankwall.wire.PeerMessage
-import plankwall.wire.PeerStatus
-import plankwall.wire.ProgressNews
-import plankwall.wire.RelayedAnswer
-import plankwall.wire.RelayedReport
-import plankwall.wire.Report
-import plankwall.wire.StateCodec
-import plankwall.wire.StateOp
-import plankwall.wire.StoredArrival
-import plankwall.wire.StoredPlacement
-import plankwall.wire.StoredRental
-import plankwall.wire.TaskReport
-import plankwall.wire.TaskStage
-import plankwall.wire.WithdrawalNews
-import plankwall.wire.WorkerCodec
-import plankwall.wire.Write
-import plankwall.wire.ZoneReach
+import plankwall.simulation.SimWorker
 import java.util.BitSet
 
 class WireTest {
