--- a/src/main/kotlin/plankwall/audit/ChainEnd.kt
+++ b/src/main/kotlin/plankwall/audit/AuditChainTail.kt
@@ -2,19 +2,19 @@
 
 import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
-import plankwall.wire.TrailSegment
+import plankwall.wire.AuditSegment
 
 /** Finds where a chain ends. */
-class ChainEnd(ctx: Context, private val node: String) {
-    private val segments = LastNumbered({ AccessKeys.segment(node, it) }, ctx)
+class AuditChainTail(ctx: Context, private val node: String) {
+    private val segments = LastRecordSearch({ AccessKeys.segment(node, it) }, ctx)
 
     /** [version] 0: the chain is empty, and [segment] is where it would begin. */
-    class End(val segment: Long, val version: Long, content: TrailSegment?) {
+    class End(val segment: Long, val version: Long, content: AuditSegment?) {
         val first: Long = content?.first ?: 0L
-        val before: String = content?.before ?: TrailLines.START
+        val before: String = content?.before ?: AuditLines.START
         val lines: List<String> = content?.lines.orEmpty()
         val next: Long = first + lines.size
-        val hash: String = lines.lastOrNull()?.let { TrailLines.hash(it) } ?: before
+        val hash: String = lines.lastOrNull()?.let { AuditLines.hash(it) } ?: before
         val size: Int = OVERHEAD + lines.sumOf { sizeOf(it) }
 
         /** The ids of entries behind [known]; all of this segment's if that is unknown or lies in an earlier one. */
@@ -28,8 +28,8 @@
             }
             return lines.drop(skip).mapNotNullTo(HashSet()) { line ->
                 try {
-                    TrailLines.read(line).entry.id
-                } catch (_: BadLine) {
+                    AuditLines.read(line).entry.id
+                } catch (_: MalformedAuditLineException) {
                     null
                 }
             }
@@ -38,7 +38,7 @@
 
     /** [then] gets null if the store can't be read. [known]: an end found earlier, from which to go on. */
     fun find(known: End?, then: (End?) -> Unit) = segments.find(known?.segment ?: 0) { found ->
-        then(found?.let { End(it.number, it.item?.version ?: 0, it.item?.value as? TrailSegment) })
+        then(found?.let { End(it.number, it.item?.version ?: 0, it.item?.value as? AuditSegment) })
     }
 
     companion object {
--- a/src/main/kotlin/plankwall/audit/TrailEntry.kt
+++ b/src/main/kotlin/plankwall/audit/AuditEntry.kt
@@ -10,7 +10,7 @@
  * what he asked, from his token. [network]: where it came from, which proves nothing. [status]: what the caller is
  * told; 0: nobody was asked.
  */
-data class TrailEntry(
+data class AuditEntry(
     val id: String,
     val atMs: Long,
     val epoch: Long,
@@ -28,13 +28,13 @@
 )
 
 /** An entry as it stands in a chain: [number] counts from 0 on [node], [before] is the hash of the line before it. */
-class TrailLine(val number: Long, val before: String, val node: String, val entry: TrailEntry)
+class AuditLine(val number: Long, val before: String, val node: String, val entry: AuditEntry)
 
 /** An entry that is no entry, or not of this kind. */
-class BadLine(reason: String) : Exception(reason, null, false, false)
+class MalformedAuditLineException(reason: String) : Exception(reason, null, false, false)
 
 /** Lines of the trail: JSON, hashed as they are written. */
-object TrailLines {
+object AuditLines {
     /** What the first entry of every chain names. */
     val START: String = "".encodeUtf8().sha256().base64Url().trimEnd('=')
 
@@ -42,7 +42,7 @@
 
     fun hash(line: String): String = line.encodeUtf8().sha256().base64Url().trimEnd('=')
 
-    fun write(number: Long, before: String, node: String, e: TrailEntry): String = json.createObjectNode().apply {
+    fun write(number: Long, before: String, node: String, e: AuditEntry): String = json.createObjectNode().apply {
         put("n", number)
         put("b", before)
         put("d", node)
@@ -62,18 +62,18 @@
         if (e.note.isNotEmpty()) put("x", e.note)
     }.toString()
 
-    /** Throws [BadLine]. Unknown fields are left aside: a later version may write more. */
-    fun read(line: String): TrailLine {
+    /** Throws [MalformedAuditLineException]. Unknown fields are left aside: a later version may write more. */
+    fun read(line: String): AuditLine {
         val o = try {
-            json.readTree(line) as? ObjectNode ?: throw BadLine("not a JSON object")
+            json.readTree(line) as? ObjectNode ?: throw MalformedAuditLineException("not a JSON object")
         } catch (_: JsonProcessingException) {
-            throw BadLine("not JSON")
+            throw MalformedAuditLineException("not JSON")
         }
-        return TrailLine(
+        return AuditLine(
             o.whole("n"),
             o.text("b"),
             o.text("d"),
-            TrailEntry(
+            AuditEntry(
                 o.text(
                     "i",
                 ),
@@ -85,14 +85,14 @@
     }
 
     private fun ObjectNode.text(name: String): String =
-        get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("$name: no text")
+        get(name)?.takeIf { it.isTextual }?.textValue() ?: throw MalformedAuditLineException("$name: no text")
 
     private fun ObjectNode.whole(name: String): Long =
         get(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()
-            ?: throw BadLine("$name: no whole number")
+            ?: throw MalformedAuditLineException("$name: no whole number")
 
     /** A line as one that people and programs read: with names in full. */
-    fun export(l: TrailLine): String = json.createObjectNode().apply {
+    fun export(l: AuditLine): String = json.createObjectNode().apply {
         val e = l.entry
         put("node", l.node)
         put("number", l.number)
--- a/src/main/kotlin/plankwall/audit/Verifier.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
@@ -1,54 +1,58 @@
 package plankwall.audit
 
 import plankwall.identity.PublicKey
-import plankwall.wire.TrailSegment
+import plankwall.wire.AuditSegment
 
 /** Something that is not as it was written. [place]: the first link at which it shows. */
-data class Broken(val place: String, val what: String) {
+data class VerificationFailure(val place: String, val what: String) {
     override fun toString(): String = "$place: $what"
 }
 
 /** All that a trail consists of, as read from the state service or from an export. */
-class TrailCopy(val chains: Map<String, Map<Long, TrailSegment>>, val seals: Map<Long, String>)
+class AuditLogCopy(val chains: Map<String, Map<Long, AuditSegment>>, val seals: Map<Long, String>)
 
 /**
  * Checks a whole trail: that each chain's entries follow from each other, that the seals do, that they are signed, and
  * that the chains hold what the seals say. Knows nothing of how a trail is written but the format.
  */
-class Verifier(private val keyOf: (node: String, key: String) -> PublicKey?) {
-    class Outcome(val broken: List<Broken>, val entries: Long, val sealed: Map<String, Long>)
+class AuditLogVerifier(private val keyOf: (node: String, key: String) -> PublicKey?) {
+    class Outcome(val broken: List<VerificationFailure>, val entries: Long, val sealed: Map<String, Long>)
 
     /** [checkpoints]: seals that somebody kept; the trail must still hold what they say. */
-    fun verify(trail: TrailCopy, checkpoints: List<String> = emptyList()): Outcome {
-        val broken = ArrayList<Broken>()
-        val hashes = trail.chains.mapValues { (node, segments) -> chain(node, segments, broken) }
-        val sealed = seals(trail.seals, hashes, broken)
-        checkpoints.forEachIndexed { n, jws -> kept("checkpoint ${n + 1}", jws, trail.seals, hashes, broken) }
+    fun verify(auditLog: AuditLogCopy, checkpoints: List<String> = emptyList()): Outcome {
+        val broken = ArrayList<VerificationFailure>()
+        val hashes = auditLog.chains.mapValues { (node, segments) -> chain(node, segments, broken) }
+        val sealed = seals(auditLog.seals, hashes, broken)
+        checkpoints.forEachIndexed { n, jws -> kept("checkpoint ${n + 1}", jws, auditLog.seals, hashes, broken) }
         return Outcome(broken, hashes.values.sumOf { it.size.toLong() }, sealed)
     }
 
     /** The hashes of a chain's entries up to the first broken link. */
-    private fun chain(node: String, segments: Map<Long, TrailSegment>, broken: MutableList<Broken>): List<String> {
+    private fun chain(
+        node: String,
+        segments: Map<Long, AuditSegment>,
+        broken: MutableList<VerificationFailure>,
+    ): List<String> {
         val hashes = ArrayList<String>()
-        var before = TrailLines.START
+        var before = AuditLines.START
         for (number in 0 until segments.size.toLong()) {
             val segment = segments[number]
             val place = "trail of $node, segment $number"
             if (segment == null) {
-                broken.add(Broken(place, "missing"))
+                broken.add(VerificationFailure(place, "missing"))
                 return hashes
             }
             if (segment.first != hashes.size.toLong() || segment.before != before || segment.lines.isEmpty()) {
-                broken.add(Broken(place, "does not follow from the segment before it"))
+                broken.add(VerificationFailure(place, "does not follow from the segment before it"))
                 return hashes
             }
             for (text in segment.lines) {
                 val wrong = wrongWith(text, hashes.size.toLong(), before, node)
                 if (wrong != null) {
-                    broken.add(Broken("trail of $node, entry ${hashes.size}", wrong))
+                    broken.add(VerificationFailure("trail of $node, entry ${hashes.size}", wrong))
                     return hashes
                 }
-                before = TrailLines.hash(text)
+                before = AuditLines.hash(text)
                 hashes.add(before)
             }
         }
@@ -56,33 +60,33 @@
     }
 
     private fun wrongWith(text: String, number: Long, before: String, node: String): String? = try {
-        val line = TrailLines.read(text)
+        val line = AuditLines.read(text)
         when {
             line.node != node -> "was written by ${line.node}"
             line.number != number -> "has number ${line.number}"
             line.before != before -> "does not follow from the entry before it"
             else -> null
         }
-    } catch (e: BadLine) {
+    } catch (e: MalformedAuditLineException) {
         "can't be read: ${e.message}"
     }
 
     private fun seals(
         seals: Map<Long, String>,
         hashes: Map<String, List<String>>,
-        broken: MutableList<Broken>,
+        broken: MutableList<VerificationFailure>,
     ): Map<String, Long> {
-        var before = TrailLines.START
+        var before = AuditLines.START
         var heads: Map<String, ChainHead> = emptyMap()
         for (number in 0 until seals.size.toLong()) {
             val place = "seal $number"
             val jws = seals[number]
             val wrong = if (jws == null) "missing" else sealWrong(jws, number, before, heads)
             if (jws == null || wrong != null) {
-                broken.add(Broken(place, wrong ?: "missing"))
+                broken.add(VerificationFailure(place, wrong ?: "missing"))
                 return heads.mapValues { it.value.next }
             }
-            before = TrailLines.hash(jws)
+            before = AuditLines.hash(jws)
             val newer = Seals.read(jws).heads
             compare(place, newer, hashes, broken)
             heads = newer
@@ -99,7 +103,7 @@
             earlier.any { (node, h) -> (seal.heads[node]?.next ?: -1) < h.next } -> "says less than the seal before it"
             else -> null
         }
-    } catch (e: BadLine) {
+    } catch (e: MalformedAuditLineException) {
         "can't be read: ${e.message}"
     }
 
@@ -107,7 +111,7 @@
         place: String,
         heads: Map<String, ChainHead>,
         hashes: Map<String, List<String>>,
-        broken: MutableList<Broken>,
+        broken: MutableList<VerificationFailure>,
     ) {
         for ((node, head) in heads) {
             val chain = hashes[node].orEmpty()
@@ -118,9 +122,11 @@
             if (there ==
                 null
             ) {
-                broken.add(Broken(name, "missing, though $place holds it; the chain ends after ${chain.size}"))
+                broken.add(
+                    VerificationFailure(name, "missing, though $place holds it; the chain ends after ${chain.size}"),
+                )
             } else if (there != head.hash) {
-                broken.add(Broken(name, "is not the one that $place holds"))
+                broken.add(VerificationFailure(name, "is not the one that $place holds"))
             }
         }
     }
@@ -130,19 +136,21 @@
         jws: String,
         seals: Map<Long, String>,
         hashes: Map<String, List<String>>,
-        broken: MutableList<Broken>,
+        broken: MutableList<VerificationFailure>,
     ) {
         val seal = try {
             Seals.read(jws)
-        } catch (e: BadLine) {
-            broken.add(Broken(name, "can't be read: ${e.message}"))
+        } catch (e: MalformedAuditLineException) {
+            broken.add(VerificationFailure(name, "can't be read: ${e.message}"))
             return
         }
         val there = seals[seal.number]
         when {
-            !Seals.isSigned(jws, keyOf) -> broken.add(Broken(name, "is not signed by ${seal.by}"))
-            there == null -> broken.add(Broken("seal ${seal.number}", "missing, though it is the kept $name"))
-            there != jws -> broken.add(Broken("seal ${seal.number}", "is not the kept $name"))
+            !Seals.isSigned(jws, keyOf) -> broken.add(VerificationFailure(name, "is not signed by ${seal.by}"))
+            there == null -> broken.add(
+                VerificationFailure("seal ${seal.number}", "missing, though it is the kept $name"),
+            )
+            there != jws -> broken.add(VerificationFailure("seal ${seal.number}", "is not the kept $name"))
         }
         compare("the kept $name", seal.heads, hashes, broken)
     }
--- a/src/main/kotlin/plankwall/audit/TrailWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -4,11 +4,11 @@
 import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
+import plankwall.wire.AuditSegment
 import plankwall.wire.Guard
 import plankwall.wire.StateCodec
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
-import plankwall.wire.TrailSegment
 import plankwall.wire.Write
 
 /**
@@ -18,11 +18,11 @@
  * segment's stamp and on there being none behind it: of two that claim the same place in the chain only one can get
  * through.
  */
-class TrailWriter(private val ctx: Context, private val node: String, share: Double) {
+class AuditLogWriter(private val ctx: Context, private val node: String, share: Double) {
     private val log = LoggerFactory.getLogger("audit")
 
     private class Item(
-        val entry: TrailEntry,
+        val entry: AuditEntry,
         val txn: StateOp.Txn?,
         val since: Double,
         val patienceS: Double,
@@ -39,9 +39,9 @@
         Budget(ctx.time, it, maxOf(it, 1.0))
     }
     private val half = maxOf(1.0, limits.writeRps * share / ctx.settings.nodes)
-    private val finder = ChainEnd(ctx, node)
+    private val finder = AuditChainTail(ctx, node)
 
-    private var end: ChainEnd.End? = null
+    private var end: AuditChainTail.End? = null
     private var loading = false
     private var busy = false
     private var alone = false
@@ -56,13 +56,13 @@
     val length: Long get() = end?.next ?: 0
 
     /** Stores a decision by itself. Refused at once if too many wait. */
-    fun note(entry: TrailEntry, then: (stored: Boolean) -> Unit) =
+    fun note(entry: AuditEntry, then: (stored: Boolean) -> Unit) =
         queue(notes, Item(entry, null, ctx.now, PATIENCE_S) { then(it is StateResult.Committed) })
 
     /**
      * Keeps a decision that was told already until it can be stored. False: too many are kept, so it must not be told.
      */
-    fun noteLater(entry: TrailEntry): Boolean {
+    fun noteLater(entry: AuditEntry): Boolean {
         if (notes.size >= MAX_LATER) return false
         queue(
             notes,
@@ -74,7 +74,7 @@
     }
 
     /** Stores a change and its decision, or neither. */
-    fun change(entry: TrailEntry, txn: StateOp.Txn, then: (StateResult) -> Unit) =
+    fun change(entry: AuditEntry, txn: StateOp.Txn, then: (StateResult) -> Unit) =
         queue(changes, Item(entry, txn, ctx.now, PATIENCE_S, then))
 
     private fun queue(to: ArrayDeque<Item>, item: Item) {
@@ -162,7 +162,7 @@
     /**
      * The next transaction: entries behind the chain's end, in its last segment or, where they don't fit, in a new one.
      */
-    private inner class Batch(private val end: ChainEnd.End) {
+    private inner class Batch(private val end: AuditChainTail.End) {
         val items = ArrayList<Item>()
         private val lines = ArrayList<String>()
         private val touched = HashSet<String>()
@@ -175,8 +175,8 @@
 
         fun add(item: Item): Boolean {
             val txn = item.txn
-            val line = TrailLines.write(end.next + lines.size, hash, node, item.entry)
-            val lineSize = ChainEnd.sizeOf(line)
+            val line = AuditLines.write(end.next + lines.size, hash, node, item.entry)
+            val lineSize = AuditChainTail.sizeOf(line)
             val moreOps = txn?.writes?.size ?: 0
             val moreGuards = txn?.guards?.size ?: 0
             val moreBytes = txn?.let { StateCodec.txn(it).size } ?: 0
@@ -211,7 +211,7 @@
         ): Boolean {
             items.add(item)
             lines.add(line)
-            hash = TrailLines.hash(line)
+            hash = AuditLines.hash(line)
             size += lineSize
             ops += moreOps
             guards += moreGuards
@@ -229,15 +229,15 @@
                 Guard(AccessKeys.segment(node, end.segment + 1), 0),
             )
 
-        fun segment(): TrailSegment = if (turned || end.version == 0L) {
-            TrailSegment(end.next, end.hash, lines.toList())
+        fun segment(): AuditSegment = if (turned || end.version == 0L) {
+            AuditSegment(end.next, end.hash, lines.toList())
         } else {
-            TrailSegment(end.first, end.before, end.lines + lines)
+            AuditSegment(end.first, end.before, end.lines + lines)
         }
 
         fun write(): Write = Write.Put(AccessKeys.segment(node, number), segment())
 
-        fun committed(revision: Long): ChainEnd.End = ChainEnd.End(number, revision, segment())
+        fun committed(revision: Long): AuditChainTail.End = AuditChainTail.End(number, revision, segment())
     }
 
     private fun keyOf(w: Write): String = when (w) {
--- a/src/main/kotlin/plankwall/audit/LastNumbered.kt
+++ b/src/main/kotlin/plankwall/audit/LastRecordSearch.kt
@@ -9,7 +9,7 @@
  * Finds the last of keys that are numbered from 0 without a gap, by doubling and halving: a few reads however many
  * there are, and no further key that would have to be written with each.
  */
-class LastNumbered(private val key: (Long) -> String, private val ctx: Context) {
+class LastRecordSearch(private val key: (Long) -> String, private val ctx: Context) {
     /** [item] null: there is none yet. */
     class Found(val number: Long, val item: StateItem?)
 
--- a/src/main/kotlin/plankwall/audit/Seals.kt
+++ b/src/main/kotlin/plankwall/audit/Seals.kt
@@ -43,7 +43,7 @@
         return signatureOf(payload, key, TYPE)
     }
 
-    /** What a seal says, whoever signed it. Throws [BadLine]. */
+    /** What a seal says, whoever signed it. Throws [MalformedAuditLineException]. */
     fun read(jws: String): Seal = decode(JsonWebSignature().also { parse(it, jws) }.unverifiedPayload)
 
     /** Whether the node that a seal names has signed it, by one of its keys in [keyOf]. */
@@ -54,7 +54,7 @@
             signature.getHeader("typ") == TYPE &&
             signature.algorithmHeaderValue == AlgorithmIdentifiers.EDDSA &&
             key.hasSigned(jws)
-    } catch (_: BadLine) {
+    } catch (_: MalformedAuditLineException) {
         false
     } catch (_: JoseException) {
         false
@@ -63,26 +63,30 @@
     private fun parse(into: JsonWebSignature, jws: String) = try {
         into.compactSerialization = jws
     } catch (_: JoseException) {
-        throw BadLine("not a signed seal")
+        throw MalformedAuditLineException("not a signed seal")
     } catch (_: RuntimeException) {
-        throw BadLine("not a signed seal")
+        throw MalformedAuditLineException("not a signed seal")
     }
 
     private fun decode(payload: String): Seal {
         val o = try {
-            json.readTree(payload) as? ObjectNode ?: throw BadLine("a seal without fields")
+            json.readTree(payload) as? ObjectNode ?: throw MalformedAuditLineException("a seal without fields")
         } catch (_: JsonProcessingException) {
-            throw BadLine("a seal that is not JSON")
+            throw MalformedAuditLineException("a seal that is not JSON")
         }
         val heads = LinkedHashMap<String, ChainHead>()
-        for ((node, h) in (o.get("heads") as? ObjectNode ?: throw BadLine("a seal without heads")).fields()) {
-            if (h.size() != 3) throw BadLine("a seal's head of $node")
+        for ((node, h) in (
+            o.get(
+                "heads",
+            ) as? ObjectNode ?: throw MalformedAuditLineException("a seal without heads")
+            ).fields()) {
+            if (h.size() != 3) throw MalformedAuditLineException("a seal's head of $node")
             heads[node] = ChainHead(h[0].asLong(), h[1].asLong(), h[2].asText())
         }
-        fun number(name: String): Long =
-            o.get(name)?.takeIf { it.isIntegralNumber }?.longValue() ?: throw BadLine("a seal without $name")
-        fun text(name: String): String =
-            o.get(name)?.takeIf { it.isTextual }?.textValue() ?: throw BadLine("a seal without $name")
+        fun number(name: String): Long = o.get(name)?.takeIf { it.isIntegralNumber }?.longValue()
+            ?: throw MalformedAuditLineException("a seal without $name")
+        fun text(name: String): String = o.get(name)?.takeIf { it.isTextual }?.textValue()
+            ?: throw MalformedAuditLineException("a seal without $name")
         return Seal(number("n"), text("b"), number("t"), number("e"), text("d"), heads)
     }
 }
--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -54,20 +54,20 @@
     fun of(s: Shape): String = plankwall.wire.JobCodec.shapeName(s)
 }
 
-/** [line]: where it stands in the text. [withdraw]: what its loss means for a running job; null: not said. */
+/** [line]: where it stands in the text. [cancel]: what its loss means for a running job; null: not said. */
 class Rule(
     val name: String,
     val line: Int,
     val allows: Boolean,
     val actions: Set<Action>,
     val condition: Condition?,
-    val withdraw: Boolean?,
+    val cancel: Boolean?,
 )
 
 /** How a rule stands to a request. */
-enum class Standing { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
+enum class RuleOutcome { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
 
-class Explained(val rule: Rule, val standing: Standing)
+class Explained(val rule: Rule, val standing: RuleOutcome)
 
 /** One version of who there is and who may do what. */
 class Policy(
@@ -82,14 +82,14 @@
     fun publicKey(principal: String, key: String): PublicKey? = principals[principal]?.key(key)
 
     /** A deny that applies wins; else the first allow; else nobody has allowed it. */
-    fun judge(principal: String, action: Action, job: JobFacts?): Verdict {
+    fun authorize(principal: String, action: Action, job: JobFacts?): Verdict {
         val known = principals[principal]
         if (known == null) return Verdict(false, UNKNOWN)
         if (known.disabled) return Verdict(false, DISABLED)
         var allowing: Rule? = null
         for (rule in rulesOf(principal)) {
             if (action !in rule.actions || !holds(rule.condition, principal, job)) continue
-            if (!rule.allows) return Verdict(false, rule.name, rule.withdraw ?: false)
+            if (!rule.allows) return Verdict(false, rule.name, rule.cancel ?: false)
             if (allowing == null) allowing = rule
         }
         return if (allowing ==
@@ -97,27 +97,27 @@
         ) {
             Verdict(false, NOTHING_ALLOWS)
         } else {
-            Verdict(true, allowing.name, allowing.withdraw ?: false)
+            Verdict(true, allowing.name, allowing.cancel ?: false)
         }
     }
 
     /** Whether some rule that denies it to [principal] says what becomes of a job that runs. */
-    fun withdrawsOnDeny(principal: String, action: Action, job: JobFacts?): Boolean? = rulesOf(principal)
-        .firstOrNull { !it.allows && action in it.actions && holds(it.condition, principal, job) }?.withdraw
+    fun cancelsOnDeny(principal: String, action: Action, job: JobFacts?): Boolean? = rulesOf(principal)
+        .firstOrNull { !it.allows && action in it.actions && holds(it.condition, principal, job) }?.cancel
 
     /** All rules of [principal] and how each stands to the request, in the order of the text. */
     fun explain(principal: String, action: Action, job: JobFacts?): List<Explained> {
-        val deciding = judge(principal, action, job)
+        val deciding = authorize(principal, action, job)
         var decided = false
         return rulesOf(principal).map { rule ->
             val standing = when {
-                action !in rule.actions -> Standing.OTHER_ACTION
-                !holds(rule.condition, principal, job) -> Standing.CONDITION_FAILS
-                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> Standing.DECIDES.also {
+                action !in rule.actions -> RuleOutcome.OTHER_ACTION
+                !holds(rule.condition, principal, job) -> RuleOutcome.CONDITION_FAILS
+                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> RuleOutcome.DECIDES.also {
                     decided =
                         true
                 }
-                else -> Standing.APPLIES
+                else -> RuleOutcome.APPLIES
             }
             Explained(rule, standing)
         }
--- a/src/main/kotlin/plankwall/authorization/RightsReader.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyReader.kt
@@ -11,18 +11,18 @@
 import plankwall.authorization.grammar.RightsLexer
 import plankwall.authorization.grammar.RightsParser
 import plankwall.core.statemachine.Action
-import plankwall.identity.BadKey
+import plankwall.identity.MalformedKeyException
 import plankwall.identity.Networks
 import plankwall.identity.PublicKey
 import java.time.DateTimeException
 import java.time.Instant
 
 /** Something wrong with a text of rights. [line] counts from 1, [column] too. */
-class BadRights(val line: Int, val column: Int, reason: String) :
+class InvalidPolicyException(val line: Int, val column: Int, reason: String) :
     Exception("line $line, column $column: $reason", null, false, false)
 
-/** Reads a text of rights into a [Policy]. Throws [BadRights] for the first thing that is wrong. */
-object RightsReader {
+/** Reads a text of rights into a [Policy]. Throws [InvalidPolicyException] for the first thing that is wrong. */
+object PolicyReader {
     /** Beyond this a text could not be published in one request anyway. Characters. */
     const val LONGEST = 48 * 1024
     private const val DEEPEST = 40
@@ -33,7 +33,11 @@
     )
 
     fun read(text: String, version: Long): Policy {
-        if (text.length > LONGEST) throw BadRights(1, 1, "the text has ${text.length} characters, more than $LONGEST")
+        if (text.length >
+            LONGEST
+        ) {
+            throw InvalidPolicyException(1, 1, "the text has ${text.length} characters, more than $LONGEST")
+        }
         val stop = object : BaseErrorListener() {
             override fun syntaxError(
                 r: Recognizer<*, *>?,
@@ -42,7 +46,7 @@
                 column: Int,
                 msg: String,
                 e: RecognitionException?,
-            ): Unit = throw BadRights(line, column + 1, plain(r, offending as? Token, msg))
+            ): Unit = throw InvalidPolicyException(line, column + 1, plain(r, offending as? Token, msg))
         }
         val lexer = RightsLexer(CharStreams.fromString(text))
         lexer.removeErrorListeners()
@@ -70,7 +74,7 @@
             if (open + nots >
                 DEEPEST
             ) {
-                throw BadRights(t.line, t.charPositionInLine + 1, "nested more than $DEEPEST deep")
+                throw InvalidPolicyException(t.line, t.charPositionInLine + 1, "nested more than $DEEPEST deep")
             }
         }
     }
@@ -170,7 +174,7 @@
             item.since?.let(::instant) ?: (Long.MIN_VALUE / 2),
             item.until?.let(::instant) ?: (Long.MAX_VALUE / 2),
         )
-    } catch (e: BadKey) {
+    } catch (e: MalformedKeyException) {
         throw at(item.STRING(0).symbol, e.message.orEmpty())
     }
 
@@ -301,9 +305,9 @@
     private fun ParserRuleContext.bad(reason: String): Nothing = throw at(start, reason)
 
     private fun RightsParser.NameContext.unknown(what: String, known: Collection<String>): Nothing =
-        bad("no $what is called '${text()}'${RightsReader.nearest(text(), known)}")
+        bad("no $what is called '${text()}'${PolicyReader.nearest(text(), known)}")
 
-    private fun at(t: Token, reason: String) = BadRights(t.line, t.charPositionInLine + 1, reason)
+    private fun at(t: Token, reason: String) = InvalidPolicyException(t.line, t.charPositionInLine + 1, reason)
 
     private companion object {
         const val MAX_NAME = 100
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -5,9 +5,9 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
 import plankwall.cli.remote.NodeCalls
-import plankwall.cli.settings.BadSettings
-import plankwall.wire.BadMessage
+import plankwall.cli.settings.InvalidSettingsException
 import plankwall.wire.JobCodec
+import plankwall.wire.MalformedMessageException
 import java.io.File
 import java.util.concurrent.Callable
 
@@ -30,11 +30,11 @@
     var after: List<String> = emptyList()
 
     override fun call(): Int {
-        if (!file.canRead()) throw BadSettings("$file: can't be read")
+        if (!file.canRead()) throw InvalidSettingsException("$file: can't be read")
         val body = try {
             if (after.isEmpty()) file.readBytes() else JobCodec.withDependencies(file.readBytes(), after)
-        } catch (e: BadMessage) {
-            throw BadSettings("$file: ${e.message}")
+        } catch (e: MalformedMessageException) {
+            throw InvalidSettingsException("$file: ${e.message}")
         }
         return calls.report(calls.ask("POST", "/api/jobs", body))
     }
--- a/src/main/kotlin/plankwall/cli/ScaleCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
-import plankwall.cli.settings.BadSettings
-import plankwall.loadtest.BadScalePlan
-import plankwall.loadtest.ScaleFigures
-import plankwall.loadtest.ScalePlan
-import plankwall.loadtest.ScalePlanFile
-import plankwall.loadtest.ScaleReport
-import plankwall.loadtest.ScaleRun
+import plankwall.cli.settings.InvalidSettingsException
+import plankwall.loadtest.InvalidLoadTestPlanException
+import plankwall.loadtest.LoadTestFigures
+import plankwall.loadtest.LoadTestPlan
+import plankwall.loadtest.LoadTestPlanFile
+import plankwall.loadtest.LoadTestReport
+import plankwall.loadtest.LoadTestRun
 import java.io.File
 import java.nio.file.Files
 import java.util.concurrent.Callable
@@ -22,7 +22,7 @@
     ],
     mixinStandardHelpOptions = true,
 )
-class ScaleCommand : Callable<Int> {
+class LoadTestCommand : Callable<Int> {
     @Option(
         names = ["--plan"],
         paramLabel = "F",
@@ -93,23 +93,23 @@
 
     override fun call(): Int {
         if (!deploy.isFile) {
-            throw BadSettings(
+            throw InvalidSettingsException(
                 "$deploy: no such file; run this at the root of the project, after a build",
             )
         }
         val figures = try {
             val into = folder ?: Files.createTempDirectory("plankwall-scale").toFile()
-            ScaleRun(plan(), deploy, into, tuning, nodeLog) { println(it) }.play()
-        } catch (e: BadScalePlan) {
-            throw BadSettings(e.message.orEmpty())
+            LoadTestRun(plan(), deploy, into, tuning, nodeLog) { println(it) }.play()
+        } catch (e: InvalidLoadTestPlanException) {
+            throw InvalidSettingsException(e.message.orEmpty())
         }
-        report?.writeText(ScaleReport.json(figures))
+        report?.writeText(LoadTestReport.json(figures))
         conclude(figures)
         return if (figures.broken.isEmpty()) 0 else 1
     }
 
-    private fun plan(): ScalePlan {
-        val base = file?.let(ScalePlanFile::read) ?: ScalePlan()
+    private fun plan(): LoadTestPlan {
+        val base = file?.let(LoadTestPlanFile::read) ?: LoadTestPlan()
         return base.copy(
             workers = workers ?: base.workers,
             controllers = controllers ?: base.controllers,
@@ -121,7 +121,7 @@
         )
     }
 
-    private fun conclude(f: ScaleFigures) {
+    private fun conclude(f: LoadTestFigures) {
         f.faults.forEach { o ->
             val served =
                 o.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
--- a/src/main/kotlin/plankwall/cli/Main.kt
+++ b/src/main/kotlin/plankwall/cli/Main.kt
@@ -5,7 +5,7 @@
 import plankwall.cli.access.AuditCommand
 import plankwall.cli.access.KeysCommand
 import plankwall.cli.access.RightsCommand
-import plankwall.cli.settings.BadSettings
+import plankwall.cli.settings.InvalidSettingsException
 import kotlin.system.exitProcess
 
 @Command(
@@ -43,7 +43,7 @@
     // archive.
     if (args.firstOrNull() !in setOf("serve", "warm-up")) {
         listOf(
-            LabCommand(),
+            SimulationCommand(),
             CheckSettings(),
             Submit(),
             Show(),
@@ -57,7 +57,7 @@
     }
     line.isCaseInsensitiveEnumValuesAllowed = true
     line.executionExceptionHandler = CommandLine.IExecutionExceptionHandler { e, cmd, _ ->
-        if (e !is BadSettings) throw e
+        if (e !is InvalidSettingsException) throw e
         cmd.err.println("plankwall: ${e.message}")
         cmd.err.flush()
         2
--- a/src/main/kotlin/plankwall/cli/Serve.kt
+++ b/src/main/kotlin/plankwall/cli/Serve.kt
@@ -8,8 +8,8 @@
 import kotlinx.coroutines.withContext
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
-import plankwall.cli.settings.BadSettings
 import plankwall.cli.settings.IdentitiesFile
+import plankwall.cli.settings.InvalidSettingsException
 import plankwall.cli.settings.SettingsFile
 import plankwall.cli.settings.TuningFile
 import plankwall.io.Daemon
@@ -36,7 +36,7 @@
     override fun call(): Int {
         val settings = SettingsFile.read(config)
         val own = tuning?.let { TuningFile.read(it) } ?: Tuning()
-        val proofs = identities?.let { GateParts.of(IdentitiesFile.read(it), settings) }
+        val proofs = identities?.let { GatewayComponents.of(IdentitiesFile.read(it), settings) }
         val main = daemonThread("core")
         val selector = SelectorManager(daemonThread("selector"))
         runBlocking {
@@ -45,7 +45,9 @@
                 try {
                     Daemon(scope, selector, settings, own, proofs).run()
                 } catch (e: java.io.IOException) {
-                    throw BadSettings("can't listen on ${settings.front} or ${settings.internal}: ${e.message}")
+                    throw InvalidSettingsException(
+                        "can't listen on ${settings.front} or ${settings.internal}: ${e.message}",
+                    )
                 }
             }
         }
--- a/src/main/kotlin/plankwall/cli/LabCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -4,8 +4,8 @@
 import picocli.CommandLine
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
-import plankwall.simulation.BadNight
-import plankwall.simulation.LinkDay
+import plankwall.simulation.LinkFaultScenario
+import plankwall.simulation.MixedFaultScenario
 import java.util.concurrent.Callable
 import java.util.stream.IntStream
 
@@ -14,9 +14,9 @@
     name = "lab",
     description = ["Plays days in virtual time against stand-ins; needs no site."],
     mixinStandardHelpOptions = true,
-    subcommands = [LinkDays::class, BadNights::class, ScaleCommand::class],
+    subcommands = [LinkFaultDays::class, MixedFaultDays::class, LoadTestCommand::class],
 )
-class LabCommand : Runnable {
+class SimulationCommand : Runnable {
     override fun run() = CommandLine.usage(this, System.out)
 }
 
@@ -25,7 +25,7 @@
     description = ["Days on which links fail in part, drawn by their number; exits 1 if a rule broke."],
     mixinStandardHelpOptions = true,
 )
-class LinkDays : Callable<Int> {
+class LinkFaultDays : Callable<Int> {
     @Option(names = ["--days"], description = ["How many."])
     private var days = 30
 
@@ -43,7 +43,7 @@
 
     override fun call(): Int {
         val results = IntStream.range(first, first + days).parallel()
-            .mapToObj { LinkDay(it.toLong(), nodes[it % nodes.size], machines).play() }.toList()
+            .mapToObj { LinkFaultScenario(it.toLong(), nodes[it % nodes.size], machines).play() }.toList()
         if (each) {
             results.forEach { r ->
                 println(
@@ -83,7 +83,7 @@
     ],
     mixinStandardHelpOptions = true,
 )
-class BadNights : Callable<Int> {
+class MixedFaultDays : Callable<Int> {
     @Option(names = ["--days"], description = ["How many."])
     private var days = 30
 
@@ -95,7 +95,7 @@
 
     override fun call(): Int {
         val results = IntStream.range(first, first + days).parallel().mapToObj {
-            BadNight(
+            MixedFaultScenario(
                 it.toLong(),
                 nodes[
                     it %
--- a/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
@@ -6,17 +6,17 @@
 import picocli.CommandLine.Mixin
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
-import plankwall.audit.BadLine
+import plankwall.audit.AuditEntry
+import plankwall.audit.AuditLines
+import plankwall.audit.AuditLogCopy
+import plankwall.audit.AuditLogVerifier
+import plankwall.audit.MalformedAuditLineException
 import plankwall.audit.Seals
-import plankwall.audit.TrailCopy
-import plankwall.audit.TrailEntry
-import plankwall.audit.TrailLines
-import plankwall.audit.Verifier
 import plankwall.cli.remote.NodeCalls
-import plankwall.cli.settings.BadSettings
-import plankwall.wire.BadMessage
-import plankwall.wire.KeeperCodec
-import plankwall.wire.TrailSegment
+import plankwall.cli.settings.InvalidSettingsException
+import plankwall.wire.AdminCodec
+import plankwall.wire.AuditSegment
+import plankwall.wire.MalformedMessageException
 import java.io.File
 import java.io.IOException
 import java.util.concurrent.Callable
@@ -25,33 +25,35 @@
     name = "audit",
     description = ["Copy, verify and search the trail of decisions."],
     mixinStandardHelpOptions = true,
-    subcommands = [ExportTrail::class, VerifyTrail::class, FindInTrail::class, FollowTrail::class],
+    subcommands = [ExportAuditLog::class, VerifyAuditLog::class, FindInAuditLog::class, FollowAuditLog::class],
 )
 class AuditCommand : Runnable {
     override fun run() = picocli.CommandLine.usage(this, System.out)
 }
 
 /** Reads a trail piece by piece from a node. */
-internal class TrailReader(private val calls: NodeCalls) {
-    class Stopped(reason: String) : Exception(reason)
+internal class AuditLogReader(private val calls: NodeCalls) {
+    class StreamClosedException(reason: String) : Exception(reason)
 
     private fun piece(path: String): ByteArray? {
         repeat(TRIES) {
-            val answer = calls.ask("GET", path) ?: throw Stopped("no answer")
+            val answer = calls.ask("GET", path) ?: throw StreamClosedException("no answer")
             when {
                 answer.good -> return answer.body.encodeToByteArray()
                 answer.status == 404 -> return null
-                answer.status != 429 && answer.status != 503 -> throw Stopped("${answer.status} ${answer.body}")
+                answer.status != 429 && answer.status != 503 -> throw StreamClosedException(
+                    "${answer.status} ${answer.body}",
+                )
                 else -> Thread.sleep(PAUSE_MS)
             }
         }
-        throw Stopped("the service is too busy")
+        throw StreamClosedException("the service is too busy")
     }
 
-    fun seal(number: Long): String? = piece("/api/seals/$number")?.let { KeeperCodec.readSeal(it).jws }
+    fun seal(number: Long): String? = piece("/api/seals/$number")?.let { AdminCodec.readSeal(it).jws }
 
-    fun segment(node: String, number: Long): TrailSegment? = piece("/api/trail/$node/$number")?.let {
-        KeeperCodec.readSegment(it)
+    fun segment(node: String, number: Long): AuditSegment? = piece("/api/trail/$node/$number")?.let {
+        AdminCodec.readSegment(it)
     }
 
     fun seals(): Map<Long, String> = generateSequence(0L) { it + 1 }.map { it to seal(it) }.takeWhile {
@@ -60,7 +62,7 @@
     }
         .associate { (n, jws) -> n to jws.orEmpty() }
 
-    fun chain(node: String): Map<Long, TrailSegment> = LinkedHashMap<Long, TrailSegment>().also { found ->
+    fun chain(node: String): Map<Long, AuditSegment> = LinkedHashMap<Long, AuditSegment>().also { found ->
         var n = 0L
         while (true) found[n] = segment(node, n++) ?: break
     }
@@ -76,17 +78,17 @@
 }
 
 /** A copy of a trail as JSON lines: one piece each, as it is stored. */
-internal object TrailFile {
+internal object AuditLogFile {
     private val json = ObjectMapper()
 
-    fun segment(node: String, number: Long, s: TrailSegment): String = """{"node":${json.writeValueAsString(
+    fun segment(node: String, number: Long, s: AuditSegment): String = """{"node":${json.writeValueAsString(
         node,
-    )},"segment":$number,"value":${KeeperCodec.segment(s).decodeToString()}}"""
+    )},"segment":$number,"value":${AdminCodec.segment(s).decodeToString()}}"""
 
     fun seal(number: Long, jws: String): String = """{"seal":$number,"jws":"$jws"}"""
 
-    fun read(file: File): TrailCopy {
-        val chains = LinkedHashMap<String, LinkedHashMap<Long, TrailSegment>>()
+    fun read(file: File): AuditLogCopy {
+        val chains = LinkedHashMap<String, LinkedHashMap<Long, AuditSegment>>()
         val seals = LinkedHashMap<Long, String>()
         try {
             file.forEachLine { line ->
@@ -95,19 +97,19 @@
                     seals[o.get("seal").asLong()] = o.path("jws").asText()
                 } else {
                     chains.getOrPut(o.path("node").asText()) { LinkedHashMap() }[o.path("segment").asLong()] =
-                        KeeperCodec.readSegment(o.path("value").toString().encodeToByteArray())
+                        AdminCodec.readSegment(o.path("value").toString().encodeToByteArray())
                 }
             }
         } catch (e: IOException) {
-            throw BadSettings("$file: can't be read: ${e.javaClass.simpleName}")
-        } catch (e: BadMessage) {
-            throw BadSettings("$file: not a copy of a trail: ${e.message}")
+            throw InvalidSettingsException("$file: can't be read: ${e.javaClass.simpleName}")
+        } catch (e: MalformedMessageException) {
+            throw InvalidSettingsException("$file: not a copy of a trail: ${e.message}")
         }
-        return TrailCopy(chains, seals)
+        return AuditLogCopy(chains, seals)
     }
 }
 
-abstract class TrailCommand : Callable<Int> {
+abstract class AuditLogCommand : Callable<Int> {
     @Mixin
     protected lateinit var calls: NodeCalls
 
@@ -116,7 +118,7 @@
 
     protected fun stopping(body: () -> Int): Int = try {
         body()
-    } catch (e: TrailReader.Stopped) {
+    } catch (e: AuditLogReader.StreamClosedException) {
         System.err.println("plankwall: the trail could not be read whole: ${e.message}")
         1
     }
@@ -127,15 +129,15 @@
     description = ["Copy the whole trail to standard output, as JSON lines that `verify` and `find` read."],
     mixinStandardHelpOptions = true,
 )
-class ExportTrail : TrailCommand() {
+class ExportAuditLog : AuditLogCommand() {
     override fun call(): Int = stopping {
-        val reader = TrailReader(calls)
+        val reader = AuditLogReader(calls)
         val seals = reader.seals()
         reader.nodes(seals, nodes).forEach { node ->
-            reader.chain(node).forEach { (n, s) -> println(TrailFile.segment(node, n, s)) }
+            reader.chain(node).forEach { (n, s) -> println(AuditLogFile.segment(node, n, s)) }
         }
         // The seals last, and as they were before the chains were read: no chain can be shorter than they say.
-        seals.forEach { (n, jws) -> println(TrailFile.seal(n, jws)) }
+        seals.forEach { (n, jws) -> println(AuditLogFile.seal(n, jws)) }
         0
     }
 }
@@ -145,7 +147,7 @@
     description = ["Check a copy of the trail; name the first broken link of each chain."],
     mixinStandardHelpOptions = true,
 )
-class VerifyTrail : Callable<Int> {
+class VerifyAuditLog : Callable<Int> {
     @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
     lateinit var copy: File
 
@@ -167,15 +169,15 @@
     override fun call(): Int {
         val policy = readRights(rights)
         val kept = checkpoints.map { f ->
-            if (f.canRead()) f.readText().trim() else throw BadSettings("$f: can't be read")
+            if (f.canRead()) f.readText().trim() else throw InvalidSettingsException("$f: can't be read")
         }
-        val trail = TrailFile.read(copy)
-        if (trail.chains.isEmpty() &&
-            trail.seals.isEmpty()
+        val auditLog = AuditLogFile.read(copy)
+        if (auditLog.chains.isEmpty() &&
+            auditLog.seals.isEmpty()
         ) {
-            throw BadSettings("$copy: holds no trail: there is nothing to verify")
+            throw InvalidSettingsException("$copy: holds no trail: there is nothing to verify")
         }
-        val outcome = Verifier(policy::publicKey).verify(trail, kept)
+        val outcome = AuditLogVerifier(policy::publicKey).verify(auditLog, kept)
         outcome.broken.forEach { println(it) }
         println(
             "${outcome.entries} entries hold together, sealed: ${outcome.sealed.entries.joinToString(", ") {
@@ -187,7 +189,7 @@
     }
 }
 
-class TrailFilter {
+class AuditLogFilter {
     @Option(names = ["--who"], description = ["Decisions about this principal."])
     var who: String? = null
 
@@ -203,7 +205,7 @@
     @Option(names = ["--denied"], description = ["Only what was denied."])
     var denied = false
 
-    fun takes(e: TrailEntry): Boolean = (who == null || e.who == who) &&
+    fun takes(e: AuditEntry): Boolean = (who == null || e.who == who) &&
         (job == null || e.subject == job) &&
         (action == null || e.action == action) &&
         !(denied && e.allowed)
@@ -214,25 +216,25 @@
     description = ["Search a copy of the trail; decisions come out as JSON lines, oldest first."],
     mixinStandardHelpOptions = true,
 )
-class FindInTrail : Callable<Int> {
+class FindInAuditLog : Callable<Int> {
     @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
     lateinit var copy: File
 
     @Mixin
-    lateinit var filter: TrailFilter
+    lateinit var filter: AuditLogFilter
 
     override fun call(): Int {
-        val lines = TrailFile.read(copy).chains.values.flatMap { it.values }.flatMap { it.lines }
+        val lines = AuditLogFile.read(copy).chains.values.flatMap { it.values }.flatMap { it.lines }
         lines.mapNotNull {
             readable(it)
-        }.filter { filter.takes(it.entry) }.sortedBy { it.entry.atMs }.forEach { println(TrailLines.export(it)) }
+        }.filter { filter.takes(it.entry) }.sortedBy { it.entry.atMs }.forEach { println(AuditLines.export(it)) }
         return 0
     }
 }
 
 private fun readable(line: String) = try {
-    TrailLines.read(line)
-} catch (e: BadLine) {
+    AuditLines.read(line)
+} catch (e: MalformedAuditLineException) {
     System.err.println("plankwall: an entry can't be read: ${e.message}")
     null
 }
@@ -242,17 +244,17 @@
     description = ["Print decisions as they are made, until interrupted."],
     mixinStandardHelpOptions = true,
 )
-class FollowTrail : TrailCommand() {
+class FollowAuditLog : AuditLogCommand() {
     @Mixin
-    lateinit var filter: TrailFilter
+    lateinit var filter: AuditLogFilter
 
     @Option(names = ["--from-start"], description = ["All that was decided so far first."])
     var fromStart = false
 
     override fun call(): Int = stopping {
-        val reader = TrailReader(calls)
+        val reader = AuditLogReader(calls)
         val names = reader.nodes(reader.seals(), nodes)
-        if (names.isEmpty()) throw BadSettings("no seal names a node yet: name them by --nodes")
+        if (names.isEmpty()) throw InvalidSettingsException("no seal names a node yet: name them by --nodes")
         val at = names.associateWithTo(HashMap()) { 0L to 0L }
         var quiet = !fromStart
         while (true) {
@@ -265,13 +267,18 @@
     }
 
     /** From (segment, entries shown of it) as far as there is. */
-    private fun advance(reader: TrailReader, node: String, from: Pair<Long, Long>, quiet: Boolean): Pair<Long, Long> {
+    private fun advance(
+        reader: AuditLogReader,
+        node: String,
+        from: Pair<Long, Long>,
+        quiet: Boolean,
+    ): Pair<Long, Long> {
         var (segment, shown) = from
         while (true) {
             val s = reader.segment(node, segment) ?: return maxOf(0, segment - 1) to shown
             s.lines.drop(shown.toInt()).mapNotNull {
                 readable(it)
-            }.filter { !quiet && filter.takes(it.entry) }.forEach { println(TrailLines.export(it)) }
+            }.filter { !quiet && filter.takes(it.entry) }.forEach { println(AuditLines.export(it)) }
             shown = s.lines.size.toLong()
             // The next segment, if there is one, begins anew.
             if (reader.segment(node, segment + 1) == null) return segment to shown
--- a/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
@@ -3,7 +3,7 @@
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
-import plankwall.cli.settings.BadSettings
+import plankwall.cli.settings.InvalidSettingsException
 import plankwall.cli.settings.KeyFiles
 import plankwall.identity.SigningKey
 import java.io.File
@@ -50,7 +50,7 @@
         if (!NAME.matches(name) ||
             !NAME.matches(id)
         ) {
-            throw BadSettings("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
+            throw InvalidSettingsException("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
         }
         val key = SigningKey.generate(name, id)
         KeyFiles.write(out, key.secretJson() + "\n")
--- a/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
@@ -7,19 +7,19 @@
 import picocli.CommandLine.Mixin
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
-import plankwall.authorization.BadRights
+import plankwall.authorization.InvalidPolicyException
 import plankwall.authorization.Policy
-import plankwall.authorization.RightsReader
-import plankwall.authorization.Standing
+import plankwall.authorization.PolicyReader
+import plankwall.authorization.RuleOutcome
 import plankwall.cli.remote.NodeCalls
-import plankwall.cli.settings.BadSettings
+import plankwall.cli.settings.InvalidSettingsException
 import plankwall.core.statemachine.Action
 import plankwall.model.JobFacts
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.wire.BadMessage
+import plankwall.wire.AdminCodec
 import plankwall.wire.JobCodec
-import plankwall.wire.KeeperCodec
+import plankwall.wire.MalformedMessageException
 import java.io.File
 import java.io.IOException
 import java.util.concurrent.Callable
@@ -38,15 +38,19 @@
 }
 
 internal fun readRights(file: File): Policy = try {
-    RightsReader.read(file.readText(), 1)
-} catch (e: BadRights) {
-    throw BadSettings("$file: ${e.message}")
+    PolicyReader.read(file.readText(), 1)
+} catch (e: InvalidPolicyException) {
+    throw InvalidSettingsException("$file: ${e.message}")
 } catch (e: IOException) {
-    throw BadSettings("$file: can't be read: ${e.message}")
+    throw InvalidSettingsException("$file: can't be read: ${e.message}")
 }
 
 private fun action(word: String): Action = Action.entries.find { it.word == word }
-    ?: throw BadSettings("no action is called '$word'; there are ${Action.entries.joinToString(", ") { it.word }}")
+    ?: throw InvalidSettingsException(
+        "no action is called '$word'; there are ${Action.entries.joinToString(", ") {
+            it.word
+        }}",
+    )
 
 @Command(
     name = "check",
@@ -65,7 +69,7 @@
             it.kind != plankwall.authorization.PrincipalKind.NODE
         }.forEach { println("note: nothing is allowed to ${it.name}") }
         if (able.none {
-                policy.judge(it.name, Action.ADMINISTER, null).allowed
+                policy.authorize(it.name, Action.ADMINISTER, null).allowed
             }
         ) {
             println("note: nobody may administer: these rights could not be changed any more")
@@ -105,8 +109,9 @@
     owner,
     jobClass.orEmpty(),
     team.orEmpty(),
-    priority?.let { JobCodec.priorityWords[it] ?: throw BadSettings("no priority is called '$it'") } ?: Priority.NORMAL,
-    shape?.let { JobCodec.shapeWords[it] ?: throw BadSettings("no shape is called '$it'") } ?: Shape.ARRAY,
+    priority?.let { JobCodec.priorityWords[it] ?: throw InvalidSettingsException("no priority is called '$it'") }
+        ?: Priority.NORMAL,
+    shape?.let { JobCodec.shapeWords[it] ?: throw InvalidSettingsException("no shape is called '$it'") } ?: Shape.ARRAY,
 )
 
 @Command(
@@ -130,20 +135,20 @@
     override fun call(): Int {
         val policy = readRights(file)
         val action = action(wanted)
-        val verdict = policy.judge(who, action, job.facts())
+        val verdict = policy.authorize(who, action, job.facts())
         println("$who ${if (verdict.allowed) "may" else "may not"} ${action.word}: ${verdict.rule}")
         for (e in policy.explain(who, action, job.facts())) {
             val how = when (e.standing) {
-                Standing.DECIDES -> "decides"
-                Standing.APPLIES -> if (e.rule.allows ==
+                RuleOutcome.DECIDES -> "decides"
+                RuleOutcome.APPLIES -> if (e.rule.allows ==
                     verdict.allowed
                 ) {
                     "says the same"
                 } else {
                     "would say otherwise, but a deny wins"
                 }
-                Standing.OTHER_ACTION -> "is about something else"
-                Standing.CONDITION_FAILS -> "its condition does not hold"
+                RuleOutcome.OTHER_ACTION -> "is about something else"
+                RuleOutcome.CONDITION_FAILS -> "its condition does not hold"
             }
             println(
                 "  line ${e.rule.line}: ${if (e.rule.allows) "allow" else "deny"} ${e.rule.actions.joinToString(", ") {
@@ -175,15 +180,15 @@
         val rows = try {
             YAMLMapper().readTree(expectations)
         } catch (e: JacksonException) {
-            throw BadSettings("$expectations: not YAML: ${e.originalMessage}")
+            throw InvalidSettingsException("$expectations: not YAML: ${e.originalMessage}")
         } catch (e: IOException) {
-            throw BadSettings("$expectations: can't be read: ${e.message}")
+            throw InvalidSettingsException("$expectations: can't be read: ${e.message}")
         }
         if (rows == null ||
             !rows.isArray ||
             rows.isEmpty
         ) {
-            throw BadSettings("$expectations: a list of expectations is wanted")
+            throw InvalidSettingsException("$expectations: a list of expectations is wanted")
         }
         val wrong = rows.mapIndexedNotNull { n, row -> wrongWith(policy, n + 1, row) }
         wrong.forEach { println(it) }
@@ -196,13 +201,19 @@
             if (it !in
                 FIELDS
             ) {
-                throw BadSettings("$expectations: expectation $n: $it: unknown; known are ${FIELDS.joinToString(", ")}")
+                throw InvalidSettingsException(
+                    "$expectations: expectation $n: $it: unknown; known are ${FIELDS.joinToString(", ")}",
+                )
             }
         }
         fun field(name: String): String? = row.get(name)?.asText()
-        val who = field("who") ?: throw BadSettings("$expectations: expectation $n: who: missing")
+        val who = field("who") ?: throw InvalidSettingsException("$expectations: expectation $n: who: missing")
         val may = row.has("may")
-        if (may == row.has("may_not")) throw BadSettings("$expectations: expectation $n: either may or may_not")
+        if (may ==
+            row.has("may_not")
+        ) {
+            throw InvalidSettingsException("$expectations: expectation $n: either may or may_not")
+        }
         val words = row.get(if (may) "may" else "may_not").let { v ->
             if (v.isArray) v.map { it.asText() } else listOf(v.asText())
         }
@@ -215,7 +226,7 @@
             facts(field("class"), field("team"), field("owner"), field("priority"), field("shape"))
         }
         for (word in words) {
-            val verdict = policy.judge(who, action(word), facts)
+            val verdict = policy.authorize(who, action(word), facts)
             if (verdict.allowed !=
                 may
             ) {
@@ -237,16 +248,16 @@
     protected lateinit var calls: NodeCalls
 
     /** Null, with a line that says why, if they can't be had. */
-    protected fun current(path: String = "/api/rights"): KeeperCodec.RightsView? {
+    protected fun current(path: String = "/api/rights"): AdminCodec.RightsView? {
         val answer = calls.ask("GET", path)
         if (answer == null || !answer.good) {
             if (answer != null) calls.report(answer)
             return null
         }
         return try {
-            KeeperCodec.readRights(answer.body.encodeToByteArray())
-        } catch (e: BadMessage) {
-            throw BadSettings("the answer can't be read: ${e.message}")
+            AdminCodec.readRights(answer.body.encodeToByteArray())
+        } catch (e: MalformedMessageException) {
+            throw InvalidSettingsException("the answer can't be read: ${e.message}")
         }
     }
 }
@@ -287,7 +298,7 @@
     override fun call(): Int {
         readRights(file)
         val follows = base ?: current()?.version ?: return 1
-        return calls.report(calls.ask("POST", "/api/rights", KeeperCodec.publish(follows, file.readText())))
+        return calls.report(calls.ask("POST", "/api/rights", AdminCodec.publish(follows, file.readText())))
     }
 }
 
@@ -302,6 +313,6 @@
 
     override fun call(): Int {
         val follows = current()?.version ?: return 1
-        return calls.report(calls.ask("POST", "/api/rights", KeeperCodec.rollback(follows, to)))
+        return calls.report(calls.ask("POST", "/api/rights", AdminCodec.rollback(follows, to)))
     }
 }
--- a/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
+++ b/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
@@ -1,7 +1,7 @@
 package plankwall.cli.remote
 
 import picocli.CommandLine.Option
-import plankwall.cli.settings.BadSettings
+import plankwall.cli.settings.InvalidSettingsException
 import plankwall.cli.settings.KeyFiles
 import plankwall.identity.SigningKey
 import plankwall.identity.Tokens
@@ -61,9 +61,9 @@
         val request = try {
             HttpRequest.newBuilder(URI("http://$node$path")).method(method, publisher).timeout(TIMEOUT)
         } catch (e: URISyntaxException) {
-            throw BadSettings("--node: ${e.message}")
+            throw InvalidSettingsException("--node: ${e.message}")
         } catch (e: IllegalArgumentException) {
-            throw BadSettings("--node: ${e.message}")
+            throw InvalidSettingsException("--node: ${e.message}")
         }
         key?.let { request.header("Authorization", proof(it, method, path, body ?: ByteArray(0))) }
         return try {
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
-import plankwall.authorization.BadRights
-import plankwall.authorization.RightsReader
-import plankwall.gateway.GateSettings
+import plankwall.authorization.InvalidPolicyException
+import plankwall.authorization.PolicyReader
+import plankwall.gateway.GatewaySettings
 import java.io.File
 import java.io.IOException
 
@@ -16,26 +16,26 @@
         "reads_only_after_s", "trail_share", "seal_s", "denials_per_s", "denial_burst", "workers_at_listed_address",
     )
 
-    fun read(file: File): GateSettings = readSettings(file, YAMLMapper(), "YAML") {
+    fun read(file: File): GatewaySettings = readSettings(file, YAMLMapper(), "YAML") {
         read(it, file.absoluteFile.parentFile)
     }
 
     /** Files are named as seen from [folder]. */
-    fun read(root: JsonNode?, folder: File): GateSettings {
-        if (root == null || !root.isObject) throw BadSettings("must be a map of settings")
+    fun read(root: JsonNode?, folder: File): GatewaySettings {
+        if (root == null || !root.isObject) throw InvalidSettingsException("must be a map of settings")
         root.fieldNames().forEach {
             if (it !in
                 known
             ) {
-                throw BadSettings("$it: unknown; known are ${known.joinToString(", ")}")
+                throw InvalidSettingsException("$it: unknown; known are ${known.joinToString(", ")}")
             }
         }
-        val default = GateSettings("")
+        val default = GatewaySettings("")
         val peerKeys = file(root, "peer_keys_file", folder)?.let { KeyFiles.peers(it) }.orEmpty()
-        return GateSettings(
+        return GatewaySettings(
             audience =
             root.get("audience")?.asText()?.takeIf { it.isNotBlank() }
-                ?: throw BadSettings("audience: missing: the name of this installation"),
+                ?: throw InvalidSettingsException("audience: missing: the name of this installation"),
             firstRights = file(root, "rights_file", folder)?.let { rights(it) },
             nodeKey = file(root, "node_key_file", folder)?.let { KeyFiles.signing(it) },
             peerKeys = peerKeys,
@@ -57,23 +57,27 @@
     }
 
     private fun rights(file: File): String = try {
-        file.readText().also { RightsReader.read(it, 1) }
-    } catch (e: BadRights) {
-        throw BadSettings("rights_file: $file: ${e.message}")
+        file.readText().also { PolicyReader.read(it, 1) }
+    } catch (e: InvalidPolicyException) {
+        throw InvalidSettingsException("rights_file: $file: ${e.message}")
     } catch (e: IOException) {
-        throw BadSettings("rights_file: $file: can't be read: ${e.message}")
+        throw InvalidSettingsException("rights_file: $file: can't be read: ${e.message}")
     }
 
     private fun file(root: JsonNode, key: String, folder: File): File? {
         val node = root.get(key) ?: return null
-        if (!node.isTextual || node.textValue().isBlank()) throw BadSettings("$key: must be the name of a file")
+        if (!node.isTextual ||
+            node.textValue().isBlank()
+        ) {
+            throw InvalidSettingsException("$key: must be the name of a file")
+        }
         return folder.resolve(node.textValue())
     }
 
     private fun choice(root: JsonNode, key: String, allowed: List<String>): String {
         val value = root.get(key)?.asText() ?: return allowed.first()
         return value.takeIf { it in allowed }
-            ?: throw BadSettings("$key: '$value' must be ${allowed.joinToString(" or ")}")
+            ?: throw InvalidSettingsException("$key: '$value' must be ${allowed.joinToString(" or ")}")
     }
 
     private fun number(root: JsonNode, key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
@@ -81,14 +85,16 @@
         if (!node.isNumber ||
             node.asDouble() !in range
         ) {
-            throw BadSettings("$key: ${node.asText()} must be a number in ${range.start}..${range.endInclusive}")
+            throw InvalidSettingsException(
+                "$key: ${node.asText()} must be a number in ${range.start}..${range.endInclusive}",
+            )
         }
         return node.asDouble()
     }
 
     private fun flag(root: JsonNode, key: String, default: Boolean): Boolean {
         val node = root.get(key) ?: return default
-        if (!node.isBoolean) throw BadSettings("$key: '${node.asText()}' must be true or false")
+        if (!node.isBoolean) throw InvalidSettingsException("$key: '${node.asText()}' must be true or false")
         return node.booleanValue()
     }
 }
--- a/src/main/kotlin/plankwall/cli/settings/BadSettings.kt
+++ b/src/main/kotlin/plankwall/cli/settings/InvalidSettingsException.kt
@@ -7,15 +7,15 @@
 import java.io.IOException
 
 /** A settings file that can't be used; the message says which file, which key and what would do. */
-class BadSettings(message: String) : Exception(message)
+class InvalidSettingsException(message: String) : Exception(message)
 
-/** Reads [file], which is in [language]; whatever is wrong with it becomes a [BadSettings] that names it. */
+/** Reads [file], which is in [language]; whatever is wrong with it becomes a [InvalidSettingsException] that names it. */
 internal fun <T> readSettings(file: File, mapper: ObjectMapper, language: String, read: (JsonNode) -> T): T = try {
     read(mapper.readTree(file))
 } catch (e: JacksonException) {
-    throw BadSettings("$file: not $language: ${e.originalMessage}")
+    throw InvalidSettingsException("$file: not $language: ${e.originalMessage}")
 } catch (e: IOException) {
-    throw BadSettings("$file: can't be read: ${e.message}")
-} catch (e: BadSettings) {
-    throw BadSettings("$file: ${e.message}")
+    throw InvalidSettingsException("$file: can't be read: ${e.message}")
+} catch (e: InvalidSettingsException) {
+    throw InvalidSettingsException("$file: ${e.message}")
 }
--- a/src/main/kotlin/plankwall/cli/settings/KeyFiles.kt
+++ b/src/main/kotlin/plankwall/cli/settings/KeyFiles.kt
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JacksonException
 import com.fasterxml.jackson.databind.JsonNode
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper
-import plankwall.identity.BadKey
+import plankwall.identity.MalformedKeyException
 import plankwall.identity.PeerKey
 import plankwall.identity.SigningKey
 import java.io.File
@@ -24,18 +24,22 @@
         val open =
             Files.getPosixFilePermissions(file.toPath()) -
                 setOf(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE)
-        if (open.isNotEmpty()) throw BadSettings("$file: others may use this file too; a key needs mode 0600 or 0400")
+        if (open.isNotEmpty()) {
+            throw InvalidSettingsException(
+                "$file: others may use this file too; a key needs mode 0600 or 0400",
+            )
+        }
         file.readText()
     } catch (e: IOException) {
-        throw BadSettings("$file: can't be read: ${e.javaClass.simpleName}")
+        throw InvalidSettingsException("$file: can't be read: ${e.javaClass.simpleName}")
     } catch (_: UnsupportedOperationException) {
-        throw BadSettings("$file: lies on a file system without file modes, where a key can't be kept")
+        throw InvalidSettingsException("$file: lies on a file system without file modes, where a key can't be kept")
     }
 
     fun signing(file: File): SigningKey = try {
         SigningKey.parse(secret(file))
-    } catch (e: BadKey) {
-        throw BadSettings("$file: ${e.message}")
+    } catch (e: MalformedKeyException) {
+        throw InvalidSettingsException("$file: ${e.message}")
     }
 
     /** `keys:` with `id` and `secret` (base64) each; the first one signs. */
@@ -43,24 +47,24 @@
         val root = try {
             YAMLMapper().readTree(secret(file))
         } catch (_: JacksonException) {
-            throw BadSettings("$file: not YAML")
+            throw InvalidSettingsException("$file: not YAML")
         }
-        val keys = root?.get("keys") ?: throw BadSettings("$file: keys: missing")
-        return keys.map { peer(file, it) }.ifEmpty { throw BadSettings("$file: keys: there is none") }
+        val keys = root?.get("keys") ?: throw InvalidSettingsException("$file: keys: missing")
+        return keys.map { peer(file, it) }.ifEmpty { throw InvalidSettingsException("$file: keys: there is none") }
     }
 
     private fun peer(file: File, key: JsonNode): PeerKey {
         val id = key.get("id")?.asText().orEmpty()
-        if (id.isEmpty() || id.length > 100) throw BadSettings("$file: keys: each needs an id")
+        if (id.isEmpty() || id.length > 100) throw InvalidSettingsException("$file: keys: each needs an id")
         val secret = try {
             Base64.getDecoder().decode(key.get("secret")?.asText().orEmpty())
         } catch (_: IllegalArgumentException) {
-            throw BadSettings("$file: key $id: the secret is not base64")
+            throw InvalidSettingsException("$file: key $id: the secret is not base64")
         }
         if (secret.size <
             LEAST_SECRET
         ) {
-            throw BadSettings("$file: key $id: the secret must have $LEAST_SECRET bytes or more")
+            throw InvalidSettingsException("$file: key $id: the secret must have $LEAST_SECRET bytes or more")
         }
         return PeerKey(id, secret)
     }
@@ -73,8 +77,8 @@
         )
         file.writeText(text)
     } catch (_: FileAlreadyExistsException) {
-        throw BadSettings("$file: exists already; a key is never written over")
+        throw InvalidSettingsException("$file: exists already; a key is never written over")
     } catch (e: IOException) {
-        throw BadSettings("$file: can't be written: ${e.javaClass.simpleName}")
+        throw InvalidSettingsException("$file: can't be written: ${e.javaClass.simpleName}")
     }
 }
--- a/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
@@ -48,7 +48,7 @@
             ),
             maxConnections = s.get("limits")?.let { amount(it, "max_connections", 1000.0, 20.0, 1e6).toInt() } ?: 1000,
             stateNext = state.get("next")?.let {
-                if (!it.isObject) throw BadSettings("state.next: must be a table")
+                if (!it.isObject) throw InvalidSettingsException("state.next: must be a table")
                 limits(it, "state.next.", limits(state, "", null).rps)
             },
         )
@@ -81,20 +81,20 @@
     )
 
     private fun table(parent: JsonNode, key: String, prefix: String = ""): JsonNode =
-        parent.get(key)?.takeIf { it.isObject } ?: throw BadSettings("table [$prefix$key] is missing")
+        parent.get(key)?.takeIf { it.isObject } ?: throw InvalidSettingsException("table [$prefix$key] is missing")
 
     private fun rows(parent: JsonNode, key: String): List<JsonNode> {
         val node = parent.get(key) ?: return emptyList()
-        if (!node.isArray) throw BadSettings("$key: must be a list")
+        if (!node.isArray) throw InvalidSettingsException("$key: must be a list")
         return node.toList()
     }
 
     private fun text(parent: JsonNode, key: String): String =
         parent.get(key)?.takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText()
-            ?: throw BadSettings("$key: is missing or not a text")
+            ?: throw InvalidSettingsException("$key: is missing or not a text")
 
-    private fun address(parent: JsonNode, key: String): Address =
-        Address.parse(text(parent, key)) ?: throw BadSettings("$key: must be an address such as 10.0.0.1:8080")
+    private fun address(parent: JsonNode, key: String): Address = Address.parse(text(parent, key))
+        ?: throw InvalidSettingsException("$key: must be an address such as 10.0.0.1:8080")
 
     private fun amount(
         parent: JsonNode,
@@ -105,15 +105,16 @@
         prefix: String = "",
     ): Double {
         val node =
-            parent.get(key) ?: return default ?: throw BadSettings("$prefix$key: is missing; must lie in $min..$max")
+            parent.get(key)
+                ?: return default ?: throw InvalidSettingsException("$prefix$key: is missing; must lie in $min..$max")
         val value = if (node.isNumber) {
             node.asDouble()
         } else {
-            throw BadSettings(
+            throw InvalidSettingsException(
                 "$prefix$key: must be a number in $min..$max",
             )
         }
-        if (value !in min..max) throw BadSettings("$prefix$key: $value must lie in $min..$max")
+        if (value !in min..max) throw InvalidSettingsException("$prefix$key: $value must lie in $min..$max")
         return value
     }
 }
--- a/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
@@ -26,12 +26,18 @@
 
     fun read(root: JsonNode?): Tuning {
         if (root == null || root.isMissingNode || root.isNull) return Tuning()
-        if (!root.isObject) throw BadSettings("must be a map of settings")
+        if (!root.isObject) throw InvalidSettingsException("must be a map of settings")
         var tuning = Tuning()
         for ((name, node) in root.fields()) {
-            val key = keys[name] ?: throw BadSettings("$name: unknown; known are ${keys.keys.joinToString(", ")}")
+            val key =
+                keys[name]
+                    ?: throw InvalidSettingsException("$name: unknown; known are ${keys.keys.joinToString(", ")}")
             val allowed = "must be a number in ${key.range.start}..${key.range.endInclusive}"
-            if (!node.isNumber || node.asDouble() !in key.range) throw BadSettings("$name: ${node.asText()} $allowed")
+            if (!node.isNumber ||
+                node.asDouble() !in key.range
+            ) {
+                throw InvalidSettingsException("$name: ${node.asText()} $allowed")
+            }
             tuning = key.set(tuning, node.asDouble())
         }
         return tuning
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -1,32 +1,32 @@
 package plankwall.core
 
 import org.slf4j.LoggerFactory
-import plankwall.core.api.FrontDesk
-import plankwall.core.api.Market
-import plankwall.core.api.ProgressBoard
-import plankwall.core.connectivity.LinkPicture
+import plankwall.core.api.CapacityView
+import plankwall.core.api.JobApi
+import plankwall.core.api.ProgressCache
+import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.core.election.Leadership
 import plankwall.core.relay.WorkerRelay
-import plankwall.core.sessions.ReportBases
+import plankwall.core.sessions.HeartbeatBaselines
+import plankwall.core.statemachine.AccessCheck
+import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Credentials
 import plankwall.core.statemachine.Effect
-import plankwall.core.statemachine.Gate
 import plankwall.core.statemachine.Input
-import plankwall.core.statemachine.Proof
 import plankwall.core.statemachine.RequestId
-import plankwall.core.statemachine.Visitor
 import plankwall.model.Settings
 import plankwall.model.Tuning
 import plankwall.wire.AnswerBatch
 import plankwall.wire.BatchedAnswer
+import plankwall.wire.HeartbeatBatch
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.JobCodec
 import plankwall.wire.JobProgress
 import plankwall.wire.PeerStatus
-import plankwall.wire.ProgressNews
+import plankwall.wire.ProgressUpdate
 import plankwall.wire.RelayedAnswer
-import plankwall.wire.RelayedReport
-import plankwall.wire.Report
-import plankwall.wire.ReportBatch
+import plankwall.wire.RelayedHeartbeat
 import plankwall.wire.WorkerCodec
 import java.util.Random
 
@@ -39,21 +39,21 @@
     tuning: Tuning,
     incarnation: Long,
     seed: Long,
-    gate: ((Context) -> Gate)? = null,
+    gate: ((Context) -> AccessCheck)? = null,
 ) {
     private val ctx = Context(settings, tuning, incarnation, Random(seed))
     private var term: LeadershipTerm? = null
-    private val leadership: Leadership = Leadership(ctx, ::begin, ::end) { relay.turnUps }
-    private val relay = WorkerRelay(ctx, leadership.picture, leadership.routing)
-    private val market = Market(ctx)
-    private val board = ProgressBoard()
+    private val leadership: Leadership = Leadership(ctx, ::begin, ::end) { relay.recentWorkers }
+    private val relay = WorkerRelay(ctx, leadership.reachability, leadership.routing)
+    private val capacityView = CapacityView(ctx)
+    private val board = ProgressCache()
     private val gate = gate?.invoke(ctx)
-    private val front = FrontDesk(ctx, leadership, market, ::progressOf, board::forget, keepFacts = gate != null)
+    private val front = JobApi(ctx, leadership, capacityView, ::progressOf, board::forget, keepFacts = gate != null)
     private var nextStatus = 0.0
-    private var bases = ReportBases()
+    private var bases = HeartbeatBaselines()
 
     init {
-        leadership.cancellations.onLearned = { term?.cancelled(it) }
+        leadership.cancellations.onLearned = { term?.onCancelled(it) }
     }
 
     private val log = LoggerFactory.getLogger("workers")
@@ -64,24 +64,30 @@
         ctx.time.advance(now, wallMs)
         when (input) {
             Input.Tick -> tick()
-            is Input.Submit -> enter(input.request, input.proof) { front.submit(input.request, input.spec, it) }
-            is Input.Show -> enter(input.request, input.proof) { front.show(input.request, input.jobId, it) }
-            is Input.Withdraw -> enter(input.request, input.proof) { front.withdraw(input.request, input.jobId, it) }
-            is Input.Keep -> keep(input)
-            is Input.Up -> up(input)
-            is Input.CheckIn -> checkIn(input)
+            is Input.Submit -> authenticate(input.request, input.credentials) {
+                front.submit(input.request, input.spec, it)
+            }
+            is Input.Show -> authenticate(input.request, input.credentials) {
+                front.show(input.request, input.jobId, it)
+            }
+            is Input.Cancel -> authenticate(input.request, input.credentials) {
+                front.cancel(input.request, input.jobId, it)
+            }
+            is Input.Admin -> handleAdmin(input)
+            is Input.HealthCheck -> up(input)
+            is Input.Heartbeat -> onHeartbeat(input)
             is Input.StateReply -> ctx.out.resume(input.call, input.result)
             is Input.CloudReply -> ctx.out.resume(input.call, input.result)
             is Input.WorkerReply -> input.report?.let {
                 relay.reached(it.machine)
-                term?.overheard(it)
+                term?.onRelayedHeartbeat(it)
             }
-            is Input.PeerHeard -> when (val message = input.message) {
+            is Input.PeerMessageReceived -> when (val message = input.message) {
                 is PeerStatus -> leadership.notePeer(message)
-                is ProgressNews -> board.hear(message, front::isLive)
-                is RelayedReport -> relayed(message)
+                is ProgressUpdate -> board.onUpdate(message, front::isLive)
+                is RelayedHeartbeat -> relayed(message)
                 is RelayedAnswer -> relay.answered(message)
-                is ReportBatch -> batched(message)
+                is HeartbeatBatch -> batched(message)
                 is AnswerBatch -> relay.answered(message)
             }
         }
@@ -89,21 +95,21 @@
     }
 
     /** Without a gate anybody may ask; with one, a request without proof never gets behind it. */
-    private fun enter(request: RequestId, proof: Proof?, then: (Visitor?) -> Unit) {
+    private fun authenticate(request: RequestId, credentials: Credentials?, then: (Caller?) -> Unit) {
         val gate = gate
         when {
             gate == null -> then(null)
-            proof == null -> ctx.out.answer(request, 401, JobCodec.error("no proof of who asks"))
-            else -> gate.enter(request, proof, then)
+            credentials == null -> ctx.out.answer(request, 401, JobCodec.error("no proof of who asks"))
+            else -> gate.authenticate(request, credentials, then)
         }
     }
 
-    private fun keep(input: Input.Keep) {
+    private fun handleAdmin(input: Input.Admin) {
         val gate = gate
         if (gate == null) {
             ctx.out.answer(input.request, 404, JobCodec.error("not found"))
         } else {
-            gate.keep(input.request, input.proof, input.asked)
+            gate.handleAdmin(input.request, input.credentials, input.asked)
         }
     }
 
@@ -111,10 +117,10 @@
 
     private fun begin() {
         relay.leads()
-        bases = ReportBases()
-        term = LeadershipTerm(ctx, leadership, market).also { it.begin() }
+        bases = HeartbeatBaselines()
+        term = LeadershipTerm(ctx, leadership, capacityView).also { it.begin() }
         // The workers that other nodes serve are to stay there: who leads now had better be known at once.
-        if (leadership.picture.lastSessionPlan != null) nextStatus = ctx.now
+        if (leadership.reachability.lastSessionPlan != null) nextStatus = ctx.now
     }
 
     private fun end() {
@@ -125,23 +131,23 @@
     private fun tick() {
         ctx.runTimers()
         leadership.tick()
-        market.tick()
+        capacityView.tick()
         term?.tick()
         front.tick()
-        gate?.tick(if (leadership.leading) term?.power else null)
+        gate?.tick(if (leadership.leading) term?.authority else null)
         relay.tick()
         if (ctx.now >= nextStatus) {
             nextStatus = ctx.now + 1.0
-            val links = leadership.links(relay.turnUps).copy(zones = term?.zones().orEmpty())
-            ctx.out.add(Effect.PeerSend(leadership.status(relay.strays, links, term?.sessionPlan)))
+            val links = leadership.links(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
+            ctx.out.add(Effect.PeerSend(leadership.status(relay.unservedWorkers, links, term?.sessionPlan)))
             term?.news()?.forEach { ctx.out.add(Effect.PeerSend(it)) }
         }
     }
 
     /** Healthy while requests can be taken. In an outage of the store for all, refusing at once beats being cut off. */
-    private fun up(input: Input.Up) {
-        if (market.catalog != null &&
-            !leadership.picture.onlyOthersHaveStore()
+    private fun up(input: Input.HealthCheck) {
+        if (capacityView.catalog != null &&
+            !leadership.reachability.onlyOthersHaveStore()
         ) {
             ctx.out.answer(input.request, 200, JobCodec.error("none"))
         } else {
@@ -149,29 +155,29 @@
         }
     }
 
-    private fun checkIn(input: Input.CheckIn) {
+    private fun onHeartbeat(input: Input.Heartbeat) {
         val refused = refused(input.from, input.report)
         if (refused != null) return ctx.out.answer(input.request, 403, JobCodec.error(refused))
         term?.isForeign(input.report)
         val answer = answer(input.report, ctx.settings.node)
         if (answer == null) {
-            relay.checkIn(input)
+            relay.onHeartbeat(input)
         } else {
             ctx.out.answer(input.request, answer.status, answer.body, answer.retryAfterS)
         }
     }
 
     /** A report that another node passes on since its worker can't come here. */
-    private fun relayed(message: RelayedReport) {
+    private fun relayed(message: RelayedHeartbeat) {
         if (isHeldBack(message.echo)) return
         val told = answerRelayed(message.from, message.address, message.report)
         ctx.out.add(Effect.PeerSend(RelayedAnswer(ctx.settings.node, message.id, told.status, told.body), message.from))
     }
 
     /** Held back on the way: its worker has given up, and a newer report may be anywhere by now. */
-    private fun isHeldBack(echo: Long): Boolean = leadership.picture.ageOf(echo) > LinkPicture.FRESH_S
+    private fun isHeldBack(echo: Long): Boolean = leadership.reachability.ageOf(echo) > ReachabilityMatrix.FRESH_S
 
-    private fun answerRelayed(from: String, address: String, report: Report): WorkerAnswer {
+    private fun answerRelayed(from: String, address: String, report: HeartbeatStatus): WorkerAnswer {
         val refused = refused(address, report)
         term?.isForeign(report)
         val answer = if (refused != null) WorkerAnswer(403, JobCodec.error(refused)) else answer(report, from)
@@ -179,7 +185,7 @@
     }
 
     /** Reports of workers whose sessions another node serves. Meant for another epoch, they are for nobody here. */
-    private fun batched(batch: ReportBatch) {
+    private fun batched(batch: HeartbeatBatch) {
         val epoch = leadership.epoch
         if (batch.epoch != epoch || isHeldBack(batch.echo)) return
         val answers = ArrayList<BatchedAnswer>()
@@ -203,17 +209,17 @@
         }
     }
 
-    private fun refused(from: String, report: Report): String? =
-        gate?.workerRefused(from, report.address, term?.listedAddress(report.machine))
+    private fun refused(from: String, report: HeartbeatStatus): String? =
+        gate?.heartbeatRefusal(from, report.address, term?.listedAddress(report.machine))
             ?.also { log.warn("report of {} from {} refused: {}", report.machine, from, it) }
 
     private class WorkerAnswer(val status: Int, val body: ByteArray, val retryAfterS: Int? = null)
 
     /** The leader's answer; null where this node may not give one. */
-    private fun answer(report: Report, through: String): WorkerAnswer? {
+    private fun answer(report: HeartbeatStatus, through: String): WorkerAnswer? {
         val current = term
         if (current == null || !leadership.mayAnswer) return null
-        return when (val word = current.checkIn(report, through)) {
+        return when (val word = current.onHeartbeat(report, through)) {
             is LeadershipTerm.Word.Orders -> WorkerAnswer(
                 200,
                 WorkerCodec.answer(current.tokenFor(report.machine), word.orders),
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -1,32 +1,32 @@
 package plankwall.core
 
 import org.slf4j.LoggerFactory
-import plankwall.core.api.Market
-import plankwall.core.autoscaling.RentalLoop
+import plankwall.core.api.CapacityView
+import plankwall.core.autoscaling.Autoscaler
 import plankwall.core.election.Leadership
-import plankwall.core.failuredetector.Outlook
-import plankwall.core.heartbeat.WorkerDesk
+import plankwall.core.failuredetector.FailureDetector
+import plankwall.core.heartbeat.HeartbeatHandler
 import plankwall.core.placement.Placer
-import plankwall.core.relay.DirectReach
+import plankwall.core.relay.DirectReachability
 import plankwall.core.relay.LeadershipTransfer
 import plankwall.core.sessions.SessionPlanner
 import plankwall.core.state.Fleet
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
-import plankwall.core.state.ProgressTeller
+import plankwall.core.state.ProgressPublisher
+import plankwall.core.state.SchedulerState
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
-import plankwall.core.statemachine.TermPower
+import plankwall.core.statemachine.LeaseAuthority
 import plankwall.core.store.LeaderStore
-import plankwall.core.store.Upgrade
+import plankwall.core.store.VersionUpgrade
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.JobProgress
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
 import plankwall.wire.Order
 import plankwall.wire.OrderOp
 import plankwall.wire.PageRecord
-import plankwall.wire.ProgressNews
-import plankwall.wire.Report
+import plankwall.wire.ProgressUpdate
 import plankwall.wire.SessionPlan
 import plankwall.wire.StateItem
 import plankwall.wire.StateResult
@@ -38,26 +38,30 @@
  * All that a node knows and does while it leads, from winning to yielding. A new one begins with nothing and reads
  * everything from the store after the win, so that nothing remembered from an earlier time can be wrong.
  */
-class LeadershipTerm(private val ctx: Context, private val leadership: Leadership, private val market: Market) {
+class LeadershipTerm(
+    private val ctx: Context,
+    private val leadership: Leadership,
+    private val capacityView: CapacityView,
+) {
     private val log = LoggerFactory.getLogger("term")
     private val store = LeaderStore(ctx, leadership)
     private val fleet = Fleet(ctx)
     private val cancellations = leadership.cancellations
-    private val book = JobBook(ctx, store, fleet, cancellations::isKnown)
-    private val desk = WorkerDesk(ctx, leadership, book, fleet)
-    private val placer = Placer(ctx, book, fleet)
-    private val outlook = Outlook(ctx, fleet, ctx.now)
+    private val schedulerState = SchedulerState(ctx, store, fleet, cancellations::isKnown)
+    private val heartbeats = HeartbeatHandler(ctx, leadership, schedulerState, fleet)
+    private val placer = Placer(ctx, schedulerState, fleet)
+    private val failureDetector = FailureDetector(ctx, fleet, ctx.now)
     private val rental =
-        RentalLoop(ctx, store, book, fleet, placer, outlook, ctx.now) {
+        Autoscaler(ctx, store, schedulerState, fleet, placer, failureDetector, ctx.now) {
             fleet.surelyEmptyAt(it, leadership.othersSilent)
         }
-    private val upgrade = Upgrade(leadership, store)
-    private val catalogs = CatalogWriter(store, market)
-    private val teller = ProgressTeller(book)
+    private val upgrade = VersionUpgrade(leadership, store)
+    private val catalogs = CatalogWriter(store, capacityView)
+    private val teller = ProgressPublisher(schedulerState)
     private val sessions =
-        SessionPlanner(ctx, leadership.picture, fleet, leadership.epoch, leadership.picture.lastSessionPlan)
-    private val reach = DirectReach(ctx, fleet, outlook, sessions)
-    private val transfer = LeadershipTransfer(ctx, leadership, fleet, outlook, reach)
+        SessionPlanner(ctx, leadership.reachability, fleet, leadership.epoch, leadership.reachability.lastSessionPlan)
+    private val reach = DirectReachability(ctx, fleet, failureDetector, sessions)
+    private val transfer = LeadershipTransfer(ctx, leadership, fleet, failureDetector, reach)
     private var loaded = false
 
     fun begin() {
@@ -71,7 +75,9 @@
     }
 
     private fun loadJobs() = store.readAll(Keys.JOBS) { jobs, revision ->
-        jobs.forEach { item -> (item.value as? JobRecord)?.let { book.learn(Keys.jobId(item.key), it, item.version) } }
+        jobs.forEach { item ->
+            (item.value as? JobRecord)?.let { schedulerState.learn(Keys.jobId(item.key), it, item.version) }
+        }
         store.readAll(Keys.PAGES) { pages, _ -> loadPages(pages, revision) }
     }
 
@@ -79,17 +85,17 @@
         val orphans = ArrayList<String>()
         for (item in pages) {
             val record = item.value as? PageRecord ?: continue
-            val job = book.find(Keys.jobId(item.key))
+            val job = schedulerState.find(Keys.jobId(item.key))
             if (job != null) {
-                book.restore(job, item, record)
+                schedulerState.restore(job, item, record)
             } else if (record.placements.isEmpty()) {
                 orphans.add(item.key)
             }
         }
-        book.restored()
+        schedulerState.restored()
         loaded = true
-        log.info("epoch {}: took over {} jobs, {} machines", store.epoch, book.live.size, fleet.machines.size)
-        book.removeLeftovers(orphans)
+        log.info("epoch {}: took over {} jobs, {} machines", store.epoch, schedulerState.live.size, fleet.machines.size)
+        schedulerState.removeLeftovers(orphans)
         watch(revision)
     }
 
@@ -99,13 +105,13 @@
             when (result) {
                 is StateResult.News -> {
                     result.events.forEach { e ->
-                        (e.value as? JobRecord)?.let { book.learn(Keys.jobId(e.key), it, e.version) }
+                        (e.value as? JobRecord)?.let { schedulerState.learn(Keys.jobId(e.key), it, e.version) }
                     }
                     watch(maxOf(after, result.revision))
                 }
                 StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
                     jobs.forEach {
-                        (it.value as? JobRecord)?.let { r -> book.learn(Keys.jobId(it.key), r, it.version) }
+                        (it.value as? JobRecord)?.let { r -> schedulerState.learn(Keys.jobId(it.key), r, it.version) }
                     }
                     watch(revision)
                 }
@@ -115,16 +121,16 @@
     }
 
     fun tick() {
-        market.catalog?.let { if (fleet.catalog == null) fleet.catalog = it }
-        fleet.catalog?.let { market.catalog = it }
+        capacityView.catalog?.let { if (fleet.catalog == null) fleet.catalog = it }
+        fleet.catalog?.let { capacityView.catalog = it }
         sessions.tick()
         if (!loaded) return
         if (leadership.mayWrite) {
             // A leader that may have been replaced does not hear its workers for that reason: it concludes nothing.
-            desk.releaseSilent()
-            book.tick()
+            heartbeats.releaseSilent()
+            schedulerState.tick()
             placer.plan()
-            book.flush()
+            schedulerState.flush()
             upgrade.tick()
             fleet.catalog?.let(catalogs::save)
         }
@@ -147,7 +153,7 @@
     }
 
     /** [through]: the node that the report came to. */
-    fun checkIn(r: Report, through: String): Word {
+    fun onHeartbeat(r: HeartbeatStatus, through: String): Word {
         if (fleet.isGone(r.machine)) return Word.Refused
         val m = fleet.machine(r.machine)
         reach.elsewhere(m, r.zone, through)?.let { return Word.ReportTo(it) }
@@ -156,11 +162,11 @@
         } else if (reach.cameThrough(m, r.zone)) {
             return Word.ReportTo(ctx.settings.node)
         }
-        val orders = if (loaded) desk.checkIn(r) else keepLease(m, r)
+        val orders = if (loaded) heartbeats.onHeartbeat(r) else keepLease(m, r)
         return if (orders == null) Word.Refused else Word.Orders(orders)
     }
 
-    private fun keepLease(m: Machine, r: Report): List<Order> {
+    private fun keepLease(m: Machine, r: HeartbeatStatus): List<Order> {
         // Until the book is read nothing can be judged, but the worker's lease can be kept.
         fleet.describe(m, r)
         m.lastAnswered = ctx.now
@@ -171,11 +177,11 @@
     }
 
     /** A user was told that [job] is withdrawn. */
-    fun cancelled(job: String) = book.cancelled(job)
+    fun onCancelled(job: String) = schedulerState.onCancelled(job)
 
-    fun overheard(r: Report) {
+    fun onRelayedHeartbeat(r: HeartbeatStatus) {
         if (isForeign(r)) return
-        if (store.active && loaded) desk.overheard(r)
+        if (store.active && loaded) heartbeats.onRelayedHeartbeat(r)
         val m = fleet.find(r.machine) ?: return
         reach.reached(m)
         // A refusal names the session to use; the next try follows at once.
@@ -193,7 +199,7 @@
      * all are ours: a later leader's key is written after it. That counts for machines that are forgotten already,
      * whose last report was held back by a cut and comes when it heals: one of those made a sound leader give up.
      */
-    fun isForeign(r: Report): Boolean {
+    fun isForeign(r: HeartbeatStatus): Boolean {
         if (r.token <= maxOf(tokenFor(r.machine), store.lastRevision)) return false
         leadership.yield("machine ${r.machine} shows token ${r.token}")
         return true
@@ -203,7 +209,7 @@
     private fun sendUrgent() {
         for (m in fleet.machines) {
             if (!m.unsent || reach.onlyThroughOthers(m)) continue
-            val orders = desk.urgent(m) ?: continue
+            val orders = heartbeats.urgent(m) ?: continue
             m.token = maxOf(m.token, store.lastRevision)
             post(m, m.session, orders)
         }
@@ -241,16 +247,16 @@
     fun listedAddress(machine: String): String? = fleet.find(machine)?.listedAddress?.takeIf { it.isNotEmpty() }
 
     /** What the gate may do while this lasts: it comes after all that somebody waits for. */
-    val power: TermPower = object : TermPower {
+    val authority: LeaseAuthority = object : LeaseAuthority {
         override val epoch: Long get() = store.epoch
 
         override fun mayWrite(): Boolean = loaded && store.room() > store.scarce
     }
 
     /** Null while the book is not read yet, or if it has no such job. */
-    fun progressOf(id: String): JobProgress? = if (loaded) book.find(id)?.progress else null
+    fun progressOf(id: String): JobProgress? = if (loaded) schedulerState.find(id)?.progress else null
 
-    fun news(): List<ProgressNews> = if (loaded) teller.news(store.epoch) else emptyList()
+    fun news(): List<ProgressUpdate> = if (loaded) teller.news(store.epoch) else emptyList()
 
     fun end() = store.close()
 
--- a/src/main/kotlin/plankwall/core/api/Market.kt
+++ b/src/main/kotlin/plankwall/core/api/CapacityView.kt
@@ -1,7 +1,7 @@
 package plankwall.core.api
 
 import plankwall.core.statemachine.Context
-import plankwall.core.store.Divided
+import plankwall.core.store.ChunkedValue
 import plankwall.model.Catalog
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
@@ -13,7 +13,7 @@
  * The machine types, which every node needs to judge a submission. Read from the store first, so that an outage of
  * the cloud stops no acceptance; from the cloud where the store has none yet.
  */
-class Market(private val ctx: Context) {
+class CapacityView(private val ctx: Context) {
     var catalog: Catalog? = null
 
     /** Names of the types in the stored copy. */
@@ -25,7 +25,7 @@
         if (catalog != null || asking || ctx.now < nextTry) return
         asking = true
         ctx.out.state(StateOp.Range(Keys.CATALOG, null, MAX_KEYS)) { result ->
-            val stored = (result as? StateResult.Items)?.let { Divided.catalog(it.items) }
+            val stored = (result as? StateResult.Items)?.let { ChunkedValue.catalog(it.items) }
             if (stored != null) {
                 settled()
                 if (catalog == null) catalog = stored
--- a/src/main/kotlin/plankwall/core/api/FrontDesk.kt
+++ b/src/main/kotlin/plankwall/core/api/JobApi.kt
@@ -4,10 +4,10 @@
 import plankwall.core.election.Leadership
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Budget
+import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Decision
 import plankwall.core.statemachine.RequestId
-import plankwall.core.statemachine.Visitor
 import plankwall.core.store.StoreLimits
 import plankwall.model.Catalog
 import plankwall.model.JobFacts
@@ -33,10 +33,10 @@
  * Serves users on any node, straight from the state service: every answer rests on what the store says after the
  * request came, final states aside, which never change.
  */
-class FrontDesk(
+class JobApi(
     private val ctx: Context,
     private val leadership: Leadership,
-    private val market: Market,
+    private val capacityView: CapacityView,
     private val progress: (String) -> JobProgress?,
     onOver: (String) -> Unit,
     keepFacts: Boolean = false,
@@ -45,8 +45,8 @@
     private var open = 0
     private var nextShare = 0.0
     private var lastUnable = 0
-    private val ledger = JobLedger(ctx, keepFacts, leadership.cancellations, onOver)
-    private val finder = JobFinder(ctx, ledger)
+    private val jobCache = JobCache(ctx, keepFacts, leadership.cancellations, onOver)
+    private val finder = JobLookup(ctx, jobCache)
     private val valueBytes = (ctx.settings.stateTight.valueKb * 1024).toInt()
 
     /**
@@ -57,11 +57,11 @@
 
     private fun rateAmong(nodes: Int): Double = ctx.settings.state.rps * PART_OF_RATE / nodes * UNEVEN
 
-    fun isLive(id: String): Boolean = ledger.isLive(id)
+    fun isLive(id: String): Boolean = jobCache.isLive(id)
 
-    private fun begin(request: RequestId, visitor: Visitor?, patienceS: Double = Visit.CHANGE_S): Visit {
+    private fun begin(request: RequestId, caller: Caller?, timeoutS: Double = PendingRequest.CHANGE_S): PendingRequest {
         open++
-        return Visit(ctx, request, visitor, patienceS, leadership.picture::onlyOthersHaveStore) { open-- }
+        return PendingRequest(ctx, request, caller, timeoutS, leadership.reachability::onlyOthersHaveStore) { open-- }
     }
 
     private fun factsOf(record: JobRecord): JobFacts = record.spec.factsFor(record.owner)
@@ -73,10 +73,10 @@
     private fun visit(
         request: RequestId,
         stateCalls: Int,
-        visitor: Visitor?,
-        patienceS: Double = Visit.CHANGE_S,
-    ): Visit? {
-        val visit = begin(request, visitor, patienceS)
+        caller: Caller?,
+        timeoutS: Double = PendingRequest.CHANGE_S,
+    ): PendingRequest? {
+        val visit = begin(request, caller, timeoutS)
         if (open > MAX_OPEN || !calls.take(stateCalls)) {
             log.info(
                 "request refused: {} open, {} calls of the state service left",
@@ -86,48 +86,52 @@
             visit.tooMany()
             return null
         }
-        if (!leadership.picture.storeReachable) {
+        if (!leadership.reachability.storeReachable) {
             visit.later("the state service can't be reached")
             return null
         }
         return visit
     }
 
-    fun submit(request: RequestId, spec: JobSpec, visitor: Visitor? = null) {
+    fun submit(request: RequestId, spec: JobSpec, caller: Caller? = null) {
         finder.ended(spec.id)?.let {
-            val visit = begin(request, visitor)
-            visit.judge(Action.RESUBMIT, spec.id, it.facts)?.let { allowed ->
+            val visit = begin(request, caller)
+            visit.authorize(Action.RESUBMIT, spec.id, it.facts)?.let { allowed ->
                 visit.accepted(allowed, 200, finalView(spec.id, it))
             }
             return
         }
-        val visit = visit(request, 1, visitor) ?: return
-        admit(visit, spec, SUBMIT_TRIES)
+        val visit = visit(request, 1, caller) ?: return
+        admit(visit, spec, MAX_SUBMIT_ATTEMPTS)
     }
 
-    private fun admit(visit: Visit, spec: JobSpec, tries: Int) {
-        val verdict = visit.visitor?.judge(Action.SUBMIT, spec.factsFor(visit.visitor.name))
-        val allowed = Allowed(Action.SUBMIT, spec.id, verdict)
+    private fun admit(visit: PendingRequest, spec: JobSpec, tries: Int) {
+        val verdict = visit.caller?.authorize(Action.SUBMIT, spec.factsFor(visit.caller.name))
+        val allowed = RequestedAction(Action.SUBMIT, spec.id, verdict)
         if (verdict?.allowed == false) {
             // Who may not submit it may still ask again after one that was accepted.
             finder.lookUp(spec.id) { found ->
                 when (found) {
-                    is Found.Live, is Found.Final -> answerKnown(visit, spec.id, found)
-                    Found.Absent -> visit.told(allowed, 403, JobCodec.error("you may not submit ${spec.id}"))
-                    Found.Unreadable -> visit.unread()
+                    is JobLookupResult.Live, is JobLookupResult.Final -> answerKnown(visit, spec.id, found)
+                    JobLookupResult.Absent -> visit.respond(
+                        allowed,
+                        403,
+                        JobCodec.error("you may not submit ${spec.id}"),
+                    )
+                    JobLookupResult.Unreadable -> visit.unread()
                 }
             }
             return
         }
-        val owned = visit.visitor?.let { Ownership(it.name, verdict?.withdrawOnRevoke == true) }
+        val owned = visit.caller?.let { Ownership(it.name, verdict?.cancelOnRevoke == true) }
         val record = JobRecord(spec, ctx.time.wallMs, 0, StoreLimits.pageSize(ctx.settings.stateTight.valueKb), owned)
         // Judged once, by the catalogue of this moment: one that arrives during the look-up must not turn
         // "not known yet" into "can never run".
-        val catalog = market.catalog
+        val catalog = capacityView.catalog
         val refusal = when {
             catalog == null -> Refusal(503, "the machine types are not known yet")
             StateCodec.sizeOf(record) > valueBytes -> Refusal(400, TOO_LONG)
-            else -> judge(spec, catalog)?.let { Refusal(422, it) }
+            else -> authorize(spec, catalog)?.let { Refusal(422, it) }
         }
         if (refusal !=
             null
@@ -139,25 +143,26 @@
     }
 
     /** What was accepted once stays known, whatever is thought of it now: looked up before it is refused. */
-    private fun refuse(visit: Visit, allowed: Allowed, refusal: Refusal) = finder.lookUp(allowed.job) { found ->
-        when {
-            found != Found.Absent -> answerKnown(visit, allowed.job, found)
-            refusal.status == 503 -> visit.later(refusal.reason)
-            else -> visit.told(allowed, refusal.status, JobCodec.error(refusal.reason))
+    private fun refuse(visit: PendingRequest, allowed: RequestedAction, refusal: Refusal) =
+        finder.lookUp(allowed.job) { found ->
+            when {
+                found != JobLookupResult.Absent -> answerKnown(visit, allowed.job, found)
+                refusal.status == 503 -> visit.later(refusal.reason)
+                else -> visit.respond(allowed, refusal.status, JobCodec.error(refusal.reason))
+            }
         }
-    }
 
     /**
      * Goes on once every job that [spec] names is known to have been accepted. This node's copy may be behind another
      * node's acceptance, so "never accepted" is said only after reads that began later than the request: of the live
      * jobs, shared with all who wait, and of the ends of those that are not among them.
      */
-    private fun whenAccepted(visit: Visit, allowed: Allowed, spec: JobSpec, then: () -> Unit) {
+    private fun whenAccepted(visit: PendingRequest, allowed: RequestedAction, spec: JobSpec, then: () -> Unit) {
         if (finder.unheardOf(spec.dependencies).isEmpty()) {
             ifVisible(visit, allowed, spec, emptyList(), then)
             return
         }
-        ledger.whenFresh { fresh ->
+        jobCache.whenFresh { fresh ->
             val names = finder.unheardOf(spec.dependencies)
             when {
                 !fresh -> visit.unread()
@@ -174,20 +179,26 @@
      * asked: whoever lets a job wait for another's accepts that it is withdrawn with it. [absent]: those never
      * accepted.
      */
-    private fun ifVisible(visit: Visit, allowed: Allowed, spec: JobSpec, absent: List<String>, then: () -> Unit) {
-        val visitor = visit.visitor
-        if (visitor != null) {
+    private fun ifVisible(
+        visit: PendingRequest,
+        allowed: RequestedAction,
+        spec: JobSpec,
+        absent: List<String>,
+        then: () -> Unit,
+    ) {
+        val caller = visit.caller
+        if (caller != null) {
             val hidden = spec.dependencies.map {
-                it to visitor.judge(Action.SHOW, factsOf(it))
+                it to caller.authorize(Action.SHOW, factsOf(it))
             }.find { !it.second.allowed }
             if (hidden != null) {
                 val denied =
-                    Allowed(
+                    RequestedAction(
                         Action.SUBMIT,
                         spec.id,
                         hidden.second.copy(rule = "awaits ${hidden.first}: ${hidden.second.rule}"),
                     )
-                visit.told(denied, 403, JobCodec.error("awaits: you may not show ${hidden.first}"))
+                visit.respond(denied, 403, JobCodec.error("awaits: you may not show ${hidden.first}"))
                 return
             }
         }
@@ -202,9 +213,9 @@
         }
     }
 
-    private fun factsOf(id: String): JobFacts? = finder.ended(id)?.facts ?: ledger.factsOf(id)
+    private fun factsOf(id: String): JobFacts? = finder.ended(id)?.facts ?: jobCache.factsOf(id)
 
-    private fun store(visit: Visit, allowed: Allowed, record: JobRecord, tries: Int) {
+    private fun store(visit: PendingRequest, allowed: RequestedAction, record: JobRecord, tries: Int) {
         val spec = record.spec
         val guards = listOf(Guard(Keys.job(spec.id), 0), Guard(Keys.final(spec.id), 0))
         val txn = StateOp.Txn(guards, listOf(Write.Put(Keys.job(spec.id), record)))
@@ -240,11 +251,17 @@
     }
 
     /** Stores what was allowed; with the decision, where there is one. */
-    private fun change(visit: Visit, allowed: Allowed, status: Int, txn: StateOp.Txn, then: (StateResult) -> Unit) {
-        if (visit.visitor == null || allowed.verdict == null) {
+    private fun change(
+        visit: PendingRequest,
+        allowed: RequestedAction,
+        status: Int,
+        txn: StateOp.Txn,
+        then: (StateResult) -> Unit,
+    ) {
+        if (visit.caller == null || allowed.verdict == null) {
             ctx.out.state(txn, then)
         } else {
-            visit.visitor.change(Decision(allowed.action, allowed.job, allowed.verdict, status), txn, then)
+            visit.caller.change(Decision(allowed.action, allowed.job, allowed.verdict, status), txn, then)
         }
     }
 
@@ -252,12 +269,12 @@
     private fun replaced(result: StateResult): Boolean =
         result is StateResult.Conflict && AccessKeys.HEAD in result.failed
 
-    private fun answerKnown(visit: Visit, id: String, found: Found) {
+    private fun answerKnown(visit: PendingRequest, id: String, found: JobLookupResult) {
         when (found) {
-            is Found.Final -> visit.judge(Action.RESUBMIT, id, found.record.facts)?.let {
+            is JobLookupResult.Final -> visit.authorize(Action.RESUBMIT, id, found.record.facts)?.let {
                 visit.accepted(it, 200, finalView(id, found.record))
             }
-            is Found.Live -> visit.judge(Action.RESUBMIT, id, factsOf(found.record))?.let {
+            is JobLookupResult.Live -> visit.authorize(Action.RESUBMIT, id, factsOf(found.record))?.let {
                 answerLive(visit, it, id, found.record)
             }
             else -> visit.unread()
@@ -267,21 +284,21 @@
     /**
      * The state of a live job, which another node may already have called withdrawn for the sake of one that it needs.
      */
-    private fun answerLive(visit: Visit, allowed: Allowed, id: String, record: JobRecord) {
+    private fun answerLive(visit: PendingRequest, allowed: RequestedAction, id: String, record: JobRecord) {
         when {
-            record.withdrawnMs > 0 -> visit.accepted(allowed, 200, withdrawnView(id))
+            record.cancelledMs > 0 -> visit.accepted(allowed, 200, cancelledView(id))
             record.spec.dependencies.isEmpty() -> visit.accepted(allowed, 200, JobView(id, JobStage.PENDING, 0, 0))
-            else -> ledger.whenFresh { fresh ->
+            else -> jobCache.whenFresh { fresh ->
                 when {
                     !fresh -> visit.unread()
-                    !ledger.isLive(id) -> finder.readFinal(id) {
-                        if (it is Found.Final) answerKnown(visit, id, it) else visit.unread()
+                    !jobCache.isLive(id) -> finder.readFinal(id) {
+                        if (it is JobLookupResult.Final) answerKnown(visit, id, it) else visit.unread()
                     }
-                    else -> settle(visit, id) { withdrawn ->
+                    else -> settle(visit, id) { cancelled ->
                         visit.accepted(
                             allowed,
                             200,
-                            if (withdrawn) withdrawnView(id) else JobView(id, JobStage.PENDING, 0, 0),
+                            if (cancelled) cancelledView(id) else JobView(id, JobStage.PENDING, 0, 0),
                         )
                     }
                 }
@@ -290,7 +307,7 @@
     }
 
     /** Why the job can never run, or null. */
-    private fun judge(spec: JobSpec, catalog: Catalog): String? {
+    private fun authorize(spec: JobSpec, catalog: Catalog): String? {
         val team = ctx.settings.teams.find { it.name == spec.team } ?: return "unknown team"
         val fitting = catalog.fitting(spec)
         if (fitting.isEmpty()) return "a task fits no allowed machine type"
@@ -308,37 +325,39 @@
     }
 
     fun tick() {
-        ledger.tick()
+        jobCache.tick()
         if (ctx.now < nextShare) return
         nextShare = ctx.now + 1.0
         // Silent peers may serve all the same; only those that say they can't leave their part to others.
-        val unable = leadership.picture.fresh().count { !it.stateReachable }
+        val unable = leadership.reachability.fresh().count { !it.stateReachable }
         if (unable == lastUnable) return
         lastUnable = unable
         calls.setRate(rateAmong((ctx.settings.nodes - unable).coerceAtLeast(1)))
     }
 
-    fun show(request: RequestId, id: String, visitor: Visitor? = null) {
+    fun show(request: RequestId, id: String, caller: Caller? = null) {
         finder.ended(id)?.let {
-            showFinal(begin(request, visitor), id, it)
+            showFinal(begin(request, caller), id, it)
             return
         }
-        val visit = visit(request, 0, visitor, Visit.LOOK_S) ?: return
-        ledger.whenFresh { fresh ->
+        val visit = visit(request, 0, caller, PendingRequest.LOOK_S) ?: return
+        jobCache.whenFresh { fresh ->
             when {
                 !fresh -> visit.unread()
-                !ledger.isLive(id) -> showOver(visit, id)
-                else -> visit.judge(Action.SHOW, id, ledger.factsOf(id))?.let { allowed ->
-                    settle(visit, id) { withdrawn ->
-                        visit.told(allowed, 200, JobCodec.view(if (withdrawn) withdrawnView(id) else progressOf(id)))
+                !jobCache.isLive(id) -> showOver(visit, id)
+                else -> visit.authorize(Action.SHOW, id, jobCache.factsOf(id))?.let { allowed ->
+                    settle(visit, id) { cancelled ->
+                        visit.respond(allowed, 200, JobCodec.view(if (cancelled) cancelledView(id) else progressOf(id)))
                     }
                 }
             }
         }
     }
 
-    private fun showFinal(visit: Visit, id: String, record: FinalRecord) {
-        visit.judge(Action.SHOW, id, record.facts)?.let { visit.told(it, 200, JobCodec.view(finalView(id, record))) }
+    private fun showFinal(visit: PendingRequest, id: String, record: FinalRecord) {
+        visit.authorize(Action.SHOW, id, record.facts)?.let {
+            visit.respond(it, 200, JobCodec.view(finalView(id, record)))
+        }
     }
 
     /**
@@ -346,7 +365,7 @@
      * to wait for the leader to have written it; but where one of them is over and nobody here knows how, that is read
      * first.
      */
-    private fun settle(visit: Visit, id: String, then: (withdrawn: Boolean) -> Unit) {
+    private fun settle(visit: PendingRequest, id: String, then: (cancelled: Boolean) -> Unit) {
         val names = finder.unsettled(id)
         if (names.isNotEmpty() && !calls.takeOrBorrow(names.size)) {
             visit.tooMany()
@@ -357,22 +376,22 @@
                 visit.unread()
             } else {
                 finder.unsettled(id)
-                then(ledger.isWithdrawn(id))
+                then(jobCache.isCancelled(id))
             }
         }
     }
 
     /** A job that is not live any more, or never was. A job ends in one transaction, so its end can be read by now. */
-    private fun showOver(visit: Visit, id: String) {
+    private fun showOver(visit: PendingRequest, id: String) {
         val known = finder.ended(id)
         when {
             known != null -> showFinal(visit, id, known)
             !calls.take(1) -> visit.tooMany()
             else -> finder.readFinal(id) { found ->
                 when (found) {
-                    is Found.Final -> showFinal(visit, id, found.record)
-                    Found.Absent -> visit.judge(Action.SHOW, id, null)?.let {
-                        visit.told(it, 404, JobCodec.error("no such job"))
+                    is JobLookupResult.Final -> showFinal(visit, id, found.record)
+                    JobLookupResult.Absent -> visit.authorize(Action.SHOW, id, null)?.let {
+                        visit.respond(it, 404, JobCodec.error("no such job"))
                     }
                     else -> visit.unread()
                 }
@@ -381,56 +400,61 @@
     }
 
     private fun progressOf(id: String): JobView {
-        val waitsFor = ledger.openOf(id)
+        val waitsFor = jobCache.openOf(id)
         val p = progress(id) ?: return JobView(id, JobStage.PENDING, 0, 0, waitsFor)
         return JobView(id, if (p.running > 0) JobStage.RUNNING else JobStage.PENDING, p.done, p.running, waitsFor)
     }
 
-    fun withdraw(request: RequestId, id: String, visitor: Visitor? = null) {
+    fun cancel(request: RequestId, id: String, caller: Caller? = null) {
         finder.ended(id)?.let {
-            withdrawFinal(begin(request, visitor), id, it)
+            answerCancelOfEnded(begin(request, caller), id, it)
             return
         }
-        val visit = visit(request, 2, visitor) ?: return
-        tryWithdraw(visit, id, WITHDRAW_TRIES)
+        val visit = visit(request, 2, caller) ?: return
+        tryCancel(visit, id, MAX_CANCEL_ATTEMPTS)
     }
 
-    private fun withdrawFinal(visit: Visit, id: String, record: FinalRecord) {
-        visit.judge(Action.WITHDRAW, id, record.facts)?.let { visit.accepted(it, 200, finalView(id, record)) }
+    private fun answerCancelOfEnded(visit: PendingRequest, id: String, record: FinalRecord) {
+        visit.authorize(Action.WITHDRAW, id, record.facts)?.let { visit.accepted(it, 200, finalView(id, record)) }
     }
 
-    private fun tryWithdraw(visit: Visit, id: String, tries: Int) {
+    private fun tryCancel(visit: PendingRequest, id: String, tries: Int) {
         finder.lookUp(id) { found ->
             when (found) {
-                is Found.Unreadable -> visit.unread()
-                is Found.Final -> withdrawFinal(visit, id, found.record)
-                Found.Absent -> visit.judge(Action.WITHDRAW, id, null)?.let {
-                    visit.told(it, 404, JobCodec.error("no such job"))
+                is JobLookupResult.Unreadable -> visit.unread()
+                is JobLookupResult.Final -> answerCancelOfEnded(visit, id, found.record)
+                JobLookupResult.Absent -> visit.authorize(Action.WITHDRAW, id, null)?.let {
+                    visit.respond(it, 404, JobCodec.error("no such job"))
                 }
-                is Found.Live -> visit.judge(Action.WITHDRAW, id, factsOf(found.record))?.let { allowed ->
-                    if (found.record.withdrawnMs > 0) {
-                        visit.accepted(allowed, 200, withdrawnView(id))
+                is JobLookupResult.Live -> visit.authorize(Action.WITHDRAW, id, factsOf(found.record))?.let { allowed ->
+                    if (found.record.cancelledMs > 0) {
+                        visit.accepted(allowed, 200, cancelledView(id))
                     } else {
-                        storeWithdrawal(visit, allowed, found, tries)
+                        storeCancellation(visit, allowed, found, tries)
                     }
                 }
             }
         }
     }
 
-    private fun storeWithdrawal(visit: Visit, allowed: Allowed, found: Found.Live, tries: Int) {
+    private fun storeCancellation(
+        visit: PendingRequest,
+        allowed: RequestedAction,
+        found: JobLookupResult.Live,
+        tries: Int,
+    ) {
         val id = allowed.job
         val txn = StateOp.Txn(
             listOf(Guard(Keys.job(id), found.version)),
-            listOf(Write.Put(Keys.job(id), withdrawn(found.record))),
+            listOf(Write.Put(Keys.job(id), cancelled(found.record))),
         )
         change(visit, allowed, 200, txn) { result ->
             when {
                 result is StateResult.Committed -> {
                     log.info("job {} withdrawn by its user", id)
-                    visit.answer(200, JobCodec.accepted(withdrawnView(id)))
+                    visit.answer(200, JobCodec.accepted(cancelledView(id)))
                 }
-                result is StateResult.Conflict && tries > 1 -> tryWithdraw(visit, id, tries - 1)
+                result is StateResult.Conflict && tries > 1 -> tryCancel(visit, id, tries - 1)
                 else -> visit.later("the state service did not confirm")
             }
         }
@@ -440,8 +464,8 @@
      * The record as withdrawn. One that was stored while values could be larger must still be written: what only a
      * start would need is left out of it then.
      */
-    private fun withdrawn(record: JobRecord): JobRecord {
-        val whole = record.copy(withdrawnMs = ctx.time.wallMs)
+    private fun cancelled(record: JobRecord): JobRecord {
+        val whole = record.copy(cancelledMs = ctx.time.wallMs)
         if (StateCodec.sizeOf(whole) <= valueBytes) return whole
         log.info(
             "job {}: its record of {} bytes is withdrawn without what a start would need",
@@ -454,9 +478,9 @@
     private fun finalView(id: String, f: FinalRecord) = JobView(id, f.stage, f.done, 0)
 
     /** Whatever calls a job withdrawn to a user counts: those who keep its tasks have to hear of it from here too. */
-    private fun withdrawnView(id: String): JobView {
+    private fun cancelledView(id: String): JobView {
         leadership.cancellations.learn(id)
-        return JobView(id, JobStage.WITHDRAWN, 0, 0)
+        return JobView(id, JobStage.CANCELLED, 0, 0)
     }
 
     private companion object {
@@ -464,7 +488,7 @@
         const val MAX_OPEN = 200
         const val PART_OF_RATE = 0.3
         const val UNEVEN = 2.0
-        const val WITHDRAW_TRIES = 3
-        const val SUBMIT_TRIES = 3
+        const val MAX_CANCEL_ATTEMPTS = 3
+        const val MAX_SUBMIT_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/plankwall/core/api/JobLedger.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -2,7 +2,7 @@
 
 import org.slf4j.LoggerFactory
 import plankwall.core.cancellations.Cancellations
-import plankwall.core.state.Dependencies
+import plankwall.core.state.DependencyGraph
 import plankwall.core.statemachine.Context
 import plankwall.model.JobFacts
 import plankwall.model.JobStage
@@ -19,7 +19,7 @@
  * One such read serves all who wait for it. A read for each poll would take the state service's whole rate as soon as
  * a few hundred users poll, and the leader's writes with it.
  */
-class JobLedger(
+class JobCache(
     private val ctx: Context,
     private val keepFacts: Boolean = false,
     private val cancellations: Cancellations? = null,
@@ -28,7 +28,7 @@
     private val log = LoggerFactory.getLogger("front")
 
     private val live = HashSet<String>()
-    private val dependencies = Dependencies()
+    private val dependencies = DependencyGraph()
 
     /** What rights may ask of the live jobs; kept only where there are rights. */
     private val facts = HashMap<String, JobFacts>()
@@ -51,7 +51,7 @@
     /**
      * Whether a live job is withdrawn, by its user or through a job that it needs, as far as their ends are known here.
      */
-    fun isWithdrawn(id: String): Boolean = dependencies.isWithdrawn(id)
+    fun isCancelled(id: String): Boolean = dependencies.isCancelled(id)
 
     /** Jobs that [id] needs and that are over: until it is known how, nobody can say whether [id] is withdrawn. */
     fun unsettled(id: String): Set<String> = dependencies.unsettled(id) { it !in live }
@@ -61,7 +61,7 @@
 
     /** How a job that others need has ended. */
     fun settle(id: String, stage: JobStage) {
-        if (stage == JobStage.DONE) dependencies.done(id) else dependencies.withdrawn(id)
+        if (stage == JobStage.DONE) dependencies.done(id) else dependencies.cancelled(id)
         dependencies.over(id)
     }
 
@@ -106,8 +106,8 @@
         live.add(id)
         if (keepFacts) facts[id] = record.spec.factsFor(record.owner)
         dependencies.add(id, record.spec.dependencies)
-        if (record.withdrawnMs > 0) {
-            dependencies.withdrawn(id)
+        if (record.cancelledMs > 0) {
+            dependencies.cancelled(id)
             cancellations?.learn(id)
         }
     }
--- a/src/main/kotlin/plankwall/core/api/JobFinder.kt
+++ b/src/main/kotlin/plankwall/core/api/JobLookup.kt
@@ -8,18 +8,18 @@
 import plankwall.wire.StateResult
 
 /** What the store says of a job. */
-sealed interface Found {
-    data object Unreadable : Found
+sealed interface JobLookupResult {
+    data object Unreadable : JobLookupResult
 
-    data object Absent : Found
+    data object Absent : JobLookupResult
 
-    class Live(val record: JobRecord, val version: Long) : Found
+    class Live(val record: JobRecord, val version: Long) : JobLookupResult
 
-    class Final(val record: FinalRecord) : Found
+    class Final(val record: FinalRecord) : JobLookupResult
 }
 
 /** Looks jobs up in the store. Only what never changes is remembered: how jobs ended. */
-class JobFinder(private val ctx: Context, private val ledger: JobLedger) {
+class JobLookup(private val ctx: Context, private val jobCache: JobCache) {
     private val finals = object : LinkedHashMap<String, FinalRecord>(16, 0.75f, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, FinalRecord>): Boolean = size > MAX_FINALS
     }
@@ -30,41 +30,41 @@
      * Reads the live record, then the final one. A job moves from the first to the second in one transaction, so one
      * that is in neither when read in this order had not been accepted when the first read was made.
      */
-    fun lookUp(id: String, then: (Found) -> Unit) = ctx.out.state(StateOp.Get(Keys.job(id))) { live ->
+    fun lookUp(id: String, then: (JobLookupResult) -> Unit) = ctx.out.state(StateOp.Get(Keys.job(id))) { live ->
         val item = (live as? StateResult.Item)?.item
         val record = item?.value as? JobRecord
         when {
-            live !is StateResult.Item -> then(Found.Unreadable)
-            item != null && record != null -> then(Found.Live(record, item.version))
+            live !is StateResult.Item -> then(JobLookupResult.Unreadable)
+            item != null && record != null -> then(JobLookupResult.Live(record, item.version))
             else -> readFinal(id, then)
         }
     }
 
-    fun readFinal(id: String, then: (Found) -> Unit) = ctx.out.state(StateOp.Get(Keys.final(id))) { final ->
+    fun readFinal(id: String, then: (JobLookupResult) -> Unit) = ctx.out.state(StateOp.Get(Keys.final(id))) { final ->
         val over = (final as? StateResult.Item)?.item?.value as? FinalRecord
         if (over != null) finals[id] = over
         then(
             if (final !is StateResult.Item) {
-                Found.Unreadable
+                JobLookupResult.Unreadable
             } else if (over !=
                 null
             ) {
-                Found.Final(over)
+                JobLookupResult.Final(over)
             } else {
-                Found.Absent
+                JobLookupResult.Absent
             },
         )
     }
 
     /** Those of [names] that are not surely accepted, going by what this node has read so far. */
-    fun unheardOf(names: List<String>): List<String> = names.filter { !ledger.isLive(it) && it !in finals }
+    fun unheardOf(names: List<String>): List<String> = names.filter { !jobCache.isLive(it) && it !in finals }
 
     /** What must be read before it can be said whether the live job [id] is withdrawn through one that it needs. */
     fun unsettled(id: String): List<String> {
-        if (ledger.isWithdrawn(id)) return emptyList()
-        val (known, unknown) = ledger.unsettled(id).partition { it in finals }
-        known.forEach { name -> finals[name]?.let { ledger.settle(name, it.stage) } }
-        return if (ledger.isWithdrawn(id)) emptyList() else unknown
+        if (jobCache.isCancelled(id)) return emptyList()
+        val (known, unknown) = jobCache.unsettled(id).partition { it in finals }
+        known.forEach { name -> finals[name]?.let { jobCache.settle(name, it.stage) } }
+        return if (jobCache.isCancelled(id)) emptyList() else unknown
     }
 
     /** Reads how [names] ended, all at once; [then] learns which had no end, or null if one could not be read. */
@@ -74,8 +74,8 @@
         val without = ArrayList<String>()
         for (name in names) {
             readFinal(name) { found ->
-                if (found is Found.Unreadable) readable = false
-                if (found is Found.Absent) without.add(name)
+                if (found is JobLookupResult.Unreadable) readable = false
+                if (found is JobLookupResult.Absent) without.add(name)
                 if (--left == 0) then(if (readable) without else null)
             }
         }
--- a/src/main/kotlin/plankwall/core/api/Visit.kt
+++ b/src/main/kotlin/plankwall/core/api/PendingRequest.kt
@@ -1,31 +1,31 @@
 package plankwall.core.api
 
 import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Decision
 import plankwall.core.statemachine.RequestId
 import plankwall.core.statemachine.Verdict
-import plankwall.core.statemachine.Visitor
 import plankwall.model.JobFacts
 import plankwall.model.JobView
 import plankwall.wire.JobCodec
 
 /** That the rights allow it, or that there are none ([verdict] null). */
-internal class Allowed(val action: Action, val job: String, val verdict: Verdict?)
+internal class RequestedAction(val action: Action, val job: String, val verdict: Verdict?)
 
 /**
- * A request at the front desk, answered once. [visitor]: null where nobody has to prove who he is; he may do anything
+ * A request at the front desk, answered once. [caller]: null where nobody has to prove who he is; he may do anything
  * then, and nothing is recorded. [othersCan]: other nodes have the state service and this one does not; a caller that
  * is refused is to come back through the load balancer then, rather than over a connection that leads here again.
  *
- * What a node read before it stood still for a minute is no answer any more: its user has given up after [patienceS]
+ * What a node read before it stood still for a minute is no answer any more: its user has given up after [timeoutS]
  * and may have been told more by another node since. So whatever would be said later than that is not said.
  */
-internal class Visit(
+internal class PendingRequest(
     private val ctx: Context,
     private val request: RequestId,
-    val visitor: Visitor?,
-    private val patienceS: Double,
+    val caller: Caller?,
+    private val timeoutS: Double,
     private val othersCan: () -> Boolean,
     private val closed: () -> Unit,
 ) {
@@ -36,7 +36,7 @@
         if (answered) return
         answered = true
         closed()
-        if (ctx.now - begunAt > patienceS) {
+        if (ctx.now - begunAt > timeoutS) {
             ctx.out.answer(request, 503, TOO_LATE, 1, close = true)
         } else {
             ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && othersCan())
@@ -50,27 +50,28 @@
     fun unread() = later("the state service can't be read")
 
     /** Tells what was decided, once the trail has it. */
-    fun told(allowed: Allowed, status: Int, body: ByteArray) {
-        if (visitor == null || allowed.verdict == null) {
+    fun respond(allowed: RequestedAction, status: Int, body: ByteArray) {
+        if (caller == null || allowed.verdict == null) {
             answer(status, body)
             return
         }
-        visitor.record(Decision(allowed.action, allowed.job, allowed.verdict, status)) { stored ->
+        caller.record(Decision(allowed.action, allowed.job, allowed.verdict, status)) { stored ->
             if (stored) answer(status, body) else later("the decision can't be recorded now")
         }
     }
 
-    fun accepted(allowed: Allowed, status: Int, view: JobView) = told(allowed, status, JobCodec.accepted(view))
+    fun accepted(allowed: RequestedAction, status: Int, view: JobView) =
+        respond(allowed, status, JobCodec.accepted(view))
 
     /**
      * What the rights say of [action] on [job] with [facts]; null if it was denied, which is being told then. Facts are
      * null for a job that does not exist or whose owner nobody knows, so that a denial does not tell the two apart.
      */
-    fun judge(action: Action, job: String, facts: JobFacts?): Allowed? {
-        if (visitor == null) return Allowed(action, job, null)
-        val verdict = visitor.judge(action, facts)
-        if (verdict.allowed) return Allowed(action, job, verdict)
-        told(Allowed(action, job, verdict), 403, JobCodec.error("you may not ${action.word} $job"))
+    fun authorize(action: Action, job: String, facts: JobFacts?): RequestedAction? {
+        if (caller == null) return RequestedAction(action, job, null)
+        val verdict = caller.authorize(action, facts)
+        if (verdict.allowed) return RequestedAction(action, job, verdict)
+        respond(RequestedAction(action, job, verdict), 403, JobCodec.error("you may not ${action.word} $job"))
         return null
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/RentalLoop.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -1,13 +1,13 @@
 package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.failuredetector.Outlook
+import plankwall.core.failuredetector.FailureDetector
 import plankwall.core.placement.Placer
-import plankwall.core.state.Arrival
+import plankwall.core.state.BootingMachine
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
+import plankwall.core.state.SchedulerState
 import plankwall.core.statemachine.Context
 import plankwall.core.store.LeaderStore
 import plankwall.model.Catalog
@@ -18,37 +18,37 @@
 import plankwall.wire.CloudResult
 import plankwall.wire.FleetRecord
 import plankwall.wire.StateItem
-import plankwall.wire.StoredArrival
-import plankwall.wire.StoredRental
+import plankwall.wire.StoredBootingMachine
+import plankwall.wire.StoredScaleOut
 
 /**
  * The paper's main loop, in its order: health, unregistered machines, groups short for long, waiting tasks less what
  * is yet to arrive, unneeded machines.
  */
-class RentalLoop(
+class Autoscaler(
     private val ctx: Context,
     private val store: LeaderStore,
-    private val book: JobBook,
+    private val schedulerState: SchedulerState,
     private val fleet: Fleet,
     private val placer: Placer,
-    private val outlook: Outlook,
+    private val failureDetector: FailureDetector,
     private val startedAt: Double,
     surelyEmptyAt: (Machine) -> Double,
 ) {
     private val log = LoggerFactory.getLogger("rental")
-    private val bootTimes = BootTimes()
-    private val bootTrouble = BootTrouble(ctx, bootTimes, startedAt)
-    private val registry = ClusterStateRegistry(ctx, fleet, outlook, bootTrouble::patienceS)
-    private val memory = FleetMemory(store)
+    private val bootTimes = BootDurations()
+    private val bootTrouble = BootDelayDetector(ctx, bootTimes, startedAt)
+    private val registry = ClusterStateRegistry(ctx, fleet, failureDetector, bootTrouble::patienceS)
+    private val memory = AutoscalerState(store)
     private val lastRental = HashMap<GroupKey?, Double>()
     private val returns =
-        Returns(ctx, store, book, fleet, registry, outlook, memory, startedAt, surelyEmptyAt) {
+        ScaleIn(ctx, store, schedulerState, fleet, registry, failureDetector, memory, startedAt, surelyEmptyAt) {
             lastRental[it]
                 ?: Machine.NEVER
         }
-    private val cloudList = CloudList(ctx, store, fleet, memory)
+    private val cloudList = InstanceInventory(ctx, store, fleet, memory)
 
-    private class Rental(val stored: StoredRental) {
+    private class ScaleOutRequest(val stored: StoredScaleOut) {
         var mayBeSent = false
         var sending = false
         var nextTry = 0.0
@@ -60,13 +60,13 @@
      * back counts for nothing: for a team at its limit 900 machines were once rented, a third of them for work that was
      * not allowed to start.
      */
-    private val owed = GrowthWatch(ctx, startedAt) {
+    private val owed = DemandForecaster(ctx, startedAt) {
         ctx.settings.teams[it.team.value].hasGuarantee &&
             !placer.backlog.heldByLimit(it)
     }
-    private val any = GrowthWatch(ctx, startedAt) { !placer.backlog.heldByLimit(it) }
+    private val any = DemandForecaster(ctx, startedAt) { !placer.backlog.heldByLimit(it) }
     private val consolidation = Consolidation(fleet)
-    private val rentals = LinkedHashMap<String, Rental>()
+    private val rentals = LinkedHashMap<String, ScaleOutRequest>()
     private val arrivals = fleet.arrivals
     private val noCapacityUntil = HashMap<GroupKey, Double>()
     private var nextRequest = 0L
@@ -83,10 +83,10 @@
 
     fun restore(items: List<StateItem>) {
         val record = memory.restore(items) ?: return
-        record.rentals.forEach { rentals[it.request] = Rental(it).apply { mayBeSent = true } }
+        record.rentals.forEach { rentals[it.request] = ScaleOutRequest(it).apply { mayBeSent = true } }
         record.arrivals.forEach {
             val age = ((ctx.time.wallMs - it.rentedMs) / 1000.0).coerceAtLeast(0.0)
-            arrivals[it.machine] = Arrival(it.machine, it.group, ctx.now - age, it.rentedMs)
+            arrivals[it.machine] = BootingMachine(it.machine, it.group, ctx.now - age, it.rentedMs)
             fleet.describe(fleet.machine(it.machine), it.group, "")
         }
         record.returning.forEach {
@@ -112,7 +112,7 @@
         returns.send()
     }
 
-    private fun arrived(a: Arrival): Boolean {
+    private fun arrived(a: BootingMachine): Boolean {
         val m = fleet.find(a.machine) ?: return true
         // What an earlier leader rented may have been up long before it reported to this one.
         if (m.registered && a.rentedAt > startedAt) m.type?.let { bootTimes.note(it, m.registeredAt - a.rentedAt) }
@@ -121,7 +121,7 @@
         return m.registered || m.placements.isNotEmpty()
     }
 
-    private fun mayBeCountedOn(a: Arrival): Boolean =
+    private fun mayBeCountedOn(a: BootingMachine): Boolean =
         fleet.catalog?.get(a.group.type) != null && !registry.isLate(a) && bootTrouble.isCounted(a)
 
     private fun round() {
@@ -130,7 +130,7 @@
         registry.refresh(arrivals)
         returns.returnFailed()
         // Right after a take-over nearly all workers that we know of are silent because they are on their way to us.
-        if (outlook.settling && !outlook.firstAreBack) return
+        if (failureDetector.settling && !failureDetector.firstAreBack) return
         if (ctx.now >= haltedUntil && !registry.inGoodShape) {
             haltedUntil = ctx.now + ctx.tuning.haltRetryS
             fleet.machines.forEach { it.unneededSince = Machine.NEVER }
@@ -138,39 +138,39 @@
         }
         val usable = fleet.machines.filter { placer.usable(it) }
         val halted = ctx.now < haltedUntil
-        if (halted || outlook.settling) {
+        if (halted || failureDetector.settling) {
             // Those still on their way count as there, with what room they have beside what is stored as placed on
             // them.
-            val present = usable + fleet.machines.filter { it.type != null && outlook.isAwaited(it) }
+            val present = usable + fleet.machines.filter { it.type != null && failureDetector.isAwaited(it) }
             // Live services alone go on during a halt: what waits of them is known from the store, not from who is
             // silent.
-            expand(catalog, present, Growth.NONE) { !halted || it.spec.shape == Shape.SERVICE }
+            expand(catalog, present, DemandForecast.NONE) { !halted || it.spec.shape == Shape.SERVICE }
             return
         }
         returnUnregistered()
         if (cutShortGroups()) return
         val lead = catalog.types.maxOfOrNull { it.bootS } ?: return
-        val growth = owed.expect(book.live, lead)
+        val growth = owed.expect(schedulerState.live, lead)
         expand(catalog, usable, growth) { true }
-        consolidation.refresh(usable, any.expect(book.live, lead).all)
+        consolidation.refresh(usable, any.expect(schedulerState.live, lead).all)
         returns.returnUnneeded(usable, growth)
     }
 
-    private fun expand(catalog: Catalog, running: List<Machine>, growth: Growth, serves: (Job) -> Boolean) {
+    private fun expand(catalog: Catalog, running: List<Machine>, growth: DemandForecast, serves: (Job) -> Boolean) {
         val arriving = arrivals.values.filter { mayBeCountedOn(it) }.map { it.group } +
             rentals.values.flatMap { r -> List(r.stored.count) { r.stored.group } }
-        val lost = outlook.endangered()
+        val lost = failureDetector.endangered()
         val waiting = (lost.keys + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.doubtful }).filter(serves)
         val spare = spareTime(catalog, running, arriving.size)
         val owned = fleet.machines.filter { !it.returning }.groupingBy { it.group?.zone }.eachCount()
-        val wanted = Estimator(ctx, book, catalog).estimate(
+        val wanted = Estimator(ctx, schedulerState, catalog).estimate(
             running, waiting, placer::unreserved, arriving, ::mayExpand, growth, lost, ::mayExpandTroubled,
             ::mayExpandForLive, spare,
         ) { zone -> owned[zone] ?: 0 }
         wanted.forEach { (group, count) -> rent(group, count, waiting.size) }
     }
 
-    private fun spareTime(catalog: Catalog, running: List<Machine>, arriving: Int): SpareTimeRentals {
+    private fun spareTime(catalog: Catalog, running: List<Machine>, arriving: Int): LeftoverCapacityScaling {
         val bootS = catalog.types.maxOfOrNull { it.bootS } ?: 0.0
         for (job in placer.unplaced) {
             if (job.spareTime &&
@@ -195,7 +195,14 @@
         }
         if (placer.unplaced.any { !it.spareTime && !it.doubtful }) contestedAt = ctx.now
         // Where the cloud had none lately, what comes free there is left to those who have aims to meet.
-        return SpareTimeRentals(SpareTimeRentals.leftAt(running.size, arriving, taken, ctx.now < contestedAt + bootS)) {
+        return LeftoverCapacityScaling(
+            LeftoverCapacityScaling.leftAt(
+                running.size,
+                arriving,
+                taken,
+                ctx.now < contestedAt + bootS,
+            ),
+        ) {
             ctx.now >
                 (noCapacityUntil[it] ?: 0.0) + bootS * LEFT_ALONE_BOOTS
         }
@@ -229,7 +236,7 @@
             val n = minOf(left, MAX_PER_RENTAL)
             left -= n
             val request = "r-${store.epoch}-${++nextRequest}"
-            rentals[request] = Rental(StoredRental(request, group, n))
+            rentals[request] = ScaleOutRequest(StoredScaleOut(request, group, n))
             lastRental[group] = ctx.now
             memory.dirty = true
             log.info(
@@ -269,7 +276,7 @@
 
     private fun record() = FleetRecord(
         rentals.values.map { it.stored },
-        arrivals.values.map { StoredArrival(it.machine, it.group, it.rentedMs) },
+        arrivals.values.map { StoredBootingMachine(it.machine, it.group, it.rentedMs) },
         fleet.machines.filter { it.returning }.map { it.id },
     )
 
@@ -289,7 +296,7 @@
         }
     }
 
-    private fun rented(r: Rental, result: CloudResult) {
+    private fun rented(r: ScaleOutRequest, result: CloudResult) {
         r.sending = false
         val group = r.stored.group
         when (result) {
@@ -302,7 +309,11 @@
                     if (fleet.isGone(id)) continue
                     val m = fleet.machine(id)
                     fleet.describe(m, group, "")
-                    if (!m.registered && !m.returning) arrivals[id] = Arrival(id, group, ctx.now, ctx.time.wallMs)
+                    if (!m.registered &&
+                        !m.returning
+                    ) {
+                        arrivals[id] = BootingMachine(id, group, ctx.now, ctx.time.wallMs)
+                    }
                 }
             }
             CloudResult.NoCapacity, CloudResult.Malformed -> {
--- a/src/main/kotlin/plankwall/core/autoscaling/FleetMemory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
@@ -1,7 +1,7 @@
 package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.store.Divided
+import plankwall.core.store.ChunkedValue
 import plankwall.core.store.LeaderStore
 import plankwall.wire.FleetRecord
 import plankwall.wire.Guard
@@ -13,7 +13,7 @@
  * The rental loop's memory in the state service. What is asked of the cloud is stored before it is sent, so that a
  * successor neither rents the same room twice nor gives work to a machine that is being returned.
  */
-class FleetMemory(private val store: LeaderStore) {
+class AutoscalerState(private val store: LeaderStore) {
     private val log = LoggerFactory.getLogger("rental")
     private val limits = store.limits
     private var version = 0L
@@ -28,12 +28,12 @@
 
     fun restore(items: List<StateItem>): FleetRecord? {
         note(items)
-        return Divided.fleet(items)
+        return ChunkedValue.fleet(items)
     }
 
     private fun note(items: List<StateItem>) {
         version = items.firstOrNull { it.key == Keys.FLEET }?.version ?: 0L
-        further = Divided.further(Keys.FLEET, items)
+        further = ChunkedValue.further(Keys.FLEET, items)
     }
 
     fun save(record: () -> FleetRecord, stored: (FleetRecord) -> Unit) {
@@ -42,7 +42,7 @@
         if (whole == refused) return
         val pieces = pieces(whole)
         val kept =
-            Divided.fleet(
+            ChunkedValue.fleet(
                 pieces.mapIndexed { i, p ->
                     StateItem(
                         if (i ==
@@ -62,7 +62,7 @@
         writing = true
         // As many obsolete keys as one transaction takes; those beyond count for nothing either way.
         val had = minOf(further, limits.txnOps - 1)
-        store.write(listOf(Guard(Keys.FLEET, version)), Divided.writes(Keys.FLEET, pieces, had)) { result ->
+        store.write(listOf(Guard(Keys.FLEET, version)), ChunkedValue.writes(Keys.FLEET, pieces, had)) { result ->
             writing = false
             when (result) {
                 is StateResult.Committed -> {
@@ -100,7 +100,7 @@
                     whole.returning.take((whole.returning.size * part).toInt()),
                 )
             }
-            Divided.fleet(record, most(), limits.wholeBytes)?.let { return it }
+            ChunkedValue.fleet(record, most(), limits.wholeBytes)?.let { return it }
             if (part < LEAST_PART) return listOf(record)
             log.warn(
                 "the fleet's record outgrows a transaction: of {} arrivals and {} returns some wait",
--- a/src/main/kotlin/plankwall/core/autoscaling/BootTrouble.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -1,7 +1,7 @@
 package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.state.Arrival
+import plankwall.core.state.BootingMachine
 import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
@@ -16,7 +16,7 @@
  * It needs no memory of its own: who was rented when is in the fleet's record, so a new leader sees the same trouble at
  * once.
  */
-class BootTrouble(private val ctx: Context, private val boots: BootTimes, private val startedAt: Double) {
+class BootDelayDetector(private val ctx: Context, private val boots: BootDurations, private val startedAt: Double) {
     private val log = LoggerFactory.getLogger("rental")
     private val cameUp = HashMap<GroupKey, ArrayDeque<Double>>()
     private var uncounted: Set<String> = emptySet()
@@ -30,8 +30,8 @@
     }
 
     /** To be called once a round. */
-    fun refresh(arrivals: Collection<Arrival>, catalog: Catalog) {
-        val overdue = LinkedHashMap<GroupKey, ArrayList<Arrival>>()
+    fun refresh(arrivals: Collection<BootingMachine>, catalog: Catalog) {
+        val overdue = LinkedHashMap<GroupKey, ArrayList<BootingMachine>>()
         for (a in arrivals) {
             val type = catalog[a.group.type] ?: continue
             if (ctx.now - a.rentedAt >= boots.trustedS(type)) overdue.getOrPut(a.group) { ArrayList() }.add(a)
@@ -78,7 +78,7 @@
         return seen.size
     }
 
-    fun isCounted(a: Arrival): Boolean = a.machine !in uncounted
+    fun isCounted(a: BootingMachine): Boolean = a.machine !in uncounted
 
     /** For how long a machine of [group] that never registered is waited for, in seconds since it was rented. */
     fun patienceS(group: GroupKey): Double = ctx.tuning.unregisteredS * if (group in groups) TROUBLED_PATIENCE else 1.0
--- a/src/main/kotlin/plankwall/core/autoscaling/BootTimes.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDurations.kt
@@ -8,7 +8,7 @@
  * counted on as room about to arrive (S3), long before it is given up (UC5): of eight machines for a gang one in three
  * times one is a straggler. In times when all boot slowly the measure slows with them, and nothing is rented twice.
  */
-class BootTimes {
+class BootDurations {
     private class Seen(var recent: Histogram = histogram(), var before: Histogram = histogram())
 
     private val seen = HashMap<String, Seen>()
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -1,7 +1,7 @@
 package plankwall.core.autoscaling
 
-import plankwall.core.failuredetector.Outlook
-import plankwall.core.state.Arrival
+import plankwall.core.failuredetector.FailureDetector
+import plankwall.core.state.BootingMachine
 import plankwall.core.state.Fleet
 import plankwall.core.state.Machine
 import plankwall.core.statemachine.Context
@@ -39,19 +39,19 @@
 class ClusterStateRegistry(
     private val ctx: Context,
     private val fleet: Fleet,
-    private val outlook: Outlook,
+    private val failureDetector: FailureDetector,
     private val patienceS: (GroupKey) -> Double = { ctx.tuning.unregisteredS },
 ) {
     var groups: Map<GroupKey, GroupHealth> = emptyMap()
         private set
-    val cutZones: Set<String> get() = outlook.cutZones
+    val cutZones: Set<String> get() = failureDetector.cutZones
     var registered = 0
         private set
     var unexplained = 0
         private set
 
-    fun refresh(arrivals: Map<String, Arrival>) {
-        outlook.refresh()
+    fun refresh(arrivals: Map<String, BootingMachine>) {
+        failureDetector.refresh()
         val found = HashMap<GroupKey, GroupHealth>()
         registered = 0
         unexplained = 0
@@ -77,7 +77,7 @@
         groups = found
     }
 
-    fun isLate(a: Arrival): Boolean = ctx.now - a.rentedAt > patienceS(a.group)
+    fun isLate(a: BootingMachine): Boolean = ctx.now - a.rentedAt > patienceS(a.group)
 
     private fun isExplained(m: Machine, key: GroupKey): Boolean =
         m.returning || m.noticeAt > Machine.NEVER || m.listed == ListedState.FAILED || key.zone in cutZones
--- a/src/main/kotlin/plankwall/core/autoscaling/Growth.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/DemandForecast.kt
@@ -6,22 +6,22 @@
 import plankwall.model.Shape
 
 /** Room for work that should arrive within a boot, less what should end by then; apart, what may use spot machines. */
-class Growth(val spot: Resources, val other: Resources) {
+class DemandForecast(val spot: Resources, val other: Resources) {
     val all: Resources get() = spot + other
 
     companion object {
-        val NONE = Growth(Resources.NONE, Resources.NONE)
+        val NONE = DemandForecast(Resources.NONE, Resources.NONE)
     }
 }
 
 /** Watches what arrives of a part of all jobs, and says by how much it should grow. */
-class GrowthWatch(private val ctx: Context, private val since: Double, private val counts: (Job) -> Boolean) {
+class DemandForecaster(private val ctx: Context, private val since: Double, private val counts: (Job) -> Boolean) {
     private val spot = ArrivalRate()
     private val other = ArrivalRate()
 
-    fun expect(live: Collection<Job>, leadS: Double): Growth {
+    fun expect(live: Collection<Job>, leadS: Double): DemandForecast {
         val (forSpot, forOther) = live.filter { it.ready && counts(it) }.partition { it.spec.spot }
-        return Growth(net(spot, forSpot, leadS), net(other, forOther, leadS))
+        return DemandForecast(net(spot, forSpot, leadS), net(other, forOther, leadS))
     }
 
     private fun net(rate: ArrivalRate, jobs: List<Job>, leadS: Double): Resources {
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -2,10 +2,10 @@
 
 import plankwall.core.placement.Placer
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
 import plankwall.core.state.Placement
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.SchedulerState
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
@@ -18,8 +18,8 @@
  * packed into the arriving machines first; whatever is left opens new ones, each of the group where a task comes
  * cheapest.
  */
-class Estimator(private val ctx: Context, private val book: JobBook, private val catalog: Catalog) {
-    private val turnover = Turnover(ctx, catalog)
+class Estimator(private val ctx: Context, private val schedulerState: SchedulerState, private val catalog: Catalog) {
+    private val turnover = TaskChurn(ctx, catalog)
 
     private open class Bin(val group: GroupKey, var free: Resources) {
         open fun freeFor(job: Job): Resources = free
@@ -68,11 +68,11 @@
         waitingOf: (Job) -> Int,
         arriving: List<GroupKey>,
         mayExpand: (GroupKey) -> Boolean,
-        growth: Growth,
+        growth: DemandForecast,
         lost: Map<Job, Set<Placement>> = emptyMap(),
         mayExpandTroubled: (GroupKey) -> Boolean = mayExpand,
         mayExpandForLive: (GroupKey) -> Boolean = mayExpand,
-        spare: SpareTimeRentals = SpareTimeRentals.NONE,
+        spare: LeftoverCapacityScaling = LeftoverCapacityScaling.NONE,
         owned: (zone: String) -> Int,
     ): Map<GroupKey, Int> {
         val bins = ArrayList<Bin>()
@@ -93,7 +93,7 @@
                     Resources::plus,
                 )
             }
-            val zones = ZoneRule(job, gone)
+            val zones = ZoneConstraint(job, gone)
             val zone = job.gatherZone?.takeIf { z -> catalog.types.any { t -> mayExpand(GroupKey(t.name, z, false)) } }
             var waiting = turnover.slots(job, waitingOf(job)) + gone.size
             // All tasks of a job ask for the same: a bin that had no room for one has none for the next.
@@ -143,7 +143,7 @@
      * them, as far as they are to be had.
      */
     private fun ahead(
-        growth: Growth,
+        growth: DemandForecast,
         bins: List<Bin>,
         mayExpand: (GroupKey) -> Boolean,
         owned: (String) -> Int,
@@ -182,16 +182,16 @@
     }
 
     private fun withinLimit(job: Job, planned: Map<Int, Resources>): Boolean {
-        val sum = book.used(job.team) + (planned[job.team.value] ?: Resources.NONE) + job.spec.need
+        val sum = schedulerState.used(job.team) + (planned[job.team.value] ?: Resources.NONE) + job.spec.need
         return ctx.settings.teams[job.team.value].allows(sum)
     }
 
-    private fun fits(job: Job, bin: Bin, zones: ZoneRule): Boolean =
+    private fun fits(job: Job, bin: Bin, zones: ZoneConstraint): Boolean =
         Placer.allowed(job.spec, bin.group) && zones.allows(bin.group.zone) && job.spec.need.fitsIn(bin.freeFor(job))
 
     private fun cheapest(
         job: Job,
-        zones: ZoneRule,
+        zones: ZoneConstraint,
         only: String?,
         waiting: Int,
         mayExpand: (GroupKey) -> Boolean,
--- a/src/main/kotlin/plankwall/core/autoscaling/CloudList.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -1,6 +1,6 @@
 package plankwall.core.autoscaling
 
-import plankwall.core.state.Arrival
+import plankwall.core.state.BootingMachine
 import plankwall.core.state.Fleet
 import plankwall.core.state.Machine
 import plankwall.core.statemachine.Context
@@ -11,11 +11,11 @@
 import plankwall.wire.ListedState
 
 /** Follows the cloud's list and catalogue on the leader's behalf, in few calls. */
-class CloudList(
+class InstanceInventory(
     private val ctx: Context,
     private val store: LeaderStore,
     private val fleet: Fleet,
-    private val memory: FleetMemory,
+    private val memory: AutoscalerState,
 ) {
     private var nextList = 0.0
     private var listing = false
@@ -67,7 +67,7 @@
             if (!m.registered && !m.returning && l.id !in fleet.arrivals && l.state == ListedState.BOOTING) {
                 // Rented by somebody whose record of it was lost: it counts as arriving, from the age the list gives.
                 val ageMs = (l.ageS * 1000).toLong()
-                fleet.arrivals[l.id] = Arrival(l.id, l.group, ctx.now - l.ageS, ctx.time.wallMs - ageMs)
+                fleet.arrivals[l.id] = BootingMachine(l.id, l.group, ctx.now - l.ageS, ctx.time.wallMs - ageMs)
                 memory.dirty = true
             }
         }
--- a/src/main/kotlin/plankwall/core/autoscaling/SpareTimeRentals.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
@@ -8,7 +8,7 @@
  * has nothing against. Guests of a quiet hour once filled every machine that the cloud had, and the operators' own work
  * waited behind them.
  */
-class SpareTimeRentals(private var left: Int, private val allowed: (GroupKey) -> Boolean) {
+class LeftoverCapacityScaling(private var left: Int, private val allowed: (GroupKey) -> Boolean) {
     /** A machine for it, if any may still be rented. */
     fun take(choose: () -> GroupKey?): GroupKey? = if (left > 0) choose()?.also { left-- } else null
 
@@ -21,7 +21,7 @@
     fun mayFill(job: Job, group: GroupKey): Boolean = !job.spareTime || group.spot || !job.spec.spot || job.overlooked
 
     companion object {
-        val NONE: SpareTimeRentals get() = SpareTimeRentals(0) { false }
+        val NONE: LeftoverCapacityScaling get() = LeftoverCapacityScaling(0) { false }
 
         /**
          * The pace: while little else is [arriving], a quarter of the [fleet] at a time, or a handful. While work with
--- a/src/main/kotlin/plankwall/core/autoscaling/Returns.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -1,10 +1,10 @@
 package plankwall.core.autoscaling
 
 import org.slf4j.LoggerFactory
-import plankwall.core.failuredetector.Outlook
+import plankwall.core.failuredetector.FailureDetector
 import plankwall.core.state.Fleet
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
+import plankwall.core.state.SchedulerState
 import plankwall.core.state.StopCause
 import plankwall.core.statemachine.Context
 import plankwall.core.store.LeaderStore
@@ -16,14 +16,14 @@
 import plankwall.wire.ListedState
 
 /** Which machines go back, and how: stored as returning first, emptied if there is time, deleted, forgotten. */
-class Returns(
+class ScaleIn(
     private val ctx: Context,
     private val store: LeaderStore,
-    private val book: JobBook,
+    private val schedulerState: SchedulerState,
     private val fleet: Fleet,
     private val registry: ClusterStateRegistry,
-    private val outlook: Outlook,
-    private val memory: FleetMemory,
+    private val failureDetector: FailureDetector,
+    private val memory: AutoscalerState,
     private val startedAt: Double,
     private val surelyEmptyAt: (Machine) -> Double,
     private val rentedAt: (GroupKey?) -> Double,
@@ -40,7 +40,7 @@
                 m.registered && lost && !fleet.isReady(m) -> giveBack(m, "silent and no longer listed")
                 m.faulty -> giveBack(m, "faulty")
                 silentAlone(m) -> giveBack(m, "silent while its zone is not: its deletion proves its tasks gone")
-                withdrawnTooLong(m) -> giveBack(m, "unreachable with a withdrawn task")
+                cancelledTooLong(m) -> giveBack(m, "unreachable with a withdrawn task")
                 m.registered && ctx.now - m.lastHeard > ctx.tuning.unreadyS && m.placements.isEmpty() -> giveBack(
                     m,
                     "unready for long",
@@ -56,13 +56,25 @@
      * before its time.
      */
     private fun silentAlone(m: Machine): Boolean {
-        if (fleet.isReady(m) || m.placements.isEmpty() || !registry.inGoodShape || !outlook.fewSilent) return false
+        if (fleet.isReady(m) ||
+            m.placements.isEmpty() ||
+            !registry.inGoodShape ||
+            !failureDetector.fewSilent
+        ) {
+            return false
+        }
         if (!m.registered && m.id in fleet.arrivals) return false
         // After a cut or a take-over the last worker finds its way back many seconds after the first. One that has been
         // heard since the take-over was back already.
         val zone = m.group?.zone ?: return false
-        if (zone in outlook.cutZones || !isWorthDeleting(m)) return false
-        val from = if (m.registered) outlook.troubledAt(zone) else maxOf(startedAt, outlook.troubledAt(zone))
+        if (zone in failureDetector.cutZones || !isWorthDeleting(m)) return false
+        val from = if (m.registered) {
+            failureDetector.troubledAt(
+                zone,
+            )
+        } else {
+            maxOf(startedAt, failureDetector.troubledAt(zone))
+        }
         return ctx.now - from > ctx.settings.workers.reportS * WAY_BACK_REPORTS
     }
 
@@ -72,21 +84,21 @@
      * for the lease.
      */
     private fun isWorthDeleting(m: Machine): Boolean =
-        m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.withdrawn } ||
+        m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.cancelled } ||
             surelyEmptyAt(m) > ctx.now + ctx.surelyOverS
 
     /** A withdrawn task must be gone in time; a machine that can't be told is deleted with all that is on it. */
-    private fun withdrawnTooLong(m: Machine): Boolean = !fleet.isReady(m) &&
+    private fun cancelledTooLong(m: Machine): Boolean = !fleet.isReady(m) &&
         m.placements.values.any {
-            it.job.withdrawn &&
-                ctx.time.wallMs - it.job.withdrawnMs > ctx.settings.workers.cancelS * 1000 * WITHDRAWN_PATIENCE
+            it.job.cancelled &&
+                ctx.time.wallMs - it.job.cancelledMs > ctx.settings.workers.cancelS * 1000 * CANCELLED_TIMEOUT_SHARE
         }
 
-    fun returnUnneeded(usable: List<Machine>, growth: Growth) {
+    fun returnUnneeded(usable: List<Machine>, growth: DemandForecast) {
         fun free(spot: Boolean) =
             usable.filter { it.group?.spot == spot }.fold(Resources.NONE) { sum, m -> sum + m.free }
         var left = free(spot = false) - growth.other - (growth.spot - free(spot = true)).atLeastNothing()
-        val wantedImages = book.live.filter { it.ready && !it.withdrawn }.map { it.image.value }.toSet()
+        val wantedImages = schedulerState.live.filter { it.ready && !it.cancelled }.map { it.image.value }.toSet()
         for (m in fleet.machines) {
             // Room kept for a gang that is not complete yet, or made for a task under way, is needed.
             val idle = m.registered &&
@@ -144,7 +156,7 @@
         memory.dirty = true
         fleet.arrivals.remove(m.id)
         log.info("return {} ({}): {}; {} tasks on it", m.id, m.group, why, m.placements.size)
-        m.placements.values.toList().forEach { book.stopWithSave(it, StopCause.DRAINED) }
+        m.placements.values.toList().forEach { schedulerState.stopWithSave(it, StopCause.DRAINED) }
     }
 
     fun send() {
@@ -171,7 +183,7 @@
     }
 
     private fun deleted(m: Machine) {
-        m.placements.values.toList().forEach { book.release(it, "${m.id} deleted") }
+        m.placements.values.toList().forEach { schedulerState.release(it, "${m.id} deleted") }
         fleet.remove(m)
         fleet.arrivals.remove(m.id)
         memory.dirty = true
@@ -187,6 +199,6 @@
         const val SURPLUS_PATIENCE = 0.25
         const val MAX_PER_DELETE = 100
         const val MIN_RETURNS_PER_ROUND = 4
-        const val WITHDRAWN_PATIENCE = 0.35
+        const val CANCELLED_TIMEOUT_SHARE = 0.35
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/Turnover.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/TaskChurn.kt
@@ -10,7 +10,7 @@
  * other on the machines there are: a sweep of 25,000 tasks of four seconds once rented the whole capacity of the cloud,
  * for a minute's work.
  */
-class Turnover(private val ctx: Context, private val catalog: Catalog) {
+class TaskChurn(private val ctx: Context, private val catalog: Catalog) {
     /** How many of [waiting] tasks of [job] need a place of their own. */
     fun slots(job: Job, waiting: Int): Int {
         val turns = turns(job)
@@ -31,7 +31,7 @@
         val newIn = catalog.fitting(spec).minOfOrNull { it.bootS + it.fetchS(spec.imageGb) } ?: return 1
         if (spec.estimateS > newIn * SHORT) return 1
         val waitedS = (ctx.time.wallMs - job.readyMs) / 1000.0
-        val due = ctx.aims.startWithinS(spec.jobClass) ?: ctx.aims.finishWithinS(spec.jobClass)
+        val due = ctx.objectives.startWithinS(spec.jobClass) ?: ctx.objectives.finishWithinS(spec.jobClass)
         val left = maxOf(newIn, (due ?: 0.0) - waitedS)
         // The place stands empty until its worker has reported the end and been told of the next task.
         return (left * SURELY / (spec.estimateS + ctx.settings.workers.reportS / 2)).toInt().coerceAtLeast(1)
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -1,10 +1,10 @@
 package plankwall.core.cancellations
 
 import org.slf4j.LoggerFactory
-import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.core.statemachine.Context
+import plankwall.wire.CancellationUpdate
 import plankwall.wire.PeerStatus
-import plankwall.wire.WithdrawalNews
 
 /**
  * What this node knows of withdrawn jobs, and up to when it knows them all. Whoever keeps a worker's lease alive keeps
@@ -17,13 +17,13 @@
  * or a peer's.
  * - [knownUpTo]: every withdrawal that a user was told of before it is known here. What was told was stored before, so
  * it is at least [storedUpTo]; beyond that each peer has to vouch for what it told, with a list that is whole
- * ([PeerList]) and with an echo of our own that says how old its word can be. One that is silent or forgets what it
+ * ([PeerCancellations]) and with an echo of our own that says how old its word can be. One that is silent or forgets what it
  * told vouches for nothing.
  */
-class Cancellations(private val ctx: Context, private val picture: LinkPicture) {
+class Cancellations(private val ctx: Context, private val reachability: ReachabilityMatrix) {
     private val log = LoggerFactory.getLogger("cancellations")
-    private val own = OwnList(ctx)
-    private val peers = HashMap<String, PeerList>()
+    private val own = LocalCancellations(ctx)
+    private val peers = HashMap<String, PeerCancellations>()
     private var startedAt = Double.NaN
 
     private val known = object : LinkedHashMap<String, Unit>() {
@@ -44,7 +44,7 @@
      * answer at all could keep the rule, and a machine that just can't be reached would break it too; a node that hears
      * its peers goes on then.
      */
-    val patienceS: Double = (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(LinkPicture.FRESH_S)
+    val patienceS: Double = (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
 
     /** No withdrawal that is unknown here can run out of its time if a worker's lease is renewed now. */
     val isAware: Boolean get() = ctx.now - knownUpTo <= patienceS
@@ -79,8 +79,8 @@
     /**
      * To be told of each [status] that is the newest of its node; an older one says nothing that the newest does not.
      */
-    fun hear(status: PeerStatus) {
-        val news = status.withdrawals
+    fun onStatus(status: PeerStatus) {
+        val news = status.cancellations
         val links = status.links
         if (news == null || links == null) {
             peers.remove(status.node)
@@ -90,13 +90,13 @@
         links.echoes[ctx.settings.node]?.let { own.arrived(status.node, it) }
         news.jobs.forEach { if (note(it)) log.info("job {} is withdrawn, says {}", it, status.node) }
         peers.getOrPut(status.node) {
-            PeerList()
-        }.hear(status.incarnation, news, picture.echoedAt(status.node), ctx.now)
+            PeerCancellations()
+        }.onUpdate(status.incarnation, news, reachability.echoedAt(status.node), ctx.now)
         advance()
     }
 
     /** This node's own word for the frame numbered [seq]. */
-    fun news(seq: Long): WithdrawalNews =
+    fun news(seq: Long): CancellationUpdate =
         own.news(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
 
     private fun millisSince(at: Double): Long = if (at ==
@@ -129,7 +129,7 @@
 
     /** Who vouches for nothing, for the log. */
     fun doubts(): String = ctx.settings.peers.filter {
-        ctx.now - vouchedFor(it.node) > LinkPicture.FRESH_S
+        ctx.now - vouchedFor(it.node) > ReachabilityMatrix.FRESH_S
     }.joinToString(",") { it.node }.ifEmpty { "nobody" }
 
     fun tick() {
--- a/src/main/kotlin/plankwall/core/cancellations/OwnList.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
@@ -1,13 +1,13 @@
 package plankwall.core.cancellations
 
 import plankwall.core.statemachine.Context
-import plankwall.wire.WithdrawalNews
+import plankwall.wire.CancellationUpdate
 
 /**
  * What this node came to know as withdrawn, in the order in which it did: told to the peers until it is known to have
  * arrived.
  */
-internal class OwnList(private val ctx: Context) {
+internal class LocalCancellations(private val ctx: Context) {
     private class Entry(val job: String, val at: Double)
 
     private val entries = ArrayDeque<Entry>()
@@ -34,12 +34,12 @@
      * The entries that some peer may lack. Whoever has heard nothing for `cancel_s` is not waited for: by then it has
      * either stopped answering workers or learned of them from the store.
      */
-    fun news(seq: Long, readAgeMs: Long, upMs: Long): WithdrawalNews {
+    fun news(seq: Long, readAgeMs: Long, upMs: Long): CancellationUpdate {
         while (entries.isNotEmpty() && ctx.now - entries.first().at > ctx.settings.workers.cancelS) drop()
         lastIn[seq] = dropped + entries.size
         if (lastIn.size > REMEMBERED) lastIn.remove(lastIn.keys.first())
         val known = maxOf(dropped, ctx.settings.peers.minOfOrNull { arrived[it.node] ?: 0L } ?: 0L)
-        return WithdrawalNews(known + 1, entries.drop((known - dropped).toInt()).map { it.job }, readAgeMs, upMs)
+        return CancellationUpdate(known + 1, entries.drop((known - dropped).toInt()).map { it.job }, readAgeMs, upMs)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/cancellations/PeerList.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/PeerCancellations.kt
@@ -1,13 +1,13 @@
 package plankwall.core.cancellations
 
-import plankwall.wire.WithdrawalNews
+import plankwall.wire.CancellationUpdate
 
 /**
  * What one peer has said of withdrawn jobs. Its entries are numbered in its incarnation, and each frame repeats those
  * that may not have arrived. So what it came to know from [wholeSince] on is all known here, as of the frame made at
  * [madeAt] or later.
  */
-internal class PeerList {
+internal class PeerCancellations {
     private var incarnation = 0L
     private var have = 0L
 
@@ -27,7 +27,7 @@
      * [echoedAt]: when the newest frame of ours that it shows was sent; negative infinity: it shows none, so its word
      * may be of any age.
      */
-    fun hear(incarnation: Long, news: WithdrawalNews, echoedAt: Double, now: Double) {
+    fun onUpdate(incarnation: Long, news: CancellationUpdate, echoedAt: Double, now: Double) {
         // It has forgotten what it told before it was started, or more came between than a frame holds.
         if (incarnation != this.incarnation || news.first > have + 1) {
             this.incarnation = incarnation
--- a/src/main/kotlin/plankwall/core/connectivity/Succession.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
@@ -8,7 +8,11 @@
  * among those that have it, whoever workers reach goes first. A node that workers don't reach leads all the same if it
  * is the only one: their reports come through the others.
  */
-class Succession(private val ctx: Context, private val picture: LinkPicture, private val turnUps: () -> Int) {
+class CandidatePriority(
+    private val ctx: Context,
+    private val reachability: ReachabilityMatrix,
+    private val recentWorkers: () -> Int,
+) {
     private var freeSince = Double.NaN
     private var lostWorkersAt = Double.NEGATIVE_INFINITY
     private var namedAt = Double.NEGATIVE_INFINITY
@@ -20,7 +24,7 @@
     }
 
     /** A leader that gives up names whom it would have lead. True if that is this node, which should not lose time. */
-    fun hear(status: PeerStatus): Boolean {
+    fun onStatus(status: PeerStatus): Boolean {
         val successor = status.links?.successor ?: return false
         named = successor
         namedAt = ctx.now
@@ -39,20 +43,22 @@
 
     /** Waits are short, and always bounded: a lead that nobody takes costs more than one that the second best takes. */
     private fun waitS(): Double {
-        val able = picture.fresh().filter { it.stateReachable }
-        val mine = turnUps()
+        val able = reachability.fresh().filter { it.stateReachable }
+        val mine = recentWorkers()
         val chosen = named?.takeIf { ctx.now - namedAt < FORGET_S }
         return when {
             able.isEmpty() || chosen == ctx.settings.node -> 0.0
             chosen != null && able.any { it.node == chosen } -> STAND_BACK_S
             mine == 0 && ctx.now - lostWorkersAt < ctx.settings.workers.leaseS -> STAND_BACK_S
-            mine == 0 && able.any { it.turnUps > 0 } -> STAND_BACK_S / 2
+            mine == 0 && able.any { it.recentWorkers > 0 } -> STAND_BACK_S / 2
             else -> 0.0
         }
     }
 
     /** Whom to name when this node gives up the lead: it has the store, and most workers turn up there. */
-    fun best(): PeerStatus? = picture.fresh().filter { it.stateReachable && it.turnUps > 0 }.maxByOrNull { it.turnUps }
+    fun best(): PeerStatus? = reachability.fresh().filter {
+        it.stateReachable && it.recentWorkers > 0
+    }.maxByOrNull { it.recentWorkers }
 
     private companion object {
         /** Two polls of the leader's key by a node that does not wait. */
--- a/src/main/kotlin/plankwall/core/connectivity/LinkPicture.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -2,8 +2,8 @@
 
 import plankwall.core.statemachine.Context
 import plankwall.wire.CloudResult
-import plankwall.wire.LinkReport
 import plankwall.wire.PeerStatus
+import plankwall.wire.ReachabilityReport
 import plankwall.wire.SessionPlan
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
@@ -16,7 +16,7 @@
  * Frames can be held back by a cut for minutes and then come all at once. So each names the newest frame that its
  * sender has had from us: it was made after we sent that one, which bounds its age by our own clock alone.
  */
-class LinkPicture(private val ctx: Context) {
+class ReachabilityMatrix(private val ctx: Context) {
     private class Heard(val status: PeerStatus, val at: Double, val provenAt: Double, val echoedAt: Double)
 
     private val peers = HashMap<String, Heard>()
@@ -40,7 +40,7 @@
     }
 
     /** Takes in a peer's word. False for one that is older than what was known: it says nothing any more. */
-    fun hear(status: PeerStatus): Boolean {
+    fun onStatus(status: PeerStatus): Boolean {
         val known = peers[status.node]
         if (known != null && isOlder(status, known.status)) return false
         val echoed = status.links?.echoes?.get(ctx.settings.node)
@@ -124,16 +124,16 @@
     }
 
     /** Begins this node's next word on its links; what others add to it is left empty. */
-    fun report(turnUps: Int, leader: Claim?, successor: String?): LinkReport {
+    fun report(recentWorkers: Int, leader: LeadershipClaim?, successor: String?): ReachabilityReport {
         sentAt[++seq] = ctx.now
         if (sentAt.size > REMEMBERED) sentAt.remove(sentAt.keys.first())
         val echoes = peers.mapNotNull { (node, heard) -> heard.status.links?.let { node to it.seq } }.toMap()
-        return LinkReport(
+        return ReachabilityReport(
             seq,
             echoes,
             storeOk.map(::ageMs),
             ageMs(cloudOk),
-            turnUps,
+            recentWorkers,
             emptyList(),
             leader?.word(ctx.now),
             successor,
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -2,20 +2,20 @@
 
 import org.slf4j.LoggerFactory
 import plankwall.core.cancellations.Cancellations
-import plankwall.core.connectivity.Claim
-import plankwall.core.connectivity.LinkPicture
-import plankwall.core.connectivity.Routing
-import plankwall.core.connectivity.Succession
+import plankwall.core.connectivity.CandidatePriority
+import plankwall.core.connectivity.LeaderRouting
+import plankwall.core.connectivity.LeadershipClaim
+import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
 import plankwall.wire.Guard
 import plankwall.wire.Keys
 import plankwall.wire.LeaderRecord
-import plankwall.wire.LinkReport
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
-import plankwall.wire.SessionNews
+import plankwall.wire.ReachabilityReport
 import plankwall.wire.SessionPlan
+import plankwall.wire.SessionUpdate
 import plankwall.wire.StateItem
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
@@ -30,7 +30,7 @@
     private val ctx: Context,
     private val onWon: () -> Unit,
     private val onLost: () -> Unit,
-    turnUps: () -> Int = { 0 },
+    recentWorkers: () -> Int = { 0 },
 ) {
     private val log = LoggerFactory.getLogger("leadership")
 
@@ -43,10 +43,10 @@
             (ctx.settings.workers.leaseS / 6).coerceIn(1.5, 2.5)
         }
 
-    val picture = LinkPicture(ctx)
-    val routing = Routing(ctx, picture, ttlS)
-    val succession = Succession(ctx, picture, turnUps)
-    val cancellations = Cancellations(ctx, picture)
+    val reachability = ReachabilityMatrix(ctx)
+    val routing = LeaderRouting(ctx, reachability, ttlS)
+    val succession = CandidatePriority(ctx, reachability, recentWorkers)
+    val cancellations = Cancellations(ctx, reachability)
 
     /** The highest epoch heard of from anybody. */
     val epochSeen: Long get() = routing.epochSeen
@@ -87,10 +87,12 @@
     private var unaware = false
 
     /** Every other node has shown that it runs this version or a later one. */
-    val allCurrent: Boolean get() = ctx.settings.peers.all { (picture.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL }
+    val allCurrent: Boolean get() = ctx.settings.peers.all {
+        (reachability.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL
+    }
 
     /** A node of an older version is about: it will be replaced soon, so it had better not take the lead. */
-    private val olderAbout: Boolean get() = picture.live().any { it.level < PeerCodec.LEVEL }
+    private val olderAbout: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
 
     /** No leader before us can have renewed a worker's lease after this moment. */
     val othersSilent: Double get() = othersSilentFrom ?: (wonAt + ctx.outageGraceS)
@@ -102,7 +104,7 @@
         tellAwareness()
         if (polling || acquiring || ctx.now < nextPoll) return
         polling = true
-        picture.storeAsked()
+        reachability.storeAsked()
         if (leading) renew() else poll()
     }
 
@@ -124,7 +126,7 @@
         val renewed = lease
         ctx.out.state(StateOp.Renew(renewed)) { result ->
             polling = false
-            picture.storeAnswered(result)
+            reachability.storeAnswered(result)
             if (!leading || lease != renewed) return@state
             nextPoll = ctx.now + if (result == StateResult.Renewed) ttlS / 4 else 0.3
             when (result) {
@@ -139,7 +141,7 @@
         val askedAt = ctx.now
         ctx.out.state(StateOp.Get(Keys.LEADER)) { result ->
             polling = false
-            picture.storeAnswered(result)
+            reachability.storeAnswered(result)
             nextPoll = ctx.now + if (olderAbout) EAGER_S else 0.35 + ctx.random.nextDouble() * 0.3
             if (result is StateResult.Item) noteLeader(result.item, askedAt)
         }
@@ -170,7 +172,7 @@
                 if (result is StateResult.Committed && ctx.now < sentAt + ttlS) {
                     lease = granted.lease
                     epoch = result.revision
-                    routing.hearOf(epoch)
+                    routing.onEpoch(epoch)
                     successor = null
                     validUntil = sentAt + ttlS
                     wonAt = ctx.now
@@ -192,7 +194,7 @@
 
     /** A token or epoch heard from a worker, a peer or the store. A higher one than ours ends our leadership. */
     fun noteEpoch(heard: Long, from: String) {
-        routing.hearOf(heard)
+        routing.onEpoch(heard)
         if (leading && heard > epoch) yield("epoch $heard heard from $from")
     }
 
@@ -210,9 +212,9 @@
             }
         }
         // The one that is named asks for the lead at once, instead of when its turn comes.
-        if (!picture.hear(status)) return
-        cancellations.hear(status)
-        if (succession.hear(status) && !leading) nextPoll = minOf(nextPoll, ctx.now)
+        if (!reachability.onStatus(status)) return
+        cancellations.onStatus(status)
+        if (succession.onStatus(status) && !leading) nextPoll = minOf(nextPoll, ctx.now)
     }
 
     /** Steps down. [dropLease] lets the next leader start at once. */
@@ -236,15 +238,16 @@
     }
 
     /** What this node tells its peers of its links, as far as it does not concern machines. */
-    fun links(turnUps: Int): LinkReport {
-        val own = if (leading) Claim(ctx.settings.node, epoch, ctx.now) else routing.own()
-        return picture.report(turnUps, own, successor)
+    fun links(recentWorkers: Int): ReachabilityReport {
+        val own = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.own()
+        return reachability.report(recentWorkers, own, successor)
     }
 
-    fun status(strayWorkers: Int, links: LinkReport, sessions: SessionPlan? = null) = PeerStatus(
-        ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, picture.storeReachable, strayWorkers,
+    fun status(unservedWorkers: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
+        ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, reachability.storeReachable,
+        unservedWorkers,
         PeerCodec.LEVEL, links,
-        cancellations.news(links.seq), SessionNews(ctx.settings.sessionCapacity, sessions),
+        cancellations.news(links.seq), SessionUpdate(ctx.settings.sessionCapacity, sessions),
     )
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/failuredetector/Outlook.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -16,7 +16,7 @@
  * from the store or the cloud's list, counts like any other machine: a leader that judged only by those that found
  * their way to it would take a cut zone for so many single deaths.
  */
-class Outlook(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
+class FailureDetector(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
     private val reportS = ctx.settings.workers.reportS
     private val troubled = HashMap<String, Double>()
 
@@ -95,7 +95,7 @@
     fun endangered(): Map<Job, Set<Placement>> = fleet.machines
         .filter { isSilent(it) && it.group?.zone !in cutZones && it.group?.zone !in lateZones }
         .flatMap { it.placements.values }
-        .filter { it.job.spec.shape == Shape.SERVICE && !it.job.withdrawn && it.stopping == null }
+        .filter { it.job.spec.shape == Shape.SERVICE && !it.job.cancelled && it.stopping == null }
         .groupBy { it.job }
         .mapValues { it.value.toSet() }
 
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultEvidence.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -3,9 +3,9 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
 import plankwall.core.state.Placement
+import plankwall.core.state.SchedulerState
 import plankwall.core.statemachine.Context
 
 /**
@@ -16,7 +16,7 @@
  * Nothing of it is stored. A new leader begins without suspicions; that costs one round of tasks for each job with a
  * mistake, and a change for every failure would cost more.
  */
-class FaultEvidence(private val ctx: Context, private val book: JobBook, private val fleet: Fleet) {
+class FaultAttribution(private val ctx: Context, private val schedulerState: SchedulerState, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger("workers")
 
     fun failed(p: Placement) {
@@ -69,7 +69,7 @@
 
     private fun judge(m: Machine) {
         if (m.faulty || m.failedJobs.isEmpty()) return
-        val accusers = book.live.filter { it.ix.value in m.failedJobs }
+        val accusers = schedulerState.live.filter { it.ix.value in m.failedJobs }
         if (accusers.sumOf { weightOf(it) } < ENOUGH) return
         m.faulty = true
         log.info("machine {} counted as faulty: {} failed on it", m.id, accusers.map { it.spec.id })
--- a/src/main/kotlin/plankwall/core/heartbeat/WorkerDesk.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -3,34 +3,34 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.election.Leadership
 import plankwall.core.state.Fleet
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
 import plankwall.core.state.Placement
+import plankwall.core.state.SchedulerState
 import plankwall.core.state.StopCause
 import plankwall.core.statemachine.Context
-import plankwall.model.ImageIx
+import plankwall.model.ImageIndex
 import plankwall.model.Shape
 import plankwall.wire.ExitCause
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.Order
 import plankwall.wire.OrderOp
-import plankwall.wire.Report
-import plankwall.wire.TaskReport
 import plankwall.wire.TaskStage
+import plankwall.wire.TaskStatus
 
 /** Reads workers' reports and says what to command in the answer. */
-class WorkerDesk(
+class HeartbeatHandler(
     private val ctx: Context,
     private val leadership: Leadership,
-    private val book: JobBook,
+    private val schedulerState: SchedulerState,
     private val fleet: Fleet,
 ) {
     private val log = LoggerFactory.getLogger("workers")
-    private val evidence = FaultEvidence(ctx, book, fleet)
+    private val evidence = FaultAttribution(ctx, schedulerState, fleet)
 
     /** The orders for the answer to [r], or null if the report is an old one that must change nothing. */
-    fun checkIn(r: Report): List<Order>? {
+    fun onHeartbeat(r: HeartbeatStatus): List<Order>? {
         val m = fleet.machine(r.machine)
-        if (r.session < m.session || (r.session == m.session && r.seq <= m.checkInSeq)) return null
+        if (r.session < m.session || (r.session == m.session && r.seq <= m.heartbeatSeq)) return null
         // The answer to a direct command overtook it: what it shows may be out of date, what it lacks proves as much as
         // ever.
         val overtaken = r.session == m.session && r.seq < m.seq
@@ -61,7 +61,7 @@
                         Order(OrderOp.STOP, p.job.spec.id, p.task, p.attempt, p.graceS),
                     )
                 }
-                p.stored && !p.seen && !p.job.withdrawn && !m.returning && p.session == m.session -> {
+                p.stored && !p.seen && !p.job.cancelled && !m.returning && p.session == m.session -> {
                     p.commanded = true
                     orders.add(Order(OrderOp.START, p.job.spec.id, p.task, p.attempt))
                 }
@@ -81,7 +81,7 @@
             } else {
                 Double.MAX_VALUE
             }
-            if (left > noticeS * 0.5) book.stopWithSave(p, StopCause.DRAINED)
+            if (left > noticeS * 0.5) schedulerState.stopWithSave(p, StopCause.DRAINED)
         }
     }
 
@@ -109,7 +109,7 @@
     /**
      * A report that came as the body of a direct command's answer: what it shows is true, what it lacks proves nothing.
      */
-    fun overheard(r: Report) {
+    fun onRelayedHeartbeat(r: HeartbeatStatus) {
         val m = fleet.find(r.machine) ?: return
         if (r.session < m.session || (r.session == m.session && r.seq <= m.seq)) return
         m.group ?: fleet.describe(m, r)
@@ -118,7 +118,7 @@
         r.tasks.forEach { examine(m, it, HashSet(), ArrayList(), overtaken = false) }
     }
 
-    private fun hear(m: Machine, r: Report) {
+    private fun hear(m: Machine, r: HeartbeatStatus) {
         // Its lease ran out though its reports were answered: it does not hear us, and what is placed there would not
         // start. One that has shown our token may have heard us once and not since; any other shows by the token that
         // it does. What we took for its word may have been an old report, held back until we led, which says nothing
@@ -135,18 +135,18 @@
         fleet.describe(m, r)
         m.seq = if (r.session > m.session) r.seq else maxOf(m.seq, r.seq)
         m.session = r.session
-        m.checkInSeq = r.seq
+        m.heartbeatSeq = r.seq
         m.lastHeard = ctx.now
     }
 
     private fun examine(
         m: Machine,
-        t: TaskReport,
+        t: TaskStatus,
         reported: HashSet<Placement>,
         orders: ArrayList<Order>,
         overtaken: Boolean,
     ) {
-        val job = book.find(t.jobId)
+        val job = schedulerState.find(t.jobId)
         val p = job?.let { m.placement(it, t.task) }
         if (p != null && p.attempt == t.attempt) {
             reported.add(p)
@@ -167,18 +167,18 @@
             return
         }
         if (job != null && t.cause == ExitCause.DONE && !job.done[t.task.coerceIn(0, job.spec.tasks - 1)]) {
-            book.complete(job, t.task)
+            schedulerState.complete(job, t.task)
         }
         // An exit may only be cleared away once what it says is safely stored.
         val unsaved = job != null && t.cause == ExitCause.DONE && !job.storedDone[t.task]
         if (!unsaved) orders.add(Order(OrderOp.FORGET, t.jobId, t.task, t.attempt))
     }
 
-    private fun progressed(m: Machine, p: Placement, t: TaskReport) {
+    private fun progressed(m: Machine, p: Placement, t: TaskStatus) {
         if (p.stage != t.stage) log.debug("{} on {} is {}", p.id, m.id, t.stage)
         if (t.stage == TaskStage.RUNNING || t.stage == TaskStage.WAITING) {
             if (p.stage != TaskStage.RUNNING && t.stage == TaskStage.RUNNING) p.runningSince = ctx.now
-            val image = ImageIx(p.job.image.value)
+            val image = ImageIndex(p.job.image.value)
             if (p.stage != t.stage) m.noteImage(image, p.job.spec.imageGb, ctx.now)
         }
         p.stage = t.stage
@@ -189,12 +189,12 @@
      * A gang task whose mates took longer over their images than it may wait. The others still wait or fetch, and the
      * same attempt, started here again, completes the gang; giving it up would throw away every fetch under way.
      */
-    private fun waitsOn(p: Placement, t: TaskReport): Boolean = t.cause == ExitCause.ALONE &&
+    private fun waitsOn(p: Placement, t: TaskStatus): Boolean = t.cause == ExitCause.ALONE &&
         p.stopping == null &&
         !p.ended &&
         !p.machine.returning &&
         p.machine.noticeAt == Machine.NEVER &&
-        !p.job.withdrawn &&
+        !p.job.cancelled &&
         p.job.placements.size == p.job.spec.tasks - p.job.doneCount &&
         p.job.placements.values.none { it.stopping != null }
 
@@ -207,14 +207,14 @@
         p.stage = null
     }
 
-    private fun exited(p: Placement, t: TaskReport) {
+    private fun exited(p: Placement, t: TaskStatus) {
         if (p.ended) return
         p.ended = true
         val job = p.job
         val m = p.machine
         if (t.cause == ExitCause.DONE) {
             evidence.succeeded(p)
-            book.complete(job, p.task)
+            schedulerState.complete(job, p.task)
         }
         when (t.cause) {
             ExitCause.ERROR -> {
@@ -225,7 +225,7 @@
             ExitCause.UNKNOWN -> job.backoffUntil = ctx.now + 2.0
             else -> Unit
         }
-        book.release(p, "reported ended: ${t.cause}")
+        schedulerState.release(p, "reported ended: ${t.cause}")
     }
 
     /**
@@ -239,12 +239,12 @@
         for (p in m.placements.values.toList()) {
             if (p in reported || !p.stored) continue
             when {
-                p.session < m.session -> book.release(p, "session ${m.session} began")
+                p.session < m.session -> schedulerState.release(p, "session ${m.session} began")
                 !m.confirmed -> Unit
-                p.seen -> book.release(p, "gone from the reports")
-                p.stopping != null -> book.release(p, "a newer check-in does not show it")
-                p.job.withdrawn -> book.release(p, "withdrawn before it started")
-                m.returning -> book.release(p, "not started on a machine that is returned")
+                p.seen -> schedulerState.release(p, "gone from the reports")
+                p.stopping != null -> schedulerState.release(p, "a newer check-in does not show it")
+                p.job.cancelled -> schedulerState.release(p, "withdrawn before it started")
+                m.returning -> schedulerState.release(p, "not started on a machine that is returned")
             }
         }
     }
@@ -261,7 +261,7 @@
                     if (it.stored ||
                         it.commanded
                     ) {
-                        book.release(it, "lease of ${m.id} is over")
+                        schedulerState.release(it, "lease of ${m.id} is over")
                     }
                 }
             } else if (m.registered && ctx.now - m.lastHeard > ctx.settings.workers.missedS) {
@@ -278,7 +278,7 @@
     private fun takeBack(m: Machine) {
         for (p in m.placements.values.filter { it.stored && !it.commanded }) {
             m.awaited = true
-            book.release(p, "never commanded, and ${m.id} has missed a report")
+            schedulerState.release(p, "never commanded, and ${m.id} has missed a report")
         }
     }
 
--- a/src/main/kotlin/plankwall/core/placement/WarmRoom.kt
+++ b/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
@@ -2,7 +2,7 @@
 
 import plankwall.core.state.Job
 import plankwall.core.state.Machine
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.Shape
 
@@ -11,7 +11,7 @@
  * waiting a little for such a machine than fetching once more beside it, and so is the bill. Replicas are wanted at
  * once, and their machines' tasks of unknown length promise nothing.
  */
-class WarmRoom(private val ctx: Context, private val room: Room) {
+class CachedImageCapacity(private val ctx: Context, private val room: FreeCapacity) {
     private val promised = HashSet<Machine>()
     private val holding = HashSet<Job>()
 
@@ -24,7 +24,7 @@
     fun holds(job: Job): Boolean = job in holding
 
     /** Whether a machine with the image should have room clearly sooner than [m] would have the image. */
-    fun comesSooner(job: Job, m: Machine, usable: List<Machine>, zones: ZoneRule): Boolean {
+    fun comesSooner(job: Job, m: Machine, usable: List<Machine>, zones: ZoneConstraint): Boolean {
         if (job.spec.shape == Shape.SERVICE) return false
         val limit = m.fetchWait(job.image, job.spec.imageGb, ctx.now) * SURELY_SOONER
         val waitedS = (ctx.time.wallMs - job.readyMs) / 1000.0
