--- a/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
@@ -2,15 +2,20 @@
 
 import plankwall.core.state.Job
 import plankwall.core.state.Machine
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.ZoneConstraint
 import java.util.PriorityQueue
 
 /**
- * The machines for the tasks of one job within one pass, best first: the same choices as [Room.best] for each task, but
+ * The machines for the tasks of one job within one pass, best first: the same choices as [FreeCapacity.best] for each task, but
  * the machines are looked at once for all of them. Placing a task changes only the machine that it goes to, and what
  * does not admit a task any more does not admit a later one of the same pass.
  */
-class CandidateQueue(private val room: Room, private val job: Job, machines: List<Machine>, zones: ZoneRule) {
+class CandidateQueue(
+    private val room: FreeCapacity,
+    private val job: Job,
+    machines: List<Machine>,
+    zones: ZoneConstraint,
+) {
     /** [order]: among equals the first of the list wins. */
     private class Candidate(val machine: Machine, val order: Int, val score: Double)
 
@@ -25,7 +30,7 @@
         if (score < Double.MAX_VALUE) queue.add(Candidate(m, order, score))
     }
 
-    fun best(zones: ZoneRule): Machine? {
+    fun best(zones: ZoneConstraint): Machine? {
         while (true) {
             val first = queue.peek() ?: return null
             if (room.admits(job, first.machine, zones)) return first.machine
--- a/src/main/kotlin/plankwall/core/placement/Room.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -3,14 +3,14 @@
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
 import plankwall.core.state.Machine
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.MachineType
 import plankwall.model.Resources
 import plankwall.model.Shape
 
 /** What room there is, whose it is, and which of it suits a task best. */
-class Room(private val ctx: Context, private val fleet: Fleet) {
+class FreeCapacity(private val ctx: Context, private val fleet: Fleet) {
     private val reserved = HashMap<Job, Int>()
 
     /** Reservations end when their job needs them no more, or when the room did not come in time. */
@@ -20,7 +20,7 @@
             if (m.held !== Resources.NONE) m.held = Resources.NONE
             if (m.reservations.isEmpty()) continue
             m.reservations.removeIf { r ->
-                val over = ctx.now >= r.until || r.job.withdrawn || reserved(r.job) >= r.job.waiting.size
+                val over = ctx.now >= r.until || r.job.cancelled || reserved(r.job) >= r.job.waiting.size
                 if (!over) reserved.merge(r.job, 1, Int::plus)
                 over
             }
@@ -45,7 +45,7 @@
         return room
     }
 
-    fun suits(job: Job, m: Machine, zones: ZoneRule): Boolean = Placer.allowed(job.spec, m) &&
+    fun suits(job: Job, m: Machine, zones: ZoneConstraint): Boolean = Placer.allowed(job.spec, m) &&
         zones.allows(m) &&
         m.fitsReport &&
         m.ix.value !in job.failedOn &&
@@ -60,10 +60,10 @@
         job.spec.spot && m.group?.spot == false && (m.surplus || (m.lastingShare == 0.0 && !job.overlooked))
 
     /** Whether a task of [job] may go to [m] and has room there. */
-    fun admits(job: Job, m: Machine, zones: ZoneRule): Boolean =
+    fun admits(job: Job, m: Machine, zones: ZoneConstraint): Boolean =
         job.spec.need.fitsIn(m.free) && suits(job, m, zones) && job.spec.need.fitsIn(openTo(job, m))
 
-    fun best(job: Job, candidates: List<Machine>, zones: ZoneRule): Machine? {
+    fun best(job: Job, candidates: List<Machine>, zones: ZoneConstraint): Machine? {
         var found: Machine? = null
         var lowest = Double.MAX_VALUE
         for (m in candidates) {
--- a/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -3,9 +3,9 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.SchedulerState
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
 import plankwall.model.Resources
@@ -17,9 +17,9 @@
  */
 class GangPlacer(
     private val ctx: Context,
-    private val book: JobBook,
+    private val schedulerState: SchedulerState,
     private val fleet: Fleet,
-    private val room: Room,
+    private val room: FreeCapacity,
 ) {
     private val log = LoggerFactory.getLogger("placer")
     private val held = HashMap<Job, Int>()
@@ -38,7 +38,11 @@
     /** The number of tasks placed. */
     fun place(job: Job, roomy: List<Machine>, usable: List<Machine>): Int {
         // Nothing may be left of its last attempt.
-        if (job.placements.isNotEmpty() || !book.withinLimit(job.team, job.spec.need * job.waiting.size)) return 0
+        if (job.placements.isNotEmpty() ||
+            !schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)
+        ) {
+            return 0
+        }
         val seats = seats(job, roomy)
         val choices: Map<String?, List<Seat>> = if (job.spec.oneZone) {
             seats.groupBy { it.machine.group?.zone }
@@ -53,14 +57,16 @@
             gather(job, choices, usable)
             return 0
         }
-        val attempt = book.newAttempt()
-        job.waiting.toList().zip(chosen).forEach { (task, seat) -> book.place(job, task, seat.machine, attempt) }
+        val attempt = schedulerState.newAttempt()
+        job.waiting.toList().zip(chosen).forEach { (task, seat) ->
+            schedulerState.place(job, task, seat.machine, attempt)
+        }
         job.gatherZone = null
         return chosen.size
     }
 
     private fun seats(job: Job, roomy: List<Machine>): List<Seat> {
-        val zones = ZoneRule(job)
+        val zones = ZoneConstraint(job)
         val found = ArrayList<Seat>()
         for (m in roomy) {
             if (!room.suits(job, m, zones)) continue
@@ -75,7 +81,7 @@
 
     /** The best seats that the zone rule allows side by side, at most one for each task. */
     private fun fill(job: Job, seats: List<Seat>): List<Seat> {
-        val zones = ZoneRule(job)
+        val zones = ZoneConstraint(job)
         val taken = ArrayList<Seat>()
         for (s in seats) {
             if (taken.size == job.waiting.size) break
@@ -106,7 +112,7 @@
 
     /** Keeps free whatever comes free on machines that should have room sooner than new ones could be had. */
     private fun empty(job: Job, usable: List<Machine>, kept: Set<Machine>, missing: Int): Int {
-        val zones = ZoneRule(job)
+        val zones = ZoneConstraint(job)
         val soon = usable.mapNotNull { m ->
             val type = m.type ?: return@mapNotNull null
             val zone = m.group?.zone ?: return@mapNotNull null
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -1,13 +1,13 @@
 package plankwall.core.placement
 
-import plankwall.core.queue.Backlog
-import plankwall.core.queue.Prospect
-import plankwall.core.state.FitKey
+import plankwall.core.queue.Feasibility
+import plankwall.core.queue.PendingQueue
+import plankwall.core.state.EquivalenceClass
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.SchedulerState
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
 import plankwall.model.JobSpec
@@ -18,12 +18,12 @@
  * task, and gives up at once on a kind of task for which it found none before: with hundreds of machines and a long
  * queue, searching them all for every job would take the processor that answering the workers needs.
  */
-class Placer(private val ctx: Context, private val book: JobBook, private val fleet: Fleet) {
-    val backlog = Backlog(ctx, book, fleet)
-    private val room = Room(ctx, fleet)
-    private val gangs = GangPlacer(ctx, book, fleet, room)
-    private val preemptor = Preemptor(ctx, book, room, backlog)
-    private val warm = WarmRoom(ctx, room)
+class Placer(private val ctx: Context, private val schedulerState: SchedulerState, private val fleet: Fleet) {
+    val backlog = PendingQueue(ctx, schedulerState, fleet)
+    private val room = FreeCapacity(ctx, fleet)
+    private val gangs = GangPlacer(ctx, schedulerState, fleet, room)
+    private val preemptor = Preemptor(ctx, schedulerState, room, backlog)
+    private val warm = CachedImageCapacity(ctx, room)
     private var markedAt = Machine.NEVER
     private var markedFor = -1
     private var nextPreemption = 0.0
@@ -50,7 +50,7 @@
         val least = pending.map { it.spec.need }.reduce { a, b -> a.least(b) }
         val usable = fleet.machines.filter { usable(it) }
         val roomy = usable.filter { least.fitsIn(it.free) }
-        val full = HashSet<FitKey>()
+        val full = HashSet<EquivalenceClass>()
         var budget = MAX_PER_PASS
         val left = ArrayList<Job>()
         val preempting = ctx.now >= nextPreemption
@@ -81,9 +81,9 @@
     }
 
     private fun pending(): List<Job> = backlog.order(
-        book.live.filter {
+        schedulerState.live.filter {
             it.ready &&
-                !it.withdrawn &&
+                !it.cancelled &&
                 it.waiting.isNotEmpty() &&
                 it.backoffUntil <= ctx.now &&
                 it.version > 0
@@ -91,15 +91,15 @@
     )
 
     /** What is too late for all its aims wins nothing by stopping others; what is owed is owed all the same. */
-    private fun isWorthStopping(job: Job): Boolean = job.guaranteed || backlog.prospect(job) != Prospect.OUT_OF_REACH
+    private fun isWorthStopping(job: Job): Boolean = job.guaranteed || backlog.prospect(job) != Feasibility.OUT_OF_REACH
 
     /** A team's jobs in order of submission, as long as they fit into its guarantee together. */
     private fun markGuaranteed() {
-        if (ctx.now < markedAt + MARK_EVERY_S && book.changes == markedFor) return
+        if (ctx.now < markedAt + MARK_EVERY_S && schedulerState.changes == markedFor) return
         markedAt = ctx.now
-        markedFor = book.changes
+        markedFor = schedulerState.changes
         val sums = HashMap<Int, Resources>()
-        for (job in book.live.sortedBy { it.submittedMs }) {
+        for (job in schedulerState.live.sortedBy { it.submittedMs }) {
             val team = ctx.settings.teams[job.team.value]
             // One that waits for others holds no part of it.
             if (!team.hasGuarantee || !job.ready) continue
@@ -127,7 +127,7 @@
         job: Job,
         roomy: List<Machine>,
         usable: List<Machine>,
-        full: HashSet<FitKey>,
+        full: HashSet<EquivalenceClass>,
         budget: Int,
     ): Int {
         if ((job.isGang || job.doubtful) && job.placements.isNotEmpty()) return 0
@@ -138,8 +138,8 @@
         val most = if (job.doubtful) 1 else minOf(budget, backlog.most(job))
         var queue: CandidateQueue? = null
         while (placed < most && job.waiting.size > held) {
-            if (!book.withinLimit(job.team, job.spec.need)) break
-            val zones = ZoneRule(job)
+            if (!schedulerState.withinLimit(job.team, job.spec.need)) break
+            val zones = ZoneConstraint(job)
             if (queue == null && minOf(most, job.waiting.size) > 1) queue = CandidateQueue(room, job, roomy, zones)
             val m = if (queue == null) room.best(job, roomy, zones) else queue.best(zones)
             if (m == null) {
@@ -151,7 +151,7 @@
                 held++
                 continue
             }
-            book.place(job, job.waiting.first(), m, book.newAttempt())
+            schedulerState.place(job, job.waiting.first(), m, schedulerState.newAttempt())
             queue?.placed()
             placed++
         }
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -1,27 +1,27 @@
 package plankwall.core.placement
 
 import org.slf4j.LoggerFactory
-import plankwall.core.queue.Backlog
-import plankwall.core.state.FitKey
+import plankwall.core.queue.PendingQueue
+import plankwall.core.state.EquivalenceClass
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
 import plankwall.core.state.Placement
+import plankwall.core.state.SchedulerState
 import plankwall.core.state.StopCause
-import plankwall.core.state.ZoneRule
+import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.Priority
-import plankwall.model.TeamIx
+import plankwall.model.TeamIndex
 
 /** Makes room for waiting tasks by stopping tasks of lower standing, the fewest and the least work lost for each. */
 class Preemptor(
     private val ctx: Context,
-    private val book: JobBook,
-    private val room: Room,
-    private val backlog: Backlog,
+    private val schedulerState: SchedulerState,
+    private val room: FreeCapacity,
+    private val backlog: PendingQueue,
 ) {
     private val log = LoggerFactory.getLogger("placer")
-    private val hopeless = HashSet<FitKey>()
+    private val hopeless = HashSet<EquivalenceClass>()
     private var searches = 0
 
     private class Place(val machine: Machine, val victims: List<Placement>)
@@ -40,7 +40,7 @@
         }
         val zones = zonesOf(job, usable)
         while (job.waiting.size > room.reserved(job)) {
-            if (!book.withinLimit(job.team, job.spec.need * (1 + room.reserved(job)))) return
+            if (!schedulerState.withinLimit(job.team, job.spec.need * (1 + room.reserved(job)))) return
             val place = find(job, usable, zones, emptySet()) ?: return
             take(job, place)
             place.machine.group?.let { zones.imagine(it.zone) }
@@ -50,7 +50,7 @@
     /** For a gang room is made for all that is missing, in one zone if it must be, or for nothing. */
     private fun makeRoomForGang(job: Job, usable: List<Machine>) {
         if (ctx.now - job.gatherSince < GANG_WAITS_S || room.reserved(job) > 0) return
-        if (!book.withinLimit(job.team, job.spec.need * job.waiting.size)) return
+        if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return
         val choices = if (!job.spec.oneZone) {
             listOf(usable)
         } else {
@@ -62,7 +62,7 @@
     }
 
     private fun placesFor(job: Job, there: List<Machine>): List<Place>? {
-        val zones = ZoneRule(job)
+        val zones = ZoneConstraint(job)
         val taken = HashSet<Machine>()
         val places = ArrayList<Place>()
         // Room that is open needs no victims; what a pass keeps for a gang is its own.
@@ -76,8 +76,8 @@
         return places
     }
 
-    private fun zonesOf(job: Job, usable: List<Machine>): ZoneRule {
-        val zones = ZoneRule(job)
+    private fun zonesOf(job: Job, usable: List<Machine>): ZoneConstraint {
+        val zones = ZoneConstraint(job)
         if (room.reserved(job) > 0 && zones.binding) {
             for (m in usable) m.reservations.forEach { r -> if (r.job === job) m.group?.let { zones.imagine(it.zone) } }
         }
@@ -89,11 +89,11 @@
         log.info("job {} preempts {} on {}", job.spec.id, place.victims.map { it.id }, place.machine.id)
         place.victims.forEach {
             backlog.stopped(it.job, if (it.job.isGang) it.job.placements.size else 1)
-            book.stopWithSave(it, StopCause.PREEMPTED)
+            schedulerState.stopWithSave(it, StopCause.PREEMPTED)
         }
     }
 
-    private fun find(job: Job, usable: List<Machine>, zones: ZoneRule, taken: Set<Machine>): Place? {
+    private fun find(job: Job, usable: List<Machine>, zones: ZoneConstraint, taken: Set<Machine>): Place? {
         if (searches <= 0 || job.fit in hopeless) return null
         searches--
         var found: Place? = null
@@ -165,11 +165,11 @@
             beyondGuarantee(victim.team)
     }
 
-    private fun beyondGuarantee(team: TeamIx): Boolean {
+    private fun beyondGuarantee(team: TeamIndex): Boolean {
         val t = ctx.settings.teams[team.value]
         // Whatever a team without a guarantee runs is beyond it: guests once kept a guarantee waiting.
         if (!t.hasGuarantee) return true
-        val used = book.used(team)
+        val used = schedulerState.used(team)
         return (t.gpus > 0 && used.gpus > t.gpus) || (t.cpus > 0 && used.cpus > t.cpus)
     }
 
--- a/src/main/kotlin/plankwall/core/queue/Binding.kt
+++ b/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
@@ -6,7 +6,7 @@
 import plankwall.model.Resources
 
 /** What holds waiting work back, said once every while as long as it does: which limit, since when, how much waits. */
-class Binding(private val ctx: Context) {
+class BindingLimit(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("backlog")
     private class Hold(val since: Double, var saidAt: Double)
 
@@ -36,7 +36,7 @@
         holds.keys.filter { it.startsWith("team ") && it !in seen }.forEach(::over)
     }
 
-    fun tell(scarce: List<Job>, prospects: Map<Job, Prospect>, floors: Floors) {
+    fun tell(scarce: List<Job>, prospects: Map<Job, Feasibility>, floors: MinimumShare) {
         val name = "fleet"
         if (scarce.isEmpty()) {
             over(name)
@@ -47,7 +47,7 @@
                 "$name (%.2f of %.2f)".format(part.first, part.second)
             }
             "the cloud, which has no more; ${prospects.values.count {
-                it == Prospect.OUT_OF_REACH
+                it == Feasibility.OUT_OF_REACH
             }} jobs out of reach, below their floors: [$low]" to
                 scarce
         }
--- a/src/main/kotlin/plankwall/core/queue/Pool.kt
+++ b/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
@@ -11,7 +11,12 @@
  * no more. [whole] is all of it, 0 in a part: no bound there. Replicas stay, so [placed] ones take their part of it
  * away for good.
  */
-class Pool(private val ctx: Context, whole: Resources, placed: Sequence<Placement>, waitingReplicas: Resources) {
+class CapacityPool(
+    private val ctx: Context,
+    whole: Resources,
+    placed: Sequence<Placement>,
+    waitingReplicas: Resources,
+) {
     /** What is left of it beside replicas. */
     val size: Resources
     private val loadS = HashMap<String, Double>()
@@ -44,23 +49,31 @@
         share: Double,
         jobClass: String?,
         eachS: (Job) -> Double,
-        verdict: (Job, Prospect) -> Unit,
+        verdict: (Job, Feasibility) -> Unit,
     ) {
         val nowMs = ctx.time.wallMs
-        fun lots(of: List<Job>, due: (Job) -> Due) =
-            of.map { Lot(it, workS(it, it.waiting.size, eachS(it)) / share, due(it).inS(nowMs, it.spec.estimateS)) }
+        fun lots(of: List<Job>, due: (Job) -> Deadline) = of.map {
+            PendingWork(it, workS(it, it.waiting.size, eachS(it)) / share, due(it).inS(nowMs, it.spec.estimateS))
+        }
         var busyS = (if (jobClass == null) loadS.values.sum() else loadS[jobClass] ?: 0.0) / share
         for (jobs in blocks) {
             // What nobody said anything about is neither late nor in time; it only takes its room.
-            val (open, bound) = jobs.partition { Due.last(it, ctx.aims).isOpen }
-            val first = InTime.choose(lots(bound) { Due.tight(it, ctx.aims) }, busyS)
+            val (open, bound) = jobs.partition { Deadline.last(it, ctx.objectives).isOpen }
+            val first = DeadlineFeasibility.choose(lots(bound) { Deadline.tight(it, ctx.objectives) }, busyS)
             busyS += first.sumOf { it.workS }
             val taken = first.mapTo(HashSet()) { it.job }
-            val second = InTime.choose(lots(bound.filter { it !in taken }) { Due.last(it, ctx.aims) }, busyS)
+            val second = DeadlineFeasibility.choose(
+                lots(
+                    bound.filter {
+                        it !in taken
+                    },
+                ) { Deadline.last(it, ctx.objectives) },
+                busyS,
+            )
             busyS += second.sumOf { it.workS } + open.sumOf { workS(it, it.waiting.size, eachS(it)) / share }
-            second.forEach { verdict(it.job, Prospect.LATE) }
+            second.forEach { verdict(it.job, Feasibility.LATE) }
             second.mapTo(taken) { it.job }
-            bound.filter { it !in taken }.forEach { verdict(it, Prospect.OUT_OF_REACH) }
+            bound.filter { it !in taken }.forEach { verdict(it, Feasibility.OUT_OF_REACH) }
         }
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/Due.kt
+++ b/src/main/kotlin/plankwall/core/queue/Deadline.kt
@@ -1,13 +1,13 @@
 package plankwall.core.queue
 
 import plankwall.core.state.Job
-import plankwall.model.Aims
+import plankwall.model.ServiceLevelObjectives
 
 /**
  * By when a job must have started and be done to count for its users' aims, in milliseconds of the time of day.
  * [either]: one of the two is enough.
  */
-class Due private constructor(private val startMs: Long, private val endMs: Long, private val either: Boolean) {
+class Deadline private constructor(private val startMs: Long, private val endMs: Long, private val either: Boolean) {
     /** Nobody said by when: it is never late. */
     val isOpen: Boolean get() = startMs == Long.MAX_VALUE && endMs == Long.MAX_VALUE
 
@@ -39,19 +39,24 @@
         private const val NEVER_S = 1e9
 
         /** All that was asked of [job]. */
-        fun tight(job: Job, aims: Aims): Due =
-            of(job, aims.startWithinS(job.spec.jobClass), aims.finishWithinS(job.spec.jobClass), 1.0, either = false)
+        fun tight(job: Job, objectives: ServiceLevelObjectives): Deadline = of(
+            job,
+            objectives.startWithinS(job.spec.jobClass),
+            objectives.finishWithinS(job.spec.jobClass),
+            1.0,
+            either = false,
+        )
 
         /** The least of what was asked: after this nothing is left to be met. */
-        fun last(job: Job, aims: Aims): Due = of(
+        fun last(job: Job, objectives: ServiceLevelObjectives): Deadline = of(
             job,
-            aims.lastStartWithinS(job.spec.jobClass),
-            aims.lastFinishWithinS(job.spec.jobClass),
-            aims.lastDeadlineTimes(job.spec.jobClass),
+            objectives.lastStartWithinS(job.spec.jobClass),
+            objectives.lastFinishWithinS(job.spec.jobClass),
+            objectives.lastDeadlineTimes(job.spec.jobClass),
             either = true,
         )
 
-        private fun of(job: Job, startS: Double?, finishS: Double?, times: Double, either: Boolean): Due {
+        private fun of(job: Job, startS: Double?, finishS: Double?, times: Double, either: Boolean): Deadline {
             // A stage is due when the job that needs it must start; what comes after it may make up for a little.
             val deadlineMs = if (job.dueMs ==
                 Long.MAX_VALUE
@@ -60,7 +65,7 @@
             } else {
                 job.submittedMs + ((job.dueMs - job.submittedMs) * times).toLong()
             }
-            return Due(after(job, startS), minOf(after(job, finishS), deadlineMs), either)
+            return Deadline(after(job, startS), minOf(after(job, finishS), deadlineMs), either)
         }
 
         private fun after(job: Job, s: Double?): Long = if (s ==
--- a/src/main/kotlin/plankwall/core/queue/Prospect.kt
+++ b/src/main/kotlin/plankwall/core/queue/Feasibility.kt
@@ -1,7 +1,7 @@
 package plankwall.core.queue
 
 /** What can still come of a waiting job, in the order in which such jobs are served. */
-enum class Prospect {
+enum class Feasibility {
     /** It can meet all that was asked of it; so can every job where there is room enough. */
     IN_TIME,
 
--- a/src/main/kotlin/plankwall/core/queue/Floors.kt
+++ b/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
@@ -13,8 +13,8 @@
  * services and guarantees are never put behind it. Going by the room taken, not by what became of the jobs, it does not
  * swing: what is given is not taken back a second later.
  */
-class Floors(private val ctx: Context) {
-    private val offered = Offered(ctx)
+class MinimumShare(private val ctx: Context) {
+    private val offered = OfferedLoad(ctx)
     private val floors = HashMap<String, Double>()
     private val taken = HashMap<String, Double>()
     private val shares = HashMap<String, Double>()
--- a/src/main/kotlin/plankwall/core/queue/Offered.kt
+++ b/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
@@ -8,7 +8,7 @@
  * How much room each class asks for on average, in what its tasks take and for how long: the work of all jobs that
  * became demand lately. A new leader begins with what is live.
  */
-class Offered(private val ctx: Context) {
+class OfferedLoad(private val ctx: Context) {
     private class Work(val atMs: Long, val need: Resources, val seconds: Double)
 
     private val byClass = HashMap<String, ArrayDeque<Work>>()
@@ -45,8 +45,8 @@
 
     /** As long as anybody waits for a job of the class: what came before that is over, or too late. */
     private fun windowS(jobClass: String): Double = maxOf(
-        ctx.aims.lastStartWithinS(jobClass) ?: 0.0,
-        ctx.aims.lastFinishWithinS(jobClass) ?: 0.0,
+        ctx.objectives.lastStartWithinS(jobClass) ?: 0.0,
+        ctx.objectives.lastFinishWithinS(jobClass) ?: 0.0,
         ctx.settings.workers.leaseS,
     )
 
--- a/src/main/kotlin/plankwall/core/queue/CatchingUp.kt
+++ b/src/main/kotlin/plankwall/core/queue/OverdueShare.kt
@@ -5,17 +5,17 @@
  * still be served, it would wait for ever where new work never ends. What the others are given is counted, and an
  * eighth of it is owed to those behind.
  */
-class CatchingUp {
+class OverdueShare {
     private var owedS = 0.0
 
     /**
      * Room worth [workS] seconds of the pool went to a job with a [prospect]. [behind]: whether any job is out of
      * reach.
      */
-    fun gave(prospect: Prospect, workS: Double, behind: Boolean) {
+    fun gave(prospect: Feasibility, workS: Double, behind: Boolean) {
         owedS = when {
             !behind -> 0.0
-            prospect == Prospect.OUT_OF_REACH -> owedS - workS
+            prospect == Feasibility.OUT_OF_REACH -> owedS - workS
             else -> minOf(owedS + workS * SHARE / (1.0 - SHARE), MOST_OWED_S)
         }
     }
--- a/src/main/kotlin/plankwall/core/queue/Backlog.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -2,8 +2,8 @@
 
 import plankwall.core.state.Fleet
 import plankwall.core.state.Job
-import plankwall.core.state.JobBook
 import plankwall.core.state.Machine
+import plankwall.core.state.SchedulerState
 import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 import plankwall.model.Shape
@@ -14,13 +14,13 @@
  * limit or the cloud's capacity leaves less room than there is work, what can still meet its aims goes before what
  * can't any more: served strictly by age, a backlog of two minutes makes every job that it serves late.
  */
-class Backlog(private val ctx: Context, private val book: JobBook, private val fleet: Fleet) {
-    private val prospects = HashMap<Job, Prospect>()
-    private val floors = Floors(ctx)
-    private val catchingUp = HashMap<String, CatchingUp>()
-    private val binding = Binding(ctx)
+class PendingQueue(private val ctx: Context, private val schedulerState: SchedulerState, private val fleet: Fleet) {
+    private val prospects = HashMap<Job, Feasibility>()
+    private val floors = MinimumShare(ctx)
+    private val catchingUp = HashMap<String, OverdueShare>()
+    private val binding = BindingLimit(ctx)
     private var judgedAt = Machine.NEVER
-    private var machines: Pool? = null
+    private var machines: CapacityPool? = null
 
     /** The oldest of each class that is out of reach. */
     private var overdue: Map<String, Job> = emptyMap()
@@ -36,7 +36,7 @@
      */
     fun heldByLimit(job: Job): Boolean = job.team.value in binding.teams && job.spec.shape != Shape.SERVICE
 
-    fun prospect(job: Job): Prospect = prospects[job] ?: Prospect.IN_TIME
+    fun prospect(job: Job): Feasibility = prospects[job] ?: Feasibility.IN_TIME
 
     /** Whether tasks of [job] are spared by work of higher priority, live services and guarantees aside. */
     fun isSpared(job: Job): Boolean = floors.isSpared(job)
@@ -51,7 +51,7 @@
             compareByDescending<Job> { it.guaranteed }.thenByDescending { floors.rank(it) }.thenBy { it.spareTime }
                 .thenByDescending {
                     it in due
-                }.thenByDescending { prospect(it) != Prospect.OUT_OF_REACH && pressing(it) }
+                }.thenByDescending { prospect(it) != Feasibility.OUT_OF_REACH && pressing(it) }
                 .thenBy { prospect(it) }.thenBy { it.submittedMs },
         )
     }
@@ -66,7 +66,7 @@
         val pool = machines ?: return
         floors.placed(job, tasks)
         val jobClass = job.spec.jobClass
-        catchingUp.getOrPut(jobClass) { CatchingUp() }.gave(
+        catchingUp.getOrPut(jobClass) { OverdueShare() }.gave(
             prospect(job),
             pool.workS(job, tasks, holdsS(job)),
             jobClass in overdue,
@@ -86,7 +86,7 @@
         val all = capacity()
         val short = scarce.isNotEmpty() || binding.teams.isNotEmpty()
         val pool = if (short) {
-            Pool(
+            CapacityPool(
                 ctx,
                 all,
                 fleet.machines.asSequence().flatMap {
@@ -97,11 +97,11 @@
         } else {
             null
         }
-        floors.refresh(book.live, scarce.isNotEmpty(), pool?.size ?: Resources.NONE, ::holdsS)
+        floors.refresh(schedulerState.live, scarce.isNotEmpty(), pool?.size ?: Resources.NONE, ::holdsS)
         if (pool != null && scarce.isNotEmpty()) {
-            val modest = FairParts.modest(rest, all, ::demandOf, book::used)
+            val modest = FairShare.modest(rest, all, ::demandOf, schedulerState::used)
             for ((jobClass, jobs) in rest.filter {
-                prospect(it) != Prospect.OUT_OF_REACH
+                prospect(it) != Feasibility.OUT_OF_REACH
             }.groupBy { it.spec.jobClass }) {
                 pool.judge(
                     blocks(jobs) {
@@ -117,7 +117,7 @@
         machines = pool
         overdue =
             rest.filter {
-                prospect(it) == Prospect.OUT_OF_REACH
+                prospect(it) == Feasibility.OUT_OF_REACH
             }.groupBy { it.spec.jobClass }.mapValues { (_, jobs) -> jobs.minBy { it.submittedMs } }
         binding.tell(scarce, prospects, floors)
     }
@@ -129,10 +129,12 @@
         for ((ix, jobs) in all) {
             val team = ctx.settings.teams[ix]
             val wanted = waiting(jobs)
-            if (team.allows(book.used(jobs.first().team) + wanted)) continue
-            binding.held(ix, jobs, book.used(jobs.first().team))
-            val placed = book.live.asSequence().filter { it.team.value == ix }.flatMap { it.placements.values }
-            val pool = Pool(ctx, limitOf(team), placed, waiting(jobs.filter { it.spec.shape == Shape.SERVICE }))
+            if (team.allows(schedulerState.used(jobs.first().team) + wanted)) continue
+            binding.held(ix, jobs, schedulerState.used(jobs.first().team))
+            val placed = schedulerState.live.asSequence().filter {
+                it.team.value == ix
+            }.flatMap { it.placements.values }
+            val pool = CapacityPool(ctx, limitOf(team), placed, waiting(jobs.filter { it.spec.shape == Shape.SERVICE }))
             pool.judge(blocks(jobs.filter { it.spec.shape != Shape.SERVICE }), 1.0, null, ::holdsS, ::worse)
         }
         binding.endTeams()
@@ -143,7 +145,7 @@
         Triple(it.guaranteed, floors.rank(it), first(it))
     }.toList().sortedWith(BY_STANDING).map { it.second }
 
-    private fun worse(job: Job, p: Prospect) {
+    private fun worse(job: Job, p: Feasibility) {
         if (p > prospect(job)) prospects[job] = p
     }
 
--- a/src/main/kotlin/plankwall/core/relay/DirectReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -1,7 +1,7 @@
 package plankwall.core.relay
 
 import org.slf4j.LoggerFactory
-import plankwall.core.failuredetector.Outlook
+import plankwall.core.failuredetector.FailureDetector
 import plankwall.core.sessions.SessionPlanner
 import plankwall.core.state.Fleet
 import plankwall.core.state.Machine
@@ -13,10 +13,10 @@
  * that tries in vain loses several seconds of its lease and lands anywhere, so none is called on suspicion: the leader
  * first reaches the machine itself, which takes packets both ways.
  */
-class DirectReach(
+class DirectReachability(
     private val ctx: Context,
     private val fleet: Fleet,
-    private val outlook: Outlook,
+    private val failureDetector: FailureDetector,
     private val sessions: SessionPlanner,
 ) {
     private class Reach {
@@ -196,7 +196,7 @@
             val zone = m.group?.zone ?: continue
             if (m.returning ||
                 sessions.homeOf(m) != null ||
-                !(m.registered || (outlook.firstAreBack && outlook.isAwaited(m)))
+                !(m.registered || (failureDetector.firstAreBack && failureDetector.isAwaited(m)))
             ) {
                 continue
             }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -1,7 +1,7 @@
 package plankwall.core.relay
 
 import plankwall.core.election.Leadership
-import plankwall.core.failuredetector.Outlook
+import plankwall.core.failuredetector.FailureDetector
 import plankwall.core.state.Fleet
 import plankwall.core.statemachine.Context
 
@@ -14,23 +14,23 @@
     private val ctx: Context,
     private val leadership: Leadership,
     private val fleet: Fleet,
-    private val outlook: Outlook,
-    private val reach: DirectReach,
+    private val failureDetector: FailureDetector,
+    private val reach: DirectReachability,
 ) {
     private val times = ctx.settings.workers
     private var mostlyThroughSince = Double.NaN
 
     /**
      * Most workers have missed a report here, straight and through others, and turn up at peers instead, which surely
-     * reach them ([WorkerRelay.strays]): whoever can answer them should lead, and soon, for their leases are running
+     * reach them ([WorkerRelay.unservedWorkers]): whoever can answer them should lead, and soon, for their leases are running
      * out. Where no peer is heard that could tell of it, all must be silent: a leader whose peers and most of whose
      * machines are in another zone, which is cut off, has to go on with the rest. Machines that a new leader knows of
      * and has never heard count too: one that can't be reached from the start must not keep the lead, and a lease must
      * not run out meanwhile.
      */
     fun tick() {
-        val known = fleet.machines.filter { (it.registered && !it.returning) || outlook.isAwaited(it) }
-        if (known.size < 2 || !leadership.mayWrite || !outlook.firstAreBack) return
+        val known = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
+        if (known.size < 2 || !leadership.mayWrite || !failureDetector.firstAreBack) return
         val silent = known.count { ctx.now - it.lastHeard > times.missedS }
         if (silent * 2 >
             known.size
@@ -42,11 +42,11 @@
     }
 
     private fun giveUpUnheard(silent: Int, known: Int, registered: Int) {
-        val peers = leadership.picture.live()
-        val strays = peers.filter { it.stateReachable }.sumOf { it.strayWorkers }
+        val peers = leadership.reachability.live()
+        val unservedWorkers = peers.filter { it.stateReachable }.sumOf { it.unservedWorkers }
         val alone = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
-        if (!alone && strays * 2 <= known) return
-        val elsewhere = if (alone) "no peer is heard" else "$strays turn up at peers"
+        if (!alone && unservedWorkers * 2 <= known) return
+        val elsewhere = if (alone) "no peer is heard" else "$unservedWorkers turn up at peers"
         leadership.yieldForWorkers("$silent of $known machines silent here, $elsewhere")
     }
 
@@ -63,7 +63,7 @@
         if (mostlyThroughSince.isNaN()) mostlyThroughSince = ctx.now
         if (ctx.now - mostlyThroughSince < times.leaseS * DISTANT_LEASES) return
         val best = leadership.succession.best() ?: return
-        if (best.turnUps * 2 <= known) return
+        if (best.recentWorkers * 2 <= known) return
         leadership.yieldForWorkers(
             "$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}",
         )
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -3,7 +3,7 @@
 import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
-import plankwall.wire.Report
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.WorkerCodec
 
 /** What a node that does not lead remembers of a worker that reported to it. */
@@ -34,7 +34,7 @@
     private val times = ctx.settings.workers
 
     /** Workers that turned up within a report interval, whatever became of them. */
-    val turnUps: Int get() = workers.values.count { ctx.now - it.at < times.longestReportS }
+    val recentWorkers: Int get() = workers.values.count { ctx.now - it.at < times.longestReportS }
 
     /**
      * Workers that could not be served lately, neither here nor, as far as is known, by the leader, and that this node
@@ -52,7 +52,7 @@
 
     operator fun get(machine: String): SeenWorker? = workers[machine]
 
-    fun note(report: Report): SeenWorker {
+    fun note(report: HeartbeatStatus): SeenWorker {
         val machine = report.machine
         // Oldest first, so that the bound drops those not seen for longest.
         val seen = workers.remove(machine) ?: SeenWorker(ctx.now)
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -1,10 +1,10 @@
 package plankwall.core.relay
 
 import org.slf4j.LoggerFactory
-import plankwall.core.connectivity.Claim
-import plankwall.core.connectivity.LinkPicture
-import plankwall.core.connectivity.Routing
-import plankwall.core.sessions.ReportBatcher
+import plankwall.core.connectivity.LeaderRouting
+import plankwall.core.connectivity.LeadershipClaim
+import plankwall.core.connectivity.ReachabilityMatrix
+import plankwall.core.sessions.HeartbeatBatcher
 import plankwall.core.sessions.SessionAssignment
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
@@ -12,11 +12,11 @@
 import plankwall.core.statemachine.RequestId
 import plankwall.wire.AnswerBatch
 import plankwall.wire.BatchedAnswer
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.JobCodec
 import plankwall.wire.PeerStatus
 import plankwall.wire.RelayedAnswer
-import plankwall.wire.RelayedReport
-import plankwall.wire.Report
+import plankwall.wire.RelayedHeartbeat
 import plankwall.wire.SessionPlan
 import plankwall.wire.WorkerCodec
 
@@ -26,12 +26,16 @@
  * request that it belongs to and only while that waits; so to the worker and to the proofs it is an answer like any
  * other.
  */
-class WorkerRelay(private val ctx: Context, private val picture: LinkPicture, private val routing: Routing) {
+class WorkerRelay(
+    private val ctx: Context,
+    private val reachability: ReachabilityMatrix,
+    private val routing: LeaderRouting,
+) {
     private class Waiting(
         val request: RequestId,
-        val report: Report,
+        val report: HeartbeatStatus,
         val address: String,
-        val leader: Claim,
+        val leader: LeadershipClaim,
         val at: Double,
     ) {
         val machine: String get() = report.machine
@@ -43,7 +47,7 @@
     private val log = LoggerFactory.getLogger("relay")
     private val workers = SeenWorkers(ctx)
     private val waiting = LinkedHashMap<Long, Waiting>()
-    private val batcher = ReportBatcher(ctx, picture)
+    private val batcher = HeartbeatBatcher(ctx, reachability)
     private var nextId = ctx.incarnation
     private val scouts = HashMap<String, Int>()
     private var scoutsFor = 0L
@@ -53,15 +57,15 @@
     private val mostWaiting = (ctx.settings.maxConnections / 4).coerceIn(16, 400)
 
     /** Workers that turned up within a report interval, whatever became of them. */
-    val turnUps: Int get() = workers.turnUps
+    val recentWorkers: Int get() = workers.recentWorkers
 
     /** Workers that nobody serves, as far as this node could answer them ([SeenWorkers.unserved]). */
-    val strays: Int get() = workers.unserved
+    val unservedWorkers: Int get() = workers.unserved
 
     /** [machine] answered a direct command of this node. */
     fun reached(machine: String) = workers.reached(machine)
 
-    fun checkIn(input: Input.CheckIn) {
+    fun onHeartbeat(input: Input.Heartbeat) {
         val seen = workers.note(input.report)
         val leader = routing.leader()
         val home = leader?.let { homeOf(it, input.report) }
@@ -87,15 +91,15 @@
     }
 
     /** The node that serves the worker's session, where the leader spreads them. */
-    private fun homeOf(leader: Claim, report: Report): String? =
+    private fun homeOf(leader: LeadershipClaim, report: HeartbeatStatus): String? =
         planOf(leader)?.let { SessionAssignment.nodeFor(it, report.machine, report.zone) }
 
-    private fun planOf(leader: Claim): SessionPlan? = picture.word(leader.node)?.sessions?.plan?.takeIf {
+    private fun planOf(leader: LeadershipClaim): SessionPlan? = reachability.word(leader.node)?.sessions?.plan?.takeIf {
         it.epoch ==
             leader.epoch
     }
 
-    private fun SeenWorker.keep(leader: Claim) {
+    private fun SeenWorker.keep(leader: LeadershipClaim) {
         sentTo = leader.epoch
         sentToNode = leader.node
         relayed = true
@@ -106,24 +110,24 @@
      * of all of them, and whoever led before has them all at its door: sent away together they would lose half their
      * lease together.
      */
-    private fun isUntried(leader: Claim, zone: String): Boolean {
+    private fun isUntried(leader: LeadershipClaim, zone: String): Boolean {
         val reach = wordOf(leader)?.links?.zones?.find { it.zone == zone }
         return reach == null || reach.late >= reach.known
     }
 
-    private fun isScout(leader: Claim, zone: String): Boolean {
+    private fun isScout(leader: LeadershipClaim, zone: String): Boolean {
         if (scoutsFor != leader.epoch) scouts.clear()
         scoutsFor = leader.epoch
         return scouts.merge(zone, 1, Int::plus).let { it != null && it <= SCOUTS }
     }
 
-    private fun wordOf(leader: Claim): PeerStatus? = picture.word(leader.node)?.takeIf {
+    private fun wordOf(leader: LeadershipClaim): PeerStatus? = reachability.word(leader.node)?.takeIf {
         it.leading &&
-            picture.isFresh(leader.node)
+            reachability.isFresh(leader.node)
     }
 
     /** Sent to this very leader within the time that a try takes, and here again: it can't get there. */
-    private fun cameBack(seen: SeenWorker, leader: Claim, node: String): Boolean =
+    private fun cameBack(seen: SeenWorker, leader: LeadershipClaim, node: String): Boolean =
         seen.sentTo == leader.epoch && seen.sentToNode == node && (seen.relayed || ctx.now - seen.sentAt < times.leaseS)
 
     /**
@@ -131,13 +135,18 @@
      * several seconds of its lease, and who knows where it ends up after; the leader sends it over once it can be
      * reached again. Other zones that are cut off say nothing of this one.
      */
-    private fun isOutOfReach(leader: Claim, zone: String): Boolean {
+    private fun isOutOfReach(leader: LeadershipClaim, zone: String): Boolean {
         val reach = wordOf(leader)?.links?.zones?.find { it.zone == zone } ?: return false
         return reach.known > 1 && reach.late > reach.known * BROADLY_LATE
     }
 
-    private fun relay(input: Input.CheckIn, leader: Claim): Boolean {
-        if (!picture.isFresh(leader.node) || !picture.relays(leader.node) || waiting.size >= mostWaiting) return false
+    private fun relay(input: Input.Heartbeat, leader: LeadershipClaim): Boolean {
+        if (!reachability.isFresh(leader.node) ||
+            !reachability.relays(leader.node) ||
+            waiting.size >= mostWaiting
+        ) {
+            return false
+        }
         val id = nextId++
         val open = Waiting(input.request, input.report, input.from, leader, ctx.now)
         waiting[id] = open
@@ -147,7 +156,8 @@
             workers[open.machine]?.passedOn = true
             return true
         }
-        val message = RelayedReport(ctx.settings.node, id, picture.lastFrom(leader.node), input.from, input.report)
+        val message =
+            RelayedHeartbeat(ctx.settings.node, id, reachability.lastFrom(leader.node), input.from, input.report)
         ctx.out.add(Effect.PeerSend(message, leader.node))
         return true
     }
@@ -157,7 +167,7 @@
      * is sent there again: when a cut between zones heals, its own way may be open before that of the nodes is known to
      * be.
      */
-    private fun turnAway(request: RequestId, seen: SeenWorker, leader: Claim) {
+    private fun turnAway(request: RequestId, seen: SeenWorker, leader: LeadershipClaim) {
         if (seen.sentTo == leader.epoch &&
             ctx.now - seen.sentAt < times.longestReportS
         ) {
@@ -167,7 +177,7 @@
         }
     }
 
-    private fun sendTo(request: RequestId, seen: SeenWorker, leader: Claim, node: String = leader.node) {
+    private fun sendTo(request: RequestId, seen: SeenWorker, leader: LeadershipClaim, node: String = leader.node) {
         seen.sentTo = leader.epoch
         seen.sentToNode = node
         seen.sentAt = ctx.now
--- a/src/main/kotlin/plankwall/core/sessions/ReportBases.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBaselines.kt
@@ -1,28 +1,28 @@
 package plankwall.core.sessions
 
-import plankwall.wire.BatchedReport
-import plankwall.wire.Report
-import plankwall.wire.UnchangedReport
-import plankwall.wire.WholeReport
+import plankwall.wire.BatchedHeartbeat
+import plankwall.wire.FullHeartbeat
+import plankwall.wire.HeartbeatStatus
+import plankwall.wire.UnchangedHeartbeat
 
 /**
- * The leader's copy of the newest whole report of each worker, by the node that sent it: what an [UnchangedReport]
+ * The leader's copy of the newest whole report of each worker, by the node that sent it: what an [UnchangedHeartbeat]
  * refers to. A report that can't be told surely is not told at all: its sender is asked for the whole one.
  */
-class ReportBases {
-    private class Base(val id: Long, val report: Report)
+class HeartbeatBaselines {
+    private class Base(val id: Long, val report: HeartbeatStatus)
 
     private val byNode = HashMap<String, LinkedHashMap<String, Base>>()
 
     /** The report that [sent] by [node] stands for, or null if that is not known here. */
-    fun resolve(node: String, sent: BatchedReport): Report? = when (sent) {
-        is WholeReport -> sent.report.also { keep(node, sent) }
-        is UnchangedReport -> byNode[node]?.get(sent.machine)?.takeIf {
+    fun resolve(node: String, sent: BatchedHeartbeat): HeartbeatStatus? = when (sent) {
+        is FullHeartbeat -> sent.report.also { keep(node, sent) }
+        is UnchangedHeartbeat -> byNode[node]?.get(sent.machine)?.takeIf {
             it.id == sent.baseId
         }?.report?.copy(seq = sent.seq, token = sent.token)
     }
 
-    private fun keep(node: String, sent: WholeReport) {
+    private fun keep(node: String, sent: FullHeartbeat) {
         val bases = byNode.getOrPut(node) { LinkedHashMap() }
         val known = bases[sent.report.machine]
         // Frames may come late, and twice.
--- a/src/main/kotlin/plankwall/core/sessions/ReportBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -1,24 +1,24 @@
 package plankwall.core.sessions
 
-import plankwall.core.connectivity.Claim
-import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.LeadershipClaim
+import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.core.statemachine.Context
-import plankwall.wire.BatchedReport
-import plankwall.wire.Report
-import plankwall.wire.ReportBatch
-import plankwall.wire.UnchangedReport
-import plankwall.wire.WholeReport
+import plankwall.wire.BatchedHeartbeat
+import plankwall.wire.FullHeartbeat
+import plankwall.wire.HeartbeatBatch
+import plankwall.wire.HeartbeatStatus
+import plankwall.wire.UnchangedHeartbeat
 
 /**
  * Collects the reports of the workers whose sessions this node serves into few frames for the leader, and says of a
  * report that only repeats what the leader has from here already just that.
  */
-class ReportBatcher(private val ctx: Context, private val picture: LinkPicture) {
+class HeartbeatBatcher(private val ctx: Context, private val reachability: ReachabilityMatrix) {
     /** A whole report that the leader of [epoch] has answered, so it has it. */
-    private class Base(val id: Long, val epoch: Long, val report: Report)
+    private class Base(val id: Long, val epoch: Long, val report: HeartbeatStatus)
 
-    private class Open(val leader: Claim, val echo: Long, val since: Double) {
-        val reports = ArrayList<BatchedReport>()
+    private class Open(val leader: LeadershipClaim, val echo: Long, val since: Double) {
+        val reports = ArrayList<BatchedHeartbeat>()
         var bytes = 0
         var changed = false
     }
@@ -36,10 +36,16 @@
      * Takes [report] under the number [id] for [leader]; what was collected for another leader goes nowhere. True if it
      * goes whole: its answer shows that the leader has it.
      */
-    fun add(id: Long, leader: Claim, address: String, report: Report, whole: Boolean = false): Boolean {
+    fun add(
+        id: Long,
+        leader: LeadershipClaim,
+        address: String,
+        report: HeartbeatStatus,
+        whole: Boolean = false,
+    ): Boolean {
         val batch =
             open?.takeIf { it.leader.epoch == leader.epoch }
-                ?: Open(leader, picture.lastFrom(leader.node), ctx.now).also { open = it }
+                ?: Open(leader, reachability.lastFrom(leader.node), ctx.now).also { open = it }
         val base = if (whole) {
             null
         } else {
@@ -49,10 +55,10 @@
             }
         }
         if (base == null) {
-            batch.reports.add(WholeReport(id, address, report))
+            batch.reports.add(FullHeartbeat(id, address, report))
             batch.changed = true
         } else {
-            batch.reports.add(UnchangedReport(id, address, report.machine, base.id, report.seq, report.token))
+            batch.reports.add(UnchangedHeartbeat(id, address, report.machine, base.id, report.seq, report.token))
         }
         batch.bytes += sizeOf(batch.reports.last())
         return base == null
@@ -61,11 +67,11 @@
     /**
      * All but the number and the highest token. A notice runs down by itself, so a report with one is never the same.
      */
-    private fun saysTheSame(base: Report, report: Report): Boolean =
+    private fun saysTheSame(base: HeartbeatStatus, report: HeartbeatStatus): Boolean =
         report.noticeS == null && base == report.copy(seq = base.seq, token = base.token)
 
     /** The leader of [epoch] has answered the whole report [id]. */
-    fun answered(id: Long, epoch: Long, report: Report) {
+    fun answered(id: Long, epoch: Long, report: HeartbeatStatus) {
         val known = bases[report.machine]
         if (known != null && known.epoch == epoch && known.id >= id) return
         bases.remove(report.machine)
@@ -78,20 +84,20 @@
      * collected for another leader goes nowhere: its workers ask again. [isAwaited]: whether a report is still waited
      * for.
      */
-    fun due(epoch: Long, isAwaited: (id: Long) -> Boolean): List<ReportBatch> {
+    fun due(epoch: Long, isAwaited: (id: Long) -> Boolean): List<HeartbeatBatch> {
         val batch = open?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
         if (!batch.changed && batch.bytes < MAX_BYTES && ctx.now - batch.since < UNCHANGED_WAIT_S) return emptyList()
         open = null
         val reports = batch.reports.filter { isAwaited(it.id) }
-        reports.forEach { if (it is WholeReport) wholes++ else marks++ }
-        return frames(reports).map { ReportBatch(ctx.settings.node, batch.leader.epoch, batch.echo, it) }
+        reports.forEach { if (it is FullHeartbeat) wholes++ else marks++ }
+        return frames(reports).map { HeartbeatBatch(ctx.settings.node, batch.leader.epoch, batch.echo, it) }
     }
 
-    private fun sizeOf(sent: BatchedReport): Int =
-        if (sent is WholeReport) WHOLE_BYTES + sent.report.tasks.size * TASK_BYTES else MARK_BYTES
+    private fun sizeOf(sent: BatchedHeartbeat): Int =
+        if (sent is FullHeartbeat) WHOLE_BYTES + sent.report.tasks.size * TASK_BYTES else MARK_BYTES
 
-    private fun frames(reports: List<BatchedReport>): List<List<BatchedReport>> {
-        val frames = ArrayList<ArrayList<BatchedReport>>()
+    private fun frames(reports: List<BatchedHeartbeat>): List<List<BatchedHeartbeat>> {
+        val frames = ArrayList<ArrayList<BatchedHeartbeat>>()
         var bytes = MAX_BYTES
         for (r in reports) {
             val size = sizeOf(r)
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -1,7 +1,7 @@
 package plankwall.core.sessions
 
 import org.slf4j.LoggerFactory
-import plankwall.core.connectivity.LinkPicture
+import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.core.state.Fleet
 import plankwall.core.state.Machine
 import plankwall.core.statemachine.Context
@@ -19,7 +19,7 @@
  */
 class SessionPlanner(
     private val ctx: Context,
-    private val picture: LinkPicture,
+    private val reachability: ReachabilityMatrix,
     private val fleet: Fleet,
     private val epoch: Long,
     inherited: SessionPlan?,
@@ -100,7 +100,7 @@
      * moment, all would be moved for nothing.
      */
     private fun nodesIn(): List<SessionNode> {
-        for (status in picture.fresh()) {
+        for (status in reachability.fresh()) {
             val capacity = status.sessions?.capacity ?: 0
             if (capacity <= 0) continue
             val seen = nodesSeen.getOrPut(status.node) { Seen(ctx.now) }
--- a/src/main/kotlin/plankwall/core/state/Dependencies.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
@@ -6,11 +6,11 @@
  * back, so every node that has read them comes to the same result: the leader for what may start, each node for what
  * users are told. Chains may be of any length, hence no recursion.
  */
-class Dependencies {
+class DependencyGraph {
     /** By job: those it names that are not known to be done. */
     private val open = HashMap<String, LinkedHashSet<String>>()
     private val dependents = HashMap<String, LinkedHashSet<String>>()
-    private val withdrawn = HashSet<String>()
+    private val cancelled = HashSet<String>()
 
     /** Takes up [id], which needs [names]. Returns the jobs that are withdrawn by that: it may name a withdrawn one. */
     fun add(id: String, names: List<String>): List<String> {
@@ -18,10 +18,10 @@
         open[id] = LinkedHashSet(names)
         names.forEach { dependents.getOrPut(it) { LinkedHashSet() }.add(id) }
         return if (names.any {
-                it in withdrawn
+                it in cancelled
             }
         ) {
-            listOf(id).filter { it !in withdrawn } + withdrawn(id)
+            listOf(id).filter { it !in cancelled } + cancelled(id)
         } else {
             emptyList()
         }
@@ -30,17 +30,17 @@
     /** [id] is done for good. Returns the jobs that wait for nothing any more. */
     fun done(id: String): List<String> = dependents.remove(id).orEmpty().filter { job ->
         val left = open[job]
-        left != null && left.remove(id) && left.isEmpty() && job !in withdrawn
+        left != null && left.remove(id) && left.isEmpty() && job !in cancelled
     }
 
     /** [id] is withdrawn for good. Returns the jobs that are so through it, those nearest first. */
-    fun withdrawn(id: String): List<String> {
-        if (!withdrawn.add(id)) return emptyList()
+    fun cancelled(id: String): List<String> {
+        if (!cancelled.add(id)) return emptyList()
         val found = ArrayList<String>()
         val next = ArrayDeque(listOf(id))
         while (next.isNotEmpty()) {
             for (job in dependents[next.removeFirst()].orEmpty()) {
-                if (!withdrawn.add(job)) continue
+                if (!cancelled.add(job)) continue
                 found.add(job)
                 next.addLast(job)
             }
@@ -55,18 +55,18 @@
             others.remove(id)
             if (others.isEmpty()) dependents.remove(name)
         }
-        if (withdrawn.remove(id)) dependents.remove(id)
+        if (cancelled.remove(id)) dependents.remove(id)
     }
 
     fun clear() {
         open.clear()
         dependents.clear()
-        withdrawn.clear()
+        cancelled.clear()
     }
 
     fun isReady(id: String): Boolean = open[id].isNullOrEmpty()
 
-    fun isWithdrawn(id: String): Boolean = id in withdrawn
+    fun isCancelled(id: String): Boolean = id in cancelled
 
     /** What [id] waits for as far as known. */
     fun openOf(id: String): Set<String> = open[id].orEmpty()
--- a/src/main/kotlin/plankwall/core/state/Pipelines.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -13,16 +13,16 @@
  * ready only when the final record of every job that it names has been read, or written by this leader, as done. One
  * that is merely missing from the book is looked up; what can't be read yet is not done yet.
  */
-class Pipelines(
+class DependencyTracker(
     private val ctx: Context,
     private val store: LeaderStore,
     private val fleet: Fleet,
     private val find: (String) -> Job?,
-    private val withdraw: (job: Job, through: String) -> Unit,
+    private val cancel: (job: Job, through: String) -> Unit,
     private val becameReady: (Job) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("pipelines")
-    private val graph = Dependencies()
+    private val graph = DependencyGraph()
 
     /** Named by waiting jobs and not in the book, with the moment of the next look. */
     private val missing = LinkedHashMap<String, Double>()
@@ -46,10 +46,10 @@
     }
 
     /** [job] is stored as withdrawn by its user, or follows one that is. */
-    fun withdrawn(job: Job) {
-        spread(job.spec.id, graph.withdrawn(job.spec.id))
+    fun cancelled(job: Job) {
+        spread(job.spec.id, graph.cancelled(job.spec.id))
         // It raises nothing any more; where all go with it, nothing is to be done for them either.
-        job.spec.dependencies.mapNotNull(find).filter { !it.withdrawn }.forEach(::pull)
+        job.spec.dependencies.mapNotNull(find).filter { !it.cancelled }.forEach(::pull)
     }
 
     /** The final record of [id] says how it ended; [atMs] 0 where an older version wrote it. */
@@ -58,7 +58,7 @@
         if (stage == JobStage.DONE) {
             for (name in graph.done(id)) find(name)?.let { ready(it, id, atMs) }
         } else {
-            spread(id, graph.withdrawn(id))
+            spread(id, graph.cancelled(id))
         }
         graph.over(id)
     }
@@ -70,7 +70,7 @@
     }
 
     private fun spread(through: String, ids: List<String>) = ids.forEach { id ->
-        find(id)?.let { withdraw(it, through) }
+        find(id)?.let { cancel(it, through) }
     }
 
     /** Looks up the ends of jobs that are not in the book: over before this leader came, or news still on their way. */
@@ -98,7 +98,7 @@
         val next = ArrayDeque(listOf(from))
         while (next.isNotEmpty()) {
             val job = next.removeFirst()
-            val needing = graph.dependentsOf(job.spec.id).mapNotNull(find).filter { !it.withdrawn }
+            val needing = graph.dependentsOf(job.spec.id).mapNotNull(find).filter { !it.cancelled }
             val priority =
                 needing.maxOfOrNull { it.priority }?.let { maxOf(it, job.spec.priority) } ?: job.spec.priority
             val due = minOf(job.ownDueMs, needing.minOfOrNull { startByMs(it) } ?: Long.MAX_VALUE)
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -3,12 +3,12 @@
 import plankwall.core.statemachine.Context
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
-import plankwall.model.MachineIx
+import plankwall.model.MachineIndex
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.ListedMachine
-import plankwall.wire.Report
 
 /** A machine that was rented and has not registered yet. */
-class Arrival(val machine: String, val group: GroupKey, val rentedAt: Double, val rentedMs: Long)
+class BootingMachine(val machine: String, val group: GroupKey, val rentedAt: Double, val rentedMs: Long)
 
 /** All machines that the leader knows, by name and by index. */
 class Fleet(private val ctx: Context) {
@@ -27,7 +27,7 @@
         }
 
     /** Machines rented and not registered yet. */
-    val arrivals = LinkedHashMap<String, Arrival>()
+    val arrivals = LinkedHashMap<String, BootingMachine>()
 
     val machines: Collection<Machine> get() = byId.values
 
@@ -36,7 +36,7 @@
     fun isGone(id: String): Boolean = id in gone
 
     fun machine(id: String): Machine = byId.getOrPut(id) {
-        Machine(MachineIx(nextIx++), id).also { it.firstSeen = ctx.now }
+        Machine(MachineIndex(nextIx++), id).also { it.firstSeen = ctx.now }
     }
 
     fun describe(m: Machine, group: GroupKey, address: String) {
@@ -47,7 +47,7 @@
         if (address.isNotEmpty()) m.address = address
     }
 
-    fun describe(m: Machine, r: Report) = describe(m, GroupKey(r.type, r.zone, r.spot), r.address)
+    fun describe(m: Machine, r: HeartbeatStatus) = describe(m, GroupKey(r.type, r.zone, r.spot), r.address)
 
     fun describe(m: Machine, l: ListedMachine) {
         describe(m, l.group, l.address)
--- a/src/main/kotlin/plankwall/core/state/Jobs.kt
+++ b/src/main/kotlin/plankwall/core/state/Jobs.kt
@@ -1,19 +1,19 @@
 package plankwall.core.state
 
-import plankwall.model.ImageIx
-import plankwall.model.JobIx
+import plankwall.model.ImageIndex
+import plankwall.model.JobIndex
 import plankwall.model.JobSpec
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.model.TeamIx
+import plankwall.model.TeamIndex
 import plankwall.wire.JobProgress
 import plankwall.wire.Keys
 import plankwall.wire.TaskStage
 import java.util.BitSet
 
 /** Why a placement is being ended. */
-enum class StopCause { WITHDRAWN, PREEMPTED, DRAINED, GANG }
+enum class StopCause { CANCELLED, PREEMPTED, DRAINED, GANG }
 
 /**
  * One attempt of one task on one machine. From the moment it is planned until there is proof that the task is gone,
@@ -91,7 +91,7 @@
  * All that decides whether a task fits somewhere, its job's other tasks aside; the priority because it decides which
  * reserved room is open to it.
  */
-data class FitKey(
+data class EquivalenceClass(
     val need: Resources,
     val types: List<String>?,
     val zone: String?,
@@ -102,10 +102,10 @@
 )
 
 class Job(
-    val ix: JobIx,
+    val ix: JobIndex,
     val spec: JobSpec,
-    val team: TeamIx,
-    val image: ImageIx,
+    val team: TeamIndex,
+    val image: ImageIndex,
     val pageSize: Int,
     val submittedMs: Long,
     val learnedAt: Double,
@@ -116,12 +116,12 @@
 
     /** Who proved to have submitted it, where callers prove who they are. */
     var owner: String? = null
-    var withdrawn = false
-    var withdrawnMs = 0L
+    var cancelled = false
+    var cancelledMs = 0L
     var finishing = false
 
     /** Withdrawn for the sake of a job that it needs: that follows from what is stored already. */
-    var withdrawnThrough = false
+    var cancelledByDependency = false
 
     /** All jobs that it needs are done. Until then it is no demand, and nothing of it starts. */
     var ready = false
@@ -221,7 +221,7 @@
         private set
 
     private fun fitFor(priority: Priority) =
-        FitKey(spec.need, spec.types, spec.zone, spec.spot, priority, spareTime, overlooked)
+        EquivalenceClass(spec.need, spec.types, spec.zone, spec.spot, priority, spareTime, overlooked)
 
     /** The zone in which room for a gang is being gathered, and since when. */
     var gatherZone: String? = null
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -1,15 +1,15 @@
 package plankwall.core.state
 
 import plankwall.model.GroupKey
-import plankwall.model.ImageIx
-import plankwall.model.MachineIx
+import plankwall.model.ImageIndex
+import plankwall.model.MachineIndex
 import plankwall.model.MachineType
 import plankwall.model.Resources
 import plankwall.model.Shape
 import plankwall.wire.ListedState
 
 /** What the leader knows of one machine. */
-class Machine(val ix: MachineIx, val id: String) {
+class Machine(val ix: MachineIndex, val id: String) {
     var group: GroupKey? = null
     var type: MachineType? = null
         set(value) {
@@ -26,7 +26,7 @@
     var seq = 0L
 
     /** The newest check-in. Answers to direct commands also raise [seq], and may overtake a check-in under way. */
-    var checkInSeq = 0L
+    var heartbeatSeq = 0L
 
     /** The token that this worker has been shown, or 0 for the leader's epoch. */
     var token = 0L
@@ -141,27 +141,27 @@
     private fun key(job: Job, task: Int) = (job.ix.value.toLong() shl 20) or task.toLong()
 
     /** Seconds until [image] would be on the machine if a task needing it were placed now. */
-    fun fetchWait(image: ImageIx, gb: Double, now: Double): Double {
+    fun fetchWait(image: ImageIndex, gb: Double, now: Double): Double {
         val cached = images[image.value]
         if (cached != null) return (cached.readyAt - now).coerceAtLeast(0.0)
         return (fetchBusyUntil - now).coerceAtLeast(0.0) + fetchS(gb)
     }
 
     /** Seconds by which fetching [image] too would delay, on the whole, those who wait here for other images. */
-    fun fetchDelay(image: ImageIx, gb: Double, now: Double): Double {
+    fun fetchDelay(image: ImageIndex, gb: Double, now: Double): Double {
         if (images[image.value] != null) return 0.0
         return minOf((fetchBusyUntil - now).coerceAtLeast(0.0), fetchS(gb)) * 0.5
     }
 
     private fun fetchS(gb: Double): Double = type?.fetchS(gb) ?: gb
 
-    fun willFetch(image: ImageIx, gb: Double, now: Double) {
+    fun willFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
         if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
         noteImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
     }
 
-    fun noteImage(image: ImageIx, gb: Double, readyAt: Double) {
+    fun noteImage(image: ImageIndex, gb: Double, readyAt: Double) {
         images.remove(image.value)
         images[image.value] = CachedImage(gb, readyAt)
         var total = images.values.sumOf { it.gb }
--- a/src/main/kotlin/plankwall/core/state/JobBook.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -3,11 +3,11 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.statemachine.Context
 import plankwall.core.store.LeaderStore
-import plankwall.model.ImageIx
-import plankwall.model.JobIx
+import plankwall.model.ImageIndex
+import plankwall.model.JobIndex
 import plankwall.model.JobStage
 import plankwall.model.Resources
-import plankwall.model.TeamIx
+import plankwall.model.TeamIndex
 import plankwall.wire.JobRecord
 import plankwall.wire.Keys
 import plankwall.wire.PageRecord
@@ -17,16 +17,16 @@
  * The leader's book of live jobs, their tasks, placements and attempts, and its copy in the state service. The book
  * may run ahead of the store; commands only follow what the store has confirmed.
  */
-class JobBook(
+class SchedulerState(
     private val ctx: Context,
     private val store: LeaderStore,
     private val fleet: Fleet,
-    private val isCancelled: (String) -> Boolean = { false },
+    private val isCancelledElsewhere: (String) -> Boolean = { false },
 ) {
     private val log = LoggerFactory.getLogger("jobs")
     private val jobs = LinkedHashMap<String, Job>()
-    private val writer = JobWriter(ctx, store, ::learn, ::forget)
-    private val pipelines = Pipelines(ctx, store, fleet, ::find, ::withdrawThrough, ::becameReady)
+    private val writer = StateWriter(ctx, store, ::learn, ::forget)
+    private val pipelines = DependencyTracker(ctx, store, fleet, ::find, ::cancelByDependency, ::becameReady)
     private val used = Array(ctx.settings.teams.size) { Resources.NONE }
     private var nextIx = 0
     private var nextDemand = 0
@@ -36,9 +36,11 @@
 
     fun find(id: String): Job? = jobs[id]
 
-    fun used(team: TeamIx): Resources = used[team.value]
+    fun used(team: TeamIndex): Resources = used[team.value]
 
-    fun withinLimit(team: TeamIx, extra: Resources): Boolean = ctx.settings.teams[team.value].allows(used(team) + extra)
+    fun withinLimit(team: TeamIndex, extra: Resources): Boolean = ctx.settings.teams[team.value].allows(
+        used(team) + extra,
+    )
 
     /** Rises whenever a job comes or goes. */
     var changes = 0
@@ -54,10 +56,10 @@
             job.version = version
             // An older version that withdraws a job rewrites its record without the owner.
             job.owner = record.owner ?: job.owner
-            if (record.withdrawnMs > 0 && !job.withdrawn) withdraw(job, record.withdrawnMs)
+            if (record.cancelledMs > 0 && !job.cancelled) cancel(job, record.cancelledMs)
             // What this was read from may be older than what a user was told.
-            if (!job.withdrawn && isCancelled(id)) withdraw(job, ctx.time.wallMs)
-            soil(job)
+            if (!job.cancelled && isCancelledElsewhere(id)) cancel(job, ctx.time.wallMs)
+            markDirty(job)
         }
     }
 
@@ -69,10 +71,10 @@
             log.error("job {} is of team {}, which the settings no longer have", spec.id, spec.team)
             return null
         }
-        val team = TeamIx(known)
-        val image = ImageIx(ctx.names.images.intern(spec.image))
+        val team = TeamIndex(known)
+        val image = ImageIndex(ctx.names.images.intern(spec.image))
         val job =
-            Job(JobIx(nextIx++), spec, team, image, record.pageSize, record.submittedMs, ctx.now, isExpected(record))
+            Job(JobIndex(nextIx++), spec, team, image, record.pageSize, record.submittedMs, ctx.now, isExpected(record))
         for (task in 0 until spec.tasks) job.waiting.addLast(task)
         jobs[spec.id] = job
         changes++
@@ -82,7 +84,7 @@
     }
 
     /** A guarantee is an aim of its own, for whatever its team submits. */
-    private fun isExpected(record: JobRecord): Boolean = ctx.aims.isStated(record.spec.jobClass) ||
+    private fun isExpected(record: JobRecord): Boolean = ctx.objectives.isStated(record.spec.jobClass) ||
         ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
 
     /** A job known to the store when we took over: its page tells what may be running. */
@@ -106,9 +108,9 @@
             placement.commanded = true
             placement.plannedAt = ctx.now
             attach(placement)
-            if (job.withdrawn) stop(placement, StopCause.WITHDRAWN, 0.0)
+            if (job.cancelled) stop(placement, StopCause.CANCELLED, 0.0)
         }
-        if (job.complete) soil(job)
+        if (job.complete) markDirty(job)
     }
 
     /** Once all pages are restored: what is neither done nor placed waits. */
@@ -129,14 +131,14 @@
         machine.willFetch(job.image, job.spec.imageGb, ctx.now)
         job.pageOf(task).dirty = true
         job.urgent = true
-        soil(job)
+        markDirty(job)
         return p
     }
 
     fun stop(p: Placement, cause: StopCause, graceS: Double) {
         if (p.stopping != null) {
             // A withdrawal overrides the patience shown before.
-            if (cause == StopCause.WITHDRAWN) {
+            if (cause == StopCause.CANCELLED) {
                 p.stopping = cause
                 p.graceS = 0.0
             }
@@ -167,7 +169,7 @@
         used[job.team.value] -= job.spec.need
         job.pageOf(p.task).dirty = true
         if (!job.done[p.task]) job.waiting.addFirst(p.task)
-        soil(job)
+        markDirty(job)
         log.info("released {} from {}: {}", p.id, p.machine.id, proof)
         // A gang's attempt is spent as soon as one task of it is lost.
         if (job.isGang && !job.done[p.task]) {
@@ -177,7 +179,7 @@
 
     fun complete(job: Job, task: Int) {
         job.markDone(task)
-        soil(job)
+        markDirty(job)
     }
 
     private fun becameReady(job: Job) {
@@ -187,32 +189,32 @@
         changes++
     }
 
-    private fun withdrawThrough(job: Job, other: String) {
-        if (job.withdrawn) return
+    private fun cancelByDependency(job: Job, other: String) {
+        if (job.cancelled) return
         log.info("job {} follows {}, which is withdrawn", job.spec.id, other)
-        job.withdrawnThrough = true
-        withdraw(job, ctx.time.wallMs)
+        job.cancelledByDependency = true
+        cancel(job, ctx.time.wallMs)
     }
 
     /**
      * A user was told that [id] is withdrawn, by whatever node, so it is stored though not read here yet. Its tasks are
      * stopped at once, which needs nothing stored, and none starts; that anything is gone is proven as ever.
      */
-    fun cancelled(id: String) {
+    fun onCancelled(id: String) {
         val job = jobs[id] ?: return
-        if (!job.withdrawn) withdraw(job, ctx.time.wallMs)
+        if (!job.cancelled) cancel(job, ctx.time.wallMs)
     }
 
-    private fun withdraw(job: Job, atMs: Long) {
-        job.withdrawn = true
-        job.withdrawnMs = atMs
+    private fun cancel(job: Job, atMs: Long) {
+        job.cancelled = true
+        job.cancelledMs = atMs
         log.info("job {} withdrawn with {} tasks placed", job.spec.id, job.placements.size)
-        job.placements.values.toList().forEach { stop(it, StopCause.WITHDRAWN, 0.0) }
-        soil(job)
-        pipelines.withdrawn(job)
+        job.placements.values.toList().forEach { stop(it, StopCause.CANCELLED, 0.0) }
+        markDirty(job)
+        pipelines.cancelled(job)
     }
 
-    private fun soil(job: Job) = writer.soil(job)
+    private fun markDirty(job: Job) = writer.markDirty(job)
 
     fun flush() = writer.flush()
 
--- a/src/main/kotlin/plankwall/core/state/JobWriter.kt
+++ b/src/main/kotlin/plankwall/core/state/StateWriter.kt
@@ -17,7 +17,7 @@
 import java.util.BitSet
 
 /** Brings the book's copy in the state service up to date: pages of tasks, and how jobs ended. */
-class JobWriter(
+class StateWriter(
     private val ctx: Context,
     private val store: LeaderStore,
     private val learned: (id: String, record: JobRecord, version: Long) -> Unit,
@@ -27,7 +27,7 @@
     private val limits = store.limits
     private val dirty = LinkedHashSet<Job>()
 
-    fun soil(job: Job) {
+    fun markDirty(job: Job) {
         if (dirty.add(job)) job.dirtySince = ctx.now
     }
 
@@ -44,7 +44,7 @@
         var room = store.room()
         if (room <= 0 || dirty.isEmpty()) return
         val batch = Batch()
-        val (first, rest) = dirty.partition { it.urgent || (endable(it) && !it.withdrawnThrough) }
+        val (first, rest) = dirty.partition { it.urgent || (endable(it) && !it.cancelledByDependency) }
         for (job in first + rest) {
             if (room <= 0) break
             if (job.version == 0L || job.finishing) continue
@@ -70,7 +70,7 @@
     }
 
     private fun endable(job: Job): Boolean =
-        (job.complete || job.withdrawn) && job.placements.isEmpty() && job.pages.values.none { it.inFlight }
+        (job.complete || job.cancelled) && job.placements.isEmpty() && job.pages.values.none { it.inFlight }
 
     /** Puts [page] into [batch], or divides it if it outgrew a stored value. The number of changes that takes. */
     private fun write(job: Job, page: Page, batch: Batch): Int {
@@ -192,7 +192,7 @@
                 c.page.dirty = true
             }
         }
-        if (c.page.dirty) soil(c.job)
+        if (c.page.dirty) markDirty(c.job)
     }
 
     /**
@@ -243,7 +243,7 @@
         page.partSize = size
         page.cover(page.from, page.from + size)
         job.pages.values.filter { Keys.wholeOf(it.number) == page.number }.forEach { it.dirty = true }
-        soil(job)
+        markDirty(job)
     }
 
     /** Which of the parts stand now may be unknown: their versions are read before the next try. */
@@ -254,7 +254,7 @@
         (parts + page).filter {
             result !is StateResult.Refused && result != StateResult.Rejected
         }.forEach { reread(job, it) }
-        soil(job)
+        markDirty(job)
     }
 
     private fun reread(job: Job, page: Page) {
@@ -284,7 +284,7 @@
 
     /** Moves a job that is over to its final record, in one transaction; leftover pages of huge jobs follow. */
     private fun finish(job: Job): Int {
-        val stage = if (job.complete && !job.withdrawn) JobStage.DONE else JobStage.WITHDRAWN
+        val stage = if (job.complete && !job.cancelled) JobStage.DONE else JobStage.CANCELLED
         val id = job.spec.id
         val endedMs = ctx.time.wallMs
         val stored = job.pages.values.filter { it.version > 0 }
--- a/src/main/kotlin/plankwall/core/state/ZoneRule.kt
+++ b/src/main/kotlin/plankwall/core/state/ZoneConstraint.kt
@@ -5,7 +5,7 @@
  * on a machine of unknown zone rules out every further one. [without]: tasks to be replaced, which only a plan may
  * leave out.
  */
-class ZoneRule(private val job: Job, without: Set<Placement> = emptySet()) {
+class ZoneConstraint(private val job: Job, without: Set<Placement> = emptySet()) {
     private val perZone = HashMap<String, Int>()
     private var unknown = false
 
--- a/src/main/kotlin/plankwall/core/statemachine/Gate.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
@@ -7,7 +7,13 @@
 /**
  * What came with a request that could prove who asks. [address]: the caller's, which never proves anything by itself.
  */
-class Proof(val method: String, val path: String, val body: ByteArray, val authorization: String?, val address: String)
+class Credentials(
+    val method: String,
+    val path: String,
+    val body: ByteArray,
+    val authorization: String?,
+    val address: String,
+)
 
 enum class Action(val word: String) {
     SUBMIT("submit"),
@@ -21,17 +27,17 @@
 }
 
 /** What the rights say, by which rule, and what they want done to the job should they be taken away while it runs. */
-data class Verdict(val allowed: Boolean, val rule: String, val withdrawOnRevoke: Boolean = false)
+data class Verdict(val allowed: Boolean, val rule: String, val cancelOnRevoke: Boolean = false)
 
 /** What was decided on [subject], and the status that tells the caller so. */
 class Decision(val action: Action, val subject: String, val verdict: Verdict, val status: Int)
 
 /** A caller who has proven who he is. */
-interface Visitor {
+interface Caller {
     val name: String
 
     /** [job]: null for what concerns no job, or one of which nothing may be told. */
-    fun judge(action: Action, job: JobFacts?): Verdict
+    fun authorize(action: Action, job: JobFacts?): Verdict
 
     /** Stores a decision that changes nothing else; [then] learns whether it may be told now. */
     fun record(decision: Decision, then: (stored: Boolean) -> Unit)
@@ -44,21 +50,21 @@
 }
 
 /** What a request asks of the keepers of rights and trail themselves. */
-sealed interface KeeperRequest {
-    data object Rights : KeeperRequest
+sealed interface AdminRequest {
+    data object Rights : AdminRequest
 
-    class OldRights(val version: Long) : KeeperRequest
+    class OldRights(val version: Long) : AdminRequest
 
-    class Publish(val base: Long, val text: String) : KeeperRequest
+    class Publish(val base: Long, val text: String) : AdminRequest
 
-    class Rollback(val base: Long, val to: Long) : KeeperRequest
+    class Rollback(val base: Long, val to: Long) : AdminRequest
 
     /** One stored piece of the trail: a segment of [node], or a seal where that is null. */
-    class Trail(val node: String?, val number: Long) : KeeperRequest
+    class Trail(val node: String?, val number: Long) : AdminRequest
 }
 
 /** The leader's means, lent to the gate while it leads. */
-interface TermPower {
+interface LeaseAuthority {
     val epoch: Long
 
     /** Whether something may be stored that nobody waits for. */
@@ -69,17 +75,17 @@
  * Stands between callers and the front desk where the operators want every request tied to somebody. Without one,
  * anybody may do anything, as PROTOCOL has it.
  */
-interface Gate {
+interface AccessCheck {
     /** Lets a caller in who proves who he is; whoever does not is answered here. */
-    fun enter(request: RequestId, proof: Proof, then: (Visitor) -> Unit)
+    fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit)
 
-    fun keep(request: RequestId, proof: Proof, asked: KeeperRequest)
+    fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest)
 
     /**
      * Why a worker's report from [address] is not listened to, or null. [listed]: what the cloud says its address is.
      */
-    fun workerRefused(address: String, claimed: String, listed: String?): String?
+    fun heartbeatRefusal(address: String, claimed: String, listed: String?): String?
 
-    /** [power]: null while this node does not lead. */
-    fun tick(power: TermPower?)
+    /** [authority]: null while this node does not lead. */
+    fun tick(authority: LeaseAuthority?)
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Context.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Context.kt
@@ -1,6 +1,6 @@
 package plankwall.core.statemachine
 
-import plankwall.model.Aims
+import plankwall.model.ServiceLevelObjectives
 import plankwall.model.Settings
 import plankwall.model.SiteNames
 import plankwall.model.Tuning
@@ -121,7 +121,7 @@
 class Context(val settings: Settings, val tuning: Tuning, val incarnation: Long, val random: Random) {
     val time = Time()
     val out = Outbox()
-    val aims = Aims(settings.objectives)
+    val objectives = ServiceLevelObjectives(settings.objectives)
     val names = SiteNames(settings.teams.map { it.name })
 
     private val timers = PriorityQueue<Timer>(compareBy { it.at })
--- a/src/main/kotlin/plankwall/core/statemachine/Messages.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Messages.kt
@@ -3,8 +3,8 @@
 import plankwall.model.JobSpec
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.PeerMessage
-import plankwall.wire.Report
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
@@ -18,28 +18,28 @@
 sealed interface Input {
     data object Tick : Input
 
-    data class Submit(val request: RequestId, val spec: JobSpec, val proof: Proof? = null) : Input
+    data class Submit(val request: RequestId, val spec: JobSpec, val credentials: Credentials? = null) : Input
 
-    data class Show(val request: RequestId, val jobId: String, val proof: Proof? = null) : Input
+    data class Show(val request: RequestId, val jobId: String, val credentials: Credentials? = null) : Input
 
-    data class Withdraw(val request: RequestId, val jobId: String, val proof: Proof? = null) : Input
+    data class Cancel(val request: RequestId, val jobId: String, val credentials: Credentials? = null) : Input
 
-    /** About the rights or the trail; there is an answer only where a [Gate] stands. */
-    data class Keep(val request: RequestId, val asked: KeeperRequest, val proof: Proof) : Input
+    /** About the rights or the trail; there is an answer only where a [AccessCheck] stands. */
+    data class Admin(val request: RequestId, val asked: AdminRequest, val credentials: Credentials) : Input
 
-    data class Up(val request: RequestId) : Input
+    data class HealthCheck(val request: RequestId) : Input
 
     /** [from]: the address that the report came from; empty where nobody looks at it. */
-    data class CheckIn(val request: RequestId, val report: Report, val from: String = "") : Input
+    data class Heartbeat(val request: RequestId, val report: HeartbeatStatus, val from: String = "") : Input
 
     data class StateReply(val call: CallId, val result: StateResult) : Input
 
     data class CloudReply(val call: CallId, val result: CloudResult) : Input
 
     /** The body of a worker's answer to a direct command; null if there was none that could be read. */
-    data class WorkerReply(val machine: String, val report: Report?) : Input
+    data class WorkerReply(val machine: String, val report: HeartbeatStatus?) : Input
 
-    data class PeerHeard(val message: PeerMessage) : Input
+    data class PeerMessageReceived(val message: PeerMessage) : Input
 }
 
 /** Everything that a controller can do about it. */
--- a/src/main/kotlin/plankwall/core/store/Divided.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -13,7 +13,7 @@
  * Values that may outgrow one key: the first says how many further keys hold the rest, and all are written in one
  * transaction. Further keys that the first does not name are left from an earlier time and count for nothing.
  */
-object Divided {
+object ChunkedValue {
     /** The fewest pieces that fit, at most [most]; null if there is no way. */
     private fun <R : Stored> pieces(most: Int, limit: Int, ways: (Int) -> List<List<R>>): List<R>? {
         for (n in 1..most) {
--- a/src/main/kotlin/plankwall/core/store/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/store/StoreLimits.kt
@@ -14,7 +14,7 @@
 
     /**
      * Whether values may be divided among keys that the first version does not read. Only when no process of it can
-     * lead any more, or it would go on with a part: see [Upgrade].
+     * lead any more, or it would go on with a part: see [VersionUpgrade].
      */
     var mayDivide = false
 
--- a/src/main/kotlin/plankwall/core/store/Upgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
@@ -15,7 +15,7 @@
  * of this version that is stored for good: nodes are not put back, and a node that is away later need not be heard
  * again.
  */
-class Upgrade(private val leadership: Leadership, private val store: LeaderStore) {
+class VersionUpgrade(private val leadership: Leadership, private val store: LeaderStore) {
     private val log = LoggerFactory.getLogger("upgrade")
     private var stored = false
     private var writing = false
--- a/src/main/kotlin/plankwall/gateway/Gatehouse.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -2,19 +2,19 @@
 
 import okio.ByteString.Companion.encodeUtf8
 import org.slf4j.LoggerFactory
-import plankwall.audit.Sealer
-import plankwall.audit.TrailEntry
-import plankwall.audit.TrailWriter
+import plankwall.audit.AuditEntry
+import plankwall.audit.AuditLogSealer
+import plankwall.audit.AuditLogWriter
+import plankwall.core.statemachine.AccessCheck
 import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.AdminRequest
+import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.Credentials
 import plankwall.core.statemachine.Decision
-import plankwall.core.statemachine.Gate
-import plankwall.core.statemachine.KeeperRequest
-import plankwall.core.statemachine.Proof
+import plankwall.core.statemachine.LeaseAuthority
 import plankwall.core.statemachine.RequestId
-import plankwall.core.statemachine.TermPower
 import plankwall.core.statemachine.Verdict
-import plankwall.core.statemachine.Visitor
 import plankwall.identity.Claims
 import plankwall.identity.Networks
 import plankwall.identity.ReplayGuard
@@ -29,43 +29,43 @@
 import plankwall.wire.StateResult
 
 /** Lets in who proves who he is, has the rights judge what he wants, and the trail keep what was decided. */
-class Gatehouse(private val ctx: Context, private val settings: GateSettings) : Gate {
+class AccessGateway(private val ctx: Context, private val settings: GatewaySettings) : AccessCheck {
     private val log = LoggerFactory.getLogger("gate")
-    private val book = RightsBook(ctx, settings.firstRights)
-    private val trail = TrailWriter(ctx, ctx.settings.node, settings.trailShare)
-    private val sealer = Sealer(ctx, settings.nodeKey, settings.sealS)
-    private val sweep = RevocationSweep(ctx, book, trail, ::entry)
-    private val keeper = Keeper(ctx, book, ::entered)
+    private val schedulerState = PolicyStore(ctx, settings.firstRights)
+    private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.trailShare)
+    private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.sealS)
+    private val sweep = RevocationTask(ctx, schedulerState, auditLog, ::entry)
+    private val adminService = AdminService(ctx, schedulerState, ::entered)
     private val toleranceMs = settings.clockToleranceMs + ctx.settings.timeBoundMs.toLong() + 1
     private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenS * 1000).toLong())
     private val used = ReplayGuard(MAX_USED)
     private val looking = object : LinkedHashMap<String, Claims>(16, 0.75f, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, Claims>): Boolean = size > MAX_LOOKING
     }
-    private val byPrincipal = Limits(ctx.time, settings.denialsPerS, settings.denialBurst)
-    private val byNetwork = Limits(ctx.time, settings.denialsPerS, settings.denialBurst)
+    private val byPrincipal = GatewayLimits(ctx.time, settings.denialsPerS, settings.denialBurst)
+    private val byNetwork = GatewayLimits(ctx.time, settings.denialsPerS, settings.denialBurst)
     private var nextDecision = 0L
     private var nextShed = 0.0
     private var epoch = 0L
 
     /** The version of the rights that this node goes by; 0: none yet. */
-    val version: Long get() = book.policy.version
+    val version: Long get() = schedulerState.policy.version
 
     /** Who may open a link as a peer, by the rights that hold now. */
-    val peerNetworks: Networks? get() = book.policy.peers
+    val peerNetworks: Networks? get() = schedulerState.policy.peers
 
-    override fun tick(power: TermPower?) {
-        epoch = power?.epoch ?: 0L
-        book.tick()
-        trail.tick()
-        sealer.tick(power)
-        sweep.tick(power)
+    override fun tick(authority: LeaseAuthority?) {
+        epoch = authority?.epoch ?: 0L
+        schedulerState.tick()
+        auditLog.tick()
+        sealer.tick(authority)
+        sweep.tick(authority)
         if (ctx.now >= nextShed) {
             nextShed = ctx.now + SHED_EVERY_S
             for ((kind, limits) in listOf("principal" to byPrincipal, "network" to byNetwork)) {
                 limits.takeShed().forEach { (name, n) ->
                     log.info("{} {}: {} requests turned away unjudged", kind, name, n)
-                    trail.note(
+                    auditLog.note(
                         entry(
                             Who(name, "", ""),
                             "shed",
@@ -85,76 +85,86 @@
     class Who(val name: String, val key: String, val network: String, val request: String = "")
 
     private fun entry(who: Who, action: String, subject: String, verdict: Verdict, status: Int, note: String = "") =
-        TrailEntry(
+        AuditEntry(
             "${ctx.incarnation.toString(
                 36,
             )}-${(nextDecision++).toString(36)}",
             ctx.time.wallMs, epoch, who.name, who.key, who.network,
-            action, subject, verdict.allowed, verdict.rule, book.policy.version, status, who.request, note,
+            action, subject, verdict.allowed, verdict.rule, schedulerState.policy.version, status, who.request, note,
         )
 
-    override fun enter(request: RequestId, proof: Proof, then: (Visitor) -> Unit) = entered(request, proof) { then(it) }
+    override fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit) =
+        entered(request, credentials) {
+            then(it)
+        }
 
-    override fun keep(request: RequestId, proof: Proof, asked: KeeperRequest) = keeper.handle(request, proof, asked)
+    override fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest) =
+        adminService.handle(request, credentials, asked)
 
-    private fun entered(request: RequestId, proof: Proof, then: (Guest) -> Unit) {
-        val network = Networks.neighbourhood(proof.address)
+    private fun entered(request: RequestId, credentials: Credentials, then: (Guest) -> Unit) {
+        val network = Networks.neighbourhood(credentials.address)
         when {
             byNetwork.exhausted(network) -> tooMany(request, byNetwork)
-            !book.known -> ctx.out.answer(request, 503, JobCodec.error("who may do what is not known yet"), 1)
-            else -> when (val result = prove(proof)) {
+            !schedulerState.known -> ctx.out.answer(request, 503, JobCodec.error("who may do what is not known yet"), 1)
+            else -> when (val result = prove(credentials)) {
                 is TokenResult.Refused -> refuse(
                     request,
-                    Who("", "", network, nameless(proof)),
+                    Who("", "", network, nameless(credentials)),
                     401,
                     result.reason,
                     network,
                 )
-                is TokenResult.Proven -> admit(request, proof, result.claims, network, then)
+                is TokenResult.Proven -> admit(request, credentials, result.claims, network, then)
             }
         }
     }
 
-    private fun prove(proof: Proof): TokenResult {
-        val seen = proof.authorization?.let { looking[it] }
+    private fun prove(credentials: Credentials): TokenResult {
+        val seen = credentials.authorization?.let { looking[it] }
         // Its signature held before; whether its key still does is asked each time.
         if (seen != null &&
             seen.expiresMs > ctx.time.wallMs &&
-            book.policy.publicKey(seen.principal, seen.key)?.holds(ctx.time.wallMs, toleranceMs) == true
+            schedulerState.policy.publicKey(seen.principal, seen.key)?.holds(ctx.time.wallMs, toleranceMs) == true
         ) {
             return TokenResult.Proven(seen)
         }
-        val result = tokens.read(proof.authorization, ctx.time.wallMs) { principal, key ->
-            book.policy.publicKey(principal, key)
+        val result = tokens.read(credentials.authorization, ctx.time.wallMs) { principal, key ->
+            schedulerState.policy.publicKey(principal, key)
         }
         if (result is TokenResult.Proven &&
             result.claims.binds == null
         ) {
-            proof.authorization?.let { looking[it] = result.claims }
+            credentials.authorization?.let { looking[it] = result.claims }
         }
         return result
     }
 
-    private fun admit(request: RequestId, proof: Proof, claims: Claims, network: String, then: (Guest) -> Unit) {
+    private fun admit(
+        request: RequestId,
+        credentials: Credentials,
+        claims: Claims,
+        network: String,
+        then: (Guest) -> Unit,
+    ) {
         val who = Who(claims.principal, claims.key, network, claims.id)
-        val principal = book.policy.principals[claims.principal]
-        val fresh = book.fresh(settings.failClosedS)
+        val principal = schedulerState.policy.principals[claims.principal]
+        val fresh = schedulerState.fresh(settings.failClosedS)
         val binds = claims.binds
         when {
             byPrincipal.exhausted(who.name) -> tooMany(request, byPrincipal)
             principal?.networks?.contains(
-                proof.address,
+                credentials.address,
             ) == false -> refuse(request, who, 403, "not from this network", network)
-            binds == null && proof.method != "GET" -> refuse(
+            binds == null && credentials.method != "GET" -> refuse(
                 request,
                 who,
                 401,
                 "a token that is bound to no request is good for looking only",
                 network,
             )
-            binds != null && binds != Tokens.fingerprintOf(proof.method, proof.path, proof.body) ->
+            binds != null && binds != Tokens.fingerprintOf(credentials.method, credentials.path, credentials.body) ->
                 refuse(request, who, 401, "the token was made for another request", network)
-            !fresh && proof.method != "GET" -> ctx.out.answer(
+            !fresh && credentials.method != "GET" -> ctx.out.answer(
                 request,
                 503,
                 JobCodec.error("what you may do can't be checked now"),
@@ -177,10 +187,10 @@
     }
 
     /** What a request is called in the trail that nobody can be said to have made: by what was sent as its proof. */
-    private fun nameless(proof: Proof): String =
-        "unproven-" + (proof.authorization ?: "").take(MAX_PROOF).encodeUtf8().sha256().base64Url().take(NAMELESS)
+    private fun nameless(credentials: Credentials): String =
+        "unproven-" + (credentials.authorization ?: "").take(MAX_PROOF).encodeUtf8().sha256().base64Url().take(NAMELESS)
 
-    private fun tooMany(request: RequestId, limits: Limits) =
+    private fun tooMany(request: RequestId, limits: GatewayLimits) =
         ctx.out.answer(request, 429, JobCodec.error("too many denied requests"), limits.retryAfterS())
 
     /** Turned away at the door, told only once that is in the trail. */
@@ -188,7 +198,7 @@
         // Only the network: with a captured token anybody could else use up what its owner may be denied.
         byNetwork.denied(network)
         log.info("{} from {} refused: {}", who.name.ifEmpty { "nobody known" }, network, reason)
-        trail.note(entry(who, "enter", "", Verdict(false, reason), status)) { stored ->
+        auditLog.note(entry(who, "enter", "", Verdict(false, reason), status)) { stored ->
             if (stored) ctx.out.answer(request, status, JobCodec.error(reason)) else unstored(request)
         }
     }
@@ -196,8 +206,8 @@
     private fun unstored(request: RequestId) =
         ctx.out.answer(request, 503, JobCodec.error("the decision can't be recorded now"), 1)
 
-    override fun workerRefused(address: String, claimed: String, listed: String?): String? {
-        val ranges = book.policy.workers
+    override fun heartbeatRefusal(address: String, claimed: String, listed: String?): String? {
+        val ranges = schedulerState.policy.workers
         return when {
             ranges != null && !ranges.contains(address) -> "workers may not report from this network"
             !settings.workersAtListedAddress || listed.isNullOrEmpty() -> null
@@ -208,17 +218,17 @@
     }
 
     /** [ownOnly]: the rights are old, so all that is left is looking at one's own jobs. */
-    inner class Guest(private val who: Who, private val ownOnly: Boolean) : Visitor {
+    inner class Guest(private val who: Who, private val ownOnly: Boolean) : Caller {
         override val name: String get() = who.name
 
-        override fun judge(action: Action, job: JobFacts?): Verdict {
+        override fun authorize(action: Action, job: JobFacts?): Verdict {
             if (ownOnly) {
                 return Verdict(
                     action == Action.SHOW && job?.owner == name,
                     "rights too old: own jobs may be looked at",
                 )
             }
-            return book.policy.judge(name, action, job)
+            return schedulerState.policy.authorize(name, action, job)
         }
 
         override fun record(decision: Decision, then: (Boolean) -> Unit) {
@@ -228,19 +238,19 @@
                 log.info("{} may not {} {}: {}", name, decision.action.word, decision.subject, decision.verdict.rule)
             }
             // A look at one's own needs no waiting for a store that is away; it is recorded when that is back.
-            if (ownOnly && decision.verdict.allowed) then(trail.noteLater(e)) else trail.note(e, then)
+            if (ownOnly && decision.verdict.allowed) then(auditLog.noteLater(e)) else auditLog.note(e, then)
         }
 
         private fun entry(d: Decision) = entry(who, d.action.word, d.subject, d.verdict, d.status)
 
         override fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit) {
             val own = txn.guards.any { it.key == AccessKeys.HEAD }
-            val guarded = if (own) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, book.stamp))
-            trail.change(entry(decision), guarded) { result ->
+            val guarded = if (own) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, schedulerState.stamp))
+            auditLog.change(entry(decision), guarded) { result ->
                 if (result is StateResult.Conflict &&
                     AccessKeys.HEAD in result.failed
                 ) {
-                    book.refresh { then(result) }
+                    schedulerState.refresh { then(result) }
                 } else {
                     then(result)
                 }
--- a/src/main/kotlin/plankwall/gateway/Limits.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewayLimits.kt
@@ -7,7 +7,7 @@
  * How often each of many may still be denied before it is no longer judged. Bounded: the one unseen for longest is
  * forgotten, and may begin anew.
  */
-class Limits(private val time: Time, private val perSecond: Double, private val burst: Double) {
+class GatewayLimits(private val time: Time, private val perSecond: Double, private val burst: Double) {
     private val budgets = object : LinkedHashMap<String, Budget>(16, 0.75f, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, Budget>): Boolean = size > MAX_NAMES
     }
--- a/src/main/kotlin/plankwall/gateway/GateSettings.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
@@ -4,7 +4,7 @@
 import plankwall.identity.SigningKey
 
 /** What the operators set about identities and trail. Times in seconds unless the name says otherwise. */
-class GateSettings(
+class GatewaySettings(
     /** The name that tokens must be meant for: one for each installation. */
     val audience: String,
     /** The text of the first version of the rights, for a state service that holds none. */
--- a/src/main/kotlin/plankwall/gateway/RightsBook.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -2,9 +2,9 @@
 
 import okio.ByteString.Companion.encodeUtf8
 import org.slf4j.LoggerFactory
-import plankwall.authorization.BadRights
+import plankwall.authorization.InvalidPolicyException
 import plankwall.authorization.Policy
-import plankwall.authorization.RightsReader
+import plankwall.authorization.PolicyReader
 import plankwall.core.statemachine.Context
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
@@ -18,7 +18,7 @@
  * The rights as the state service holds them. Read anew several times a second, so that what was revoked is refused
  * everywhere within a second; that no change slips through meanwhile is seen to by the guard on the head's stamp.
  */
-class RightsBook(private val ctx: Context, private val firstRights: String?) {
+class PolicyStore(private val ctx: Context, private val firstRights: String?) {
     private val log = LoggerFactory.getLogger("rights")
 
     var policy: Policy = Policy.NOBODY
@@ -97,10 +97,10 @@
             return@readText
         }
         policy = try {
-            RightsReader.read(read, found.version).also {
+            PolicyReader.read(read, found.version).also {
                 log.info("rights version {} by {}: {} principals", found.version, found.by, it.principals.size)
             }
-        } catch (e: BadRights) {
+        } catch (e: InvalidPolicyException) {
             // Checked before it was stored, so it is a later version's language, or somebody's edit of the store.
             log.error("rights version {} can't be read, so nobody may do anything: {}", found.version, e.message)
             Policy.NOBODY
--- a/src/main/kotlin/plankwall/gateway/RevocationSweep.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -1,11 +1,11 @@
 package plankwall.gateway
 
 import org.slf4j.LoggerFactory
-import plankwall.audit.TrailEntry
-import plankwall.audit.TrailWriter
+import plankwall.audit.AuditEntry
+import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Context
-import plankwall.core.statemachine.TermPower
+import plankwall.core.statemachine.LeaseAuthority
 import plankwall.core.statemachine.Verdict
 import plankwall.model.factsFor
 import plankwall.wire.AccessKeys
@@ -24,11 +24,11 @@
  * says so, in one transaction with the trail's entry that links the two. A version counts as applied once no job is
  * left; a new leader goes on where that was not stored, and finds those that are marked already.
  */
-internal class RevocationSweep(
+internal class RevocationTask(
     private val ctx: Context,
-    private val book: RightsBook,
-    private val trail: TrailWriter,
-    private val entry: (Gatehouse.Who, String, String, Verdict, Int, String) -> TrailEntry,
+    private val schedulerState: PolicyStore,
+    private val auditLog: AuditLogWriter,
+    private val entry: (AccessGateway.Who, String, String, Verdict, Int, String) -> AuditEntry,
 ) {
     private val log = LoggerFactory.getLogger("gate")
     private var epoch = 0L
@@ -36,14 +36,14 @@
     private var busy = false
     private var retryAt = 0.0
 
-    fun tick(power: TermPower?) {
-        if (power == null) return
-        if (epoch != power.epoch) {
-            epoch = power.epoch
+    fun tick(authority: LeaseAuthority?) {
+        if (authority == null) return
+        if (epoch != authority.epoch) {
+            epoch = authority.epoch
             applied = UNREAD
         }
-        val version = book.policy.version
-        if (busy || version == 0L || applied >= version || ctx.now < retryAt || !power.mayWrite()) return
+        val version = schedulerState.policy.version
+        if (busy || version == 0L || applied >= version || ctx.now < retryAt || !authority.mayWrite()) return
         busy = true
         val term = epoch
         if (applied !=
@@ -92,27 +92,27 @@
     private fun examine(term: Long, item: StateItem, pass: Pass) {
         val record = item.value as? JobRecord ?: return
         val owned = record.owned ?: return
-        if (record.withdrawnMs > 0 || owned.revokedBy > 0) return
+        if (record.cancelledMs > 0 || owned.revokedBy > 0) return
         val facts = record.spec.factsFor(owned.owner)
-        val verdict = book.policy.judge(owned.owner, Action.SUBMIT, facts)
+        val verdict = schedulerState.policy.authorize(owned.owner, Action.SUBMIT, facts)
         if (verdict.allowed) return
-        val withdraw = book.policy.withdrawsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.withdrawOnRevoke
+        val cancel = schedulerState.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
         val marked = record.copy(
             owned = owned.copy(revokedBy = pass.version),
-            withdrawnMs = if (withdraw) ctx.time.wallMs else 0,
+            cancelledMs = if (cancel) ctx.time.wallMs else 0,
         )
         val e =
             entry(
-                Gatehouse.Who(owned.owner, "", ""),
+                AccessGateway.Who(owned.owner, "", ""),
                 "revoke",
                 record.spec.id,
                 verdict,
                 0,
-                if (withdraw) "withdraw" else "finish",
+                if (cancel) "withdraw" else "finish",
             )
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
         pass.open++
-        trail.change(e, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
+        auditLog.change(e, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
             pass.open--
             if (result is StateResult.Committed) {
                 log.info(
@@ -132,12 +132,12 @@
 
     private fun settle(term: Long, pass: Pass) {
         if (!pass.read || pass.open > 0 || !busy) return
-        if (pass.failed || term != epoch || book.policy.version != pass.version) {
+        if (pass.failed || term != epoch || schedulerState.policy.version != pass.version) {
             busy = false
             pause()
             return
         }
-        val guards = listOf(Guard(Keys.LEADER, term), Guard(AccessKeys.HEAD, book.stamp))
+        val guards = listOf(Guard(Keys.LEADER, term), Guard(AccessKeys.HEAD, schedulerState.stamp))
         ctx.out.state(
             StateOp.Txn(guards, listOf(Write.Put(AccessKeys.APPLIED, RightsApplied(pass.version)))),
         ) { result ->
--- a/src/main/kotlin/plankwall/identity/Keys.kt
+++ b/src/main/kotlin/plankwall/identity/Keys.kt
@@ -13,7 +13,7 @@
 import java.security.PrivateKey
 
 /** A file of keys, or a key in the rights, that can't be used. The text never holds any of a key. */
-class BadKey(reason: String) : Exception(reason)
+class MalformedKeyException(reason: String) : Exception(reason)
 
 /**
  * One of a principal's keys (RFC 8037). Several may hold at the same time, so that one can replace another in peace.
@@ -48,12 +48,17 @@
             sinceMs: Long = Long.MIN_VALUE / 2,
             untilMs: Long = Long.MAX_VALUE / 2,
         ): PublicKey {
-            if (!X.matches(x)) throw BadKey("not an Ed25519 public key: 43 characters of base64url are wanted")
+            if (!X.matches(
+                    x,
+                )
+            ) {
+                throw MalformedKeyException("not an Ed25519 public key: 43 characters of base64url are wanted")
+            }
             val point = x.decodeBase64()?.toByteArray()
             if (point == null ||
                 !Ed25519.validatePublicKeyFull(point, 0)
             ) {
-                throw BadKey("not an Ed25519 public key: no point of the curve's group")
+                throw MalformedKeyException("not an Ed25519 public key: no point of the curve's group")
             }
             return PublicKey(id, point, sinceMs, untilMs)
         }
@@ -89,12 +94,12 @@
             val values = try {
                 JsonUtil.parseJson(json)
             } catch (_: JoseException) {
-                throw BadKey("not a JWK")
+                throw MalformedKeyException("not a JWK")
             }
             val jwk = read(values)
-            val principal = values["sub"] as? String ?: throw BadKey("sub: missing: whose key it is")
-            val id = jwk.keyId ?: throw BadKey("kid: missing: the key's id")
-            val secret = jwk.privateKey ?: throw BadKey("d: missing: the private part")
+            val principal = values["sub"] as? String ?: throw MalformedKeyException("sub: missing: whose key it is")
+            val id = jwk.keyId ?: throw MalformedKeyException("kid: missing: the key's id")
+            val secret = jwk.privateKey ?: throw MalformedKeyException("d: missing: the private part")
             return SigningKey(principal, id, secret, values["x"] as? String ?: "", json)
         }
     }
@@ -117,11 +122,11 @@
     if (jwk !is OctetKeyPairJsonWebKey ||
         values["crv"] != OctetKeyPairJsonWebKey.SUBTYPE_ED25519
     ) {
-        throw BadKey("not an Ed25519 key")
+        throw MalformedKeyException("not an Ed25519 key")
     }
     jwk
 } catch (_: JoseException) {
-    throw BadKey("not an Ed25519 key")
+    throw MalformedKeyException("not an Ed25519 key")
 } catch (_: RuntimeException) {
-    throw BadKey("not an Ed25519 key")
+    throw MalformedKeyException("not an Ed25519 key")
 }
--- a/src/main/kotlin/plankwall/io/KeeperRoutes.kt
+++ b/src/main/kotlin/plankwall/io/AdminRoutes.kt
@@ -1,34 +1,34 @@
 package plankwall.io
 
-import plankwall.core.statemachine.KeeperRequest
-import plankwall.wire.KeeperCodec
+import plankwall.core.statemachine.AdminRequest
+import plankwall.wire.AdminCodec
 
 /** Paths of the rights and the trail. */
-internal object KeeperRoutes {
+internal object AdminRoutes {
     private const val RIGHTS = "/api/rights"
     private const val TRAIL = "/api/trail/"
     private const val SEALS = "/api/seals/"
 
-    /** Null for what is no such request. Throws [plankwall.wire.BadMessage] for one whose body is wrong. */
-    fun read(r: HttpRequest): KeeperRequest? = when {
-        r.path == RIGHTS && r.method == "GET" -> KeeperRequest.Rights
-        r.path == RIGHTS && r.method == "POST" -> publication(KeeperCodec.publication(r.body))
+    /** Null for what is no such request. Throws [plankwall.wire.MalformedMessageException] for one whose body is wrong. */
+    fun read(r: HttpRequest): AdminRequest? = when {
+        r.path == RIGHTS && r.method == "GET" -> AdminRequest.Rights
+        r.path == RIGHTS && r.method == "POST" -> publication(AdminCodec.publication(r.body))
         r.method != "GET" -> null
-        r.path.startsWith("$RIGHTS/") -> number(r.path.removePrefix("$RIGHTS/"))?.let { KeeperRequest.OldRights(it) }
-        r.path.startsWith(SEALS) -> number(r.path.removePrefix(SEALS))?.let { KeeperRequest.Trail(null, it) }
+        r.path.startsWith("$RIGHTS/") -> number(r.path.removePrefix("$RIGHTS/"))?.let { AdminRequest.OldRights(it) }
+        r.path.startsWith(SEALS) -> number(r.path.removePrefix(SEALS))?.let { AdminRequest.Trail(null, it) }
         r.path.startsWith(TRAIL) -> segment(r.path.removePrefix(TRAIL))
         else -> null
     }
 
-    private fun publication(p: KeeperCodec.Publication): KeeperRequest? {
+    private fun publication(p: AdminCodec.Publication): AdminRequest? {
         val text = p.text
         val to = p.to
-        return if (text != null) KeeperRequest.Publish(p.base, text) else to?.let { KeeperRequest.Rollback(p.base, it) }
+        return if (text != null) AdminRequest.Publish(p.base, text) else to?.let { AdminRequest.Rollback(p.base, it) }
     }
 
-    private fun segment(rest: String): KeeperRequest? {
+    private fun segment(rest: String): AdminRequest? {
         val number = number(rest.substringAfterLast('/')) ?: return null
-        return rest.substringBeforeLast('/', "").takeIf { NODE.matches(it) }?.let { KeeperRequest.Trail(it, number) }
+        return rest.substringBeforeLast('/', "").takeIf { NODE.matches(it) }?.let { AdminRequest.Trail(it, number) }
     }
 
     private fun number(text: String): Long? = text.toLongOrNull()?.takeIf { it in 0..MAX_NUMBER }
--- a/src/main/kotlin/plankwall/io/CloudClient.kt
+++ b/src/main/kotlin/plankwall/io/CloudClient.kt
@@ -4,10 +4,10 @@
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
 import plankwall.model.Address
-import plankwall.wire.BadMessage
 import plankwall.wire.CloudCodec
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
+import plankwall.wire.MalformedMessageException
 
 /** Speaks the cloud's protocol, evenly paced below its rate. */
 class CloudClient(selector: SelectorManager, address: Address, rps: Double, private val nowMs: () -> Long) {
@@ -24,13 +24,13 @@
         val outcome = send(op)
         return try {
             read(op, outcome)
-        } catch (e: BadMessage) {
+        } catch (e: MalformedMessageException) {
             log.warn("answer to {} can't be read: {}", op, e.message)
             CloudResult.Trouble
         }
     }
 
-    private suspend fun send(op: CloudOp): Outcome = when (op) {
+    private suspend fun send(op: CloudOp): HttpOutcome = when (op) {
         CloudOp.GetCatalog -> client.call("GET", "/catalog", null, TIMEOUT_MS)
         is CloudOp.Rent -> client.call("POST", "/machines", CloudCodec.rent(op), TIMEOUT_MS)
         is CloudOp.Delete -> client.call("POST", "/machines/delete", CloudCodec.delete(op), TIMEOUT_MS)
@@ -40,8 +40,8 @@
         }
     }
 
-    private fun read(op: CloudOp, outcome: Outcome): CloudResult {
-        if (outcome is Outcome.Answered && outcome.status == 200) {
+    private fun read(op: CloudOp, outcome: HttpOutcome): CloudResult {
+        if (outcome is HttpOutcome.Answered && outcome.status == 200) {
             return when (op) {
                 CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.catalog(outcome.body))
                 is CloudOp.Rent -> CloudCodec.rented(outcome.body)
@@ -50,7 +50,7 @@
             }
         }
         log.debug("{}: {}", op, describe(outcome))
-        if (outcome !is Outcome.Answered) return CloudResult.Trouble
+        if (outcome !is HttpOutcome.Answered) return CloudResult.Trouble
         return when {
             outcome.status == 400 -> CloudResult.Malformed.also { log.warn("{}: {}", op, describe(outcome)) }
             outcome.status == 503 && op is CloudOp.Rent && "no capacity" in outcome.body.decodeToString() ->
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -10,15 +10,15 @@
 import kotlinx.coroutines.sync.withPermit
 import org.slf4j.LoggerFactory
 import plankwall.core.Controller
+import plankwall.core.statemachine.Credentials
 import plankwall.core.statemachine.Effect
 import plankwall.core.statemachine.Input
-import plankwall.core.statemachine.Proof
 import plankwall.core.statemachine.RequestId
 import plankwall.model.Address
 import plankwall.model.Settings
 import plankwall.model.Tuning
-import plankwall.wire.BadMessage
 import plankwall.wire.JobCodec
+import plankwall.wire.MalformedMessageException
 import plankwall.wire.WorkerCodec
 
 /** Ties the core to the world. Everything here runs on one thread; only the selector has its own. */
@@ -27,7 +27,7 @@
     private val selector: SelectorManager,
     private val settings: Settings,
     tuning: Tuning,
-    identities: Identities? = null,
+    identities: AccessComponents? = null,
 ) {
     private val log = LoggerFactory.getLogger("daemon")
     private val incarnation = System.currentTimeMillis()
@@ -43,7 +43,7 @@
     private val postSlots = Semaphore(MAX_WORKER_POSTS)
     private val peers =
         PeerLinks(scope, selector, settings.peers, identities?.frames?.invoke(incarnation)) {
-            feed(Input.PeerHeard(it))
+            feed(Input.PeerMessageReceived(it))
         }
 
     suspend fun run() {
@@ -109,10 +109,10 @@
         val client = HttpClient(selector, address, maxConnections = 1, maxWaiting = 1, keepAlive = false)
         val outcome = client.call("POST", "/commands", effect.body, WORKER_MS)
         log.debug("commands to {}: {}", effect.machine, describe(outcome))
-        if (outcome !is Outcome.Answered || (outcome.status != 200 && outcome.status != 409)) return
+        if (outcome !is HttpOutcome.Answered || (outcome.status != 200 && outcome.status != 409)) return
         val report = try {
             WorkerCodec.readReport(outcome.body)
-        } catch (e: BadMessage) {
+        } catch (e: MalformedMessageException) {
             log.warn("report of {} can't be read: {}", effect.machine, e.message)
             null
         }
@@ -134,13 +134,13 @@
 
     private suspend fun handle(request: HttpRequest): HttpReply = try {
         route(request)
-    } catch (e: BadMessage) {
+    } catch (e: MalformedMessageException) {
         log.debug("{} {}: {}", request.method, request.path, e.message)
         HttpReply(400, JobCodec.error(e.message ?: "malformed"))
     }
 
-    private fun proof(r: HttpRequest): Proof? =
-        if (proofs) Proof(r.method, r.target, r.body, r.authorization, r.from) else null
+    private fun credentials(r: HttpRequest): Credentials? =
+        if (proofs) Credentials(r.method, r.target, r.body, r.authorization, r.from) else null
 
     private suspend fun route(request: HttpRequest): HttpReply {
         val method = request.method
@@ -149,34 +149,34 @@
         return when {
             path == "/checkin" -> post(method) {
                 val report = WorkerCodec.readReport(request.body)
-                ask { Input.CheckIn(it, report, if (proofs) request.from else "") }
+                ask { Input.Heartbeat(it, report, if (proofs) request.from else "") }
             }
-            path == "/up" -> get(method) { ask { Input.Up(it) } }
+            path == "/up" -> get(method) { ask { Input.HealthCheck(it) } }
             path == "/api/jobs" -> post(method) {
                 val spec = JobCodec.read(request.body)
-                ask { Input.Submit(it, spec, proof(request)) }
+                ask { Input.Submit(it, spec, credentials(request)) }
             }
             !path.startsWith(JOB_PATH) -> if (proofs) keep(request) else notFound()
             job.endsWith(WITHDRAW) -> {
                 val id = job.removeSuffix(WITHDRAW)
                 post(method) {
-                    if (JobCodec.isJobId(id)) ask { Input.Withdraw(it, id, proof(request)) } else notFound()
+                    if (JobCodec.isJobId(id)) ask { Input.Cancel(it, id, credentials(request)) } else notFound()
                 }
             }
             else -> get(method) {
-                if (JobCodec.isJobId(job)) ask { Input.Show(it, job, proof(request)) } else notFound()
+                if (JobCodec.isJobId(job)) ask { Input.Show(it, job, credentials(request)) } else notFound()
             }
         }
     }
 
     /** Rights and trail, which exist only where callers prove who they are. */
     private suspend fun keep(request: HttpRequest): HttpReply {
-        val asked = KeeperRoutes.read(request) ?: return notFound()
+        val asked = AdminRoutes.read(request) ?: return notFound()
         return ask {
-            Input.Keep(
+            Input.Admin(
                 it,
                 asked,
-                Proof(request.method, request.target, request.body, request.authorization, request.from),
+                Credentials(request.method, request.target, request.body, request.authorization, request.from),
             )
         }
     }
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -46,7 +46,7 @@
 }
 
 /** A message that can't be read on; the connection is of no more use. */
-class HttpBroken(reason: String) : Exception(reason, null, false, false)
+class MalformedHttpException(reason: String) : Exception(reason, null, false, false)
 
 internal val NO_BODY = ByteArray(0)
 
@@ -58,8 +58,8 @@
     val coding = headers["Transfer-Encoding"]
     if (coding != null) return readCoded(headers, input, limit)
     val length = headers["Content-Length"]?.toString()?.trim() ?: return NO_BODY
-    val size = length.toLongOrNull() ?: throw HttpBroken("bad Content-Length")
-    if (size < 0) throw HttpBroken("bad Content-Length")
+    val size = length.toLongOrNull() ?: throw MalformedHttpException("bad Content-Length")
+    if (size < 0) throw MalformedHttpException("bad Content-Length")
     if (size > limit) return null
     val body = ByteArray(size.toInt())
     if (body.isNotEmpty()) input.readFully(body)
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -13,14 +13,14 @@
 import plankwall.model.Address
 
 /** What became of a request: it matters greatly whether it can have been executed. */
-sealed interface Outcome {
-    class Answered(val status: Int, val body: ByteArray) : Outcome
+sealed interface HttpOutcome {
+    class Answered(val status: Int, val body: ByteArray) : HttpOutcome
 
     /** Nothing was sent. */
-    data class NotSent(val why: String) : Outcome
+    data class NotSent(val why: String) : HttpOutcome
 
     /** Sent, at least in part, and not answered. */
-    data class Unanswered(val why: String) : Outcome
+    data class Unanswered(val why: String) : HttpOutcome
 }
 
 /** A client of one address with a bounded number of connections and waiters. */
@@ -42,8 +42,8 @@
     private val idle = ArrayDeque<Connection>()
     private var waiting = 0
 
-    suspend fun call(method: String, path: String, body: ByteArray?, timeoutMs: Long): Outcome {
-        if (waiting >= maxWaiting) return Outcome.NotSent("too many requests wait")
+    suspend fun call(method: String, path: String, body: ByteArray?, timeoutMs: Long): HttpOutcome {
+        if (waiting >= maxWaiting) return HttpOutcome.NotSent("too many requests wait")
         waiting++
         var sent = false
         var connection: Connection? = null
@@ -57,14 +57,16 @@
                 sent = true
                 c.output.writeFully(message(method, path, body))
                 c.output.flush()
-                val response = parseResponse(c.input) ?: throw HttpBroken("closed before the answer")
+                val response = parseResponse(c.input) ?: throw MalformedHttpException("closed before the answer")
                 val answer = try {
-                    val bytes = readBody(response.headers, c.input, MAX_ANSWER) ?: throw HttpBroken("answer too long")
+                    val bytes =
+                        readBody(response.headers, c.input, MAX_ANSWER)
+                            ?: throw MalformedHttpException("answer too long")
                     if (keepAlive && !closes(response.headers) && idle.size < MAX_IDLE) {
                         idle.addLast(c)
                         connection = null
                     }
-                    Outcome.Answered(response.status, bytes)
+                    HttpOutcome.Answered(response.status, bytes)
                 } finally {
                     response.release()
                 }
@@ -73,7 +75,7 @@
         } catch (e: Exception) {
             // A time-out of this call is an outcome; a cancellation from outside is not.
             if (e is CancellationException && e !is kotlinx.coroutines.TimeoutCancellationException) throw e
-            return if (sent) Outcome.Unanswered(e.toString()) else Outcome.NotSent(e.toString())
+            return if (sent) HttpOutcome.Unanswered(e.toString()) else HttpOutcome.NotSent(e.toString())
         } finally {
             waiting--
             connection?.close()
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -110,7 +110,7 @@
             if (seal != null &&
                 !seal.admits(socket.remoteAddress.toString().substringAfter('/'))
             ) {
-                throw HttpBroken("not from a peer's network")
+                throw MalformedHttpException("not from a peer's network")
             }
             val input = socket.openReadChannel()
             while (true) {
@@ -119,7 +119,7 @@
                     if (size !in
                         1..PeerCodec.MAX_FRAME + (seal?.overhead ?: 0)
                     ) {
-                        throw HttpBroken("peer frame of $size bytes")
+                        throw MalformedHttpException("peer frame of $size bytes")
                     }
                     input.readByteArray(size)
                 }
--- a/src/main/kotlin/plankwall/io/StateClient.kt
+++ b/src/main/kotlin/plankwall/io/StateClient.kt
@@ -3,7 +3,7 @@
 import io.ktor.network.selector.SelectorManager
 import org.slf4j.LoggerFactory
 import plankwall.model.Address
-import plankwall.wire.BadMessage
+import plankwall.wire.MalformedMessageException
 import plankwall.wire.StateCodec
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
@@ -23,12 +23,12 @@
             log.debug("{}: {}", name(op), describe(outcome))
         }
         result
-    } catch (e: BadMessage) {
+    } catch (e: MalformedMessageException) {
         log.warn("answer to {} can't be read: {}", name(op), e.message)
         StateResult.Unknown
     }
 
-    private suspend fun send(op: StateOp): Outcome = when (op) {
+    private suspend fun send(op: StateOp): HttpOutcome = when (op) {
         is StateOp.Get -> calls.call("GET", "/keys/${op.key}", null, CALL_MS)
         is StateOp.Range -> {
             val after = op.after?.let { "&from=$it" }.orEmpty()
@@ -52,10 +52,10 @@
         )
     }
 
-    private fun read(op: StateOp, outcome: Outcome): StateResult = when (outcome) {
-        is Outcome.NotSent -> StateResult.Refused
-        is Outcome.Unanswered -> StateResult.Unknown
-        is Outcome.Answered -> when (outcome.status) {
+    private fun read(op: StateOp, outcome: HttpOutcome): StateResult = when (outcome) {
+        is HttpOutcome.NotSent -> StateResult.Refused
+        is HttpOutcome.Unanswered -> StateResult.Unknown
+        is HttpOutcome.Answered -> when (outcome.status) {
             200, 201, 204 -> success(op, outcome.body)
             429, 503 -> StateResult.Refused
             404 -> if (op is StateOp.Get) StateResult.Item(null) else StateResult.NoLease
@@ -88,8 +88,8 @@
     }
 }
 
-internal fun describe(outcome: Outcome): String = when (outcome) {
-    is Outcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(200)}"
-    is Outcome.NotSent -> "not sent: ${outcome.why}"
-    is Outcome.Unanswered -> "unanswered: ${outcome.why}"
+internal fun describe(outcome: HttpOutcome): String = when (outcome) {
+    is HttpOutcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(200)}"
+    is HttpOutcome.NotSent -> "not sent: ${outcome.why}"
+    is HttpOutcome.Unanswered -> "unanswered: ${outcome.why}"
 }
--- a/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -2,14 +2,18 @@
 
 import plankwall.io.HttpReply
 import plankwall.io.HttpRequest
-import plankwall.simulation.SimState
+import plankwall.simulation.SimulatedStore
 import plankwall.wire.CloudOp
 import plankwall.wire.CloudResult
 import plankwall.wire.CloudServiceCodec
 import plankwall.wire.JobCodec
 
 /** The cloud as one controller reaches it. */
-class CloudEndpoint(private val site: ScaleSite, private val meter: NodeMeter, private val rate: SimState.Meter) {
+class CloudEndpoint(
+    private val site: LoadTestCluster,
+    private val meter: NodeMeter,
+    private val rate: SimulatedStore.Meter,
+) {
     fun handle(request: HttpRequest): HttpReply {
         meter.cloudRequests++
         val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
--- a/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -25,7 +25,9 @@
      * run.
      */
     fun command(deploy: File, settings: File, tuning: File): List<String> {
-        val run = TomlMapper().readTree(deploy).get("run")?.asText() ?: throw BadScalePlan("$deploy: no run line")
+        val run =
+            TomlMapper().readTree(deploy).get("run")?.asText()
+                ?: throw InvalidLoadTestPlanException("$deploy: no run line")
         return run.split(' ').filter { it.isNotEmpty() } + listOf(settings.path, "--tuning", tuning.path)
     }
 
@@ -37,7 +39,7 @@
         own?.readText().orEmpty().trimEnd() + "\nunneeded_s: 7200\n",
     )
 
-    fun write(file: File, plan: ScalePlan, shared: Settings, index: Int, addresses: ControllerAddresses) {
+    fun write(file: File, plan: LoadTestPlan, shared: Settings, index: Int, addresses: ControllerAddresses) {
         val mapper = TomlMapper()
         val root = mapper.createObjectNode()
         root.put("node", plan.nodeName(index)).put("site", plan.zoneOfNode(index))
@@ -52,7 +54,7 @@
         mapper.writeValue(file, root)
     }
 
-    private fun settings(t: ObjectNode, plan: ScalePlan, shared: Settings) {
+    private fun settings(t: ObjectNode, plan: LoadTestPlan, shared: Settings) {
         t.put("nodes", plan.controllers).put("time_bound_ms", shared.timeBoundMs)
         t.putArray("zones").also { zones -> shared.zones.forEach { zones.add(it) } }
         val teams = t.putArray("teams")
--- a/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
@@ -8,7 +8,7 @@
 
 /** Brings the faults of a plan about. */
 class FaultTimeline(
-    private val site: ScaleSite,
+    private val site: LoadTestCluster,
     private val controllers: List<ControllerProcess>,
     private val links: Map<Pair<Int, Int>, PeerProxy>,
 ) {
--- a/src/main/kotlin/plankwall/loadtest/FreePorts.kt
+++ b/src/main/kotlin/plankwall/loadtest/FreePorts.kt
@@ -18,7 +18,11 @@
         val ports = (0 until all).asSequence().map {
             FIRST + (begin + it) % all
         }.filterNot(::isTaken).take(count).toList()
-        if (ports.size < count) throw BadScalePlan("needs $count free ports from $FIRST on, found ${ports.size}")
+        if (ports.size <
+            count
+        ) {
+            throw InvalidLoadTestPlanException("needs $count free ports from $FIRST on, found ${ports.size}")
+        }
         return ports
     }
 
--- a/src/main/kotlin/plankwall/loadtest/IoLane.kt
+++ b/src/main/kotlin/plankwall/loadtest/IoThread.kt
@@ -12,7 +12,7 @@
  * A thread and a selector for a part of the workers' sockets. What a worker does with its sockets stays on one lane, so
  * it needs no lock.
  */
-class IoLane(name: String) {
+class IoThread(name: String) {
     private val selecting = singleThread("$name-selector")
     private val dispatcher = singleThread(name)
     val scope = CoroutineScope(dispatcher + SupervisorJob())
--- a/src/main/kotlin/plankwall/loadtest/Meters.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadMeters.kt
@@ -47,7 +47,7 @@
 fun Histogram.noteS(seconds: Double) = recordValue((seconds * 1000).toLong().coerceIn(0, Latencies.MAX_MS))
 
 /** Everything that the stand-ins count. [latencies] is replaced at the start of each phase. */
-class Meters(nodes: Int) {
+class LoadMeters(nodes: Int) {
     val nodes = List(nodes) { NodeMeter() }
     var latencies = Latencies()
     val refusals = HashMap<String, Long>()
--- a/src/main/kotlin/plankwall/loadtest/ScaleSite.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -14,39 +14,42 @@
 import plankwall.model.Resources
 import plankwall.model.Settings
 import plankwall.simulation.RuleChecker
-import plankwall.simulation.SimClock
-import plankwall.simulation.SimCloud
-import plankwall.simulation.SimState
-import plankwall.simulation.SimWorker
+import plankwall.simulation.SimulatedClock
+import plankwall.simulation.SimulatedCloud
+import plankwall.simulation.SimulatedStore
+import plankwall.simulation.SimulatedWorker
 import plankwall.simulation.WorkerHost
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.Keys
 import plankwall.wire.LeaderRecord
-import plankwall.wire.Report
 import java.util.Random
 
 /**
  * The stand-ins of a scale run, on one thread and one clock that follows real time: state service, cloud, workers and
  * the rule checker. Whoever comes from a socket goes through [enter], so that nothing sees the clock stand still.
  */
-class ScaleSite(
-    val plan: ScalePlan,
+class LoadTestCluster(
+    val plan: LoadTestPlan,
     override val settings: Settings,
     val scope: CoroutineScope,
     val selector: SelectorManager,
-    val meters: Meters,
+    val meters: LoadMeters,
 ) : WorkerHost {
-    override val clock = SimClock()
+    override val clock = SimulatedClock()
     override val random = Random(plan.seed)
     override val checker = RuleChecker(settings)
     override val nodeNames: List<String> = List(plan.controllers, plan::nodeName)
-    val state = SimState(clock, settings.state).apply {
+    val state = SimulatedStore(clock, settings.state).apply {
         limits = settings.state
         refusesBeyondRates = true
         historyLimit = STATE_HISTORY
     }
     val transport = WorkerTransport(this)
-    val cloud = SimCloud(clock, random, catalog(plan), settings.cloud.listLagS, transport::addressOf) { id, group ->
-        SimWorker(this, id, group, transport.addressOf(id)).also(transport::attach)
+    val cloud = SimulatedCloud(clock, random, catalog(plan), settings.cloud.listLagS, transport::addressOf) {
+            id,
+            group,
+        ->
+        SimulatedWorker(this, id, group, transport.addressOf(id)).also(transport::attach)
     }.apply { capacity = plan.workers }
 
     private val specs = HashMap<String, JobSpec>()
@@ -87,8 +90,12 @@
 
     override fun isMistaken(id: String): Boolean = false
 
-    override fun sendReport(worker: SimWorker, node: Int, report: Report, then: (status: Int, body: JsonNode) -> Unit) =
-        transport.send(worker, node, report, then)
+    override fun sendReport(
+        worker: SimulatedWorker,
+        node: Int,
+        report: HeartbeatStatus,
+        then: (status: Int, body: JsonNode) -> Unit,
+    ) = transport.send(worker, node, report, then)
 
     override fun checkStored(id: String, task: Int) = Unit
 
@@ -99,7 +106,7 @@
 
     override fun onCompleted(id: String) = Unit
 
-    override fun onLeaseExpired(worker: SimWorker, tasks: Int) {
+    override fun onLeaseExpired(worker: SimulatedWorker, tasks: Int) {
         meters.leasesExpired++
     }
 
@@ -142,7 +149,7 @@
         /** Workers that come for the first time, a second: a herd of all is a fault of its own. */
         private const val ARRIVING_PER_S = 400.0
 
-        fun catalog(plan: ScalePlan): Catalog {
+        fun catalog(plan: LoadTestPlan): Catalog {
             fun type(name: String, gpus: Long) = MachineType(
                 name,
                 Resources(10_000, gpus, 64_000),
--- a/src/main/kotlin/plankwall/loadtest/ScaleLimits.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestLimits.kt
@@ -1,10 +1,10 @@
 package plankwall.loadtest
 
 /** What a run takes of this machine, worked out before anything is started. */
-object ScaleLimits {
-    /** Throws [BadScalePlan] where [plan] does not fit. */
+object LoadTestLimits {
+    /** Throws [InvalidLoadTestPlanException] where [plan] does not fit. */
     fun check(
-        plan: ScalePlan,
+        plan: LoadTestPlan,
         openFiles: Long = ProcReader.openFilesLimit(),
         memoryMb: Long = ProcReader.totalMemoryMb(),
     ) {
@@ -12,20 +12,22 @@
         if (files >
             openFiles
         ) {
-            throw BadScalePlan(
+            throw InvalidLoadTestPlanException(
                 "needs $files open files, this process may have $openFiles: fewer workers or controllers",
             )
         }
         if (plan.maxConnections >
             openFiles
         ) {
-            throw BadScalePlan("max_connections ${plan.maxConnections}: a process may have $openFiles open files")
+            throw InvalidLoadTestPlanException(
+                "max_connections ${plan.maxConnections}: a process may have $openFiles open files",
+            )
         }
         val needMb = plan.controllers * plan.memoryMb + STAND_INS_MB + plan.workers * WORKER_MB
         if (needMb >
             memoryMb / 2
         ) {
-            throw BadScalePlan(
+            throw InvalidLoadTestPlanException(
                 "needs %.0f MB, half of this machine's memory is %d MB: fewer workers or controllers".format(
                     needMb,
                     memoryMb / 2,
@@ -35,11 +37,11 @@
         if (plan.controllers >
             MAX_PROCESSES
         ) {
-            throw BadScalePlan("${plan.controllers} controllers: at most $MAX_PROCESSES processes")
+            throw InvalidLoadTestPlanException("${plan.controllers} controllers: at most $MAX_PROCESSES processes")
         }
     }
 
-    private fun filesFor(plan: ScalePlan): Long {
+    private fun filesFor(plan: LoadTestPlan): Long {
         // Each worker listens and has a connection; each link between controllers has a listener and two ends.
         val workers = plan.workers * 2L
         val links = plan.controllers * (plan.controllers - 1L) * FILES_PER_LINK
--- a/src/main/kotlin/plankwall/loadtest/ScalePlan.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestPlan.kt
@@ -66,7 +66,7 @@
 )
 
 /** A scale run: real controllers over loopback; workers, users, cloud and state service are stand-ins. */
-data class ScalePlan(
+data class LoadTestPlan(
     val workers: Int = 500,
     val controllers: Int = 3,
     val regions: Int = 1,
--- a/src/main/kotlin/plankwall/loadtest/ScalePlanFile.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestPlanFile.kt
@@ -8,22 +8,22 @@
 import java.io.IOException
 
 /** A plan that can't be read or does not fit this machine; the message says why in one line. */
-class BadScalePlan(message: String) : Exception(message)
+class InvalidLoadTestPlanException(message: String) : Exception(message)
 
-/** Reads a [ScalePlan] from YAML. Unknown keys are refused: a misspelt one would silently change nothing. */
-object ScalePlanFile {
-    fun read(file: File): ScalePlan = try {
+/** Reads a [LoadTestPlan] from YAML. Unknown keys are refused: a misspelt one would silently change nothing. */
+object LoadTestPlanFile {
+    fun read(file: File): LoadTestPlan = try {
         read(YAMLMapper().readTree(file))
     } catch (e: JacksonException) {
-        throw BadScalePlan("$file: not YAML: ${e.originalMessage}")
+        throw InvalidLoadTestPlanException("$file: not YAML: ${e.originalMessage}")
     } catch (e: IOException) {
-        throw BadScalePlan("$file: can't be read: ${e.message}")
-    } catch (e: BadScalePlan) {
-        throw BadScalePlan("$file: ${e.message}")
+        throw InvalidLoadTestPlanException("$file: can't be read: ${e.message}")
+    } catch (e: InvalidLoadTestPlanException) {
+        throw InvalidLoadTestPlanException("$file: ${e.message}")
     }
 
-    fun read(root: JsonNode): ScalePlan {
-        val plan = ScalePlan()
+    fun read(root: JsonNode): LoadTestPlan {
+        val plan = LoadTestPlan()
         val r = Table(root, "")
         val read = plan.copy(
             workers = r.whole("workers", plan.workers, 1..20_000),
@@ -75,7 +75,7 @@
     private fun fault(t: Table): Fault {
         val word = t.text("kind")
         val kind = FaultKind.entries.find { it.name.lowercase() == word }
-            ?: throw BadScalePlan(
+            ?: throw InvalidLoadTestPlanException(
                 "faults.kind: $word; known are ${FaultKind.entries.joinToString(", ") {
                     it.name.lowercase()
                 }}",
@@ -104,7 +104,7 @@
                 !node.isNull &&
                 !node.isObject
             ) {
-                throw BadScalePlan("${prefix.trimEnd('.')}: must be a map")
+                throw InvalidLoadTestPlanException("${prefix.trimEnd('.')}: must be a map")
             }
         }
 
@@ -118,7 +118,7 @@
             if (!found.isNumber ||
                 found.asDouble() !in range
             ) {
-                throw BadScalePlan(
+                throw InvalidLoadTestPlanException(
                     "$prefix$key: ${found.asText()} must be a number in ${range.start}..${range.endInclusive}",
                 )
             }
@@ -130,13 +130,13 @@
             if (!found.isInt ||
                 found.asInt() !in range
             ) {
-                throw BadScalePlan("$prefix$key: ${found.asText()} must be a whole number in $range")
+                throw InvalidLoadTestPlanException("$prefix$key: ${found.asText()} must be a whole number in $range")
             }
             return found.asInt()
         }
 
         fun text(key: String, default: String? = null): String =
-            find(key)?.asText() ?: default ?: throw BadScalePlan("$prefix$key: missing")
+            find(key)?.asText() ?: default ?: throw InvalidLoadTestPlanException("$prefix$key: missing")
 
         fun table(key: String) = Table(find(key), "$prefix$key.")
 
@@ -144,7 +144,7 @@
 
         fun refuseUnknown() {
             val unknown = node?.fieldNames()?.asSequence()?.firstOrNull { it !in known } ?: return
-            throw BadScalePlan("$prefix$unknown: unknown; known are ${known.joinToString(", ")}")
+            throw InvalidLoadTestPlanException("$prefix$unknown: unknown; known are ${known.joinToString(", ")}")
         }
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/ScaleReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
@@ -56,8 +56,8 @@
 }
 
 /** A whole scale run. */
-data class ScaleFigures(
-    val plan: ScalePlan,
+data class LoadTestFigures(
+    val plan: LoadTestPlan,
     val phases: List<PhaseFigures>,
     val faults: List<FaultOutcome>,
     val serviceTasks: Int,
@@ -68,10 +68,10 @@
 )
 
 /** Scale figures as JSON and as a table for people. */
-object ScaleReport {
+object LoadTestReport {
     private val json = ObjectMapper()
 
-    fun json(f: ScaleFigures): String {
+    fun json(f: LoadTestFigures): String {
         val root = json.createObjectNode()
         root.put("source", "scale run: real controllers, hollow workers, stand-ins over loopback")
         root.put(
--- a/src/main/kotlin/plankwall/loadtest/ScaleRun.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestRun.kt
@@ -13,15 +13,15 @@
 import plankwall.model.Objective
 import plankwall.model.Settings
 import plankwall.model.Team
-import plankwall.simulation.SimState
+import plankwall.simulation.SimulatedStore
 import java.io.File
 
 /**
  * A scale run from start to end. [deploy]: the file whose `run` line starts a controller. [folder]: for settings and
  * logs. [tuning]: the operators' own settings. [tell]: takes lines of progress.
  */
-class ScaleRun(
-    private val plan: ScalePlan,
+class LoadTestRun(
+    private val plan: LoadTestPlan,
     private val deploy: File,
     private val folder: File,
     private val tuning: File?,
@@ -29,17 +29,17 @@
     private val tell: (String) -> Unit,
 ) {
     private val settings = sharedSettings(plan)
-    private val meters = Meters(plan.controllers)
-    private val thread = IoLane.singleThread("stand-ins")
-    private val selectorThread = IoLane.singleThread("selector")
+    private val meters = LoadMeters(plan.controllers)
+    private val thread = IoThread.singleThread("stand-ins")
+    private val selectorThread = IoThread.singleThread("selector")
     private val scope = CoroutineScope(thread + SupervisorJob())
-    private val site = ScaleSite(plan, settings, scope, SelectorManager(selectorThread), meters)
+    private val site = LoadTestCluster(plan, settings, scope, SelectorManager(selectorThread), meters)
     private val controllers = ArrayList<ControllerProcess>()
     private val links = HashMap<Pair<Int, Int>, PeerProxy>()
     private val phases = ArrayList<PhaseFigures>()
 
-    fun play(): ScaleFigures {
-        ScaleLimits.check(plan)
+    fun play(): LoadTestFigures {
+        LoadTestLimits.check(plan)
         // Also where somebody interrupts the run: nothing that it started may stay.
         val ending = Thread { controllers.forEach { it.close() } }
         Runtime.getRuntime().addShutdownHook(ending)
@@ -53,18 +53,18 @@
         }
     }
 
-    private suspend fun run(): ScaleFigures {
+    private suspend fun run(): LoadTestFigures {
         prepare()
-        val sampler = Sampler(site, controllers)
+        val sampler = ProcessSampler(site, controllers)
         scope.launch { site.run() }
         scope.launch { sampler.run() }
         controllers.forEach { it.start() }
         awaitControllers()
         site.addMachines()
-        val users = ScaleUsers(site, controllers.map { it.front })
+        val users = LoadTestUsers(site, controllers.map { it.front })
         val faults = FaultTimeline(site, controllers, links)
         phases(sampler, users, faults)
-        return ScaleFigures(
+        return LoadTestFigures(
             plan,
             phases,
             faults.outcomes,
@@ -76,7 +76,7 @@
         )
     }
 
-    private suspend fun phases(sampler: Sampler, users: ScaleUsers, faults: FaultTimeline) {
+    private suspend fun phases(sampler: ProcessSampler, users: LoadTestUsers, faults: FaultTimeline) {
         val lengths = plan.phases
         phase("connect", sampler, lengths.connectS) {
             site.transport.servedSince(0.0) >= 1.0 &&
@@ -100,14 +100,16 @@
             if (site.clock.now - begun >
                 START_S
             ) {
-                throw BadScalePlan("a controller does not listen within %.0f s: see ${folder.path}".format(START_S))
+                throw InvalidLoadTestPlanException(
+                    "a controller does not listen within %.0f s: see ${folder.path}".format(START_S),
+                )
             }
             delay(LOOK_MS)
         }
     }
 
     /** At most [seconds], or until [over]. */
-    private suspend fun phase(name: String, sampler: Sampler, seconds: Double, over: () -> Boolean = { false }) {
+    private suspend fun phase(name: String, sampler: ProcessSampler, seconds: Double, over: () -> Boolean = { false }) {
         if (seconds <= 0.0) return
         tell("$name: at most %.0f s".format(seconds))
         sampler.begin()
@@ -115,7 +117,7 @@
         while (site.clock.now - begun < seconds && !over()) delay(LOOK_MS)
         val figures = sampler.end(name)
         phases.add(figures)
-        tell(ScaleReport.text(figures))
+        tell(LoadTestReport.text(figures))
     }
 
     private suspend fun prepare() {
@@ -125,14 +127,14 @@
         }.chunked(plan.controllers)
         site.transport.open(plan.workers, fronts)
         val tuningFile = File(folder, "tuning.yaml").also { ControllerFiles.writeTuning(it, tuning) }
-        val cloudRate = SimState.Meter(settings.cloud.rps, burstS = CLOUD_BURST_S)
+        val cloudRate = SimulatedStore.Meter(settings.cloud.rps, burstS = CLOUD_BURST_S)
         for (i in 0 until plan.controllers) {
             val peers = (0 until plan.controllers).filter { it != i }.associate { to ->
                 val proxy = PeerProxy(site, internals[to], meters.nodes[i])
                 links[i to to] = proxy
                 plan.nodeName(to) to proxy.open()
             }
-            val state = StateEndpoint(site, meters.nodes[i])
+            val state = StoreEndpoint(site, meters.nodes[i])
             val cloud = CloudEndpoint(site, meters.nodes[i], cloudRate)
             val addresses =
                 ControllerAddresses(
@@ -172,17 +174,17 @@
         private const val START_S = 60.0
 
         /** What all controllers and the rule checker share; addresses of nodes are in their own files. */
-        fun sharedSettings(plan: ScalePlan): Settings {
+        fun sharedSettings(plan: LoadTestPlan): Settings {
             val nowhere = Address(WorkerTransport.LOOPBACK, 1)
             // Quotas with room to spare: the run is about size, not about who has to wait.
             val quota =
                 (plan.workers * CPUS_PER_WORKER * QUOTA_ROOM / plan.teams).toLong().coerceAtLeast(MIN_QUOTA) * 1000
             val teams = List(plan.teams) { Team("team-${it + 1}", quota / 4, quota, 0, 0) }
             val objectives = listOf(
-                Objective("wait", ScaleUsers.LIVE, 8.0, 0.85),
-                Objective("wait", ScaleUsers.URGENT, 9.0, 0.99),
-                Objective("wait", ScaleUsers.BATCH, 120.0, 0.95),
-                Objective("wait", ScaleUsers.GANG, 240.0, 0.9),
+                Objective("wait", LoadTestUsers.LIVE, 8.0, 0.85),
+                Objective("wait", LoadTestUsers.URGENT, 9.0, 0.99),
+                Objective("wait", LoadTestUsers.BATCH, 120.0, 0.95),
+                Objective("wait", LoadTestUsers.GANG, 240.0, 0.9),
             )
             return Settings(
                 plan.nodeName(
--- a/src/main/kotlin/plankwall/loadtest/ScaleUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -4,17 +4,17 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import plankwall.io.HttpClient
-import plankwall.io.Outcome
+import plankwall.io.HttpOutcome
 import plankwall.model.Address
 import plankwall.model.JobSpec
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.simulation.SimWorker
+import plankwall.simulation.SimulatedWorker
 import plankwall.wire.JobCodec
 
 /** Submits, polls and cancels as PROTOCOL has it, through a load balancer that passes over nodes that refuse. */
-class ScaleUsers(private val site: ScaleSite, private val fronts: List<Address>) {
+class LoadTestUsers(private val site: LoadTestCluster, private val fronts: List<Address>) {
     private class Open(val spec: JobSpec, val at: Double) {
         val started = HashSet<Int>()
         var over = false
@@ -152,8 +152,8 @@
     }
 
     /** Counts what was refused; the status, or 0 where there was no answer. */
-    private fun noted(what: String, node: Int, outcome: Outcome): Int {
-        if (outcome is Outcome.Answered) {
+    private fun noted(what: String, node: Int, outcome: HttpOutcome): Int {
+        if (outcome is HttpOutcome.Answered) {
             if (outcome.status >= 300) site.meters.refused("$what ${outcome.status}")
             return outcome.status
         }
@@ -194,7 +194,7 @@
     }
 
     private fun cancel(id: String) {
-        site.checker.withdrawAsked(id)
+        site.checker.cancelRequested(id)
         site.scope.launch { tryCancel(id) }
     }
 
@@ -209,7 +209,7 @@
             val status = noted("cancellation", node, outcome)
             val stage = outcome.json()?.get("stage")?.asText()
             if (status == 200 && stage != null) {
-                site.checker.withdrawAnswered(id, stage, site.clock.now, askedAt)
+                site.checker.cancelAnswered(id, stage, site.clock.now, askedAt)
                 site.meters.latencies.cancellation.noteS(site.clock.now - begun)
                 return
             }
@@ -217,9 +217,9 @@
         }
     }
 
-    private fun Outcome.json(): JsonNode? = (this as? Outcome.Answered)?.takeIf {
+    private fun HttpOutcome.json(): JsonNode? = (this as? HttpOutcome.Answered)?.takeIf {
         it.body.isNotEmpty()
-    }?.let { SimWorker.json.readTree(it.body) }
+    }?.let { SimulatedWorker.json.readTree(it.body) }
 
     companion object {
         const val LIVE = "live"
--- a/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
+++ b/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
@@ -13,7 +13,7 @@
 import plankwall.model.Address
 
 /** The link from one controller to another: counts what goes over it, and holds it back while [cut]. */
-class PeerProxy(private val site: ScaleSite, private val to: Address, private val sender: NodeMeter) {
+class PeerProxy(private val site: LoadTestCluster, private val to: Address, private val sender: NodeMeter) {
     @Volatile
     var cut = false
 
--- a/src/main/kotlin/plankwall/loadtest/Sampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
@@ -2,10 +2,10 @@
 
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.isActive
-import plankwall.simulation.SimWorker
+import plankwall.simulation.SimulatedWorker
 
 /** Samples the controllers once a second and sums up what happened since a phase began. */
-class Sampler(private val site: ScaleSite, private val controllers: List<ControllerProcess>) {
+class ProcessSampler(private val site: LoadTestCluster, private val controllers: List<ControllerProcess>) {
     private class Node {
         var last: ProcessSample? = null
         var cpuS = 0.0
@@ -70,7 +70,7 @@
         val seconds = site.clock.now - begunAt
         val latencies = meters.latencies
         return PhaseFigures(
-            phase, seconds, site.cloud.workers.size, site.cloud.workers.sumOf(SimWorker::runningTasks),
+            phase, seconds, site.cloud.workers.size, site.cloud.workers.sumOf(SimulatedWorker::runningTasks),
             controllers.indices.map {
                 figures(it, seconds)
             },
--- a/src/main/kotlin/plankwall/loadtest/StateEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
@@ -11,7 +11,7 @@
 import plankwall.wire.StateServiceCodec
 
 /** The state service as one controller reaches it: each has a port of its own, so that requests can be told apart. */
-class StateEndpoint(private val site: ScaleSite, private val meter: NodeMeter) {
+class StoreEndpoint(private val site: LoadTestCluster, private val meter: NodeMeter) {
     suspend fun handle(request: HttpRequest): HttpReply {
         val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
         meter.stateRequests++
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -7,18 +7,18 @@
 import kotlinx.coroutines.awaitCancellation
 import kotlinx.coroutines.launch
 import plankwall.io.HttpClient
+import plankwall.io.HttpOutcome
 import plankwall.io.HttpReply
 import plankwall.io.HttpRequest
 import plankwall.io.HttpServer
-import plankwall.io.Outcome
 import plankwall.model.Address
-import plankwall.simulation.SimWorker
-import plankwall.wire.Report
+import plankwall.simulation.SimulatedWorker
+import plankwall.wire.HeartbeatStatus
 import plankwall.wire.WorkerCodec
 import java.util.concurrent.ConcurrentHashMap
 
 /** The sockets of the hollow workers: one connection to a controller and one listener for commands each. */
-class WorkerTransport(private val site: ScaleSite) {
+class WorkerTransport(private val site: LoadTestCluster) {
     /** Used on the worker's lane alone. */
     private class Link(val node: Int, val client: HttpClient)
 
@@ -29,9 +29,9 @@
     }
 
     private val slots = ArrayList<Address>()
-    private val bySlot = HashMap<Int, SimWorker>()
+    private val bySlot = HashMap<Int, SimulatedWorker>()
     private val links = ConcurrentHashMap<String, Link>()
-    private val lanes = List(LANES) { IoLane("workers-$it") }
+    private val lanes = List(LANES) { IoThread("workers-$it") }
     private val served = HashMap<String, Served>()
     private var fronts: List<Address> = emptyList()
 
@@ -53,14 +53,14 @@
 
     fun close() = lanes.forEach { it.close() }
 
-    private fun laneOf(slot: Int): IoLane = lanes[slot % lanes.size]
+    private fun laneOf(slot: Int): IoThread = lanes[slot % lanes.size]
 
     /** Where the machine [id] is reached; machines that come later take over the slots of those before. */
     fun addressOf(id: String): String = slots[slotOf(id)].toString()
 
     private fun slotOf(id: String): Int = id.substring(ID_PREFIX).toInt() % slots.size
 
-    fun attach(worker: SimWorker) {
+    fun attach(worker: SimulatedWorker) {
         bySlot[slotOf(worker.id)] = worker
         served[worker.id] = Served()
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    fun send(worker: SimWorker, node: Int, report: Report, then: (status: Int, body: JsonNode) -> Unit) {
+    fun send(worker: SimulatedWorker, node: Int, report: HeartbeatStatus, then: (status: Int, body: JsonNode) -> Unit) {
         val sentAt = site.clock.now
         val body = WorkerCodec.writeReport(report)
         site.meters.nodes[node].reports++
@@ -87,10 +87,10 @@
                 worker,
                 node,
                 lane,
-            ).call("POST", "/checkin", body, (SimWorker.PATIENCE_S * 1000).toLong())
+            ).call("POST", "/checkin", body, (SimulatedWorker.PATIENCE_S * 1000).toLong())
             if (worker.group.zone in answersLost) return@launch
-            val answer = if (outcome is Outcome.Answered) {
-                SimWorker.json.readTree(
+            val answer = if (outcome is HttpOutcome.Answered) {
+                SimulatedWorker.json.readTree(
                     outcome.body,
                 )
             } else {
@@ -100,7 +100,7 @@
         }
     }
 
-    private fun linkTo(worker: SimWorker, node: Int, lane: IoLane): HttpClient {
+    private fun linkTo(worker: SimulatedWorker, node: Int, lane: IoThread): HttpClient {
         val known = links[worker.id]
         if (known != null && known.node == node) return known.client
         known?.client?.closeIdle()
@@ -110,14 +110,14 @@
     }
 
     private fun answered(
-        worker: SimWorker,
+        worker: SimulatedWorker,
         node: Int,
-        outcome: Outcome,
+        outcome: HttpOutcome,
         sentAt: Double,
         answer: JsonNode,
         then: (Int, JsonNode) -> Unit,
     ) {
-        if (outcome !is Outcome.Answered) {
+        if (outcome !is HttpOutcome.Answered) {
             site.meters.reportsFailed++
             return then(NO_ANSWER, answer)
         }
@@ -132,7 +132,7 @@
     }
 
     private suspend fun handle(slot: Int, request: HttpRequest): HttpReply {
-        val command = if (request.path == "/status") null else SimWorker.json.readTree(request.body)
+        val command = if (request.path == "/status") null else SimulatedWorker.json.readTree(request.body)
         val answer = site.onThread {
             val worker = bySlot[slot]?.takeIf { it.group.zone !in answersLost }
             if (command == null) worker?.let { 200 to it.report() } else worker?.command(command)
--- a/src/main/kotlin/plankwall/model/JobSpec.kt
+++ b/src/main/kotlin/plankwall/model/JobSpec.kt
@@ -41,7 +41,7 @@
 fun JobSpec.factsFor(owner: String?): JobFacts = JobFacts(owner, jobClass, team, priority, shape)
 
 /** Where a job stands, as told to its user. */
-enum class JobStage { PENDING, RUNNING, DONE, WITHDRAWN }
+enum class JobStage { PENDING, RUNNING, DONE, CANCELLED }
 
 /** [dependencies]: what the job waits, or waited, for; known while it is live. */
 data class JobView(
--- a/src/main/kotlin/plankwall/model/Names.kt
+++ b/src/main/kotlin/plankwall/model/Names.kt
@@ -1,16 +1,16 @@
 package plankwall.model
 
 @JvmInline
-value class JobIx(val value: Int)
+value class JobIndex(val value: Int)
 
 @JvmInline
-value class MachineIx(val value: Int)
+value class MachineIndex(val value: Int)
 
 @JvmInline
-value class TeamIx(val value: Int)
+value class TeamIndex(val value: Int)
 
 @JvmInline
-value class ImageIx(val value: Int)
+value class ImageIndex(val value: Int)
 
 /** Gives every name a small dense index at the door, so that the inside compares and counts integers. */
 class NameTable(initial: List<String> = emptyList()) {
--- a/src/main/kotlin/plankwall/model/Aims.kt
+++ b/src/main/kotlin/plankwall/model/ServiceLevelObjectives.kt
@@ -4,7 +4,7 @@
  * What the operators' aims say of each class of jobs (`objectives` in the platform's settings). They tell work that
  * somebody waits for from work that takes what is left; a site that states none expects everything of everybody.
  */
-class Aims(objectives: List<Objective>) {
+class ServiceLevelObjectives(objectives: List<Objective>) {
     private val byClass: Map<String, List<Objective>> = objectives.filter {
         it.jobClass != null
     }.groupBy { it.jobClass.orEmpty() }
--- a/src/main/kotlin/plankwall/simulation/MeetingDay.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -9,7 +9,7 @@
  * A day drawn by [seed] on which troubles meet in pairs, three times, while users withdraw every second job and ask for
  * all.
  */
-class MeetingDay(private val seed: Long, private val nodes: Int) {
+class FaultCombinationScenario(private val seed: Long, private val nodes: Int) {
     /** [unserved]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
     class Result(
         val seed: Long,
@@ -17,7 +17,7 @@
         val troubles: List<String>,
         val broken: List<String>,
         val unserved: List<String>,
-        val withdrawn: Int,
+        val cancelled: Int,
         val felt: Map<String, Int>,
     )
 
@@ -47,11 +47,11 @@
     }
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-    private val world = World(seed, nodes)
+    private val world = SimulatedCluster(seed, nodes)
     private val troubles = ArrayList<String>()
     private val kept = ArrayList<String>()
     private val calledOff = HashSet<String>()
-    private var withdrawn = 0
+    private var cancelled = 0
     private var calmFrom = 0.0
 
     fun play(endS: Double = 460.0): Result {
@@ -59,7 +59,7 @@
         for (n in 1..4) {
             world.clock.after(1.0 + n * 0.1) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         Shape.SERVICE,
                         tasks = 8,
@@ -79,12 +79,12 @@
         world.checker.calmFrom = calmFrom + CALM_S
         world.clock.runUntil(endS)
         val unserved = kept.filter { it !in calledOff && it !in world.cancelledAtEnd && world.stageOf(it) != "done" }
-        return Result(seed, nodes, troubles, world.checker.broken.toList(), unserved, withdrawn, world.felt)
+        return Result(seed, nodes, troubles, world.checker.broken.toList(), unserved, cancelled, world.felt)
     }
 
     /** Two or three tasks each; every second is withdrawn, some while it waits, some long after its start. */
     private fun job(n: Int, at: Double) {
-        val spec = World.job(
+        val spec = SimulatedCluster.job(
             n,
             if (n % 3 ==
                 0
@@ -104,11 +104,12 @@
             oneZone = n % 6 == 0,
             team = if (n % 5 == 0) "red" else "blue",
         )
-        if (n % 2 == 0) withdrawn++ else kept.add(spec.id)
+        if (n % 2 == 0) cancelled++ else kept.add(spec.id)
         world.clock.after(at) { world.submit(spec, if (n % 2 == 0) 4.0 + random.nextDouble() * 60.0 else null) }
     }
 
-    private fun leader(): SimNode = world.nodes.firstOrNull { it.leading } ?: world.nodes[random.nextInt(nodes)]
+    private fun leader(): SimulatedController =
+        world.nodes.firstOrNull { it.leading } ?: world.nodes[random.nextInt(nodes)]
 
     /** For how long it lasts. */
     private fun begin(kind: Kind, at: Double): Double {
@@ -174,7 +175,7 @@
     private fun cancelNow(hangS: Double) {
         unfinished().take(6).forEach { id ->
             calledOff.add(id)
-            world.clock.after(random.nextDouble() * 0.2) { world.withdraw(id) }
+            world.clock.after(random.nextDouble() * 0.2) { world.cancel(id) }
         }
         world.cloud.workers.filter { random.nextInt(4) == 0 }.take(8).forEach { it.hang(hangS) }
     }
--- a/src/main/kotlin/plankwall/simulation/LinkDay.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -10,7 +10,7 @@
  * A day of link troubles drawn by [seed], at a site of [nodes] nodes and some [machines] machines, nearly all of them
  * at work on replicas of live services.
  */
-class LinkDay(private val seed: Long, private val nodes: Int, private val machines: Int) {
+class LinkFaultScenario(private val seed: Long, private val nodes: Int, private val machines: Int) {
     /**
      * [leaseDeaths]: tasks killed by their worker as its lease ran out; [avoidable]: of these, where the worker did
      * reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
@@ -19,7 +19,7 @@
     class Result(
         val seed: Long,
         val nodes: Int,
-        val troubles: List<LinkTrouble>,
+        val troubles: List<LinkFaults>,
         val broken: List<String>,
         val leaseDeaths: Int,
         val avoidable: Int,
@@ -37,9 +37,9 @@
 
     fun play(endS: Double = 260.0): Result {
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-        val world = World(seed, nodes)
+        val world = SimulatedCluster(seed, nodes)
         world.cloud.capacity = machines + machines / 5
-        val drawn = LinkTrouble.draw(random, nodes, endS - 30.0)
+        val drawn = LinkFaults.draw(random, nodes, endS - 30.0)
         work(world)
         drawn.forEach { it.schedule(world) }
         drawn.forEach { t -> world.clock.after(t.at) { since(world, world.clock.now) } }
@@ -61,7 +61,7 @@
                 )
             }
         }
-        var leader: SimNode? = null
+        var leader: SimulatedController? = null
         world.clock.every(0.1) {
             val now = world.nodes.firstOrNull { it.leading }
             if (now != null && now !== leader) leads++
@@ -74,12 +74,12 @@
         )
     }
 
-    private fun work(world: World) {
+    private fun work(world: SimulatedCluster) {
         val replicas = machines * TASKS_ON_MACHINE
         for (n in 1..replicas / SERVICE) {
             world.clock.after(1.0 + n * 0.05) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         Shape.SERVICE,
                         tasks = SERVICE,
@@ -93,7 +93,7 @@
         for (n in 0 until 20) {
             world.clock.after(40.0 + 9 * n) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         FIRST_JOB + n,
                         if (n % 3 ==
                             0
@@ -113,7 +113,7 @@
 
     private val waitingSince = ArrayList<Pair<Double, HashSet<String>>>()
 
-    private fun since(world: World, now: Double) {
+    private fun since(world: SimulatedCluster, now: Double) {
         waitingSince.add(now to world.cloud.workers.map { it.id }.toHashSet())
     }
 
@@ -131,11 +131,13 @@
         lastServed[worker] = now
     }
 
-    private fun couldServe(world: World, worker: SimWorker, node: SimNode): Boolean = !node.frozen &&
-        world.wiring.isOpen(node.name, worker.id, worker.group.zone) &&
-        world.nodes.any { it.leading && !it.frozen && (it === node || open(world, node.name, it.name)) }
+    private fun couldServe(world: SimulatedCluster, worker: SimulatedWorker, node: SimulatedController): Boolean =
+        !node.frozen &&
+            world.wiring.isOpen(node.name, worker.id, worker.group.zone) &&
+            world.nodes.any { it.leading && !it.frozen && (it === node || open(world, node.name, it.name)) }
 
-    private fun open(world: World, a: String, b: String) = world.wiring.isOpen(a, b) && world.wiring.isOpen(b, a)
+    private fun open(world: SimulatedCluster, a: String, b: String) =
+        world.wiring.isOpen(a, b) && world.wiring.isOpen(b, a)
 
     private companion object {
         const val TASKS_ON_MACHINE = 4
--- a/src/main/kotlin/plankwall/simulation/LinkTrouble.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaults.kt
@@ -4,14 +4,14 @@
 import org.apache.commons.rng.sampling.ListSampler
 
 /** One thing that goes wrong with links, or beside them, from [at] for [forS] seconds of virtual time. */
-class LinkTrouble(
+class LinkFaults(
     val name: String,
     val at: Double,
     val forS: Double,
-    private val begin: World.() -> Unit,
-    private val end: World.() -> Unit,
+    private val begin: SimulatedCluster.() -> Unit,
+    private val end: SimulatedCluster.() -> Unit,
 ) {
-    fun schedule(world: World) {
+    fun schedule(world: SimulatedCluster) {
         world.clock.after(at) { world.begin() }
         world.clock.after(at + forS) { world.end() }
     }
@@ -25,10 +25,10 @@
         /**
          * Troubles that overlap now and then, drawn from [random], for a site of [nodes] nodes; over by [end] seconds.
          */
-        fun draw(random: UniformRandomProvider, nodes: Int, end: Double): List<LinkTrouble> = List(EPISODES) {
+        fun draw(random: UniformRandomProvider, nodes: Int, end: Double): List<LinkFaults> = List(EPISODES) {
             val at = EARLIEST_S + random.nextDouble() * (end - EARLIEST_S - 45.0)
             val forS = 5.0 + random.nextDouble() * 35.0
-            val how = Cut.entries[random.nextInt(Cut.entries.size)]
+            val how = LinkCut.entries[random.nextInt(LinkCut.entries.size)]
             val some = 1 + random.nextInt(nodes)
             // Who leads counts first: troubles that miss the leader show little.
             val picks = (0 until nodes).toMutableList().also { ListSampler.shuffle(random, it) }
@@ -64,10 +64,10 @@
             }
         }
 
-        private fun World.nodes(): List<String> = nodes.map { it.name }
+        private fun SimulatedCluster.nodes(): List<String> = nodes.map { it.name }
 
         /** [n] nodes, the leader of the moment first. */
-        private fun World.chosen(picks: List<Int>, n: Int): List<String> =
+        private fun SimulatedCluster.chosen(picks: List<Int>, n: Int): List<String> =
             (nodes.filter { it.leading }.map { it.name } + picks.map { "n$it" }).distinct().take(n)
 
         private fun pairs(nodes: Int): List<Pair<String, String>> =
@@ -77,11 +77,11 @@
             name: String,
             at: Double,
             forS: Double,
-            how: Cut,
-            which: World.() -> List<Pair<String, String>>,
-        ): LinkTrouble {
+            how: LinkCut,
+            which: SimulatedCluster.() -> List<Pair<String, String>>,
+        ): LinkFaults {
             var cut = emptyList<Pair<String, String>>()
-            return LinkTrouble(name, at, forS, {
+            return LinkFaults(name, at, forS, {
                 cut = which()
                 cut.forEach { (a, b) -> wiring.cutBoth(a, b, how) }
             }, { cut.forEach { (a, b) -> wiring.healBoth(a, b) } })
@@ -90,12 +90,12 @@
         private fun oneWay(
             at: Double,
             forS: Double,
-            how: Cut,
+            how: LinkCut,
             out: Boolean,
-            which: World.() -> List<Pair<String, String>>,
-        ): LinkTrouble {
+            which: SimulatedCluster.() -> List<Pair<String, String>>,
+        ): LinkFaults {
             var cut = emptyList<Pair<String, String>>()
-            return LinkTrouble("one way ${if (out) "out" else "in"}, $how", at, forS, {
+            return LinkFaults("one way ${if (out) "out" else "in"}, $how", at, forS, {
                 cut = which().map { (a, b) -> if (out) a to b else b to a }
                 cut.forEach { (a, b) -> wiring.cut(a, b, how) }
             }, { cut.forEach { (a, b) -> wiring.heal(a, b) } })
@@ -104,11 +104,11 @@
         private fun flapping(
             at: Double,
             forS: Double,
-            how: Cut,
-            which: World.() -> List<Pair<String, String>>,
-        ): LinkTrouble {
+            how: LinkCut,
+            which: SimulatedCluster.() -> List<Pair<String, String>>,
+        ): LinkFaults {
             var cut = emptyList<Pair<String, String>>()
-            return LinkTrouble("up and down, $how", at, forS, {
+            return LinkFaults("up and down, $how", at, forS, {
                 cut = which()
                 generateSequence(0.0) { it + 10.0 }.takeWhile { it < forS }.forEach { t ->
                     clock.after(t) { cut.forEach { (a, b) -> wiring.cutBoth(a, b, how) } }
@@ -118,28 +118,28 @@
         }
 
         /** Each link of each node by itself, in a way and a direction of its own. */
-        private fun matrix(random: UniformRandomProvider, at: Double, forS: Double, nodes: Int): LinkTrouble {
+        private fun matrix(random: UniformRandomProvider, at: Double, forS: Double, nodes: Int): LinkFaults {
             val hosts = (0 until nodes).map { "n$it" } + listOf("state", "cloud", "zone:a", "zone:b")
             val cut = (0 until nodes).flatMap { n -> hosts.flatMap { h -> listOf("n$n" to h, h to "n$n") } }
                 .filter { it.first != it.second && random.nextDouble() < 0.15 }.map {
                     it to
-                        Cut.entries[random.nextInt(Cut.entries.size)]
+                        LinkCut.entries[random.nextInt(LinkCut.entries.size)]
                 }
-            return LinkTrouble("matrix of ${cut.size}", at, forS, {
+            return LinkFaults("matrix of ${cut.size}", at, forS, {
                 cut.forEach { (l, how) -> wiring.cut(l.first, l.second, how) }
             }) {
                 cut.forEach { (l, _) -> wiring.heal(l.first, l.second) }
             }
         }
 
-        private fun besides(random: UniformRandomProvider, at: Double, forS: Double, picks: List<Int>): LinkTrouble =
+        private fun besides(random: UniformRandomProvider, at: Double, forS: Double, picks: List<Int>): LinkFaults =
             when (random.nextInt(4)) {
-                0 -> LinkTrouble("a crash", at, forS, { nodes[picks.first()].let { if (it.up) it.crash(8.0) } }, {})
-                1 -> LinkTrouble("a leader frozen", at, forS / 2, {
+                0 -> LinkFaults("a crash", at, forS, { nodes[picks.first()].let { if (it.up) it.crash(8.0) } }, {})
+                1 -> LinkFaults("a leader frozen", at, forS / 2, {
                     nodes.filter { it.leading }.forEach { it.freeze(forS / 2) }
                 }, {})
-                2 -> LinkTrouble("an outage", at, forS / 2, { state.outage = true }, { state.outage = false })
-                else -> LinkTrouble("late writes", at, forS, { lateWrites = 0.1 }, { lateWrites = 0.0 })
+                2 -> LinkFaults("an outage", at, forS / 2, { state.outage = true }, { state.outage = false })
+                else -> LinkFaults("late writes", at, forS, { lateWrites = 0.1 }, { lateWrites = 0.0 })
             }
     }
 }
--- a/src/main/kotlin/plankwall/simulation/BadNight.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -12,7 +12,7 @@
  * A day drawn by [seed] on which what the operators met comes together: machines late or never, silent controllers,
  * storms of polls, guests, jobs that fail everywhere beside machines that fail everything.
  */
-class BadNight(private val seed: Long, private val nodes: Int) {
+class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
     /**
      * [unserved]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and
      * probes included.
@@ -30,7 +30,7 @@
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
     private val troubles = ArrayList<String>()
     private val world =
-        World(
+        SimulatedCluster(
             seed,
             nodes,
             objectives = listOf("class", "probes", "sweep").map {
@@ -42,7 +42,7 @@
     fun play(endS: Double = 420.0): Result {
         world.cloud.capacity = CAPACITY
         work()
-        listOf(::lateBoots, ::silence, ::silence, ::storm, ::guests, ::faults).forEach { it() }
+        listOf(::lateBoots, ::silence, ::silence, ::storm, ::bestEffort, ::faults).forEach { it() }
         if (random.nextInt(3) == 0) outage()
         world.clock.runUntil(endS)
         // The last look is at a quiet site.
@@ -60,15 +60,15 @@
 
     private fun at(from: Double = EARLIEST_S, to: Double = LATEST_S): Double = from + random.nextDouble() * (to - from)
 
-    private fun submit(spec: JobSpec, at: Double, withdrawAfter: Double? = null) {
-        world.clock.after(at) { world.submit(spec, withdrawAfter) }
-        if (withdrawAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE) sound.add(spec.id)
+    private fun submit(spec: JobSpec, at: Double, cancelAfter: Double? = null) {
+        world.clock.after(at) { world.submit(spec, cancelAfter) }
+        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE) sound.add(spec.id)
     }
 
     private fun work() {
         for (n in 1..8) {
             submit(
-                World.job(
+                SimulatedCluster.job(
                     n,
                     Shape.SERVICE,
                     tasks = 4,
@@ -82,7 +82,7 @@
         }
         for (n in 20..45) {
             submit(
-                World.job(
+                SimulatedCluster.job(
                     n,
                     if (n % 4 ==
                         0
@@ -152,9 +152,9 @@
         world.clock.after(at + 60.0) { world.pollFactor = 1.0 }
     }
 
-    private fun guests() {
+    private fun bestEffort() {
         val at = at()
-        val sweep = World.job(
+        val sweep = SimulatedCluster.job(
             300,
             tasks = 1_000 + random.nextInt(3_000),
             runS = 1.5,
@@ -163,7 +163,11 @@
         submit(sweep, at)
         for (n in 400..480) {
             submit(
-                World.job(n, tasks = 1, runS = 10.0).copy(jobClass = "probes", need = SMALL, priority = Priority.LOW),
+                SimulatedCluster.job(
+                    n,
+                    tasks = 1,
+                    runS = 10.0,
+                ).copy(jobClass = "probes", need = SMALL, priority = Priority.LOW),
                 at(
                     at,
                     at + 4.0,
@@ -172,7 +176,11 @@
         }
         for (n in 500..503) {
             submit(
-                World.job(n, tasks = 30, runS = 60.0).copy(jobClass = SPARE, priority = Priority.LOW, spot = true),
+                SimulatedCluster.job(
+                    n,
+                    tasks = 30,
+                    runS = 60.0,
+                ).copy(jobClass = SPARE, priority = Priority.LOW, spot = true),
                 at,
             )
         }
@@ -183,7 +191,7 @@
         val sick = random.nextInt(4)
         note("$sick machines fail everything, jobs with a mistake", at)
         for (n in 600..605) {
-            val spec = World.job(
+            val spec = SimulatedCluster.job(
                 n,
                 if (n % 2 ==
                     0
@@ -197,7 +205,7 @@
                 priority = Priority.HIGH,
             )
             world.mistaken.add(spec.id)
-            submit(spec, at(at - 20.0, at + 60.0), withdrawAfter = 50.0)
+            submit(spec, at(at - 20.0, at + 60.0), cancelAfter = 50.0)
         }
         world.clock.after(at) { world.cloud.workers.take(sick).forEach { it.sick = true } }
         world.clock.after(at + 90.0) { world.cloud.workers.forEach { it.sick = false } }
--- a/src/main/kotlin/plankwall/simulation/ImpatientUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -5,20 +5,20 @@
 import plankwall.model.Shape
 
 /** Users who ask everywhere at once, repeat themselves, and send what nobody can run. */
-class ImpatientUsers(private val world: World) {
+class RetryingUsers(private val world: SimulatedCluster) {
     private var odd = 900_000
 
     /**
-     * At all nodes within milliseconds: a question, the submission again and, where it is [withdrawn], the cancellation
+     * At all nodes within milliseconds: a question, the submission again and, where it is [cancelled], the cancellation
      * again.
      */
-    fun look(id: String, withdrawn: Boolean = false) {
+    fun look(id: String, cancelled: Boolean = false) {
         world.felt.merge("close looks", 1, Int::plus)
         val spec = world.submitted(id) ?: return
         for (node in world.nodes.filter { it.up }) {
             world.clock.after(world.random.nextDouble() * LOOK_S) { world.show(id, node) }
             world.clock.after(world.random.nextDouble() * LOOK_S) { world.submitOnce(spec, node) }
-            if (withdrawn) world.clock.after(world.random.nextDouble() * LOOK_S) { world.withdrawOnce(id, node) }
+            if (cancelled) world.clock.after(world.random.nextDouble() * LOOK_S) { world.cancelOnce(id, node) }
         }
     }
 
@@ -27,7 +27,7 @@
      * two zones and in one.
      */
     private fun impossible(): List<JobSpec> {
-        fun next() = World.job(++odd)
+        fun next() = SimulatedCluster.job(++odd)
         return listOf(
             next().copy(need = Resources(2_000, 1_000_000, 8_000)),
             next().copy(team = "nobody"),
@@ -52,7 +52,7 @@
                 }
             }
         }
-        done.forEach { world.withdrawOnce(it, node) }
+        done.forEach { world.cancelOnce(it, node) }
         unfinished.forEach { id -> world.submitted(id)?.let { world.submitOnce(it, node) } }
     }
 
--- a/src/main/kotlin/plankwall/simulation/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/simulation/RuleChecker.kt
@@ -9,7 +9,7 @@
 /** Watches a simulated day from outside and notes every broken rule of PROTOCOL that it can see. */
 class RuleChecker(private val settings: Settings) {
     val broken = ArrayList<String>()
-    private class Place(val spec: JobSpec, val worker: SimWorker)
+    private class Place(val spec: JobSpec, val worker: SimulatedWorker)
 
     private val on = HashMap<String, Place>()
 
@@ -20,11 +20,11 @@
     private val used = HashMap<String, Resources>()
 
     /** Withdrawn jobs that may have a task on a machine. */
-    private val withdrawnOn = LinkedHashSet<String>()
+    private val cancelledOn = LinkedHashSet<String>()
     private val done = HashSet<String>()
     private val accepted = HashMap<String, JobSpec>()
     private val acceptedAt = HashMap<String, Double>()
-    private val withdrawn = HashMap<String, Double>()
+    private val cancelled = HashMap<String, Double>()
     private val asked = HashSet<String>()
     private val told = HashMap<String, String>()
     private val toldAt = HashMap<String, Double>()
@@ -41,7 +41,7 @@
     var starts = 0
         private set
 
-    fun on(task: String, spec: JobSpec, worker: SimWorker, now: Double) {
+    fun on(task: String, spec: JobSpec, worker: SimulatedWorker, now: Double) {
         starts++
         val there = on[task]
         if (there != null &&
@@ -81,7 +81,7 @@
         if (team.gpusMax > 0 && usedNow.gpus > team.gpusMax || team.cpusMax > 0 && usedNow.cpus > team.cpusMax) {
             broken.add("quota: ${spec.team} at $now")
         }
-        checkWithdrawn(now)
+        checkCancelled(now)
     }
 
     private val teams = settings.teams.associateBy { it.name }
@@ -93,7 +93,7 @@
         on[task] = place
         byJob.getOrPut(spec.id) { HashMap() }[task] = place
         used.merge(spec.team, spec.need, Resources::plus)
-        if (spec.id in withdrawn) withdrawnOn.add(spec.id)
+        if (spec.id in cancelled) cancelledOn.add(spec.id)
     }
 
     private fun remove(task: String) {
@@ -107,22 +107,22 @@
 
     /** A worker took the command to start a task of [id]. */
     fun commanded(id: String, now: Double) {
-        if (withdrawn[id]?.let { it < now } == true) startsAfterCancel++
+        if (cancelled[id]?.let { it < now } == true) startsAfterCancel++
     }
 
-    fun off(task: String, worker: SimWorker, now: Double) {
+    fun off(task: String, worker: SimulatedWorker, now: Double) {
         if (on[task]?.worker === worker) remove(task)
-        checkWithdrawn(now)
+        checkCancelled(now)
     }
 
     fun completed(task: String) {
         done.add(task)
     }
 
-    fun checkWithdrawn(now: Double) {
-        withdrawnOn.removeIf { it !in byJob }
-        for (id in withdrawnOn) {
-            if (now <= withdrawn.getValue(id) + settings.workers.cancelS) continue
+    fun checkCancelled(now: Double) {
+        cancelledOn.removeIf { it !in byJob }
+        for (id in cancelledOn) {
+            if (now <= cancelled.getValue(id) + settings.workers.cancelS) continue
             byJob.getValue(id).keys.forEach { broken.add("ran_cancelled: $it at $now") }
         }
     }
@@ -131,7 +131,7 @@
 
     fun isAccepted(id: String): Boolean = id in accepted
 
-    /** `done` or `withdrawn` once a user was told so. */
+    /** `done` or `cancelled` once a user was told so. */
     fun stageTold(id: String): String? = told[id]
 
     /** The most that tasks of a team have used at one time. */
@@ -194,8 +194,8 @@
             broken.add("not_done: $id")
         }
         if (stage == "withdrawn") {
-            withdrawn.putIfAbsent(id, now)
-            withdrawnOn.add(id)
+            cancelled.putIfAbsent(id, now)
+            cancelledOn.add(id)
         }
         if (over && before == null) {
             told[id] = stage
@@ -214,7 +214,7 @@
         if (stage != null) noteStage(id, stage, now, askedAt)
         if (stage == "pending" || stage == "running") {
             needed(id).forEach { name ->
-                val since = withdrawn[name]?.takeIf { told[name] == "withdrawn" } ?: return@forEach
+                val since = cancelled[name]?.takeIf { told[name] == "withdrawn" } ?: return@forEach
                 if (now >
                     maxOf(since, acceptedAt[id] ?: now) + settings.workers.cancelS
                 ) {
@@ -222,7 +222,7 @@
                 }
             }
         }
-        checkWithdrawn(now)
+        checkCancelled(now)
     }
 
     private val stallingSince = HashMap<String, Double>()
@@ -231,9 +231,9 @@
      * In calm, no job is left waiting while one of [machines] that fits has room and its team is under its limit.
      * [machines]: those that are sound and reached, with what each has.
      */
-    fun checkStalled(machines: Map<SimWorker, Resources>, now: Double) {
+    fun checkStalled(machines: Map<SimulatedWorker, Resources>, now: Double) {
         if (now < calmFrom) return
-        val taken = HashMap<SimWorker, Resources>()
+        val taken = HashMap<SimulatedWorker, Resources>()
         on.values.forEach { p -> taken.merge(p.worker, p.spec.need, Resources::plus) }
         for ((id, spec) in accepted) {
             val zones = byJob[id].orEmpty().values.map { it.worker.group.zone }
@@ -300,11 +300,11 @@
     }
 
     /** From here on the job may be called withdrawn, even if the request's own answer was lost. */
-    fun withdrawAsked(id: String) {
+    fun cancelRequested(id: String) {
         asked.add(id)
     }
 
-    fun withdrawAnswered(id: String, stage: String, now: Double, askedAt: Double = now) =
+    fun cancelAnswered(id: String, stage: String, now: Double, askedAt: Double = now) =
         noteStage(id, stage, now, askedAt)
 
     private companion object {
--- a/src/main/kotlin/plankwall/simulation/SimClock.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedClock.kt
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue
 
 /** Virtual time: events run in order of their time, and of their coming where that is the same. */
-class SimClock {
+class SimulatedClock {
     private class Event(val at: Double, val order: Long, val action: () -> Unit)
 
     private val queue = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
--- a/src/main/kotlin/plankwall/simulation/SimCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -9,16 +9,16 @@
 import java.util.Random
 
 /** The cloud as PROTOCOL describes it: names in order, late lists, machines that come up late or never. */
-class SimCloud(
-    private val clock: SimClock,
+class SimulatedCloud(
+    private val clock: SimulatedClock,
     private val random: Random,
     val catalog: Catalog,
     private val listLagS: Double,
-    private val addressOf: (id: String) -> String = SimWorker::addressOf,
-    private val newWorker: (id: String, group: GroupKey) -> SimWorker,
+    private val addressOf: (id: String) -> String = SimulatedWorker::addressOf,
+    private val newWorker: (id: String, group: GroupKey) -> SimulatedWorker,
 ) {
     class Rented(val id: String, val group: GroupKey, val at: Double) {
-        var worker: SimWorker? = null
+        var worker: SimulatedWorker? = null
         var failed = false
     }
 
@@ -40,7 +40,7 @@
         private set
 
     val alive: Collection<Rented> get() = machines.values
-    val workers: List<SimWorker> get() = machines.values.mapNotNull { it.worker }
+    val workers: List<SimulatedWorker> get() = machines.values.mapNotNull { it.worker }
 
     init {
         clock.every(0.5) {
@@ -62,7 +62,7 @@
         ListedMachine(it.id, addressOf(it.id), it.group, state, clock.now - it.at)
     }
 
-    fun worker(address: String): SimWorker? = workers.firstOrNull { it.address == address }
+    fun worker(address: String): SimulatedWorker? = workers.firstOrNull { it.address == address }
 
     fun run(op: CloudOp): CloudResult {
         if (outage) return CloudResult.Trouble
