--- a/src/test/kotlin/plankwall/simulation/RentalDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
@@ -9,16 +9,16 @@
 import plankwall.model.Tuning
 
 /** The rental loop against the paper's use cases, played on the simulated site. */
-class RentalDaysTest {
+class AutoscalingScenarioTest {
     private val tuning = Tuning(unregisteredS = 30.0, shortGroupS = 30.0, unreadyS = 60.0)
 
-    private fun world(seed: Long = 5) = World(seed, tuning = tuning)
+    private fun world(seed: Long = 5) = SimulatedCluster(seed, tuning = tuning)
 
     @ParameterizedTest(name = "{0} tasks of {1} accelerators rent {2} machines")
     @CsvSource("4, 1, 1", "5, 1, 2", "4, 4, 4", "8, 2, 4", "1, 0, 1")
     fun `UC1 and UC2 rents by what waits, once`(tasks: Int, gpus: Long, machines: Int) {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = tasks, gpus = gpus, runS = 60.0)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, tasks = tasks, gpus = gpus, runS = 60.0)) }
         world.clock.runUntil(40.0)
         assertEquals(machines, world.cloud.rentals)
     }
@@ -27,7 +27,7 @@
     fun `UC3 and UC5 a machine that never registers is returned and replaced`() {
         val world = world()
         world.cloud.bootFails = 1.0
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = 1)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, tasks = 1)) }
         world.clock.after(20.0) { world.cloud.bootFails = 0.0 }
         world.clock.runUntil(25.0)
         val stuck = world.cloud.alive.map { it.id }
@@ -40,7 +40,7 @@
     fun `UC4 no capacity is not the end`() {
         val world = world()
         world.cloud.capacity = 0
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = 1)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, tasks = 1)) }
         world.clock.after(60.0) { world.cloud.capacity = 10 }
         world.clock.runUntil(160.0)
         assertEquals("done", world.stageOf("job-000001"))
@@ -49,8 +49,8 @@
     @Test
     fun `unneeded machines go back, needed ones stay`() {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = 8, runS = 10.0)) }
-        world.clock.after(2.0) { world.submit(World.job(2, Shape.SERVICE, tasks = 1)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, tasks = 8, runS = 10.0)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(2, Shape.SERVICE, tasks = 1)) }
         world.clock.runUntil(30.0)
         assertEquals(3, world.cloud.rentals)
         world.clock.runUntil(120.0)
@@ -61,7 +61,7 @@
     @Test
     fun `UC8 when all workers fall silent nothing is rented or returned`() {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 16)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 16)) }
         world.clock.runUntil(40.0)
         val before = world.cloud.rentals to world.cloud.alive.map { it.id }
         assertEquals(4, world.cloud.alive.size)
@@ -77,7 +77,7 @@
     @Test
     fun `a rental that a crashed leader left unanswered is not made twice`() {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = 4, runS = 30.0)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, tasks = 4, runS = 30.0)) }
         // The request is under way when its leader dies: stored, sent, its answer lost.
         world.clock.runUntil(2.0)
         while (world.cloud.rentals == 0) world.clock.runUntil(world.clock.now + 0.05)
@@ -89,7 +89,7 @@
     @Test
     fun `a machine that dies soon after a take-over is replaced before its lease would be over`() {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 24)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 24)) }
         world.clock.runUntil(45.0)
         world.nodes.first { it.leading }.crash(8.0)
         world.clock.runUntil(53.0)
@@ -103,7 +103,7 @@
     @Test
     fun `a leader left alone with a few machines goes on, and replaces the others`() {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 16)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 16)) }
         world.clock.runUntil(45.0)
         val first = world.nodes.first { it.leading }
         world.nodes.filter { it !== first }.forEach { it.crash(200.0) }
@@ -121,7 +121,7 @@
         stays: Boolean,
     ) {
         val world = world()
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 12)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 12)) }
         world.clock.runUntil(45.0)
         val first = world.nodes.first { it.leading }
         cut.split(' ').forEach { world.cuts.add("${first.name}-$it") }
--- a/src/test/kotlin/plankwall/simulation/PipelineDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -15,19 +15,30 @@
 import plankwall.wire.JobRecord
 
 /** Jobs that wait for others, on whole sites in virtual time. */
-class PipelineDaysTest {
+class DependencyScenarioTest {
     private val smaller = StateLimits(250.0, 70.0, 2.0, 10)
 
     /** A chain 1, 2, 3, 4 of which 2 and 3 both need 1, and 4 needs both. */
-    private fun World.pipeline(at: Double, first: Int = 1, lateLast: Double = 0.0) {
+    private fun SimulatedCluster.pipeline(at: Double, first: Int = 1, lateLast: Double = 0.0) {
         clock.after(at) {
-            submit(World.job(first, tasks = 3, runS = 8.0, priority = Priority.LOW, spot = true))
-            submit(World.job(first + 1, tasks = 6, runS = 10.0, priority = Priority.LOW, after = listOf(first)))
-            submit(World.job(first + 2, Shape.GANG, tasks = 2, runS = 6.0, oneZone = true, after = listOf(first)))
+            submit(SimulatedCluster.job(first, tasks = 3, runS = 8.0, priority = Priority.LOW, spot = true))
+            submit(
+                SimulatedCluster.job(first + 1, tasks = 6, runS = 10.0, priority = Priority.LOW, after = listOf(first)),
+            )
+            submit(
+                SimulatedCluster.job(
+                    first + 2,
+                    Shape.GANG,
+                    tasks = 2,
+                    runS = 6.0,
+                    oneZone = true,
+                    after = listOf(first),
+                ),
+            )
         }
         clock.after(at + lateLast) {
             submit(
-                World.job(
+                SimulatedCluster.job(
                     first + 3,
                     tasks = 2,
                     runS = 4.0,
@@ -41,14 +52,14 @@
         }
     }
 
-    private fun World.stages(ids: IntRange): List<String?> = ids.map { stageOf("job-%06d".format(it)) }
+    private fun SimulatedCluster.stages(ids: IntRange): List<String?> = ids.map { stageOf("job-%06d".format(it)) }
 
-    private fun World.assertSound() {
+    private fun SimulatedCluster.assertSound() {
         assertEquals(emptyList<String>(), checker.broken)
         assertEquals(emptyList<String>(), checker.refused)
     }
 
-    private val troubles: Map<String, World.(Double) -> Unit> = mapOf(
+    private val troubles: Map<String, SimulatedCluster.(Double) -> Unit> = mapOf(
         "none" to {},
         "leader crash" to { at -> clock.after(at) { nodes.first { it.leading }.crash(6.0) } },
         "all crash" to { at -> clock.after(at) { nodes.forEach { it.crash(8.0) } } },
@@ -73,7 +84,7 @@
         "late writes, 25", "lost answers, 25",
     )
     fun `stages run in order whatever fails`(trouble: String, at: Double) {
-        val world = World(at.toLong())
+        val world = SimulatedCluster(at.toLong())
         world.pipeline(2.0)
         world.pipeline(4.0, first = 11, lateLast = 70.0)
         troubles.getValue(trouble)(world, at)
@@ -90,13 +101,13 @@
         "3, 8, all crash", "4, 30, none", "4, 30, leader crash", "1, 20, late writes", "2, 25, lost answers",
     )
     fun `what is cancelled takes with it all that needs it, and nothing else`(stage: Int, at: Double, trouble: String) {
-        val world = World(stage * 100L + at.toLong())
+        val world = SimulatedCluster(stage * 100L + at.toLong())
         world.pipeline(2.0)
-        world.clock.after(at) { world.withdraw("job-%06d".format(stage)) }
+        world.clock.after(at) { world.cancel("job-%06d".format(stage)) }
         troubles.getValue(trouble)(world, at + 0.05)
         // In that very moment, and long after.
-        world.clock.after(at) { world.submit(World.job(5, tasks = 1, after = listOf(stage))) }
-        world.clock.after(at + 60.0) { world.submit(World.job(6, tasks = 1, after = listOf(5))) }
+        world.clock.after(at) { world.submit(SimulatedCluster.job(5, tasks = 1, after = listOf(stage))) }
+        world.clock.after(at + 60.0) { world.submit(SimulatedCluster.job(6, tasks = 1, after = listOf(5))) }
         world.clock.runUntil(at + 130.0)
         val told = world.stages(1..6)
         val needs = mapOf(
@@ -124,13 +135,13 @@
     fun `whether a stage was done or cancelled in the same moment is decided once, for its dependents too`() {
         val outcomes = HashSet<String?>()
         for (step in 0 until 24) {
-            val world = World(500L + step, nodeCount = 1)
+            val world = SimulatedCluster(500L + step, nodeCount = 1)
             world.clock.after(2.0) {
-                world.submit(World.job(1, tasks = 1, runS = 8.0))
-                world.submit(World.job(2, tasks = 1, runS = 2.0, after = listOf(1)))
+                world.submit(SimulatedCluster.job(1, tasks = 1, runS = 8.0))
+                world.submit(SimulatedCluster.job(2, tasks = 1, runS = 2.0, after = listOf(1)))
             }
             while (world.checker.starts == 0) world.clock.runUntil(world.clock.now + 0.01)
-            world.clock.after(7.8 + 0.05 * step) { world.withdraw("job-000001") }
+            world.clock.after(7.8 + 0.05 * step) { world.cancel("job-000001") }
             world.clock.runUntil(world.clock.now + 60.0)
             val (first, second) = world.stages(1..2)
             assertEquals(first, second)
@@ -142,11 +153,11 @@
 
     @Test
     fun `a new leader reads how dependencies ended before it starts anything that needs them`() {
-        val world = World(31)
+        val world = SimulatedCluster(31)
         world.clock.after(2.0) {
-            world.submit(World.job(1, tasks = 1, runS = 5.0))
-            world.submit(World.job(2, tasks = 1, runS = 60.0))
-            world.submit(World.job(3, tasks = 2, runS = 5.0, after = listOf(1, 2)))
+            world.submit(SimulatedCluster.job(1, tasks = 1, runS = 5.0))
+            world.submit(SimulatedCluster.job(2, tasks = 1, runS = 60.0))
+            world.submit(SimulatedCluster.job(3, tasks = 2, runS = 5.0, after = listOf(1, 2)))
         }
         world.clock.runUntil(40.0)
         assertEquals(listOf("done", "running", "pending"), world.stages(1..3))
@@ -167,22 +178,36 @@
         "never accepted but known itself, 200",
     )
     fun `what a submission may name`(standing: String, expected: Int) {
-        val world = World(41)
-        world.clock.after(2.0) { world.submit(World.job(1, tasks = 1, runS = if (standing == "done") 3.0 else 300.0)) }
-        if (standing == "withdrawn") world.clock.after(8.0) { world.withdraw("job-000001") }
+        val world = SimulatedCluster(41)
+        world.clock.after(2.0) {
+            world.submit(
+                SimulatedCluster.job(
+                    1,
+                    tasks = 1,
+                    runS = if (standing ==
+                        "done"
+                    ) {
+                        3.0
+                    } else {
+                        300.0
+                    },
+                ),
+            )
+        }
+        if (standing == "withdrawn") world.clock.after(8.0) { world.cancel("job-000001") }
         world.clock.runUntil(60.0)
         val spec = when (standing) {
-            "never accepted" -> World.job(9, after = listOf(1, 77))
-            "never accepted but known itself" -> World.job(1, after = listOf(77))
-            "accepted by another node just now" -> World.job(9, after = listOf(8))
-            "unreadable" -> World.job(9, after = listOf(78))
-            else -> World.job(9, after = listOf(1))
+            "never accepted" -> SimulatedCluster.job(9, after = listOf(1, 77))
+            "never accepted but known itself" -> SimulatedCluster.job(1, after = listOf(77))
+            "accepted by another node just now" -> SimulatedCluster.job(9, after = listOf(8))
+            "unreadable" -> SimulatedCluster.job(9, after = listOf(78))
+            else -> SimulatedCluster.job(9, after = listOf(1))
         }
         val statuses = ArrayList<Int>()
         val ask = { world.nodes[1].ask({ Input.Submit(it, spec) }) { status, _ -> statuses.add(status) } }
         if (standing == "unreadable") world.state.outage = true
         if (standing.startsWith("accepted by another")) {
-            world.nodes[0].ask({ Input.Submit(it, World.job(8, runS = 300.0)) }) { status, _ ->
+            world.nodes[0].ask({ Input.Submit(it, SimulatedCluster.job(8, runS = 300.0)) }) { status, _ ->
                 if (status ==
                     201
                 ) {
@@ -198,19 +223,19 @@
 
     @Test
     fun `a long chain and a crowd of dependents end with the one they all need`() {
-        val world = World(51, stateNext = smaller)
-        world.clock.after(1.0) { world.submit(World.job(1, tasks = 1, runS = 500.0)) }
+        val world = SimulatedCluster(51, stateNext = smaller)
+        world.clock.after(1.0) { world.submit(SimulatedCluster.job(1, tasks = 1, runS = 500.0)) }
         for (n in 2..120) {
             world.clock.after(1.0 + n * 0.02) {
-                world.submit(World.job(n, tasks = 1, after = listOf(n - 1)))
+                world.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(n - 1)))
             }
         }
         for (n in 201..320) {
             world.clock.after(1.0 + (n - 200) * 0.02) {
-                world.submit(World.job(n, tasks = 1, after = listOf(1)))
+                world.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(1)))
             }
         }
-        world.clock.after(60.0) { world.withdraw("job-000001") }
+        world.clock.after(60.0) { world.cancel("job-000001") }
         world.clock.after(60.3) { world.nodes.first { it.leading }.crash(8.0) }
         world.clock.runUntil(60.0 + world.settings.workers.cancelS)
         assertTrue(
@@ -226,14 +251,14 @@
 
     @Test
     fun `a job that waits holds nothing back`() {
-        val world = World(61)
+        val world = SimulatedCluster(61)
         // Team red may use 16 accelerators; what waits for job 1 must neither count nor take their place.
         world.clock.after(1.0) {
-            world.submit(World.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red"))
+            world.submit(SimulatedCluster.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red"))
         }
         world.clock.after(2.0) {
             world.submit(
-                World.job(
+                SimulatedCluster.job(
                     2,
                     Shape.GANG,
                     tasks = 4,
@@ -246,7 +271,9 @@
             )
         }
         world.clock.after(3.0) {
-            world.submit(World.job(3, tasks = 12, gpus = 1, runS = 20.0, team = "red", priority = Priority.LOW))
+            world.submit(
+                SimulatedCluster.job(3, tasks = 12, gpus = 1, runS = 20.0, team = "red", priority = Priority.LOW),
+            )
         }
         world.clock.runUntil(60.0)
         assertEquals(listOf("running", "pending", "done"), world.stages(1..3))
@@ -258,10 +285,10 @@
 
     @Test
     fun `a stage has the priority of the job that its user waits for`() {
-        val world = World(71)
+        val world = SimulatedCluster(71)
         world.cloud.capacity = 1
         fun short(n: Int, priority: Priority, after: List<Int> = emptyList()): JobSpec =
-            World.job(n, tasks = 4, runS = 10.0, priority = priority, after = after)
+            SimulatedCluster.job(n, tasks = 4, runS = 10.0, priority = priority, after = after)
         world.clock.after(1.0) { world.submit(short(1, Priority.HIGH)) }
         world.clock.after(2.0) { world.submit(short(2, Priority.NORMAL)) }
         world.clock.after(3.0) { world.submit(short(3, Priority.LOW)) }
@@ -276,17 +303,19 @@
     fun `priority and deadline travel up a chain, and back when what raised them is withdrawn`() {
         val parts = CoreParts()
         val (first, second) = listOf(
-            World.job(1, priority = Priority.LOW),
-            World.job(2, priority = Priority.LOW, after = listOf(1)),
+            SimulatedCluster.job(1, priority = Priority.LOW),
+            SimulatedCluster.job(2, priority = Priority.LOW, after = listOf(1)),
         ).map {
             parts.learn(it)
         }
         assertEquals(listOf(Priority.LOW, Long.MAX_VALUE), listOf(first.priority, first.dueMs))
-        val last = parts.learn(World.job(3, priority = Priority.HIGH, after = listOf(2)).copy(deadlineS = 100.0))
+        val last = parts.learn(
+            SimulatedCluster.job(3, priority = Priority.HIGH, after = listOf(2)).copy(deadlineS = 100.0),
+        )
         assertEquals(listOf(Priority.HIGH, Priority.HIGH), listOf(first.priority, second.priority))
         // What comes after takes 20 s to run and 2 s to fetch its image.
         assertEquals(listOf(last.dueMs - 22_000, last.dueMs - 44_000), listOf(second.dueMs, first.dueMs))
-        parts.book.learn(last.spec.id, JobRecord(last.spec, 1, 2, 100), 9)
+        parts.schedulerState.learn(last.spec.id, JobRecord(last.spec, 1, 2, 100), 9)
         assertEquals(listOf(Priority.LOW, Priority.LOW), listOf(first.priority, second.priority))
         assertEquals(listOf(Long.MAX_VALUE, Long.MAX_VALUE), listOf(first.dueMs, second.dueMs))
     }
@@ -294,11 +323,11 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83])
     fun `a site is rolled node by node under load while limits shrink`(seed: Long) {
-        val world = World(seed, stateNext = smaller)
+        val world = SimulatedCluster(seed, stateNext = smaller)
         for (n in 100..140) {
             world.clock.after(1.0 + (n - 100)) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         tasks = 4,
                         runS = 25.0,
@@ -313,7 +342,7 @@
         world.pipeline(62.0, first = 21)
         for (n in 0..2) world.clock.after(30.0 + 15.0 * n) { world.nodes[n].crash(6.0) }
         world.clock.after(65.0) { world.state.limits = smaller }
-        world.clock.after(80.0) { world.withdraw("job-000022") }
+        world.clock.after(80.0) { world.cancel("job-000022") }
         world.clock.runUntil(260.0)
         assertEquals(List(4) { "done" }, world.stages(1..4))
         assertEquals(listOf("done", "withdrawn", "done", "withdrawn"), world.stages(21..24))
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
-import plankwall.core.store.Divided
+import plankwall.core.store.ChunkedValue
 import plankwall.core.store.StoreLimits
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
@@ -18,22 +18,22 @@
 import plankwall.wire.StateCodec
 import plankwall.wire.StateItem
 import plankwall.wire.Stored
-import plankwall.wire.StoredArrival
-import plankwall.wire.StoredRental
+import plankwall.wire.StoredBootingMachine
+import plankwall.wire.StoredScaleOut
 
 /** The state service takes less from some moment on: what is stored in the larger form must still change. */
 class SmallerLimitsTest {
     private val smaller = StateLimits(250.0, 70.0, 2.0, 10)
 
     /** A job as a node accepted it that laid pages out for values of 16 KiB. */
-    private fun World.submitLaidOutLarge(
+    private fun SimulatedCluster.submitLaidOutLarge(
         number: Int,
         tasks: Int,
         runS: Double,
         pageSize: Int = 252,
         types: List<String>? = null,
     ) {
-        val spec = World.job(number, tasks = tasks, runS = runS).copy(types = types)
+        val spec = SimulatedCluster.job(number, tasks = tasks, runS = runS).copy(types = types)
         assumeAccepted(spec)
         state.put(Keys.job(spec.id), JobRecord(spec, (clock.now * 1000).toLong() + 1_700_000_000_000, 0, pageSize))
     }
@@ -45,7 +45,7 @@
         "700, 0.8, true", "240, -1, false", "700, 0.5, false",
     )
     fun `large pages that are stored already go on changing`(tasks: Int, crashAfter: Double, announced: Boolean) {
-        val world = World(tasks + (crashAfter * 10).toLong(), stateNext = smaller.takeIf { announced })
+        val world = SimulatedCluster(tasks + (crashAfter * 10).toLong(), stateNext = smaller.takeIf { announced })
         world.cloud.capacity = 200
         world.clock.after(2.0) { world.submitLaidOutLarge(1, tasks, runS = 40.0) }
         world.clock.runUntil(40.0)
@@ -65,7 +65,7 @@
     fun `a leader that ends in the middle of dividing a page leaves it whole`(crashAfter: Double) {
         // Twelve tasks a part and four changes a transaction: a page of 252 takes several steps.
         val tiny = StateLimits(250.0, 70.0, 1.0, 4)
-        val world = World(7)
+        val world = SimulatedCluster(7)
         world.cloud.capacity = 100
         world.clock.after(2.0) { world.submitLaidOutLarge(1, 250, runS = 60.0) }
         world.clock.runUntil(25.0)
@@ -84,7 +84,7 @@
 
     @Test
     fun `a long description that is stored already can still be withdrawn`() {
-        val world = World(8, stateNext = smaller)
+        val world = SimulatedCluster(8, stateNext = smaller)
         world.clock.after(2.0) {
             world.submitLaidOutLarge(
                 1,
@@ -97,7 +97,7 @@
         world.clock.runUntil(40.0)
         assertEquals("running", world.stageOf("job-000001"))
         world.state.limits = smaller
-        world.withdraw("job-000001")
+        world.cancel("job-000001")
         world.clock.runUntil(60.0)
         assertEquals("withdrawn", world.stageOf("job-000001"))
         assertEquals(emptyList<String>(), world.checker.broken)
@@ -120,8 +120,10 @@
     private fun fleet(rentals: Int, arrivals: Int, returning: Int): FleetRecord {
         val group = GroupKey("gotthard-box", "bern-keller", false)
         return FleetRecord(
-            (0 until rentals).map { StoredRental("r-123456-$it", group, 50) },
-            (0 until arrivals).map { StoredArrival("i-%06d".format(it * 2), group, 1_700_000_000_000 + it / 50) },
+            (0 until rentals).map { StoredScaleOut("r-123456-$it", group, 50) },
+            (0 until arrivals).map {
+                StoredBootingMachine("i-%06d".format(it * 2), group, 1_700_000_000_000 + it / 50)
+            },
             (0 until returning).map { "i-%06d".format(9000 + it * 3) },
         )
     }
@@ -134,31 +136,31 @@
         returning: Int,
     ) {
         val whole = fleet(rentals, arrivals, returning)
-        val pieces = checkNotNull(Divided.fleet(whole, smaller.txnOps, 2048))
+        val pieces = checkNotNull(ChunkedValue.fleet(whole, smaller.txnOps, 2048))
         assertTrue(pieces.all { StateCodec.sizeOf(it) <= 2048 })
-        assertTrue(Divided.writes(Keys.FLEET, pieces, smaller.txnOps - 1).size <= smaller.txnOps)
-        assertEquals(whole, Divided.fleet(items(Keys.FLEET, pieces)))
-        assertEquals(1, Divided.fleet(whole, 1, 16 * 1024)?.size, "one value where that is enough")
+        assertTrue(ChunkedValue.writes(Keys.FLEET, pieces, smaller.txnOps - 1).size <= smaller.txnOps)
+        assertEquals(whole, ChunkedValue.fleet(items(Keys.FLEET, pieces)))
+        assertEquals(1, ChunkedValue.fleet(whole, 1, 16 * 1024)?.size, "one value where that is enough")
     }
 
     @Test
     fun `further keys that the first does not name count for nothing`() {
-        val pieces = checkNotNull(Divided.fleet(fleet(2, 300, 100), 10, 2048))
+        val pieces = checkNotNull(ChunkedValue.fleet(fleet(2, 300, 100), 10, 2048))
         // The first version rewrites the first key alone, without the count.
         val rewritten = items(Keys.FLEET, listOf(fleet(1, 2, 0)) + pieces.drop(1))
-        assertEquals(fleet(1, 2, 0), Divided.fleet(rewritten))
-        assertEquals(pieces.size - 1, Divided.further(Keys.FLEET, rewritten))
+        assertEquals(fleet(1, 2, 0), ChunkedValue.fleet(rewritten))
+        assertEquals(pieces.size - 1, ChunkedValue.further(Keys.FLEET, rewritten))
     }
 
     @Test
     fun `a catalogue is only read whole`() {
-        val types = World.CATALOG.types.single().let { t ->
+        val types = SimulatedCluster.CATALOG.types.single().let { t ->
             List(40) { t.copy(name = "type-$it", zones = List(4) { z -> "a-zone-of-a-long-name-$z" }) }
         }
-        val pieces = checkNotNull(Divided.catalog(Catalog(types), 10, 2048))
-        assertEquals(types, Divided.catalog(items(Keys.CATALOG, pieces))?.types)
-        assertNull(Divided.catalog(items(Keys.CATALOG, pieces).dropLast(1)))
-        assertNull(Divided.catalog(Catalog(types), 1, 2048), "no part of it is stored instead")
+        val pieces = checkNotNull(ChunkedValue.catalog(Catalog(types), 10, 2048))
+        assertEquals(types, ChunkedValue.catalog(items(Keys.CATALOG, pieces))?.types)
+        assertNull(ChunkedValue.catalog(items(Keys.CATALOG, pieces).dropLast(1)))
+        assertNull(ChunkedValue.catalog(Catalog(types), 1, 2048), "no part of it is stored instead")
     }
 
     @ParameterizedTest(name = "{0} changes, {1} bytes refused")
@@ -171,7 +173,7 @@
         "3, 900, 10, 2048",
     )
     fun `a refusal teaches the limits`(ops: Int, largest: Int, opsAfter: Int, bytesAfter: Int) {
-        val limits = StoreLimits(World.settings("n0", 3).copy(stateNext = smaller))
+        val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smaller))
         assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
         limits.rejected(ops, largest)
         assertEquals(
@@ -183,13 +185,13 @@
     @Test
     fun `machines arriving and returning survive a take-over under the smaller limits`() {
         val tiny = smaller.copy(valueKb = 1.0)
-        val world = World(9, stateNext = tiny)
+        val world = SimulatedCluster(9, stateNext = tiny)
         world.cloud.capacity = 2000
         // Rented little by little and with names taken turn about, so that few share an entry of the record.
         for (n in 1..160) {
             world.clock.after(2.0 + n * 0.05) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         tasks = 16,
                         runS = 30.0,
--- a/src/test/kotlin/plankwall/simulation/VersionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
@@ -6,13 +6,15 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
-import plankwall.core.store.Divided
+import plankwall.core.store.ChunkedValue
 import plankwall.fixtures.RecordJson.decode
 import plankwall.fixtures.RecordJson.encode
 import plankwall.model.GroupKey
 import plankwall.model.JobStage
 import plankwall.model.Priority
 import plankwall.model.Shape
+import plankwall.wire.AuditSeal
+import plankwall.wire.AuditSegment
 import plankwall.wire.CatalogRecord
 import plankwall.wire.FinalRecord
 import plankwall.wire.FleetRecord
@@ -25,23 +27,21 @@
 import plankwall.wire.PageRecord
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
-import plankwall.wire.ProgressNews
+import plankwall.wire.ProgressUpdate
 import plankwall.wire.RightsApplied
 import plankwall.wire.RightsHead
 import plankwall.wire.RightsPart
 import plankwall.wire.StateItem
 import plankwall.wire.Stored
-import plankwall.wire.StoredArrival
+import plankwall.wire.StoredBootingMachine
 import plankwall.wire.StoredPlacement
-import plankwall.wire.StoredRental
-import plankwall.wire.TrailSeal
-import plankwall.wire.TrailSegment
+import plankwall.wire.StoredScaleOut
 import java.util.BitSet
 
 /**
  * What the first version stored and sent, taken from running it, and what it makes of what this one stores and sends.
  */
-class VersionsTest {
+class VersionCompatibilityTest {
     class Case(val key: String, val json: String, val record: Stored) {
         override fun toString() = "$key ${json.take(40)}"
     }
@@ -55,7 +55,7 @@
 
     /** As the first version writes back what it read: without the fields that it does not know. */
     private fun rewrittenByFirst(record: Stored): String {
-        val tree = SimWorker.json.readTree(encode(record)) as ObjectNode
+        val tree = SimulatedWorker.json.readTree(encode(record)) as ObjectNode
         when (record) {
             is JobRecord -> {
                 (tree.get("spec") as ObjectNode).remove("awaits")
@@ -65,7 +65,7 @@
             is FinalRecord -> tree.remove(listOf("at", "own", "docket", "crew", "shape", "urgency"))
             is FleetRecord, is CatalogRecord -> tree.remove("more")
             is LeaderRecord, is LevelRecord -> Unit
-            is RightsHead, is RightsPart, is RightsApplied, is TrailSegment, is TrailSeal -> error(
+            is RightsHead, is RightsPart, is RightsApplied, is AuditSegment, is AuditSeal -> error(
                 "never read by the first version",
             )
         }
@@ -75,7 +75,7 @@
     @Test
     fun `a record that the first version rewrites loses what it waits for only together with all starts`() {
         // It rewrites a job's record for nothing but a withdrawal, and that is final.
-        val owned = Ownership("meera", withdrawOnRevoke = true)
+        val owned = Ownership("meera", cancelOnRevoke = true)
         val record =
             JobRecord(spec.copy(dependencies = listOf("job-000001")), 1_700_000_000_000, 1_700_000_009_000, 28, owned)
         assertEquals(record.copy(spec = spec, owned = null), decode(Keys.job(spec.id), rewrittenByFirst(record)))
@@ -87,10 +87,10 @@
         val further = StateItem(Keys.more(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
         assertEquals(
             listOf("i-000009", "i-000777"),
-            Divided.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.returning,
+            ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.returning,
         )
         val rewritten = checkNotNull(decode(Keys.FLEET, rewrittenByFirst(first)))
-        assertEquals(fleet, Divided.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
+        assertEquals(fleet, ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
     }
 
     @Test
@@ -116,14 +116,24 @@
         val sent = PeerCodec.write(status.copy(level = PeerCodec.LEVEL))
         assertEquals(sentByFirst.toList(), sent.take(sentByFirst.size))
         val news = bytes("020000000000000009000000010000000a6a6f622d3030303030310000000300000004")
-        assertEquals(ProgressNews(9, listOf(JobProgress("job-000001", 3, 4))), PeerCodec.read(news))
-        assertEquals(news.toList(), PeerCodec.write(ProgressNews(9, listOf(JobProgress("job-000001", 3, 4)))).toList())
+        assertEquals(ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4))), PeerCodec.read(news))
+        assertEquals(
+            news.toList(),
+            PeerCodec.write(ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4)))).toList(),
+        )
     }
 
     private fun bytes(hex: String) = ByteArray(hex.length / 2) { hex.substring(2 * it, 2 * it + 2).toInt(16).toByte() }
 
     companion object {
-        private val spec = World.job(412, Shape.GANG, tasks = 3, oneZone = true, spot = true, priority = Priority.HIGH)
+        private val spec = SimulatedCluster.job(
+            412,
+            Shape.GANG,
+            tasks = 3,
+            oneZone = true,
+            spot = true,
+            priority = Priority.HIGH,
+        )
             .copy(types = listOf("box"), zone = "a", deadlineS = 900.0)
         private const val SPEC =
             """{"id":"job-000412","docket":"class","crew":"blue","shape":"ensemble","urgency":"urgent","pieces":3,""" +
@@ -132,10 +142,10 @@
                 """"scatter":false,"loaners":true,"guess_s":20.0,"snapshot_s":0.0,"stow_s":0.0,"due_s":900.0}"""
         private val group = GroupKey("box", "a", true)
         private val fleet = FleetRecord(
-            listOf(StoredRental("r-7-1", group, 12)),
+            listOf(StoredScaleOut("r-7-1", group, 12)),
             listOf(
-                StoredArrival("i-000001", group, 1_700_000_000_000),
-                StoredArrival("i-000002", group, 1_700_000_000_000),
+                StoredBootingMachine("i-000001", group, 1_700_000_000_000),
+                StoredBootingMachine("i-000002", group, 1_700_000_000_000),
             ),
             listOf("i-000009"),
         )
@@ -168,7 +178,7 @@
                 ),
             ),
             Case(Keys.final(spec.id), """{"stage":"DONE","done":3}""", FinalRecord(JobStage.DONE, 3)),
-            Case(Keys.final(spec.id), """{"stage":"WITHDRAWN","done":1}""", FinalRecord(JobStage.WITHDRAWN, 1)),
+            Case(Keys.final(spec.id), """{"stage":"WITHDRAWN","done":1}""", FinalRecord(JobStage.CANCELLED, 1)),
             Case(
                 Keys.FLEET,
                 """{"rentals":[["r-7-1","box","a",true,12]],"arrivals":[["box","a",true,1700000000000,"i-000001",1]],"returning":["i-000009",0]}""",
@@ -179,7 +189,7 @@
                 """{"builds":[{"name":"box","cores":16.0,"accelerators":4.0,"ram_gb":64.0,"cache_gb":100.0,""" +
                     """"pull_gb_per_s":1.0,""" +
                     """"rate":10.0,"low_price":3.0,"ready_s":10.0,"yards":["a","b"]}]}""",
-                CatalogRecord(World.CATALOG),
+                CatalogRecord(SimulatedCluster.CATALOG),
             ),
         )
     }
--- a/src/test/kotlin/plankwall/simulation/faults/GuestsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -4,9 +4,9 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
+import plankwall.core.autoscaling.DemandForecast
 import plankwall.core.autoscaling.Estimator
-import plankwall.core.autoscaling.Growth
-import plankwall.core.autoscaling.SpareTimeRentals
+import plankwall.core.autoscaling.LeftoverCapacityScaling
 import plankwall.core.placement.Placer
 import plankwall.core.state.StopCause
 import plankwall.fixtures.CoreParts
@@ -14,10 +14,10 @@
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.simulation.World
+import plankwall.simulation.SimulatedCluster
 
 /** Work that nobody stated an aim for, and sweeps of short tasks: what they get, and what they leave to others. */
-class GuestsTest {
+class BestEffortJobsTest {
     private val core =
         CoreParts(listOf(Objective("finished", "sweep", 400.0, 0.8), Objective("wait", "class", 100.0, 0.9)))
     private val ctx = core.ctx
@@ -49,11 +49,13 @@
         rented: Int,
         ofSpot: Int,
     ) {
-        val job = core.learn(World.job(1, tasks = tasks, runS = runS, spot = spot).copy(jobClass = kind)).also {
+        val job = core.learn(
+            SimulatedCluster.job(1, tasks = tasks, runS = runS, spot = spot).copy(jobClass = kind),
+        ).also {
             it.overlooked =
                 overlooked
         }
-        val wanted = Estimator(ctx, core.book, World.CATALOG).estimate(
+        val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG).estimate(
             emptyList(),
             listOf(job),
             {
@@ -61,8 +63,8 @@
             },
             emptyList(),
             { true },
-            Growth.NONE,
-            spare = SpareTimeRentals(left) { true },
+            DemandForecast.NONE,
+            spare = LeftoverCapacityScaling(left) { true },
             owned = { 0 },
         )
         assertEquals(rented, wanted.values.sum(), name)
@@ -77,8 +79,8 @@
     @CsvSource("spare, 0", "class, 1")
     fun `what is still to come is reckoned with before spare-time work`(kind: String, more: Int) {
         val m = core.machine("i-000001").apply { registeredAt = ctx.now }
-        val waiting = core.learn(World.job(1, tasks = 4, spot = true).copy(jobClass = kind))
-        val wanted = Estimator(ctx, core.book, World.CATALOG).estimate(
+        val waiting = core.learn(SimulatedCluster.job(1, tasks = 4, spot = true).copy(jobClass = kind))
+        val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG).estimate(
             listOf(m),
             listOf(waiting),
             {
@@ -86,7 +88,7 @@
             },
             emptyList(),
             { true },
-            Growth(Resources.NONE, World.CATALOG.types.single().capacity),
+            DemandForecast(Resources.NONE, SimulatedCluster.CATALOG.types.single().capacity),
             owned = { 0 },
         )
         assertEquals(more, wanted.filterKeys { !it.spot }.values.sum())
@@ -108,7 +110,7 @@
         taken: Double,
         contested: Boolean,
         left: Int,
-    ) = assertEquals(left, SpareTimeRentals.leftAt(fleet, arriving, taken, contested))
+    ) = assertEquals(left, LeftoverCapacityScaling.leftAt(fleet, arriving, taken, contested))
 
     private fun ready(name: String) = core.machine(name).apply {
         registeredAt = ctx.now
@@ -132,9 +134,12 @@
         placed: Int,
     ) {
         val m = ready("i-000001").also { it.surplus = surplus }
-        if (replica) core.book.place(core.learn(World.job(1, Shape.SERVICE, tasks = 1)), 0, m, 1)
-        val job = core.learn(World.job(2, spot = true).copy(jobClass = kind)).also { it.overlooked = overlooked }
-        Placer(ctx, core.book, core.fleet).plan()
+        if (replica) core.schedulerState.place(core.learn(SimulatedCluster.job(1, Shape.SERVICE, tasks = 1)), 0, m, 1)
+        val job = core.learn(SimulatedCluster.job(2, spot = true).copy(jobClass = kind)).also {
+            it.overlooked =
+                overlooked
+        }
+        Placer(ctx, core.schedulerState, core.fleet).plan()
         assertEquals(placed, job.placements.size, name)
     }
 
@@ -146,10 +151,10 @@
     @CsvSource("blue, 2", "red, 0")
     fun `a guarantee comes before whatever guests run`(team: String, made: Int) {
         val m = ready("i-000001")
-        val there = core.learn(World.job(1, tasks = 4, team = team, priority = Priority.LOW))
-        repeat(4) { core.book.place(there, it, m, it + 1L).apply { commanded = true } }
-        core.learn(World.job(2, tasks = 2, team = "red", priority = Priority.LOW))
-        Placer(ctx, core.book, core.fleet).plan()
+        val there = core.learn(SimulatedCluster.job(1, tasks = 4, team = team, priority = Priority.LOW))
+        repeat(4) { core.schedulerState.place(there, it, m, it + 1L).apply { commanded = true } }
+        core.learn(SimulatedCluster.job(2, tasks = 2, team = "red", priority = Priority.LOW))
+        Placer(ctx, core.schedulerState, core.fleet).plan()
         assertEquals(made, there.placements.values.count { it.stopping == StopCause.PREEMPTED })
     }
 
@@ -161,8 +166,8 @@
         "'a stage of a pipeline', spare, '', true, false",
     )
     fun `what counts as spare time`(name: String, kind: String, team: String, awaited: Boolean, spare: Boolean) {
-        val job = core.learn(World.job(1, team = team.ifEmpty { "blue" }).copy(jobClass = kind))
-        if (awaited) core.learn(World.job(2, after = listOf(1)))
+        val job = core.learn(SimulatedCluster.job(1, team = team.ifEmpty { "blue" }).copy(jobClass = kind))
+        if (awaited) core.learn(SimulatedCluster.job(2, after = listOf(1)))
         assertEquals(spare, job.spareTime, name)
     }
 
@@ -174,22 +179,27 @@
     @CsvSource("0, 20", "690, 10", "700, 0")
     fun `a machine gets no more tasks than its report can show`(exits: Int, placed: Int) {
         ready("i-000001").exitsShown = exits
-        val job = core.learn(World.job(1, tasks = 20).copy(need = Resources(1, 0, 1)))
-        Placer(ctx, core.book, core.fleet).plan()
+        val job = core.learn(SimulatedCluster.job(1, tasks = 20).copy(need = Resources(1, 0, 1)))
+        Placer(ctx, core.schedulerState, core.fleet).plan()
         assertEquals(placed, job.placements.size)
     }
 
     @Test
     fun `a class without an aim is served in the end, however little else there is to do`() {
-        val world = World(61, objectives = listOf(Objective("finished", "class", 100.0, 0.9)))
+        val world = SimulatedCluster(61, objectives = listOf(Objective("finished", "class", 100.0, 0.9)))
         for (n in 1..6) {
             world.clock.after(2.0) {
                 world.submit(
-                    World.job(n, tasks = 8, runS = 40.0, spot = true).copy(jobClass = "spare", priority = Priority.LOW),
+                    SimulatedCluster.job(
+                        n,
+                        tasks = 8,
+                        runS = 40.0,
+                        spot = true,
+                    ).copy(jobClass = "spare", priority = Priority.LOW),
                 )
             }
         }
-        world.clock.after(10.0) { world.submit(World.job(9, runS = 20.0)) }
+        world.clock.after(10.0) { world.submit(SimulatedCluster.job(9, runS = 20.0)) }
         world.clock.runUntil(200.0)
         assertEquals(List(6) { "done" }, (1..6).map { world.stageOf("job-%06d".format(it)) })
         assertEquals(emptyList<String>(), world.checker.broken)
--- a/src/test/kotlin/plankwall/simulation/faults/GapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -8,10 +8,10 @@
 import plankwall.core.statemachine.Effect
 import plankwall.core.statemachine.Input
 import plankwall.model.WorkerTimes
-import plankwall.simulation.Cut
-import plankwall.simulation.SimNode
-import plankwall.simulation.SimWorker
-import plankwall.simulation.World
+import plankwall.simulation.LinkCut
+import plankwall.simulation.SimulatedCluster
+import plankwall.simulation.SimulatedController
+import plankwall.simulation.SimulatedWorker
 import plankwall.wire.Keys
 import plankwall.wire.StateOp
 
@@ -19,20 +19,20 @@
  * The store refuses the leader alone, another node confirms a withdrawal, then the store is away for all for longer
  * than `cancel_s`, while workers report to the old leader. The checker says `ran_cancelled` by the user's clock.
  */
-class GapTest {
-    private lateinit var world: World
-    private lateinit var first: SimNode
+class CancellationGapTest {
+    private lateinit var world: SimulatedCluster
+    private lateinit var first: SimulatedController
     private val others get() = world.nodes.filter { it !== first }
 
-    private fun begin(times: WorkerTimes = World.settings("n0", 5).workers) {
-        world = World(7, nodeCount = 5, times = times)
-        world.clock.after(2.0) { (1..6).forEach { world.submit(World.job(it, tasks = 10, runS = 900.0)) } }
+    private fun begin(times: WorkerTimes = SimulatedCluster.settings("n0", 5).workers) {
+        world = SimulatedCluster(7, nodeCount = 5, times = times)
+        world.clock.after(2.0) { (1..6).forEach { world.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) } }
         world.clock.runUntil(60.0)
         assertEquals(60, world.checker.starts)
         first = world.nodes.first { it.leading }
     }
 
-    private fun refuse(node: SimNode, forS: Double) {
+    private fun refuse(node: SimulatedController, forS: Double) {
         world.cuts.add("${node.name}-state")
         world.clock.after(forS) { world.cuts.remove("${node.name}-state") }
     }
@@ -44,21 +44,21 @@
 
     private var told = 0
 
-    private fun withdraw(node: SimNode, job: Int, then: () -> Unit = {}) {
+    private fun cancel(node: SimulatedController, job: Int, then: () -> Unit = {}) {
         val id = "job-%06d".format(job)
-        world.checker.withdrawAsked(id)
-        node.ask({ Input.Withdraw(it, id) }) { status, body ->
+        world.checker.cancelRequested(id)
+        node.ask({ Input.Cancel(it, id) }) { status, body ->
             if (status != 200) return@ask
             told++
-            world.checker.withdrawAnswered(id, SimWorker.json.readTree(body).get("stage").asText(), world.clock.now)
+            world.checker.cancelAnswered(id, SimulatedWorker.json.readTree(body).get("stage").asText(), world.clock.now)
             then()
         }
     }
 
     /** [killed]: whether a bound has to end the work since no word came; null: either will do. */
-    private fun ends(withdrawals: Int, killed: Boolean?) {
+    private fun ends(cancellations: Int, killed: Boolean?) {
         world.clock.runUntil(world.clock.now + 200.0)
-        assertEquals(withdrawals, told, "withdrawals confirmed")
+        assertEquals(cancellations, told, "withdrawals confirmed")
         assertEquals(emptyList<String>(), world.checker.broken)
         if (killed !=
             null
@@ -69,7 +69,7 @@
         (1..6).forEach {
             assertEquals(
                 if (it <=
-                    withdrawals
+                    cancellations
                 ) {
                     "withdrawn"
                 } else {
@@ -99,7 +99,7 @@
     fun `a withdrawn job's tasks are gone in time`(how: String, killed: Boolean?) {
         begin()
         val by = others.first()
-        var withdrawals = 1
+        var cancellations = 1
         if (how == "whoever confirmed is of an older version") {
             world.older.add(by.name)
             world.clock.runUntil(70.0)
@@ -123,7 +123,7 @@
                 } else {
                     0.5
                 },
-            ) { withdraw(by, 1) { after(how, by) } }
+            ) { cancel(by, 1) { after(how, by) } }
         }
         if (!how.startsWith("a leader") &&
             !how.startsWith("the old leader")
@@ -140,41 +140,41 @@
         }
         if (how == "the peers can't be heard either") world.cuts.add("${first.name}-peers")
         if (how == "twice in a row") {
-            withdrawals = 2
+            cancellations = 2
             world.clock.after(100.0) {
                 first = world.nodes.first { it.leading }
                 refuse(first, 14.0)
-                world.clock.after(0.5) { withdraw(others.last(), 2) }
+                world.clock.after(0.5) { cancel(others.last(), 2) }
                 world.clock.after(1.5) { outage(50.0) }
             }
         }
         world.clock.after(100.0) { world.cuts.clear() }
-        ends(withdrawals, killed)
+        ends(cancellations, killed)
     }
 
-    private fun after(how: String, by: SimNode) {
+    private fun after(how: String, by: SimulatedController) {
         when (how) {
             "whoever confirmed crashes right after" -> by.crash(30.0)
             "whoever confirmed crashes and is back at once" -> by.crash(0.2)
             "whoever confirmed stands still and goes on" -> by.freeze(45.0)
-            "the word is held back" -> apart(by, Cut.HOLD)
-            "the word is lost" -> apart(by, Cut.DROP)
+            "the word is held back" -> apart(by, LinkCut.HOLD)
+            "the word is lost" -> apart(by, LinkCut.DROP)
         }
     }
 
-    private fun apart(node: SimNode, how: Cut) {
+    private fun apart(node: SimulatedController, how: LinkCut) {
         world.wiring.cutBoth(node.name, first.name, how)
         world.clock.after(70.0) { world.wiring.healBoth(node.name, first.name) }
     }
 
     /** The confirmation, and the outage for all right after it. */
-    private fun gap(by: SimNode) {
-        world.clock.after(0.001) { withdraw(by, 1) }
+    private fun gap(by: SimulatedController) {
+        world.clock.after(0.001) { cancel(by, 1) }
         world.clock.after(0.03) { outage(60.0) }
     }
 
     /** The gap, once, as soon as a second leader does what [moment] waits for. */
-    private fun onSecond(by: SimNode, moment: (Effect) -> Boolean) {
+    private fun onSecond(by: SimulatedController, moment: (Effect) -> Boolean) {
         var over = false
         world.onEffect = { node, effect ->
             if (!over && node !== first && node.leading && moment(effect)) {
@@ -196,7 +196,7 @@
             begin(WorkerTimes(reportS, leaseS, 45.0, 5.0, cancelS))
             refuse(first, 14.0)
             if (!heard) world.cuts.add("${first.name}-peers")
-            world.clock.after(0.5) { withdraw(others.first(), 1) }
+            world.clock.after(0.5) { cancel(others.first(), 1) }
             world.clock.after(1.5) { outage(cancelS + 12.0) }
             world.clock.after(100.0) { world.cuts.clear() }
             ends(1, killed = !heard)
--- a/src/test/kotlin/plankwall/simulation/faults/OutlookDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
@@ -6,18 +6,18 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.model.Shape
-import plankwall.simulation.SimNode
-import plankwall.simulation.World
+import plankwall.simulation.SimulatedCluster
+import plankwall.simulation.SimulatedController
 
 /**
  * Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven.
  */
-class OutlookDaysTest {
-    private val world = World(5)
+class FailureDetectorScenarioTest {
+    private val world = SimulatedCluster(5)
 
     /** A site at work with [tasks] replicas, four to a machine; returns the leader. */
-    private fun atWork(tasks: Int): SimNode {
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = tasks)) }
+    private fun atWork(tasks: Int): SimulatedController {
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = tasks)) }
         world.clock.runUntil(45.0)
         assertEquals(tasks / 4, world.cloud.alive.size)
         return world.nodes.first { it.leading }
@@ -76,7 +76,7 @@
         val first = atWork(24)
         first.crash(8.0)
         world.cloud.workers.first().die()
-        world.clock.after(0.5) { world.submit(World.job(2, tasks = 4)) }
+        world.clock.after(0.5) { world.submit(SimulatedCluster.job(2, tasks = 4)) }
         while (world.nodes.none { it.leading && it !== first }) world.clock.runUntil(world.clock.now + 0.1)
         world.clock.runUntil(world.clock.now + 7.0)
         assertEquals(7, world.cloud.rentals)
@@ -94,7 +94,7 @@
         shape: Shape,
         deleted: Boolean,
     ) {
-        world.clock.after(2.0) { world.submit(World.job(1, shape, tasks = 24, runS = 500.0)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, shape, tasks = 24, runS = 500.0)) }
         world.clock.runUntil(45.0)
         val silent = world.cloud.workers.first().also { it.die() }.id
         world.clock.runUntil(45.0 + 13.0)
--- a/src/test/kotlin/plankwall/simulation/faults/MeetingDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -5,18 +5,18 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import plankwall.simulation.MeetingDay
-import plankwall.simulation.World
+import plankwall.simulation.FaultCombinationScenario
+import plankwall.simulation.SimulatedCluster
 import java.util.stream.LongStream
 
 /** Troubles that meet: every rule that the checker knows, and every job that nobody withdrew is done in the end. */
-class MeetingDaysTest {
+class FaultCombinationScenarioTest {
     /** A dozen here; `-Dmeetings=300` plays more, from `-DfirstMeeting=` on. */
     @Test
     fun `troubles drawn in pairs break no rule`() {
         val first = java.lang.Long.getLong("firstMeeting", 1L)
         val days = LongStream.range(first, first + java.lang.Long.getLong("meetings", 12L)).parallel().mapToObj {
-            MeetingDay(
+            FaultCombinationScenario(
                 it,
                 if (it %
                     2 ==
@@ -35,7 +35,7 @@
                 "day ${it.seed}: ${it.broken.take(3)} unserved ${it.unserved}; ${it.troubles}"
             },
         )
-        assertTrue(days.all { it.withdrawn >= 20 })
+        assertTrue(days.all { it.cancelled >= 20 })
         assertTrue(days.sumOf { it.felt.size } >= days.size, "troubles took hold")
     }
 
@@ -44,8 +44,8 @@
      * elsewhere.
      */
     private fun startsWithDeaf(deaf: Int, crashAfterS: Double): Int {
-        val world = World(3, nodeCount = 3)
-        world.clock.after(2.0) { (1..3).forEach { world.submit(World.job(it, tasks = 4, runS = 400.0)) } }
+        val world = SimulatedCluster(3, nodeCount = 3)
+        world.clock.after(2.0) { (1..3).forEach { world.submit(SimulatedCluster.job(it, tasks = 4, runS = 400.0)) } }
         world.clock.runUntil(50.0)
         assertEquals(12, world.checker.starts)
         world.deaf.addAll(world.cloud.workers.take(deaf).map { it.id })
--- a/src/test/kotlin/plankwall/simulation/faults/MeetingsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationsTest.kt
@@ -7,15 +7,15 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 import plankwall.model.Shape
-import plankwall.simulation.Cut
-import plankwall.simulation.World
+import plankwall.simulation.LinkCut
+import plankwall.simulation.SimulatedCluster
 
 /**
  * Fault combinations that the operators name, each by itself: that it took hold, that no rule broke, and what became of
  * the jobs.
  */
-class MeetingsTest {
-    private lateinit var world: World
+class FaultCombinationsTest {
+    private lateinit var world: SimulatedCluster
     private val leader get() = world.nodes.first { it.leading }
     private val leaseS get() = world.settings.workers.leaseS
     private val cancelled = HashSet<Int>()
@@ -24,9 +24,9 @@
 
     /** [jobs] arrays of ten tasks that run for [runS], all of them up: tens of machines. */
     private fun begin(nodes: Int = 3, jobs: Int = 6, runS: Double = 900.0, team: String = "blue") {
-        world = World(7, nodeCount = nodes)
+        world = SimulatedCluster(7, nodeCount = nodes)
         world.clock.after(2.0) {
-            (1..jobs).forEach { world.submit(World.job(it, tasks = 10, runS = runS, team = team)) }
+            (1..jobs).forEach { world.submit(SimulatedCluster.job(it, tasks = 10, runS = runS, team = team)) }
         }
         world.clock.runUntil(60.0)
     }
@@ -37,7 +37,7 @@
 
     private fun cancel(n: Int) {
         cancelled.add(n)
-        world.withdraw(id(n))
+        world.cancel(id(n))
     }
 
     private fun outage(forS: Double) {
@@ -98,13 +98,13 @@
         ],
     )
     fun `users ask at all nodes and repeat themselves as jobs are accepted, end and are cancelled`(trouble: String) {
-        world = World(9, nodeCount = 5)
+        world = SimulatedCluster(9, nodeCount = 5)
         world.closeLooks = true
         world.cancelAtEnd = 0.3
         for (n in 1..60) {
             at(2.0 + n) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         tasks = 1 + n % 3,
                         runS = 8.0,
@@ -171,12 +171,12 @@
 
     @Test
     fun `an answer that is lost is no refusal, whatever was written`() {
-        world = World(5, nodeCount = 3)
+        world = SimulatedCluster(5, nodeCount = 3)
         world.lostAnswers = 0.4
         for (n in 1..40) {
             at(2.0 + n) {
                 world.submit(
-                    World.job(n, tasks = 3, runS = 12.0),
+                    SimulatedCluster.job(n, tasks = 3, runS = 12.0),
                     if (n % 4 ==
                         0
                     ) {
@@ -212,8 +212,10 @@
         "mute, the leader ends",
     )
     fun `a team at its limit while cancelled tasks can't be reached`(how: String, lead: String) {
-        world = World(7, nodeCount = 3)
-        world.clock.after(2.0) { (1..6).forEach { world.submit(World.job(it, tasks = 4, runS = 900.0, team = "red")) } }
+        world = SimulatedCluster(7, nodeCount = 3)
+        world.clock.after(2.0) {
+            (1..6).forEach { world.submit(SimulatedCluster.job(it, tasks = 4, runS = 900.0, team = "red")) }
+        }
         go(60.0)
         val limit = world.checker.mostUsed.getValue("red")
         assertEquals(16_000L, limit.gpus, "the limit was reached")
@@ -252,7 +254,7 @@
     fun `cancelled in the seconds in which the work changes hands`(how: String, afterS: Double) {
         begin(jobs = 3)
         // Starts are under way at that moment: stored, sent, in an answer on its way.
-        for (n in 4..9) at(8.0 + (n - 4) * 0.35) { world.submit(World.job(n, tasks = 4, runS = 900.0)) }
+        for (n in 4..9) at(8.0 + (n - 4) * 0.35) { world.submit(SimulatedCluster.job(n, tasks = 4, runS = 900.0)) }
         val before = world.wins
         at(10.0) {
             when (how) {
@@ -275,12 +277,12 @@
     @ParameterizedTest(name = "the leader ends {0} s after the burst")
     @ValueSource(doubles = [0.15, 0.3, 0.45, 0.7, 1.0, 1.6, 2.5, 4.0])
     fun `machines up within two seconds get work while writes lag and the leader ends`(endsAfterS: Double) {
-        world = World(7, nodeCount = 3)
+        world = SimulatedCluster(7, nodeCount = 3)
         world.cloud.bootFactor = 0.1
         go(5.0)
         world.lateWrites = 0.3
         at(30.0) { world.lateWrites = 0.0 }
-        (1..6).forEach { world.submit(World.job(it, tasks = 10, runS = 900.0)) }
+        (1..6).forEach { world.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) }
         at(endsAfterS) { leader.crash(3.0) }
         go(110.0)
         felt("late writes")
@@ -335,12 +337,12 @@
 
     @Test
     fun `one-task jobs four a second, a quarter cancelled`() {
-        world = World(3, nodeCount = 3)
+        world = SimulatedCluster(3, nodeCount = 3)
         var asked = 0
         for (n in 1..720) {
             at(5.0 + n * 0.25) {
                 world.submit(
-                    World.job(n, tasks = 1, runS = 6.0),
+                    SimulatedCluster.job(n, tasks = 1, runS = 6.0),
                     if (n % 4 ==
                         0
                     ) {
@@ -378,7 +380,7 @@
         hung.forEach { it.hang(leaseS * leases) }
         // Stops go out directly and wait in its queue; new work is placed meanwhile.
         at(0.5) { (1..3).forEach { cancel(it) } }
-        at(1.0) { (7..8).forEach { world.submit(World.job(it, tasks = 10, runS = 900.0)) } }
+        at(1.0) { (7..8).forEach { world.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) } }
         go(90.0)
         felt("commands to the hung")
         unbroken(1..8)
@@ -389,10 +391,10 @@
         begin(nodes = 5)
         val inside = world.nodes.first { !it.leading }
         world.nodes.filter { it !== inside }.forEach {
-            world.wiring.cutBoth("zone:a", it.name, Cut.HOLD)
-            world.wiring.cutBoth(inside.name, it.name, Cut.HOLD)
+            world.wiring.cutBoth("zone:a", it.name, LinkCut.HOLD)
+            world.wiring.cutBoth(inside.name, it.name, LinkCut.HOLD)
         }
-        world.wiring.cutBoth(inside.name, "state", Cut.HOLD)
+        world.wiring.cutBoth(inside.name, "state", LinkCut.HOLD)
         at(5.0) { (1..2).forEach { cancel(it) } }
         at(leaseS * 2) { world.wiring.healAll() }
         go(110.0)
@@ -409,7 +411,7 @@
         if (outage) at(45.0) { outage(20.0) }
         at(30.0) { cancel(1) }
         at(58.0) { cancel(2) }
-        at(62.0) { (7..9).forEach { world.submit(World.job(it, tasks = 4, runS = 900.0)) } }
+        at(62.0) { (7..9).forEach { world.submit(SimulatedCluster.job(it, tasks = 4, runS = 900.0)) } }
         go(190.0)
         assertTrue(world.wins - before >= 10 - (if (outage) 2 else 0), "${world.wins - before} leaders")
         // A leader that ends within an outage has no successor before it is over: that is known, and no rule.
@@ -441,10 +443,12 @@
 
     @Test
     fun `jobs bound to one zone, arrays too, lose machines`() {
-        world = World(7, nodeCount = 3)
+        world = SimulatedCluster(7, nodeCount = 3)
         at(2.0) {
-            (1..4).forEach { world.submit(World.job(it, tasks = 8, runS = 60.0, oneZone = true)) }
-            (5..6).forEach { world.submit(World.job(it, Shape.GANG, tasks = 8, runS = 60.0, oneZone = true)) }
+            (1..4).forEach { world.submit(SimulatedCluster.job(it, tasks = 8, runS = 60.0, oneZone = true)) }
+            (5..6).forEach {
+                world.submit(SimulatedCluster.job(it, Shape.GANG, tasks = 8, runS = 60.0, oneZone = true))
+            }
         }
         go(45.0)
         val before = world.checker.starts
@@ -457,12 +461,12 @@
 
     @Test
     fun `more work than room, urgent and not, over slow links`() {
-        world = World(7, nodeCount = 3)
+        world = SimulatedCluster(7, nodeCount = 3)
         world.cloud.capacity = 5
         for (n in 1..24) {
             at(2.0 + n) {
                 world.submit(
-                    World.job(
+                    SimulatedCluster.job(
                         n,
                         tasks = 4,
                         runS = 15.0,
@@ -482,7 +486,7 @@
         for (s in 1..10) {
             at(s * 10.0) {
                 world.nodes.forEach { n ->
-                    listOf("state", "workers").forEach { world.wiring.cutBoth(n.name, it, Cut.HOLD) }
+                    listOf("state", "workers").forEach { world.wiring.cutBoth(n.name, it, LinkCut.HOLD) }
                 }
                 at(3.0) { world.wiring.healAll() }
             }
--- a/src/test/kotlin/plankwall/simulation/faults/FaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
@@ -6,11 +6,11 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.model.Priority
 import plankwall.model.Shape
-import plankwall.simulation.World
+import plankwall.simulation.SimulatedCluster
 
 /** Whole days in virtual time, each with its troubles and several seeds: no rule may break, and the work gets done. */
-class FaultDaysTest {
-    private class Trouble(val at: Double, val act: World.() -> Unit)
+class FaultScenarioTest {
+    private class Trouble(val at: Double, val act: SimulatedCluster.() -> Unit)
 
     private val days: Map<String, List<Trouble>> = mapOf(
         "quiet" to emptyList(),
@@ -60,24 +60,28 @@
         "late writes,18",
     )
     fun `keeps the rules and finishes`(day: String, seed: Long) {
-        val world = World(seed)
+        val world = SimulatedCluster(seed)
         days.getValue(day).forEach { t -> world.clock.after(t.at) { t.act(world) } }
         val finishing = ArrayList<String>()
-        fun at(s: Double, number: Int, spec: plankwall.model.JobSpec, withdrawAfter: Double? = null) {
-            world.clock.after(s) { world.submit(spec, withdrawAfter) }
-            if (withdrawAfter == null && spec.shape != Shape.SERVICE) finishing.add("job-%06d".format(number))
+        fun at(s: Double, number: Int, spec: plankwall.model.JobSpec, cancelAfter: Double? = null) {
+            world.clock.after(s) { world.submit(spec, cancelAfter) }
+            if (cancelAfter == null && spec.shape != Shape.SERVICE) finishing.add("job-%06d".format(number))
         }
-        at(3.0, 1, World.job(1, Shape.SERVICE, tasks = 2, spread = true, priority = Priority.PRODUCTION))
-        at(4.0, 2, World.job(2, tasks = 6, runS = 30.0))
-        at(5.0, 3, World.job(3, Shape.GANG, tasks = 3, oneZone = true, runS = 25.0, priority = Priority.HIGH))
-        at(6.0, 4, World.job(4, tasks = 40, team = "red", runS = 8.0))
-        at(7.0, 5, World.job(5, Shape.SERVICE, tasks = 3, team = "red", spot = true), withdrawAfter = 52.0)
-        at(48.0, 6, World.job(6, tasks = 5, spot = true, priority = Priority.LOW), withdrawAfter = 13.0)
+        at(3.0, 1, SimulatedCluster.job(1, Shape.SERVICE, tasks = 2, spread = true, priority = Priority.PRODUCTION))
+        at(4.0, 2, SimulatedCluster.job(2, tasks = 6, runS = 30.0))
+        at(
+            5.0,
+            3,
+            SimulatedCluster.job(3, Shape.GANG, tasks = 3, oneZone = true, runS = 25.0, priority = Priority.HIGH),
+        )
+        at(6.0, 4, SimulatedCluster.job(4, tasks = 40, team = "red", runS = 8.0))
+        at(7.0, 5, SimulatedCluster.job(5, Shape.SERVICE, tasks = 3, team = "red", spot = true), cancelAfter = 52.0)
+        at(48.0, 6, SimulatedCluster.job(6, tasks = 5, spot = true, priority = Priority.LOW), cancelAfter = 13.0)
         for (n in 10..25) {
             at(
                 20.0 + 5 * (n - 10),
                 n,
-                World.job(
+                SimulatedCluster.job(
                     n,
                     tasks = 3,
                     priority = Priority.entries[n % 4],
--- a/src/test/kotlin/plankwall/simulation/faults/BadNightsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
@@ -9,15 +9,15 @@
 import plankwall.model.Resources
 import plankwall.model.Shape
 import plankwall.model.Tuning
-import plankwall.simulation.BadNight
-import plankwall.simulation.World
+import plankwall.simulation.MixedFaultScenario
+import plankwall.simulation.SimulatedCluster
 
 /** All that the operators met, together and by chance; more of the same outside CI with `lab nights`. */
-class BadNightsTest {
+class MixedFaultDaysTest {
     @ParameterizedTest(name = "{0} nodes")
     @CsvSource("3, 1 2 3 4", "5, 5 6 7 8", "7, 9 10 11 12")
     fun `nights with all troubles drawn by seed`(nodes: Int, seeds: String) {
-        val nights = seeds.split(' ').map { BadNight(it.toLong(), nodes).play() }
+        val nights = seeds.split(' ').map { MixedFaultScenario(it.toLong(), nodes).play() }
         assertEquals(emptyList<String>(), nights.flatMap { it.broken })
         assertEquals(emptyList<String>(), nights.flatMap { n -> n.unserved.map { "${n.seed}: $it not done" } })
     }
@@ -28,11 +28,16 @@
      */
     @Test
     fun `a sweep amid a storm of polls survives two leaders`() {
-        val world = World(77)
-        world.submit(World.job(1, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION))
+        val world = SimulatedCluster(77)
+        world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION))
         world.clock.after(20.0) {
             world.submit(
-                World.job(2, tasks = 4_000, runS = 1.5, priority = Priority.LOW).copy(need = Resources(250, 0, 500)),
+                SimulatedCluster.job(
+                    2,
+                    tasks = 4_000,
+                    runS = 1.5,
+                    priority = Priority.LOW,
+                ).copy(need = Resources(250, 0, 500)),
             )
             world.pollFactor = 10.0
         }
@@ -52,8 +57,8 @@
      */
     @Test
     fun `a leader without the store stops answering when its grace is over`() {
-        val world = World(78, nodeCount = 1)
-        world.submit(World.job(1, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION))
+        val world = SimulatedCluster(78, nodeCount = 1)
+        world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION))
         var lastServed = 0.0
         world.onServed = { _, _ -> lastServed = world.clock.now }
         world.clock.after(40.0) { world.cuts.add("n0-state") }
--- a/src/test/kotlin/plankwall/simulation/faults/HalfCutDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -7,18 +7,18 @@
 import org.junit.jupiter.params.provider.CsvSource
 import org.junit.jupiter.params.provider.ValueSource
 import plankwall.model.Shape
-import plankwall.simulation.Cut
-import plankwall.simulation.LinkDay
-import plankwall.simulation.SimNode
-import plankwall.simulation.World
+import plankwall.simulation.LinkCut
+import plankwall.simulation.LinkFaultScenario
+import plankwall.simulation.SimulatedCluster
+import plankwall.simulation.SimulatedController
 
 /** Links cut in part: whoever can reach a leader through anybody keeps its work. Leases are 15 s here. */
-class HalfCutDaysTest {
-    private val world = World(11, nodeCount = 5)
-    private val first: SimNode
+class PartialPartitionTest {
+    private val world = SimulatedCluster(11, nodeCount = 5)
+    private val first: SimulatedController
 
     init {
-        world.clock.after(2.0) { world.submit(World.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
+        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
         world.clock.runUntil(45.0)
         assertEquals(20, world.cloud.alive.size)
         first = world.nodes.first { it.leading }
@@ -26,11 +26,11 @@
 
     private val others get() = world.nodes.filter { it !== first }
 
-    private fun cut(nodes: List<SimNode>, what: String, how: Cut) = nodes.forEach {
+    private fun cut(nodes: List<SimulatedController>, what: String, how: LinkCut) = nodes.forEach {
         world.wiring.cutBoth(it.name, what, how)
     }
 
-    private fun peersApart(how: Cut) = world.nodes.forEach { a ->
+    private fun peersApart(how: LinkCut) = world.nodes.forEach { a ->
         world.nodes.filter { it !== a }.forEach { world.wiring.cut(a.name, it.name, how) }
     }
 
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["REFUSE", "DROP", "HOLD"])
-    fun `all but one lose the store, the leader among them, and name the new leader all the same`(how: Cut) {
+    fun `all but one lose the store, the leader among them, and name the new leader all the same`(how: LinkCut) {
         cut(listOf(first) + others.take(3), "state", how)
         survives()
         assertTrue(others.last().leading)
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["REFUSE", "DROP", "HOLD"])
-    fun `a leader that workers can't reach from the start serves them through its peers`(how: Cut) {
+    fun `a leader that workers can't reach from the start serves them through its peers`(how: LinkCut) {
         // Whoever wins is out of reach; the others are not.
         first.crash(200.0)
         world.onEffect = { node, _ -> if (node.leading && world.wiring.cuts == 0) cut(listOf(node), "workers", how) }
@@ -76,7 +76,7 @@
         name: String,
         withoutStore: Int,
         withoutWorkers: Int,
-        how: Cut,
+        how: LinkCut,
     ) {
         cut((listOf(first) + others).take(withoutWorkers), "workers", how)
         cut((if (withoutWorkers == 0) listOf(first) + others else others.reversed()).take(withoutStore), "state", how)
@@ -100,17 +100,21 @@
             "while renewals go unanswered" -> world.loss = 0.1
             else -> first.freeze(9.0)
         }
-        world.clock.after(2.0) { cut(listOf(world.nodes.firstOrNull { it.leading } ?: first), "workers", Cut.REFUSE) }
+        world.clock.after(2.0) {
+            cut(listOf(world.nodes.firstOrNull { it.leading } ?: first), "workers", LinkCut.REFUSE)
+        }
         world.clock.after(25.0) { world.loss = 0.0 }
         survives()
     }
 
     @Test
     fun `two leaders gone within one lease, each at once out of reach`() {
-        cut(listOf(first), "workers", Cut.REFUSE)
+        cut(listOf(first), "workers", LinkCut.REFUSE)
         world.clock.after(1.0) { first.crash(30.0) }
-        world.clock.after(6.0) { world.nodes.filter { it.leading }.forEach { cut(listOf(it), "workers", Cut.REFUSE) } }
-        world.clock.after(7.0) { world.nodes.filter { it.leading }.forEach { cut(listOf(it), "state", Cut.HOLD) } }
+        world.clock.after(6.0) {
+            world.nodes.filter { it.leading }.forEach { cut(listOf(it), "workers", LinkCut.REFUSE) }
+        }
+        world.clock.after(7.0) { world.nodes.filter { it.leading }.forEach { cut(listOf(it), "state", LinkCut.HOLD) } }
         survives()
     }
 
@@ -118,7 +122,7 @@
     fun `a link that goes up and down moves neither the lead nor the workers each time`() {
         var leads = 0
         repeat(8) {
-            cut(listOf(first), "workers", Cut.HOLD)
+            cut(listOf(first), "workers", LinkCut.HOLD)
             world.clock.runUntil(world.clock.now + 5.0)
             world.wiring.healAll()
             world.clock.runUntil(world.clock.now + 5.0)
@@ -131,9 +135,9 @@
     @Test
     fun `a leader served by others for long hands over to a named peer, and only then`() {
         // The others hear the workers straight; two leases of 15 s pass, and the first reports.
-        cut(listOf(first), "workers", Cut.REFUSE)
+        cut(listOf(first), "workers", LinkCut.REFUSE)
         val peer = others.first()
-        cut(others.drop(1), "workers", Cut.REFUSE)
+        cut(others.drop(1), "workers", LinkCut.REFUSE)
         world.clock.runUntil(world.clock.now + 25.0)
         assertTrue(first.leading, "handed over for a passing cut")
         world.clock.runUntil(world.clock.now + 25.0)
@@ -143,8 +147,8 @@
 
     @Test
     fun `peers apart and the leader without store - nobody takes silence for proof`() {
-        peersApart(Cut.HOLD)
-        cut(listOf(first), "state", Cut.HOLD)
+        peersApart(LinkCut.HOLD)
+        cut(listOf(first), "state", LinkCut.HOLD)
         world.clock.runUntil(world.clock.now + 60.0)
         world.wiring.healAll()
         world.clock.runUntil(world.clock.now + 60.0)
@@ -156,7 +160,7 @@
     fun `nodes of the older version are sent no frame that they can't read, and hand over as they did`() {
         others.forEach { world.older.add(it.name) }
         world.clock.runUntil(world.clock.now + 3.0)
-        cut(listOf(first), "workers", Cut.REFUSE)
+        cut(listOf(first), "workers", LinkCut.REFUSE)
         world.clock.runUntil(world.clock.now + 12.0)
         assertTrue(
             !first.leading &&
@@ -171,15 +175,15 @@
     @Test
     fun `the last report of a machine that was given back, held by a cut, does not make the leader yield`() {
         // Its worker was shown a token beyond the epoch, as every machine that is poked is.
-        world.submit(World.job(2, tasks = 8, runS = 5.0))
+        world.submit(SimulatedCluster.job(2, tasks = 8, runS = 5.0))
         world.clock.runUntil(world.clock.now + 12.0)
         val leaver = world.cloud.workers.last()
-        world.wiring.cut(leaver.id, first.name, Cut.HOLD)
+        world.wiring.cut(leaver.id, first.name, LinkCut.HOLD)
         world.clock.runUntil(world.clock.now + 4.0)
         val report = leaver.report().copy(token = world.state.version("fleet").coerceAtLeast(2))
         world.clock.runUntil(world.clock.now + 60.0)
         var answered = 0
-        world.checkIn(leaver, first, report.copy(machine = leaver.id)) { status, _ -> answered = status }
+        world.onHeartbeat(leaver, first, report.copy(machine = leaver.id)) { status, _ -> answered = status }
         world.wiring.healAll()
         world.clock.runUntil(world.clock.now + 3.0)
         assertTrue(first.leading, "yielded for a token of its own")
@@ -189,7 +193,7 @@
     @ParameterizedTest(name = "{0} nodes")
     @CsvSource("3, 1 4 7", "5, 2 5 8", "7, 3 6 9")
     fun `days of links cut at random, at 300 machines`(nodes: Int, seeds: String) {
-        val days = seeds.split(' ').map { LinkDay(it.toLong(), nodes, machines = 300).play() }
+        val days = seeds.split(' ').map { LinkFaultScenario(it.toLong(), nodes, machines = 300).play() }
         assertEquals(emptyList<String>(), days.flatMap { it.broken })
         assertTrue(days.all { it.starts >= 1200 })
         // Several cuts on top of one another can strand some for a moment; whom somebody could have served must be few.
--- a/src/test/kotlin/plankwall/simulation/faults/ShortOfRoomDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
@@ -7,17 +7,17 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.model.Objective
 import plankwall.model.Priority
-import plankwall.simulation.World
+import plankwall.simulation.SimulatedCluster
 
 /**
  * Days with more work than room, played whole: what share of the jobs is done in time, and that the others are not
  * forgotten.
  */
-class ShortOfRoomDaysTest {
-    private val aims = listOf(Objective("wait", "class", 40.0, 0.9), Objective("finished", "class", 80.0, 0.9))
+class ScarceCapacityTest {
+    private val objectives = listOf(Objective("wait", "class", 40.0, 0.9), Objective("finished", "class", 80.0, 0.9))
     private val doneAt = HashMap<String, Double>()
 
-    private fun World.watch(jobs: Map<String, Double>) = clock.every(1.0) {
+    private fun SimulatedCluster.watch(jobs: Map<String, Double>) = clock.every(1.0) {
         jobs.keys.filter { it !in doneAt && checker.isDone(it) }.forEach { doneAt[it] = clock.now }
     }
 
@@ -48,13 +48,13 @@
         trouble: String,
         least: Double,
     ) {
-        val world = World(31, objectives = aims)
+        val world = SimulatedCluster(31, objectives = objectives)
         world.cloud.capacity = capacity
         val jobs = LinkedHashMap<String, Double>()
         val count = (240 / everyS).toInt()
         for (n in 1..count) {
             val at = 5.0 + n * everyS
-            val spec = World.job(n, tasks = 1 + n % 7, runS = 15.0 + n % 11, team = team)
+            val spec = SimulatedCluster.job(n, tasks = 1 + n % 7, runS = 15.0 + n % 11, team = team)
             jobs[spec.id] = at
             world.clock.after(at) { world.submit(spec) }
         }
@@ -76,7 +76,7 @@
         assertEquals(0, world.state.writes.beyond, "writes beyond the rate")
     }
 
-    private fun World.strike(trouble: String) {
+    private fun SimulatedCluster.strike(trouble: String) {
         when (trouble) {
             "crash" -> nodes.first { it.leading }.crash(8.0)
             "outage" -> state.outage = true
@@ -87,10 +87,10 @@
     /** A higher class takes all room for minutes: nothing of the lower one was in time. */
     @Test
     fun `a class of low priority keeps its half beside a burst`() {
-        val world = World(
+        val world = SimulatedCluster(
             32,
             objectives =
-            aims + listOf(Objective("wait", "high", 40.0, 0.9), Objective("finished", "high", 80.0, 0.9)),
+            objectives + listOf(Objective("wait", "high", 40.0, 0.9), Objective("finished", "high", 80.0, 0.9)),
         )
         world.cloud.capacity = 12
         val low = LinkedHashMap<String, Double>()
@@ -98,7 +98,7 @@
         for (n in 1..200) {
             val at = 5.0 + n * 1.2
             val isLow = n % 3 == 0
-            val spec = World.job(
+            val spec = SimulatedCluster.job(
                 n,
                 tasks = 4,
                 runS = 20.0,
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -10,21 +10,21 @@
 import plankwall.model.GroupKey
 import plankwall.model.Shape
 import plankwall.model.Tuning
-import plankwall.simulation.Cut
-import plankwall.simulation.SimNode
-import plankwall.simulation.World
+import plankwall.simulation.LinkCut
+import plankwall.simulation.SimulatedCluster
+import plankwall.simulation.SimulatedController
 import plankwall.wire.AnswerBatch
+import plankwall.wire.FullHeartbeat
+import plankwall.wire.HeartbeatBatch
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerStatus
-import plankwall.wire.ReportBatch
-import plankwall.wire.WholeReport
 
 /**
  * Workers' sessions on every node, with five nodes and three hundred workers in virtual time, and what can fail there.
  */
 class SpreadSessionsTest {
-    private val world = World(71, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.2, unneededS = 7200.0))
-    private val servedBy = HashMap<String, SimNode>()
+    private val world = SimulatedCluster(71, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.2, unneededS = 7200.0))
+    private val servedBy = HashMap<String, SimulatedController>()
     private val servedAt = HashMap<String, Double>()
     private var served = 0
 
@@ -43,14 +43,14 @@
         }
         for (n in 1..40) {
             world.clock.after(8.0 + n * 0.1) {
-                world.submit(World.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true))
+                world.submit(SimulatedCluster.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true))
             }
         }
         for (n in 41..100) {
             world.clock.after(20.0 + n * 1.2) {
                 world.submit(
-                    World.job(n, tasks = 6, gpus = 0, runS = 8.0),
-                    withdrawAfter = if (n %
+                    SimulatedCluster.job(n, tasks = 6, gpus = 0, runS = 8.0),
+                    cancelAfter = if (n %
                         7 ==
                         0
                     ) {
@@ -63,11 +63,11 @@
         }
     }
 
-    private fun leader(): SimNode = world.nodes.first { it.leading }
+    private fun leader(): SimulatedController = world.nodes.first { it.leading }
 
-    private fun followers(): List<SimNode> = world.nodes.filter { !it.leading && it.up }
+    private fun followers(): List<SimulatedController> = world.nodes.filter { !it.leading && it.up }
 
-    private fun servedHere(node: SimNode): Int = servedBy.values.count { it === node }
+    private fun servedHere(node: SimulatedController): Int = servedBy.values.count { it === node }
 
     private fun assertSpread() {
         val leading = leader()
@@ -97,8 +97,8 @@
 
     @Test
     fun `where all fit on the leader they stay there`() {
-        val small = World(72, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.5, unneededS = 7200.0))
-        val at = HashSet<SimNode>()
+        val small = SimulatedCluster(72, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.5, unneededS = 7200.0))
+        val at = HashSet<SimulatedController>()
         small.cloud.capacity = MACHINES
         small.cloud.addRunning(GroupKey("box", "a", false), MACHINES) { 1.0 }
         small.clock.after(30.0) { small.onServed = { _, node -> at.add(node) } }
@@ -106,14 +106,14 @@
         assertEquals(setOf(small.nodes.first { it.leading }), at)
     }
 
-    private fun strike(what: String): SimNode {
+    private fun strike(what: String): SimulatedController {
         val leading = leader()
         val home = followers().maxBy(::servedHere)
         when (what) {
             "a session's node ends" -> home.crash(8.0)
             "it is frozen" -> home.freeze(9.0)
             "it is cut from the leader" -> cut(home.name, leading.name, 15.0)
-            "it is cut from the leader, frames held" -> cut(home.name, leading.name, 15.0, Cut.HOLD)
+            "it is cut from the leader, frames held" -> cut(home.name, leading.name, 15.0, LinkCut.HOLD)
             "it is cut from the workers" -> cut(home.name, "workers", 15.0)
             "it is cut from the store" -> cut(home.name, "state", 20.0)
             "the leader ends" -> leading.crash(8.0)
@@ -132,7 +132,7 @@
         return home
     }
 
-    private fun cut(a: String, b: String, forS: Double, how: Cut = Cut.DROP) {
+    private fun cut(a: String, b: String, forS: Double, how: LinkCut = LinkCut.DROP) {
         world.wiring.cutBoth(a, b, how)
         world.clock.after(forS) { world.wiring.healBoth(a, b) }
     }
@@ -145,7 +145,7 @@
     /** Copies of one report at every node within milliseconds, none of them waited for. */
     private fun everywhere() = world.cloud.workers.take(60).forEach { worker ->
         val report = worker.report()
-        world.nodes.filter { it.up }.forEach { node -> node.ask({ Input.CheckIn(it, report) }) { _, _ -> } }
+        world.nodes.filter { it.up }.forEach { node -> node.ask({ Input.Heartbeat(it, report) }) { _, _ -> } }
     }
 
     @ParameterizedTest(name = "{0}")
@@ -208,7 +208,12 @@
         val report = world.cloud.workers.first().report()
         leading.frame(
             PeerCodec.write(
-                ReportBatch(followers().first().name, epoch + offset, seq, listOf(WholeReport(FORGED, "", report))),
+                HeartbeatBatch(
+                    followers().first().name,
+                    epoch + offset,
+                    seq,
+                    listOf(FullHeartbeat(FORGED, "", report)),
+                ),
             ),
         )
         assertEquals(if (read) 1 else 0, answered, name)
--- a/src/test/kotlin/plankwall/wire/WireTest.kt
+++ b/src/test/kotlin/plankwall/wire/CodecTest.kt
@@ -16,10 +16,10 @@
 import plankwall.model.Priority
 import plankwall.model.Resources
 import plankwall.model.Shape
-import plankwall.simulation.SimWorker
+import plankwall.simulation.SimulatedWorker
 import java.util.BitSet
 
-class WireTest {
+class CodecTest {
     private val good = """{"id":"job-000412","docket":"train","crew":"vision","shape":"ensemble","urgency":"urgent","pieces":16,
         "cores":8.0,"accelerators":1.0,"ram_gb":64.0,"mould":"img-07","size_gb":6.2,"builds":["g8"],"yard":null,"together":true,
         "scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"stow_s":4.0,"due_s":900.0,"new_field":[{"x":1}]}"""
@@ -60,19 +60,19 @@
         wrongType: String,
         outOfRange: String,
     ) {
-        val whole = SimWorker.json.readTree(good) as ObjectNode
-        fun read(body: ObjectNode) = JobCodec.read(SimWorker.json.writeValueAsBytes(body))
+        val whole = SimulatedWorker.json.readTree(good) as ObjectNode
+        fun read(body: ObjectNode) = JobCodec.read(SimulatedWorker.json.writeValueAsBytes(body))
         val without = whole.deepCopy().apply { remove(field) }
         val nulled = whole.deepCopy().apply { putNull(field) }
         if (mayBeNull) {
             assertEquals(read(without), read(nulled))
         } else {
-            assertThrows(BadMessage::class.java) { read(without) }
-            assertThrows(BadMessage::class.java) { read(nulled) }
+            assertThrows(MalformedMessageException::class.java) { read(without) }
+            assertThrows(MalformedMessageException::class.java) { read(nulled) }
         }
         for (value in listOf(wrongType, outOfRange)) {
-            assertThrows(BadMessage::class.java) {
-                read(whole.deepCopy().apply { set<ObjectNode>(field, SimWorker.json.readTree(value)) })
+            assertThrows(MalformedMessageException::class.java) {
+                read(whole.deepCopy().apply { set<ObjectNode>(field, SimulatedWorker.json.readTree(value)) })
             }
         }
     }
@@ -106,7 +106,7 @@
             val (_, name, value) = case.split(':', limit = 3)
             good.replace(Regex("\"$name\":(\\[[^]]*]|[^,}]*)"), "\"$name\":${Regex.escapeReplacement(value)}")
         }
-        assertThrows(BadMessage::class.java) { JobCodec.read(body.encodeToByteArray()) }
+        assertThrows(MalformedMessageException::class.java) { JobCodec.read(body.encodeToByteArray()) }
     }
 
     @ParameterizedTest(name = "awaits {0}")
@@ -138,7 +138,7 @@
         fun body(list: String) = good.replace("\"due_s\"", "\"awaits\":$list,\"due_s\"").encodeToByteArray()
         fun names(n: Int) = (1..n).joinToString(",", "[", "]") { "\"job-1%05d\"".format(it) }
         assertEquals(JobCodec.MAX_DEPENDENCIES, JobCodec.read(body(names(JobCodec.MAX_DEPENDENCIES))).dependencies.size)
-        val e = assertThrows(BadMessage::class.java) {
+        val e = assertThrows(MalformedMessageException::class.java) {
             JobCodec.read(
                 body(
                     if (value ==
@@ -202,14 +202,14 @@
         // At 70 bytes a name only a part was stored, and a successor took the rest for machines that nobody rented.
         val group = GroupKey("kiln-small", "vadodara-floor", false)
         val arrivals = (0 until 800).map {
-            StoredArrival(
+            StoredBootingMachine(
                 "i-%06d".format(it + it / 50),
                 group,
                 1_700_000_000_000 + it / 50,
             )
         }
         val returning = (0 until 200).map { "i-%06d".format(2000 + it * 3) }
-        val record = FleetRecord(listOf(StoredRental("r-7-1", group, 50)), arrivals, returning)
+        val record = FleetRecord(listOf(StoredScaleOut("r-7-1", group, 50)), arrivals, returning)
         assertTrue(StateCodec.sizeOf(record) < 8 * 1024, "${StateCodec.sizeOf(record)} bytes")
         assertEquals(record, RecordJson.decode(Keys.FLEET, RecordJson.encode(record)))
     }
@@ -217,27 +217,27 @@
     @ParameterizedTest
     @ValueSource(strings = ["[\"i-1\",-1]", "[\"i-1\",900000000]", "[3,1]"])
     fun `a run of names that nobody can have written is refused`(run: String) {
-        assertThrows(BadMessage::class.java) {
+        assertThrows(MalformedMessageException::class.java) {
             StateCodec.item("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
         }
     }
 
     private val links =
-        LinkReport(
+        ReachabilityReport(
             7,
             mapOf("berth-2" to 6L),
             listOf(4, -1, 900, 12_000),
             8_000,
             31,
             listOf(ZoneReach("a", 40, 2)),
-            LeaderWord("berth-0", 9, 80),
+            LeaderSighting("berth-0", 9, 80),
             "berth-2",
         )
-    private val report = Report(
+    private val report = HeartbeatStatus(
         "i-000007", "10.1.0.2:9000", "g8", "a", true, 2, 88, 41, 12.5,
         listOf(
-            TaskReport("job-000001", 3, 9, TaskStage.RUNNING, null, false),
-            TaskReport("job-000002", 0, 1, TaskStage.EXITED, ExitCause.STOPPED, true),
+            TaskStatus("job-000001", 3, 9, TaskStage.RUNNING, null, false),
+            TaskStatus("job-000002", 0, 1, TaskStage.EXITED, ExitCause.STOPPED, true),
         ),
     )
     private val frames: Map<String, PeerMessage> = mapOf(
@@ -254,17 +254,17 @@
         "status with withdrawals" to
             PeerStatus(
                 "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links,
-                WithdrawalNews(
+                CancellationUpdate(
                     4,
                     listOf("job-000001", "job-000002"),
                     900,
                     8_000,
                 ),
             ),
-        "progress" to ProgressNews(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
-        "report" to RelayedReport("berth-1", 12, 700, "10.1.0.2", report),
+        "progress" to ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
+        "report" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", report),
         "report of a quiet machine" to
-            RelayedReport("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
+            RelayedHeartbeat("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
         "answer" to RelayedAnswer("berth-0", 12, 200, byteArrayOf(1, 2, 3)),
     )
 
@@ -283,12 +283,12 @@
         // withdrawals.
         val wholes = if (message is PeerStatus) {
             listOf(message.copy(links = null)).map { PeerCodec.write(it).size }.flatMap { listOf(it - 4, it) } +
-                PeerCodec.write(message.copy(withdrawals = null)).size
+                PeerCodec.write(message.copy(cancellations = null)).size
         } else {
             emptyList()
         }
         for (n in frame.indices - wholes.toSet()) {
-            assertThrows(BadMessage::class.java) {
+            assertThrows(MalformedMessageException::class.java) {
                 PeerCodec.read(frame.copyOf(n))
             }
         }
@@ -301,7 +301,7 @@
         val frame = PeerCodec.write(
             PeerStatus(
                 "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links,
-                WithdrawalNews(
+                CancellationUpdate(
                     first.toLong(),
                     listOf(job),
                     900,
@@ -309,6 +309,6 @@
                 ),
             ),
         )
-        assertThrows(BadMessage::class.java) { PeerCodec.read(frame) }
+        assertThrows(MalformedMessageException::class.java) { PeerCodec.read(frame) }
     }
 }
--- a/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
+import plankwall.audit.AuditLines
 import plankwall.audit.Seals
-import plankwall.audit.TrailLines
 import plankwall.fixtures.RecordJson
 import plankwall.fuzz.Targets
 import plankwall.identity.PeerKey
@@ -67,10 +67,10 @@
     @Test
     fun `an entry of the audit log keeps its bytes, its hash and its seal`() {
         val (line, hash, jws) = lines("audit").map { it.second }
-        assertEquals(line, TrailLines.write(3, TrailLines.START, "n0", GoldenValues.entry))
-        val read = TrailLines.read(line)
-        assertEquals(line, TrailLines.write(read.number, read.before, read.node, read.entry))
-        assertEquals(hash, TrailLines.hash(line))
+        assertEquals(line, AuditLines.write(3, AuditLines.START, "n0", GoldenValues.entry))
+        val read = AuditLines.read(line)
+        assertEquals(line, AuditLines.write(read.number, read.before, read.node, read.entry))
+        assertEquals(hash, AuditLines.hash(line))
         assertEquals(jws, Seals.sign(GoldenValues.seal, Targets.key))
         assertEquals(GoldenValues.seal, Seals.read(jws))
     }
--- a/src/test/kotlin/plankwall/wire/GoldenValues.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenValues.kt
@@ -1,8 +1,8 @@
 package plankwall.wire
 
+import plankwall.audit.AuditEntry
 import plankwall.audit.ChainHead
 import plankwall.audit.Seal
-import plankwall.audit.TrailEntry
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 import plankwall.model.JobFacts
@@ -50,10 +50,10 @@
         "t/job-000412/000000" to PageRecord(bits(0, 1, 2, 5), placements),
         "t/job-000412/000001 divided" to PageRecord(bits(3), emptyList(), 20),
         "f/job-000412" to FinalRecord(JobStage.DONE, 16, AT_MS),
-        "f/job-000413 cancelled" to FinalRecord(JobStage.WITHDRAWN, 0, AT_MS, facts),
+        "f/job-000413 cancelled" to FinalRecord(JobStage.CANCELLED, 0, AT_MS, facts),
         "fleet" to FleetRecord(
-            listOf(StoredRental("r-7-1", group, 12)),
-            listOf(StoredArrival("i-000001", group, AT_MS), StoredArrival("i-000002", group, AT_MS)),
+            listOf(StoredScaleOut("r-7-1", group, 12)),
+            listOf(StoredBootingMachine("i-000001", group, AT_MS), StoredBootingMachine("i-000002", group, AT_MS)),
             listOf("i-000004", "i-000005", "i-000009"),
         ),
         "fleet/1" to FleetRecord(emptyList(), emptyList(), listOf("i-000010"), 2),
@@ -63,59 +63,59 @@
         "access/head" to RightsHead(3, 2, "digest", "root", AT_MS),
         "access/v/0000000003/001" to RightsPart("person lea { }"),
         "access/applied" to RightsApplied(3),
-        "trail/n0/0000000002" to TrailSegment(4, "before", listOf("{\"n\":4}", "{\"n\":5}")),
-        "seal/0000000001" to TrailSeal("a.b.c"),
+        "trail/n0/0000000002" to AuditSegment(4, "before", listOf("{\"n\":4}", "{\"n\":5}")),
+        "seal/0000000001" to AuditSeal("a.b.c"),
     )
 
     /** Of builds before pages were divided, jobs were owned, ends were timed, and values were spread over keys. */
     val older: Map<String, Stored> = mapOf(
         "t/job-000412/000000" to PageRecord(bits(0, 1), listOf(placements[1])),
         "f/job-000412" to FinalRecord(JobStage.DONE, 16),
-        "f/job-000413" to FinalRecord(JobStage.WITHDRAWN, 2),
+        "f/job-000413" to FinalRecord(JobStage.CANCELLED, 2),
         "j/job-000414" to JobRecord(array, AT_MS, 0, 40),
         "fleet" to FleetRecord(
-            listOf(StoredRental("r-7-1", group, 12)),
-            listOf(StoredArrival("i-000001", group, AT_MS)),
+            listOf(StoredScaleOut("r-7-1", group, 12)),
+            listOf(StoredBootingMachine("i-000001", group, AT_MS)),
             listOf("i-000004"),
         ),
     )
 
-    private val links = LinkReport(
+    private val links = ReachabilityReport(
         7,
         mapOf("berth-2" to 6L),
         listOf(4, -1, 900, 12_000),
         8_000,
         31,
         listOf(ZoneReach("a", 40, 2)),
-        LeaderWord("berth-0", 9, 80),
+        LeaderSighting("berth-0", 9, 80),
         "berth-2",
     )
-    private val report = Report(
+    private val report = HeartbeatStatus(
         "i-000007", "10.1.0.2:9000", "g8", "a", true, 2, 88, 41, 12.5,
-        TaskStage.entries.map { TaskReport("job-000001", it.ordinal, 9, it, null, false) } +
-            ExitCause.entries.map { TaskReport("job-000002", it.ordinal, 1, TaskStage.EXITED, it, true) },
+        TaskStage.entries.map { TaskStatus("job-000001", it.ordinal, 9, it, null, false) } +
+            ExitCause.entries.map { TaskStatus("job-000002", it.ordinal, 1, TaskStage.EXITED, it, true) },
     )
     private val status = PeerStatus("berth-1", 5, 7, true, 3, false, 4)
-    private val news = WithdrawalNews(4, listOf("job-000001", "job-000002"), 900, 8_000)
+    private val news = CancellationUpdate(4, listOf("job-000001", "job-000002"), 900, 8_000)
     private val plan = SessionPlan(7, mapOf("a" to listOf(SessionShare("berth-1", 20), SessionShare("berth-2", 5))))
 
     val frames: Map<String, PeerMessage> = mapOf(
         "status of the first level" to status,
         "status with links" to status.copy(level = 4, links = links),
         "status without a leader" to status.copy(level = 4, links = links.copy(leader = null, successor = null)),
-        "status with cancellations" to status.copy(level = 4, links = links, withdrawals = news),
+        "status with cancellations" to status.copy(level = 4, links = links, cancellations = news),
         "status with sessions" to
-            status.copy(level = 4, links = links, withdrawals = news, sessions = SessionNews(800, plan)),
-        "progress" to ProgressNews(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
-        "relayed heartbeat" to RelayedReport("berth-1", 12, 700, "10.1.0.2", report),
+            status.copy(level = 4, links = links, cancellations = news, sessions = SessionUpdate(800, plan)),
+        "progress" to ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
+        "relayed heartbeat" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", report),
         "relayed heartbeat, no tasks" to
-            RelayedReport("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
+            RelayedHeartbeat("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
         "relayed answer" to RelayedAnswer("berth-0", 12, 200, byteArrayOf(1, 2, 3)),
-        "heartbeat batch" to ReportBatch(
+        "heartbeat batch" to HeartbeatBatch(
             "berth-1",
             7,
             700,
-            listOf(WholeReport(3, "10.1.0.2", report), UnchangedReport(4, "", "i-000008", 2, 9, 41)),
+            listOf(FullHeartbeat(3, "10.1.0.2", report), UnchangedHeartbeat(4, "", "i-000008", 2, 9, 41)),
         ),
         "answer batch" to AnswerBatch("berth-0", 7, listOf(BatchedAnswer(3, 200, byteArrayOf(9)))),
     )
@@ -146,7 +146,7 @@
         "direct commands" to Message({ WorkerCodec.commands(41, 1, orders) }),
         "another node to report to" to Message({ WorkerCodec.reportTo("berth-2") }),
         "job accepted" to Message({ JobCodec.accepted(JobView("job-000412", JobStage.PENDING, 0, 0)) }),
-        "job cancelled" to Message({ JobCodec.accepted(JobView("job-000412", JobStage.WITHDRAWN, 0, 0)) }),
+        "job cancelled" to Message({ JobCodec.accepted(JobView("job-000412", JobStage.CANCELLED, 0, 0)) }),
         "job running" to Message({
             JobCodec.view(JobView("job-000412", JobStage.RUNNING, 1, 2, listOf("job-000398")))
         }),
@@ -183,15 +183,15 @@
             { CloudServiceCodec.listed(machineList) },
             { CloudServiceCodec.listed(CloudCodec.listed(it) as CloudResult.Listed) },
         ),
-        "rights" to Message({ KeeperCodec.rights(3, "root", AT_MS, "person lea { }") }, { bytes ->
-            KeeperCodec.readRights(bytes).let { KeeperCodec.rights(it.version, it.by, it.atMs, it.text) }
+        "rights" to Message({ AdminCodec.rights(3, "root", AT_MS, "person lea { }") }, { bytes ->
+            AdminCodec.readRights(bytes).let { AdminCodec.rights(it.version, it.by, it.atMs, it.text) }
         }),
-        "publication" to Message({ KeeperCodec.publish(3, "person lea { }") }),
-        "rollback" to Message({ KeeperCodec.rollback(3, 2) }),
-        "published" to Message({ KeeperCodec.published(4) }),
+        "publication" to Message({ AdminCodec.publish(3, "person lea { }") }),
+        "rollback" to Message({ AdminCodec.rollback(3, 2) }),
+        "published" to Message({ AdminCodec.published(4) }),
     )
 
-    val entry = TrailEntry(
+    val entry = AuditEntry(
         "a-1", AT_MS, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q", "note",
     )
     val seal = Seal(2, "before", AT_MS, 5, "n0", mapOf("n0" to ChainHead(3, 40, "hash"), "n1" to ChainHead(0, 0, "h")))
--- a/src/test/kotlin/plankwall/wire/ServiceCodecsTest.kt
+++ b/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
@@ -3,17 +3,17 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Test
-import plankwall.loadtest.ScalePlan
-import plankwall.loadtest.ScaleSite
+import plankwall.loadtest.LoadTestCluster
+import plankwall.loadtest.LoadTestPlan
 import plankwall.model.GroupKey
 import plankwall.model.StateLimits
-import plankwall.simulation.SimClock
-import plankwall.simulation.SimState
-import plankwall.simulation.World
+import plankwall.simulation.SimulatedClock
+import plankwall.simulation.SimulatedCluster
+import plankwall.simulation.SimulatedStore
 
 /** The stand-ins' side of the protocols is read by the controllers' own, and the other way round. */
-class ServiceCodecsTest {
-    private val record = JobRecord(World.job(7), 1_000, 0, 100)
+class ServerCodecTest {
+    private val record = JobRecord(SimulatedCluster.job(7), 1_000, 0, 100)
     private val leader = LeaderRecord("n1", 5)
 
     @Test
@@ -40,7 +40,7 @@
         )
         assertEquals(StateResult.Granted(3), StateCodec.granted(StateServiceCodec.write(StateResult.Granted(3))))
         assertThrows(
-            BadMessage::class.java,
+            MalformedMessageException::class.java,
         ) { StateServiceCodec.readTxn("{\"writes\":[{\"set\":\"unknown/1\",\"data\":{}}]}".encodeToByteArray()) }
     }
 
@@ -50,7 +50,7 @@
         assertEquals(rent, CloudServiceCodec.readRent(CloudCodec.rent(rent)))
         val delete = CloudOp.Delete(listOf("i-1", "i-2"))
         assertEquals(delete, CloudServiceCodec.readDelete(CloudCodec.delete(delete)))
-        val catalog = ScaleSite.catalog(ScalePlan())
+        val catalog = LoadTestCluster.catalog(LoadTestPlan())
         assertEquals(catalog, CloudCodec.catalog(CloudServiceCodec.catalog(catalog)))
         val listed = CloudResult.Listed(
             ListedState.entries.map { ListedMachine("i-$it", "127.0.0.1:9", GroupKey("box", "a", false), it, 1.5) },
@@ -58,13 +58,15 @@
         )
         assertEquals(listed, CloudCodec.listed(CloudServiceCodec.listed(listed)))
         assertEquals(CloudResult.Rented(listOf("i-3")), CloudCodec.rented(CloudServiceCodec.rented(listOf("i-3"))))
-        assertThrows(BadMessage::class.java) { CloudServiceCodec.readRent(CloudCodec.rent(rent.copy(count = 51))) }
+        assertThrows(MalformedMessageException::class.java) {
+            CloudServiceCodec.readRent(CloudCodec.rent(rent.copy(count = 51)))
+        }
     }
 
     @Test
     fun `reports and submissions are read as they were sent`() {
         val tasks = TaskStage.entries.mapIndexed { n, stage ->
-            TaskReport(
+            TaskStatus(
                 "job-000001",
                 n,
                 9,
@@ -73,15 +75,15 @@
                 n % 2 == 0,
             )
         }
-        val report = Report("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
+        val report = HeartbeatStatus("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
         assertEquals(report, WorkerCodec.readReport(WorkerCodec.writeReport(report)))
         assertEquals(record.spec, JobCodec.read(JobCodec.description(record.spec)))
     }
 
     @Test
     fun `beyond its rates the state service refuses, and what it has forgotten is too old`() {
-        val clock = SimClock()
-        val state = SimState(clock, StateLimits(4.0, 2.0, 8.0, 32)).apply {
+        val clock = SimulatedClock()
+        val state = SimulatedStore(clock, StateLimits(4.0, 2.0, 8.0, 32)).apply {
             refusesBeyondRates = true
             historyLimit = 3
         }
