--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -83,7 +83,7 @@
                 term?.onRelayedHeartbeat(it)
             }
             is Input.PeerMessageReceived -> when (val message = input.message) {
-                is PeerStatus -> leadership.notePeer(message)
+                is PeerStatus -> leadership.onPeerStatus(message)
                 is ProgressUpdate -> board.onUpdate(message, front::isLive)
                 is RelayedHeartbeat -> relayed(message)
                 is RelayedAnswer -> relay.answered(message)
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -53,7 +53,7 @@
     private val failureDetector = FailureDetector(ctx, fleet, ctx.now)
     private val rental =
         Autoscaler(ctx, store, schedulerState, fleet, placer, failureDetector, ctx.now) {
-            fleet.surelyEmptyAt(it, leadership.othersSilent)
+            fleet.provablyEmptyAt(it, leadership.olderLeadersSilentAt)
         }
     private val upgrade = VersionUpgrade(leadership, store)
     private val catalogs = CatalogWriter(store, capacityView)
@@ -201,7 +201,7 @@
      */
     fun isForeign(r: HeartbeatStatus): Boolean {
         if (r.token <= maxOf(tokenFor(r.machine), store.lastRevision)) return false
-        leadership.yield("machine ${r.machine} shows token ${r.token}")
+        leadership.resign("machine ${r.machine} shows token ${r.token}")
         return true
     }
 
@@ -250,7 +250,7 @@
     val authority: LeaseAuthority = object : LeaseAuthority {
         override val epoch: Long get() = store.epoch
 
-        override fun mayWrite(): Boolean = loaded && store.room() > store.scarce
+        override fun mayWrite(): Boolean = loaded && store.availableWrites() > store.scarceWrites
     }
 
     /** Null while the book is not read yet, or if it has no such job. */
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -115,7 +115,7 @@
     private fun drop(id: String) {
         dependencies.over(id)
         facts.remove(id)
-        cancellations?.over(id)
+        cancellations?.onJobEnded(id)
         if (live.remove(id)) onOver(id)
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -33,7 +33,7 @@
     private val placer: Placer,
     private val failureDetector: FailureDetector,
     private val startedAt: Double,
-    surelyEmptyAt: (Machine) -> Double,
+    provablyEmptyAt: (Machine) -> Double,
 ) {
     private val log = LoggerFactory.getLogger("rental")
     private val bootTimes = BootDurations()
@@ -42,7 +42,7 @@
     private val memory = AutoscalerState(store)
     private val lastRental = HashMap<GroupKey?, Double>()
     private val returns =
-        ScaleIn(ctx, store, schedulerState, fleet, registry, failureDetector, memory, startedAt, surelyEmptyAt) {
+        ScaleIn(ctx, store, schedulerState, fleet, registry, failureDetector, memory, startedAt, provablyEmptyAt) {
             lastRental[it]
                 ?: Machine.NEVER
         }
@@ -160,7 +160,7 @@
         val arriving = arrivals.values.filter { mayBeCountedOn(it) }.map { it.group } +
             rentals.values.flatMap { r -> List(r.stored.count) { r.stored.group } }
         val lost = failureDetector.endangered()
-        val waiting = (lost.keys + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.doubtful }).filter(serves)
+        val waiting = (lost.keys + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.suspect }).filter(serves)
         val spare = spareTime(catalog, running, arriving.size)
         val owned = fleet.machines.filter { !it.returning }.groupingBy { it.group?.zone }.eachCount()
         val wanted = Estimator(ctx, schedulerState, catalog).estimate(
@@ -173,11 +173,11 @@
     private fun spareTime(catalog: Catalog, running: List<Machine>, arriving: Int): LeftoverCapacityScaling {
         val bootS = catalog.types.maxOfOrNull { it.bootS } ?: 0.0
         for (job in placer.unplaced) {
-            if (job.spareTime &&
-                !job.overlooked &&
+            if (job.bestEffort &&
+                !job.starving &&
                 ctx.time.wallMs - job.readyMs > bootS * 1000 * OVERLOOKED_BOOTS
             ) {
-                job.overlooked = true
+                job.starving = true
             }
         }
         val taken = running.sumOf { m ->
@@ -187,13 +187,13 @@
             ) {
                 0.0
             } else {
-                m.placements.values.filter { it.job.spareTime }.fold(Resources.NONE) { sum, p ->
+                m.placements.values.filter { it.job.bestEffort }.fold(Resources.NONE) { sum, p ->
                     sum +
                         p.job.spec.need
                 }.partOf(type.capacity)
             }
         }
-        if (placer.unplaced.any { !it.spareTime && !it.doubtful }) contestedAt = ctx.now
+        if (placer.unplaced.any { !it.bestEffort && !it.suspect }) contestedAt = ctx.now
         // Where the cloud had none lately, what comes free there is left to those who have aims to meet.
         return LeftoverCapacityScaling(
             LeftoverCapacityScaling.leftAt(
--- a/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
@@ -37,7 +37,7 @@
     }
 
     fun save(record: () -> FleetRecord, stored: (FleetRecord) -> Unit) {
-        if (!dirty || writing || store.room() < 1) return
+        if (!dirty || writing || store.availableWrites() < 1) return
         val whole = record()
         if (whole == refused) return
         val pieces = pieces(whole)
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -113,7 +113,7 @@
                     fun cheapestOf(allowed: (GroupKey) -> Boolean) =
                         cheapest(job, zones, zone, waiting + 1, allowed) { z -> owned(z) + (ordered[z] ?: 0) }
                     val group = when {
-                        job.spareTime -> spare.take { cheapestOf { mayExpand(it) && spare.mayRent(job, it) } }
+                        job.bestEffort -> spare.take { cheapestOf { mayExpand(it) && spare.mayRent(job, it) } }
                         job.spec.shape == Shape.SERVICE -> cheapestOf(mayExpand) ?: cheapestOf(mayExpandTroubled)
                             ?: cheapestOf(mayExpandForLive)
                         else -> cheapestOf(mayExpand) ?: cheapestOf(mayExpandTroubled)
@@ -124,17 +124,17 @@
                 }
                 val bin = bins[at]
                 bin.free -= job.spec.need
-                zones.imagine(bin.group.zone)
+                zones.addPlanned(bin.group.zone)
                 planned.merge(job.team.value, job.spec.need, Resources::plus)
             }
         }
 
-        val (spareTime, expected) = unplaced.partition { it.spareTime }
+        val (bestEffort, expected) = unplaced.partition { it.bestEffort }
         expected.forEach(::pack)
         ahead(growth, bins, mayExpand, owned).forEach { (group, count) -> wanted.merge(group, count, Int::plus) }
         // Last, and beside what is kept for what is still to come: it once took that room, and more was rented for
         // ever.
-        spareTime.forEach(::pack)
+        bestEffort.forEach(::pack)
         return wanted
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
@@ -18,7 +18,7 @@
      * Whether room of [group] counts for [job]: until it has waited long, it does without what costs three times as
      * much.
      */
-    fun mayFill(job: Job, group: GroupKey): Boolean = !job.spareTime || group.spot || !job.spec.spot || job.overlooked
+    fun mayFill(job: Job, group: GroupKey): Boolean = !job.bestEffort || group.spot || !job.spec.spot || job.starving
 
     companion object {
         val NONE: LeftoverCapacityScaling get() = LeftoverCapacityScaling(0) { false }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -25,7 +25,7 @@
     private val failureDetector: FailureDetector,
     private val memory: AutoscalerState,
     private val startedAt: Double,
-    private val surelyEmptyAt: (Machine) -> Double,
+    private val provablyEmptyAt: (Machine) -> Double,
     private val rentedAt: (GroupKey?) -> Double,
 ) {
     private val log = LoggerFactory.getLogger("rental")
@@ -85,7 +85,7 @@
      */
     private fun isWorthDeleting(m: Machine): Boolean =
         m.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.cancelled } ||
-            surelyEmptyAt(m) > ctx.now + ctx.surelyOverS
+            provablyEmptyAt(m) > ctx.now + ctx.surelyOverS
 
     /** A withdrawn task must be gone in time; a machine that can't be told is deleted with all that is on it. */
     private fun cancelledTooLong(m: Machine): Boolean = !fleet.isReady(m) &&
@@ -104,7 +104,7 @@
             val idle = m.registered &&
                 fleet.isReady(m) &&
                 m.placements.isEmpty() &&
-                m.strangers == 0 &&
+                m.unknownTasks == 0 &&
                 !m.returning &&
                 m.held === Resources.NONE &&
                 m.reservations.isEmpty()
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -44,10 +44,11 @@
      * answer at all could keep the rule, and a machine that just can't be reached would break it too; a node that hears
      * its peers goes on then.
      */
-    val patienceS: Double = (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
+    val toleratedLagS: Double =
+        (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
 
     /** No withdrawal that is unknown here can run out of its time if a worker's lease is renewed now. */
-    val isAware: Boolean get() = ctx.now - knownUpTo <= patienceS
+    val isAware: Boolean get() = ctx.now - knownUpTo <= toleratedLagS
 
     fun isKnown(job: String): Boolean = job in known
 
@@ -72,7 +73,7 @@
     }
 
     /** [job] is over: nothing of it is on any machine. */
-    fun over(job: String) {
+    fun onJobEnded(job: String) {
         known.remove(job)
     }
 
@@ -96,8 +97,8 @@
     }
 
     /** This node's own word for the frame numbered [seq]. */
-    fun news(seq: Long): CancellationUpdate =
-        own.news(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
+    fun nextUpdate(seq: Long): CancellationUpdate =
+        own.nextUpdate(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
 
     private fun millisSince(at: Double): Long = if (at ==
         Double.NEGATIVE_INFINITY
--- a/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
@@ -34,7 +34,7 @@
      * The entries that some peer may lack. Whoever has heard nothing for `cancel_s` is not waited for: by then it has
      * either stopped answering workers or learned of them from the store.
      */
-    fun news(seq: Long, readAgeMs: Long, upMs: Long): CancellationUpdate {
+    fun nextUpdate(seq: Long, readAgeMs: Long, upMs: Long): CancellationUpdate {
         while (entries.isNotEmpty() && ctx.now - entries.first().at > ctx.settings.workers.cancelS) drop()
         lastIn[seq] = dropped + entries.size
         if (lastIn.size > REMEMBERED) lastIn.remove(lastIn.keys.first())
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -45,7 +45,7 @@
 
     val reachability = ReachabilityMatrix(ctx)
     val routing = LeaderRouting(ctx, reachability, ttlS)
-    val succession = CandidatePriority(ctx, reachability, recentWorkers)
+    val candidatePriority = CandidatePriority(ctx, reachability, recentWorkers)
     val cancellations = Cancellations(ctx, reachability)
 
     /** The highest epoch heard of from anybody. */
@@ -87,7 +87,7 @@
     private var unaware = false
 
     /** Every other node has shown that it runs this version or a later one. */
-    val allCurrent: Boolean get() = ctx.settings.peers.all {
+    val allNodesCurrent: Boolean get() = ctx.settings.peers.all {
         (reachability.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL
     }
 
@@ -95,7 +95,7 @@
     private val olderAbout: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
 
     /** No leader before us can have renewed a worker's lease after this moment. */
-    val othersSilent: Double get() = othersSilentFrom ?: (wonAt + ctx.outageGraceS)
+    val olderLeadersSilentAt: Double get() = othersSilentFrom ?: (wonAt + ctx.outageGraceS)
 
     fun guard(): Guard = Guard(Keys.LEADER, epoch)
 
@@ -131,7 +131,7 @@
             nextPoll = ctx.now + if (result == StateResult.Renewed) ttlS / 4 else 0.3
             when (result) {
                 StateResult.Renewed -> validUntil = maxOf(validUntil, sentAt + ttlS)
-                StateResult.NoLease -> yield("the state service ended the lease")
+                StateResult.NoLease -> resign("the state service ended the lease")
                 else -> log.debug("renewal of epoch {} not confirmed: {}", epoch, result)
             }
         }
@@ -151,9 +151,9 @@
         val record = item?.value as? LeaderRecord
         routing.read(record?.node, item?.version ?: 0L, askedAt)
         if (item != null && record != null) {
-            succession.taken()
+            candidatePriority.taken()
             successor = null
-        } else if (!leading && !acquiring && succession.mayStand()) {
+        } else if (!leading && !acquiring && candidatePriority.mayStand()) {
             acquire()
         }
     }
@@ -193,17 +193,17 @@
     }
 
     /** A token or epoch heard from a worker, a peer or the store. A higher one than ours ends our leadership. */
-    fun noteEpoch(heard: Long, from: String) {
+    fun onEpoch(heard: Long, from: String) {
         routing.onEpoch(heard)
-        if (leading && heard > epoch) yield("epoch $heard heard from $from")
+        if (leading && heard > epoch) resign("epoch $heard heard from $from")
     }
 
     /**
      * Epochs prove the same however late the word of them comes; what else [status] says is believed only while it is
      * the newest.
      */
-    fun notePeer(status: PeerStatus) {
-        noteEpoch(status.epochSeen, "peer ${status.node}")
+    fun onPeerStatus(status: PeerStatus) {
+        onEpoch(status.epochSeen, "peer ${status.node}")
         if (leading && othersSilentFrom == null && status.epochSeen >= epoch && !status.leading) {
             confirmedPeers.add(status.node)
             if (ctx.settings.peers.all { it.node in confirmedPeers }) {
@@ -214,11 +214,11 @@
         // The one that is named asks for the lead at once, instead of when its turn comes.
         if (!reachability.onStatus(status)) return
         cancellations.onStatus(status)
-        if (succession.onStatus(status) && !leading) nextPoll = minOf(nextPoll, ctx.now)
+        if (candidatePriority.onStatus(status) && !leading) nextPoll = minOf(nextPoll, ctx.now)
     }
 
     /** Steps down. [dropLease] lets the next leader start at once. */
-    fun yield(why: String, dropLease: Boolean = false) {
+    fun resign(why: String, dropLease: Boolean = false) {
         if (!leading) return
         log.info("yielding epoch {}: {}", epoch, why)
         resignedEpoch = epoch
@@ -229,10 +229,10 @@
     }
 
     /** Steps down for the sake of workers that can't come here, and names who is reached by most of them. */
-    fun yieldForWorkers(why: String) {
-        successor = succession.best()?.node
-        succession.lostWorkers()
-        yield("$why; next had better be ${successor ?: "anybody else"}", dropLease = true)
+    fun resignForWorkers(why: String) {
+        successor = candidatePriority.best()?.node
+        candidatePriority.lostWorkers()
+        resign("$why; next had better be ${successor ?: "anybody else"}", dropLease = true)
         // Told before the key is found free, or the first to look would take it.
         ctx.out.add(Effect.PeerSend(status(0, links(0))))
     }
@@ -247,7 +247,7 @@
         ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, reachability.storeReachable,
         unservedWorkers,
         PeerCodec.LEVEL, links,
-        cancellations.news(links.seq), SessionUpdate(ctx.settings.sessionCapacity, sessions),
+        cancellations.nextUpdate(links.seq), SessionUpdate(ctx.settings.sessionCapacity, sessions),
     )
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -25,7 +25,7 @@
         m.failedJobs.add(job.ix.value)
         if (!m.faulty) job.failedOn.add(m.ix.value)
         judge(m)
-        if (job.doubtful) putOff(job)
+        if (job.suspect) putOff(job)
     }
 
     /** A task of [p]'s job is done there: neither of the two is at fault. */
@@ -37,7 +37,7 @@
 
     /** [p] still runs: after a while that says as much as its end, which may be many minutes away. */
     fun runs(p: Placement) {
-        if (p.job.sound || p.job.failedOn.isEmpty() || p.runningSince <= 0.0) return
+        if (p.job.provenSound || p.job.failedOn.isEmpty() || p.runningSince <= 0.0) return
         if (ctx.now - p.runningSince >
             maxOf(ctx.settings.workers.reportS * RUNS_WELL_REPORTS, p.job.longestFailS * 2)
         ) {
@@ -46,9 +46,9 @@
     }
 
     private fun clear(job: Job, why: String) {
-        if (job.sound) return
-        val suspected = job.doubtful
-        job.sound = true
+        if (job.provenSound) return
+        val suspected = job.suspect
+        job.provenSound = true
         job.failedProbes = 0
         job.backoffUntil = 0.0
         if (suspected) log.info("job {} is sound after all: {}", job.spec.id, why)
@@ -75,9 +75,9 @@
         log.info("machine {} counted as faulty: {} failed on it", m.id, accusers.map { it.spec.id })
         // What failed there says nothing against the job any more.
         for (job in accusers) {
-            val suspected = job.doubtful
+            val suspected = job.suspect
             job.failedOn.remove(m.ix.value)
-            if (suspected && !job.doubtful) {
+            if (suspected && !job.suspect) {
                 job.failedProbes = 0
                 job.backoffUntil = 0.0
             }
@@ -86,8 +86,8 @@
 
     /** How much a failure of [job] says against a machine. */
     private fun weightOf(job: Job): Int = when {
-        job.sound -> 2
-        job.doubtful -> 0
+        job.provenSound -> 2
+        job.suspect -> 0
         else -> 1
     }
 
--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -41,7 +41,7 @@
             log.info("machine {} registered: {}", m.id, m.group)
         }
         m.confirmed = r.token >= leadership.epoch
-        if (m.confirmed) m.deaf = false
+        if (m.confirmed) m.unresponsive = false
         if (r.noticeS != null && m.noticeAt == Machine.NEVER) {
             m.noticeAt = ctx.now + r.noticeS
             log.info("machine {} will be taken in {} s", m.id, r.noticeS)
@@ -49,7 +49,7 @@
         }
         val orders = ArrayList<Order>()
         val reported = HashSet<Placement>()
-        m.strangers = 0
+        m.unknownTasks = 0
         m.exitsShown = r.tasks.count { it.stage == TaskStage.EXITED }
         for (t in r.tasks) examine(m, t, reported, orders, overtaken)
         settleAbsent(m, reported)
@@ -99,8 +99,8 @@
                 it.stopping == null &&
                 it.session == m.session
         }
-        val poke = waits && ctx.now - m.lastPoked > ctx.settings.workers.leaseS * 0.55
-        if (poke) m.lastPoked = ctx.now
+        val poke = waits && ctx.now - m.lastWokenAt > ctx.settings.workers.leaseS * 0.55
+        if (poke) m.lastWokenAt = ctx.now
         m.unsent = waits && !poke
         if (stops.isEmpty() && !poke) return null
         return stops.map { Order(OrderOp.STOP, it.job.spec.id, it.task, it.attempt, it.graceS) }
@@ -124,14 +124,14 @@
         // it does. What we took for its word may have been an old report, held back until we led, which says nothing
         // against the machine.
         if (m.session in 1 until r.session && ctx.now - m.lastAnswered < ctx.settings.workers.leaseS) {
-            if (r.token >= leadership.epoch) m.blockedUntil = ctx.now + ctx.surelyOverS else m.deaf = true
+            if (r.token >= leadership.epoch) m.blockedUntil = ctx.now + ctx.surelyOverS else m.unresponsive = true
             log.info(
                 "machine {} lost its lease though it was answered: no work for it {}",
                 m.id,
-                if (m.deaf) "until it shows our token" else "for now",
+                if (m.unresponsive) "until it shows our token" else "for now",
             )
         }
-        m.awaited = false
+        m.awaitingHeartbeat = false
         fleet.describe(m, r)
         m.seq = if (r.session > m.session) r.seq else maxOf(m.seq, r.seq)
         m.session = r.session
@@ -161,7 +161,7 @@
         }
         if (t.stage != TaskStage.EXITED) {
             if (overtaken) return
-            m.strangers++
+            m.unknownTasks++
             log.info("stop stranger {}/{}#{} on {}", t.jobId, t.task, t.attempt, m.id)
             orders.add(Order(OrderOp.STOP, t.jobId, t.task, t.attempt, 0.0))
             return
@@ -179,7 +179,7 @@
         if (t.stage == TaskStage.RUNNING || t.stage == TaskStage.WAITING) {
             if (p.stage != TaskStage.RUNNING && t.stage == TaskStage.RUNNING) p.runningSince = ctx.now
             val image = ImageIndex(p.job.image.value)
-            if (p.stage != t.stage) m.noteImage(image, p.job.spec.imageGb, ctx.now)
+            if (p.stage != t.stage) m.recordImage(image, p.job.spec.imageGb, ctx.now)
         }
         p.stage = t.stage
         if (t.stage == TaskStage.RUNNING) evidence.runs(p)
@@ -256,7 +256,7 @@
     fun releaseSilent() {
         for (m in fleet.machines) {
             if (m.placements.isEmpty()) continue
-            if (ctx.now >= fleet.surelyEmptyAt(m, leadership.othersSilent)) {
+            if (ctx.now >= fleet.provablyEmptyAt(m, leadership.olderLeadersSilentAt)) {
                 m.placements.values.toList().forEach {
                     if (it.stored ||
                         it.commanded
@@ -277,7 +277,7 @@
      */
     private fun takeBack(m: Machine) {
         for (p in m.placements.values.filter { it.stored && !it.commanded }) {
-            m.awaited = true
+            m.awaitingHeartbeat = true
             schedulerState.release(p, "never commanded, and ${m.id} has missed a report")
         }
     }
--- a/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -49,7 +49,7 @@
         zones.allows(m) &&
         m.fitsReport &&
         m.ix.value !in job.failedOn &&
-        !(job.spareTime && wouldStayFor(job, m))
+        !(job.bestEffort && wouldStayFor(job, m))
 
     /**
      * Whether an ordinary machine could soon go back but for a spare-time task put there: none of its work is to stay.
@@ -57,7 +57,7 @@
      * no other place.
      */
     private fun wouldStayFor(job: Job, m: Machine): Boolean =
-        job.spec.spot && m.group?.spot == false && (m.surplus || (m.lastingShare == 0.0 && !job.overlooked))
+        job.spec.spot && m.group?.spot == false && (m.surplus || (m.lastingShare == 0.0 && !job.starving))
 
     /** Whether a task of [job] may go to [m] and has room there. */
     fun admits(job: Job, m: Machine, zones: ZoneConstraint): Boolean =
--- a/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -87,7 +87,7 @@
             if (taken.size == job.waiting.size) break
             val zone = s.machine.group?.zone ?: continue
             if (!zones.allows(zone)) continue
-            zones.imagine(zone)
+            zones.addPlanned(zone)
             taken.add(s)
         }
         return taken
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -75,7 +75,7 @@
             if (job.waiting.isEmpty()) continue
             left.add(job)
             if (warm.holds(job)) continue
-            if (preempting && budget > 0 && !job.doubtful && isWorthStopping(job)) preemptor.makeRoom(job, usable)
+            if (preempting && budget > 0 && !job.suspect && isWorthStopping(job)) preemptor.makeRoom(job, usable)
         }
         unplaced = left
     }
@@ -118,10 +118,10 @@
         !m.returning &&
         !m.faulty &&
         m.noticeAt == Machine.NEVER &&
-        m.strangers == 0 &&
+        m.unknownTasks == 0 &&
         m.blockedUntil <= ctx.now &&
-        !m.deaf &&
-        !m.awaited
+        !m.unresponsive &&
+        !m.awaitingHeartbeat
 
     private fun placeTasks(
         job: Job,
@@ -130,12 +130,12 @@
         full: HashSet<EquivalenceClass>,
         budget: Int,
     ): Int {
-        if ((job.isGang || job.doubtful) && job.placements.isNotEmpty()) return 0
-        if (room.reserved(job) == 0 && job.fit in full) return 0
+        if ((job.isGang || job.suspect) && job.placements.isNotEmpty()) return 0
+        if (room.reserved(job) == 0 && job.equivalenceClass in full) return 0
         var placed = 0
         var held = 0
         // One that fails wherever it runs is tried with one task at a time.
-        val most = if (job.doubtful) 1 else minOf(budget, backlog.most(job))
+        val most = if (job.suspect) 1 else minOf(budget, backlog.most(job))
         var queue: CandidateQueue? = null
         while (placed < most && job.waiting.size > held) {
             if (!schedulerState.withinLimit(job.team, job.spec.need)) break
@@ -144,7 +144,7 @@
             val m = if (queue == null) room.best(job, roomy, zones) else queue.best(zones)
             if (m == null) {
                 // Room only shrinks within a pass: what holds for this job holds for all that ask for the same.
-                if (!zones.binding && job.failedOn.isEmpty()) full.add(job.fit)
+                if (!zones.isBinding && job.failedOn.isEmpty()) full.add(job.equivalenceClass)
                 break
             }
             if (warm.comesSooner(job, m, usable, zones)) {
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -43,7 +43,7 @@
             if (!schedulerState.withinLimit(job.team, job.spec.need * (1 + room.reserved(job)))) return
             val place = find(job, usable, zones, emptySet()) ?: return
             take(job, place)
-            place.machine.group?.let { zones.imagine(it.zone) }
+            place.machine.group?.let { zones.addPlanned(it.zone) }
         }
     }
 
@@ -78,8 +78,10 @@
 
     private fun zonesOf(job: Job, usable: List<Machine>): ZoneConstraint {
         val zones = ZoneConstraint(job)
-        if (room.reserved(job) > 0 && zones.binding) {
-            for (m in usable) m.reservations.forEach { r -> if (r.job === job) m.group?.let { zones.imagine(it.zone) } }
+        if (room.reserved(job) > 0 && zones.isBinding) {
+            for (m in usable) {
+                m.reservations.forEach { r -> if (r.job === job) m.group?.let { zones.addPlanned(it.zone) } }
+            }
         }
         return zones
     }
@@ -94,7 +96,7 @@
     }
 
     private fun find(job: Job, usable: List<Machine>, zones: ZoneConstraint, taken: Set<Machine>): Place? {
-        if (searches <= 0 || job.fit in hopeless) return null
+        if (searches <= 0 || job.equivalenceClass in hopeless) return null
         searches--
         var found: Place? = null
         var lowest = Double.MAX_VALUE
@@ -109,7 +111,7 @@
                 found = Place(m, victims)
             }
         }
-        if (found == null && !zones.binding && taken.isEmpty() && !job.guaranteed) hopeless.add(job.fit)
+        if (found == null && !zones.isBinding && taken.isEmpty() && !job.guaranteed) hopeless.add(job.equivalenceClass)
         return found
     }
 
@@ -138,7 +140,7 @@
         candidates.sortWith(
             compareBy<Placement> {
                 it.job.priority
-            }.thenByDescending { it.job.spareTime }.thenBy { lossOf(it) },
+            }.thenByDescending { it.job.bestEffort }.thenBy { lossOf(it) },
         )
         val victims = ArrayList<Placement>()
         for (p in candidates) {
--- a/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -48,7 +48,7 @@
         if (ctx.now >= judgedAt + EVERY_S) judge(pending)
         val due = overdue.filterKeys { catchingUp[it]?.isDue == true }.values.toSet()
         return pending.sortedWith(
-            compareByDescending<Job> { it.guaranteed }.thenByDescending { floors.rank(it) }.thenBy { it.spareTime }
+            compareByDescending<Job> { it.guaranteed }.thenByDescending { floors.rank(it) }.thenBy { it.bestEffort }
                 .thenByDescending {
                     it in due
                 }.thenByDescending { prospect(it) != Feasibility.OUT_OF_REACH && pressing(it) }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -47,7 +47,7 @@
         val alone = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
         if (!alone && unservedWorkers * 2 <= known) return
         val elsewhere = if (alone) "no peer is heard" else "$unservedWorkers turn up at peers"
-        leadership.yieldForWorkers("$silent of $known machines silent here, $elsewhere")
+        leadership.resignForWorkers("$silent of $known machines silent here, $elsewhere")
     }
 
     /**
@@ -62,9 +62,9 @@
         }
         if (mostlyThroughSince.isNaN()) mostlyThroughSince = ctx.now
         if (ctx.now - mostlyThroughSince < times.leaseS * DISTANT_LEASES) return
-        val best = leadership.succession.best() ?: return
+        val best = leadership.candidatePriority.best() ?: return
         if (best.recentWorkers * 2 <= known) return
-        leadership.yieldForWorkers(
+        leadership.resignForWorkers(
             "$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}",
         )
     }
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -63,5 +63,6 @@
     fun isReady(m: Machine): Boolean = m.registered && ctx.now - m.lastHeard < ctx.settings.workers.reportS * 3 + 1.0
 
     /** The moment from which this machine's worker has surely killed all that older answers let it keep. */
-    fun surelyEmptyAt(m: Machine, othersSilent: Double): Double = maxOf(m.lastAnswered, othersSilent) + ctx.surelyOverS
+    fun provablyEmptyAt(m: Machine, olderLeadersSilentAt: Double): Double =
+        maxOf(m.lastAnswered, olderLeadersSilentAt) + ctx.surelyOverS
 }
--- a/src/main/kotlin/plankwall/core/state/Jobs.kt
+++ b/src/main/kotlin/plankwall/core/state/Jobs.kt
@@ -58,7 +58,7 @@
 }
 
 /** A slice of a job's tasks that is stored under one key: a page, or a part of one that was divided. */
-class Page(val number: Int) {
+class TaskPage(val number: Int) {
     var from = 0
         private set
     var to = 0
@@ -97,8 +97,8 @@
     val zone: String?,
     val spot: Boolean,
     val priority: Priority,
-    val spareTime: Boolean,
-    val overlooked: Boolean,
+    val bestEffort: Boolean,
+    val starving: Boolean,
 )
 
 class Job(
@@ -134,7 +134,7 @@
     var needed = false
         set(value) {
             field = value
-            fit = fitFor(priority)
+            equivalenceClass = equivalenceClassFor(priority)
         }
 
     /**
@@ -142,7 +142,7 @@
      * what is left. It goes last among its equals, keeps no ordinary machine from being returned, and is rented for
      * only by the way.
      */
-    val spareTime: Boolean
+    val bestEffort: Boolean
         get() = !expected &&
             !needed &&
             spec.shape != Shape.SERVICE &&
@@ -154,10 +154,10 @@
      * Spare-time work that has waited for long: where what is left never comes, it starves, so it may cost more from
      * now on.
      */
-    var overlooked = false
+    var starving = false
         set(value) {
             field = value
-            fit = fitFor(priority)
+            equivalenceClass = equivalenceClassFor(priority)
         }
 
     /** Rises in the order in which jobs became demand. */
@@ -167,7 +167,7 @@
     var priority = spec.priority
         set(value) {
             field = value
-            fit = fitFor(value)
+            equivalenceClass = equivalenceClassFor(value)
         }
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
     var dueMs = ownDueMs
@@ -177,7 +177,7 @@
     /** What of [done] the state service holds. */
     val storedDone = BitSet()
     val placements = HashMap<Int, Placement>()
-    val pages = HashMap<Int, Page>()
+    val pages = HashMap<Int, TaskPage>()
 
     /** Tasks neither done nor placed, in the order in which they are to be tried. */
     val waiting = ArrayDeque<Int>()
@@ -194,7 +194,7 @@
      * A task of it came to its end, or ran for long where others failed at once: whatever fails from now on, the job
      * does not.
      */
-    var sound = false
+    var provenSound = false
 
     /** The longest, in seconds, that a task of it ran before it failed. */
     var longestFailS = 0.0
@@ -207,7 +207,7 @@
      * task at a time, ever more rarely; until it runs well it rents nothing, preempts nobody, and says nothing against
      * a machine.
      */
-    val doubtful: Boolean get() = !sound && failedOn.size >= 2
+    val suspect: Boolean get() = !provenSound && failedOn.size >= 2
 
     /** Fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
@@ -217,25 +217,25 @@
     /** A gang of one has nobody to wait for and is treated as any other task. */
     val isGangOfSeveral: Boolean get() = isGang && spec.tasks > 1
 
-    var fit = fitFor(spec.priority)
+    var equivalenceClass = equivalenceClassFor(spec.priority)
         private set
 
-    private fun fitFor(priority: Priority) =
-        EquivalenceClass(spec.need, spec.types, spec.zone, spec.spot, priority, spareTime, overlooked)
+    private fun equivalenceClassFor(priority: Priority) =
+        EquivalenceClass(spec.need, spec.types, spec.zone, spec.spot, priority, bestEffort, starving)
 
     /** The zone in which room for a gang is being gathered, and since when. */
     var gatherZone: String? = null
     var gatherSince = 0.0
 
-    fun pageOf(task: Int): Page {
+    fun pageOf(task: Int): TaskPage {
         val whole = page(task / pageSize)
         val part = if (whole.partSize > 0) task % pageSize / whole.partSize else 0
         return if (part == 0) whole else page(Keys.part(whole.number, part))
     }
 
     /** The page with the key's [number]; a part whose page is not divided covers nothing. */
-    fun page(number: Int): Page = pages.getOrPut(number) {
-        Page(number).apply {
+    fun page(number: Int): TaskPage = pages.getOrPut(number) {
+        TaskPage(number).apply {
             val whole = Keys.wholeOf(number)
             val from = whole * pageSize
             if (number ==
@@ -248,7 +248,7 @@
         }
     }
 
-    private fun Page.coverPart(whole: Page, from: Int) {
+    private fun TaskPage.coverPart(whole: TaskPage, from: Int) {
         if (whole.partSize == 0) return
         val start = from + Keys.partOf(number) * whole.partSize
         cover(start, minOf(start + whole.partSize, from + pageSize, spec.tasks))
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -30,7 +30,7 @@
 
     /** The token that this worker has been shown, or 0 for the leader's epoch. */
     var token = 0L
-    var lastPoked = NEVER
+    var lastWokenAt = NEVER
     var lastHeard = NEVER
 
     /**
@@ -53,7 +53,7 @@
     var unneededSince = NEVER
 
     /** Tasks on the machine that nobody placed; while there are any, its room is not known. */
-    var strangers = 0
+    var unknownTasks = 0
     val placements = LinkedHashMap<Long, Placement>()
 
     /** Tasks that ended here and that its reports still show: an exit is cleared only once its end is stored. */
@@ -79,10 +79,10 @@
     var lastAnnounced = NEVER
 
     /** Its session ended though its reports were answered, and it has not shown since that it hears this leader. */
-    var deaf = false
+    var unresponsive = false
 
     /** What was placed here in vain was taken back: nothing more is placed before it is heard again. */
-    var awaited = false
+    var awaitingHeartbeat = false
 
     /** A start or a stop here has not been commanded yet. */
     var unsent = false
@@ -155,13 +155,13 @@
 
     private fun fetchS(gb: Double): Double = type?.fetchS(gb) ?: gb
 
-    fun willFetch(image: ImageIndex, gb: Double, now: Double) {
+    fun scheduleFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
         if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
-        noteImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
+        recordImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
     }
 
-    fun noteImage(image: ImageIndex, gb: Double, readyAt: Double) {
+    fun recordImage(image: ImageIndex, gb: Double, readyAt: Double) {
         images.remove(image.value)
         images[image.value] = CachedImage(gb, readyAt)
         var total = images.values.sumOf { it.gb }
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -128,7 +128,7 @@
         p.plannedAt = ctx.now
         job.waiting.remove(task)
         attach(p)
-        machine.willFetch(job.image, job.spec.imageGb, ctx.now)
+        machine.scheduleFetch(job.image, job.spec.imageGb, ctx.now)
         job.pageOf(task).dirty = true
         job.urgent = true
         markDirty(job)
--- a/src/main/kotlin/plankwall/core/state/StateWriter.kt
+++ b/src/main/kotlin/plankwall/core/state/StateWriter.kt
@@ -41,7 +41,7 @@
      * withdrawn through another, which every node can tell without it.
      */
     fun flush() {
-        var room = store.room()
+        var room = store.availableWrites()
         if (room <= 0 || dirty.isEmpty()) return
         val batch = Batch()
         val (first, rest) = dirty.partition { it.urgent || (endable(it) && !it.cancelledByDependency) }
@@ -52,7 +52,7 @@
                 room -= finish(job)
                 continue
             }
-            if (!job.urgent && room < store.scarce && ctx.now < job.dirtySince + COALESCE_S) continue
+            if (!job.urgent && room < store.scarceWrites && ctx.now < job.dirtySince + COALESCE_S) continue
             for (page in job.pages.values.filter { it.dirty && !it.inFlight }) {
                 if (page.reread) {
                     reread(job, page)
@@ -73,7 +73,7 @@
         (job.complete || job.cancelled) && job.placements.isEmpty() && job.pages.values.none { it.inFlight }
 
     /** Puts [page] into [batch], or divides it if it outgrew a stored value. The number of changes that takes. */
-    private fun write(job: Job, page: Page, batch: Batch): Int {
+    private fun write(job: Job, page: TaskPage, batch: Batch): Int {
         val content = contentOf(job, page)
         val bytes = content.roughBytes(job)
         if (bytes > limits.wholeBytes * NEAR_FULL || page.refusedBytes > 0) {
@@ -96,7 +96,7 @@
 
     private class Content(
         val job: Job,
-        val page: Page,
+        val page: TaskPage,
         val placements: List<Placement>,
         val done: BitSet,
         partSize: Int,
@@ -117,7 +117,7 @@
 
     private fun contentOf(
         job: Job,
-        page: Page,
+        page: TaskPage,
         from: Int = page.from,
         to: Int = page.to,
         partSize: Int = page.partSize,
@@ -153,7 +153,7 @@
         }
     }
 
-    private fun Page.refused(content: Content, alone: Boolean) {
+    private fun TaskPage.refused(content: Content, alone: Boolean) {
         this.alone = alone
         if (!alone) refusedBytes = StateCodec.sizeOf(content.record)
     }
@@ -200,10 +200,10 @@
      * until then the parts count for nothing, whoever leads, and the page stands as it was. What changed meanwhile is
      * written afterwards, so nothing is taken for stored by this alone.
      */
-    private fun divide(job: Job, page: Page): Int {
+    private fun divide(job: Job, page: TaskPage): Int {
         val size = limits.pageTasks
         val parts = (1..(page.tasks - 1) / size).map { n ->
-            job.pages.getOrPut(Keys.part(page.number, n)) { Page(Keys.part(page.number, n)) }
+            job.pages.getOrPut(Keys.part(page.number, n)) { TaskPage(Keys.part(page.number, n)) }
                 .apply { cover(page.from + n * size, minOf(page.from + (n + 1) * size, page.to)) }
         }
         log.info(
@@ -218,7 +218,7 @@
         return parts.size + 1
     }
 
-    private fun divide(job: Job, page: Page, size: Int, left: ArrayDeque<Page>) {
+    private fun divide(job: Job, page: TaskPage, size: Int, left: ArrayDeque<TaskPage>) {
         val most = minOf(limits.txnOps, maxOf(1, MAX_BYTES / limits.valueBytes))
         val some = generateSequence { left.removeFirstOrNull() }.take(most).toList()
         val last = left.isEmpty() && some.size < most
@@ -238,7 +238,7 @@
         }
     }
 
-    private fun divided(job: Job, page: Page, size: Int) {
+    private fun divided(job: Job, page: TaskPage, size: Int) {
         page.inFlight = false
         page.partSize = size
         page.cover(page.from, page.from + size)
@@ -247,7 +247,7 @@
     }
 
     /** Which of the parts stand now may be unknown: their versions are read before the next try. */
-    private fun undivided(job: Job, page: Page, parts: List<Page>, result: StateResult) {
+    private fun undivided(job: Job, page: TaskPage, parts: List<TaskPage>, result: StateResult) {
         page.inFlight = false
         page.dirty = true
         if (result is StateResult.Conflict && Keys.job(job.spec.id) in result.failed) rereadJob(job)
@@ -257,7 +257,7 @@
         markDirty(job)
     }
 
-    private fun reread(job: Job, page: Page) {
+    private fun reread(job: Job, page: TaskPage) {
         page.inFlight = true
         store.read(Keys.page(job.spec.id, page.number)) { result ->
             page.inFlight = false
--- a/src/main/kotlin/plankwall/core/state/ZoneConstraint.kt
+++ b/src/main/kotlin/plankwall/core/state/ZoneConstraint.kt
@@ -20,7 +20,7 @@
     }
 
     /** Whether anything can be ruled out by zone. */
-    val binding: Boolean get() = unknown || job.spec.spread || (job.spec.oneZone && perZone.isNotEmpty())
+    val isBinding: Boolean get() = unknown || job.spec.spread || (job.spec.oneZone && perZone.isNotEmpty())
 
     fun allows(m: Machine): Boolean {
         val zone = m.group?.zone ?: return false
@@ -35,7 +35,7 @@
     }
 
     /** Counts a task that is only imagined, for the estimate of what to rent. */
-    fun imagine(zone: String) {
+    fun addPlanned(zone: String) {
         perZone.merge(zone, 1, Int::plus)
     }
 }
--- a/src/main/kotlin/plankwall/core/store/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -36,14 +36,14 @@
         active = false
     }
 
-    /** Below this [room] only what somebody waits for is written. */
-    val scarce: Int = (ctx.settings.stateTight.writeRps * 0.25).toInt()
+    /** Below this [availableWrites] only what somebody waits for is written. */
+    val scarceWrites: Int = (ctx.settings.stateTight.writeRps * 0.25).toInt()
 
     /** Whether what is decided now could be stored at all: a leader that may have been replaced decides nothing. */
     val mayWrite: Boolean get() = leadership.mayWrite
 
     /** How many puts and deletes may be sent now. */
-    fun room(): Int = if (leadership.mayWrite && calls.available() >= 1) writes.available().toInt() else 0
+    fun availableWrites(): Int = if (leadership.mayWrite && calls.available() >= 1) writes.available().toInt() else 0
 
     fun mayRead(): Boolean = calls.available() >= 1
 
@@ -53,7 +53,7 @@
         ctx.out.state(StateOp.Txn(listOf(leadership.guard()) + guards, changes)) { result ->
             if (!active) return@state
             if (result is StateResult.Conflict && Keys.LEADER in result.failed) {
-                leadership.yield("the leader key is no longer ours")
+                leadership.resign("the leader key is no longer ours")
             } else {
                 if (result is StateResult.Committed) lastRevision = maxOf(lastRevision, result.revision)
                 if (result == StateResult.Rejected) learnFrom(changes)
--- a/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
@@ -27,7 +27,7 @@
     }
 
     fun tick() {
-        if (stored || writing || !leadership.allCurrent || store.room() < 1) return
+        if (stored || writing || !leadership.allNodesCurrent || store.availableWrites() < 1) return
         writing = true
         store.write(emptyList(), listOf(Write.Put(Keys.LEVEL, LevelRecord(PeerCodec.LEVEL)))) { result ->
             writing = false
--- a/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -111,9 +111,9 @@
         happen(words)
         val behind = ctx.now - cancellations.knownUpTo
         assertEquals(behindS, if (behind.isInfinite()) "-" else "%.1f".format(behind))
-        assertEquals(behind <= cancellations.patienceS, cancellations.isAware)
+        assertEquals(behind <= cancellations.toleratedLagS, cancellations.isAware)
         // Time alone brings no knowledge.
-        wait(cancellations.patienceS + 0.1)
+        wait(cancellations.toleratedLagS + 0.1)
         assertEquals(false, cancellations.isAware)
     }
 
@@ -131,13 +131,13 @@
         listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::learn)
         assertEquals(listOf("job-000001", "job-000002"), learned)
         val frame = reachability.report(0, null, null).seq
-        assertEquals(2, cancellations.news(frame).jobs.size)
+        assertEquals(2, cancellations.nextUpdate(frame).jobs.size)
         when (what) {
             "echoed" -> listOf("n1", "n2").forEach { says(it, whole(), frame) }
             "one" -> says("n1", whole(), frame)
             "wait" -> wait(ctx.settings.workers.cancelS + 1.0)
         }
-        val news = cancellations.news(frame + 1)
+        val news = cancellations.nextUpdate(frame + 1)
         assertEquals(told, news.jobs.joinToString(" "))
         assertEquals(3, news.first + news.jobs.size, "numbers go on")
     }
@@ -150,8 +150,8 @@
         assertEquals(true, cancellations.isKnown("job-000007"))
         // Told by this node later, it would be missing from a list that claims to be whole.
         cancellations.learn("job-000007")
-        assertEquals(listOf("job-000007"), cancellations.news(1).jobs)
-        cancellations.over("job-000007")
+        assertEquals(listOf("job-000007"), cancellations.nextUpdate(1).jobs)
+        cancellations.onJobEnded("job-000007")
         assertEquals(false, cancellations.isKnown("job-000007"))
     }
 
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -48,9 +48,9 @@
         }
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
         val live = core.schedulerState.live.sortedBy { it.spec.id }
-        assertEquals(jobs, live.filter { it.doubtful }.joinToString(" ") { it.spec.id.last().toString() }, name)
+        assertEquals(jobs, live.filter { it.suspect }.joinToString(" ") { it.spec.id.last().toString() }, name)
         live.forEach {
-            assertEquals(it.doubtful, it.backoffUntil > core.ctx.now, "${it.spec.id} is put off only while in doubt")
+            assertEquals(it.suspect, it.backoffUntil > core.ctx.now, "${it.spec.id} is put off only while in doubt")
         }
     }
 
@@ -80,6 +80,6 @@
                 core.ctx.now - ranS
         }
         evidence.runs(p)
-        assertEquals(doubtful, job.doubtful)
+        assertEquals(doubtful, job.suspect)
     }
 }
--- a/src/test/kotlin/plankwall/core/placement/CachedImageCapacityTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CachedImageCapacityTest.kt
@@ -39,7 +39,7 @@
     ) {
         val busy = core.machine("i-1")
         core.schedulerState.place(learn(1, Shape.ARRAY, 4, gb), 0, busy, 1).runningSince = ctx.now - 60.0 + endsInS
-        busy.noteImage(checkNotNull(core.schedulerState.find("job-000001")).image, gb, ctx.now - 1)
+        busy.recordImage(checkNotNull(core.schedulerState.find("job-000001")).image, gb, ctx.now - 1)
         val cold = core.machine("i-2")
         val job = learn(2, shape, 2, gb, waitedS)
         assertEquals(held, warm.comesSooner(job, cold, listOf(busy, cold), ZoneConstraint(job)), name)
--- a/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
@@ -20,7 +20,7 @@
         val machines = List(40) { n ->
             core.fleet.machine("i-%06d".format(n)).also { m ->
                 core.fleet.describe(m, GroupKey("box", if (random.nextInt(3) == 0) "a" else "b", false), "addr:$n")
-                if (random.nextInt(4) == 0) m.noteImage(plankwall.model.ImageIndex(1), 2.0, core.ctx.now)
+                if (random.nextInt(4) == 0) m.recordImage(plankwall.model.ImageIndex(1), 2.0, core.ctx.now)
             }
         }
         val running = core.learn(SimulatedCluster.job(1, tasks = 60))
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -55,11 +55,11 @@
         val door = PeerAuthenticator(seal) { null }
         for (peer in listOf("n1", "n2")) {
             door.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
-                leadership.notePeer(it as PeerStatus)
+                leadership.onPeerStatus(it as PeerStatus)
             }
         }
         val grace = leadership.wonAt + ctx.outageGraceS
-        assertEquals(if (signed) grace else ctx.time.now, leadership.othersSilent)
+        assertEquals(if (signed) grace else ctx.time.now, leadership.olderLeadersSilentAt)
         if (signed) assertEquals(2L, seal.dropped)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -52,7 +52,7 @@
         val job = core.learn(
             SimulatedCluster.job(1, tasks = tasks, runS = runS, spot = spot).copy(jobClass = kind),
         ).also {
-            it.overlooked =
+            it.starving =
                 overlooked
         }
         val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG).estimate(
@@ -136,7 +136,7 @@
         val m = ready("i-000001").also { it.surplus = surplus }
         if (replica) core.schedulerState.place(core.learn(SimulatedCluster.job(1, Shape.SERVICE, tasks = 1)), 0, m, 1)
         val job = core.learn(SimulatedCluster.job(2, spot = true).copy(jobClass = kind)).also {
-            it.overlooked =
+            it.starving =
                 overlooked
         }
         Placer(ctx, core.schedulerState, core.fleet).plan()
@@ -168,7 +168,7 @@
     fun `what counts as spare time`(name: String, kind: String, team: String, awaited: Boolean, spare: Boolean) {
         val job = core.learn(SimulatedCluster.job(1, team = team.ifEmpty { "blue" }).copy(jobClass = kind))
         if (awaited) core.learn(SimulatedCluster.job(2, after = listOf(1)))
-        assertEquals(spare, job.spareTime, name)
+        assertEquals(spare, job.bestEffort, name)
     }
 
     /**
