--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -7,62 +7,84 @@
 import plankwall.wire.HeartbeatStatus
 import plankwall.wire.ListedMachine
 
-/** A machine that was rented and has not registered yet. */
-class BootingMachine(val machine: String, val group: GroupKey, val rentedAt: Double, val rentedMs: Long)
-
-/** All machines that the leader knows, by name and by index. */
+/**
+ * All machines that the leader knows, by name. Only this class creates and removes [Machine]s and sets what describes
+ * them. Machines that boot or are being returned are stored by the autoscaler; all else is learned again by each leader.
+ */
 class Fleet(private val ctx: Context) {
-    private val byId = LinkedHashMap<String, Machine>()
-    private var nextIx = 0
+    private val machinesById = LinkedHashMap<String, Machine>()
+    private var nextIndex = 0
 
-    /** Names whose deletion was answered. The late list goes on naming them for a while. */
-    private val gone = object : LinkedHashMap<String, Unit>() {
-        override fun removeEldestEntry(eldest: Map.Entry<String, Unit>): Boolean = size > 5000
+    /** Names of machines whose deletion was answered. The cloud's list lags, and names them for a while. */
+    private val deletedNames = object : LinkedHashMap<String, Unit>() {
+        override fun removeEldestEntry(eldest: Map.Entry<String, Unit>): Boolean = size > MAX_DELETED_NAMES
     }
 
+    /** The machine types, once known. */
     var catalog: Catalog? = null
         set(value) {
             field = value
-            byId.values.forEach { m -> m.group?.let { m.type = value?.get(it.type) } }
+            machinesById.values.forEach { machine -> machine.group?.let { machine.type = value?.get(it.type) } }
         }
 
-    /** Machines rented and not registered yet. */
+    /** Machines scaled out and not registered yet, by name. */
     val arrivals = LinkedHashMap<String, BootingMachine>()
 
-    val machines: Collection<Machine> get() = byId.values
+    /** All known machines, in the order in which they were first named. */
+    val machines: Collection<Machine> get() = machinesById.values
 
-    fun find(id: String): Machine? = byId[id]
+    /** The machine [id], or null if it is not known. */
+    fun find(id: String): Machine? = machinesById[id]
 
-    fun isGone(id: String): Boolean = id in gone
+    /** Whether [id] was deleted: what still names it is outdated. */
+    fun isGone(id: String): Boolean = id in deletedNames
 
-    fun machine(id: String): Machine = byId.getOrPut(id) {
-        Machine(MachineIndex(nextIx++), id).also { it.firstSeen = ctx.now }
+    /** The machine [id], which is added if it is not known yet. */
+    fun machine(id: String): Machine = machinesById.getOrPut(id) {
+        Machine(MachineIndex(nextIndex++), id).also { it.firstSeen = ctx.now }
     }
 
-    fun describe(m: Machine, group: GroupKey, address: String) {
-        if (m.group == null) {
-            m.group = group
-            m.type = catalog?.get(group.type)
+    /** Sets the group of [machine], which never changes, and its [address] if there is one. */
+    fun describe(machine: Machine, group: GroupKey, address: String) {
+        if (machine.group == null) {
+            machine.group = group
+            machine.type = catalog?.get(group.type)
         }
-        if (address.isNotEmpty()) m.address = address
+        if (address.isNotEmpty()) machine.address = address
     }
 
-    fun describe(m: Machine, r: HeartbeatStatus) = describe(m, GroupKey(r.type, r.zone, r.spot), r.address)
+    /** Describes [machine] by its own [heartbeat]. */
+    fun describe(machine: Machine, heartbeat: HeartbeatStatus) =
+        describe(machine, GroupKey(heartbeat.type, heartbeat.zone, heartbeat.spot), heartbeat.address)
 
-    fun describe(m: Machine, l: ListedMachine) {
-        describe(m, l.group, l.address)
-        m.listedAddress = l.address
+    /** Describes [machine] as the cloud [listed] it. */
+    fun describe(machine: Machine, listed: ListedMachine) {
+        describe(machine, listed.group, listed.address)
+        machine.listedAddress = listed.address
     }
 
-    fun remove(m: Machine) {
-        byId.remove(m.id)
-        gone[m.id] = Unit
+    /** Removes [machine], whose deletion was answered. */
+    fun remove(machine: Machine) {
+        machinesById.remove(machine.id)
+        deletedNames[machine.id] = Unit
     }
 
-    /** Heard recently enough that its word and its lease can be relied on. */
-    fun isReady(m: Machine): Boolean = m.registered && ctx.now - m.lastHeard < ctx.settings.workers.reportS * 3 + 1.0
+    /** Whether [machine] was heard recently enough that its status and its lease can be relied on. */
+    fun isReady(machine: Machine): Boolean =
+        machine.registered && ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_REPORTS + READY_MARGIN_S
+
+    /**
+     * The moment from which the worker of [machine] has surely stopped all tasks that older answers let it keep.
+     * [olderLeadersSilentAt]: from when on no older leader can have answered it.
+     */
+    fun provablyEmptyAt(machine: Machine, olderLeadersSilentAt: Double): Double =
+        maxOf(machine.lastAnswered, olderLeadersSilentAt) + ctx.surelyOverS
 
-    /** The moment from which this machine's worker has surely killed all that older answers let it keep. */
-    fun provablyEmptyAt(m: Machine, olderLeadersSilentAt: Double): Double =
-        maxOf(m.lastAnswered, olderLeadersSilentAt) + ctx.surelyOverS
+    private companion object {
+        const val MAX_DELETED_NAMES = 5000
+
+        /** So many heartbeat intervals a ready machine may be silent, and [READY_MARGIN_S] more. */
+        const val READY_REPORTS = 3
+        const val READY_MARGIN_S = 1.0
+    }
 }
--- a/src/main/kotlin/plankwall/core/state/ZoneConstraint.kt
+++ b/src/main/kotlin/plankwall/core/state/ZoneConstraint.kt
@@ -6,36 +6,39 @@
  * leave out.
  */
 class ZoneConstraint(private val job: Job, without: Set<Placement> = emptySet()) {
-    private val perZone = HashMap<String, Int>()
-    private var unknown = false
+    private val tasksByZone = HashMap<String, Int>()
+    private var hasUnknownZone = false
 
     init {
         if (job.spec.oneZone || job.spec.spread) {
-            for (p in job.placements.values) {
-                if (p in without) continue
-                val zone = p.machine.group?.zone
-                if (zone == null) unknown = true else perZone.merge(zone, 1, Int::plus)
+            for (placement in job.placements.values) {
+                if (placement in without) continue
+                val zone = placement.machine.group?.zone
+                if (zone == null) hasUnknownZone = true else tasksByZone.merge(zone, 1, Int::plus)
             }
         }
     }
 
     /** Whether anything can be ruled out by zone. */
-    val isBinding: Boolean get() = unknown || job.spec.spread || (job.spec.oneZone && perZone.isNotEmpty())
+    val isBinding: Boolean
+        get() = hasUnknownZone || job.spec.spread || (job.spec.oneZone && tasksByZone.isNotEmpty())
 
-    fun allows(m: Machine): Boolean {
-        val zone = m.group?.zone ?: return false
+    /** Whether the next task may go to [machine]. */
+    fun allows(machine: Machine): Boolean {
+        val zone = machine.group?.zone ?: return false
         return allows(zone)
     }
 
+    /** Whether the next task may go to a machine in [zone]. */
     fun allows(zone: String): Boolean {
-        if (unknown) return false
-        if (job.spec.oneZone && perZone.keys.any { it != zone }) return false
-        if (job.spec.spread && (perZone[zone] ?: 0) + 1 > (job.spec.tasks + 1) / 2) return false
+        if (hasUnknownZone) return false
+        if (job.spec.oneZone && tasksByZone.keys.any { it != zone }) return false
+        if (job.spec.spread && (tasksByZone[zone] ?: 0) + 1 > (job.spec.tasks + 1) / 2) return false
         return true
     }
 
-    /** Counts a task that is only imagined, for the estimate of what to rent. */
+    /** Counts a task that is planned and not placed, for plans and for the estimate of what to scale out. */
     fun addPlanned(zone: String) {
-        perZone.merge(zone, 1, Int::plus)
+        tasksByZone.merge(zone, 1, Int::plus)
     }
 }
