--- /dev/null
+++ b/src/main/kotlin/plankwall/core/state/PageWriteResults.kt
@@ -0,0 +1,65 @@
+package plankwall.core.state
+
+import org.slf4j.LoggerFactory
+import plankwall.wire.Keys
+import plankwall.wire.StateCodec
+import plankwall.wire.StateResult
+
+/**
+ * Takes the results of page writes: sets the version and flags of each [TaskPage], [Placement.stored] and
+ * [Job.storedDone].
+ */
+internal class PageWriteResults(private val dirtyJobs: DirtyJobs, private val reader: StoredJobReader) {
+    private val log = LoggerFactory.getLogger("jobs")
+
+    /** [result] is that of the one transaction that wrote [snapshots]. */
+    fun onResult(snapshots: List<PageSnapshot>, result: StateResult) {
+        if (result == StateResult.Rejected) snapshots.forEach { onRejected(it, amongOthers = snapshots.size > 1) }
+        snapshots.forEach { onResult(it, result) }
+    }
+
+    /** One page that is too large must not keep the others from being written: each is tried alone. */
+    private fun onRejected(snapshot: PageSnapshot, amongOthers: Boolean) {
+        snapshot.page.alone = amongOthers
+        if (!amongOthers) snapshot.page.refusedBytes = StateCodec.sizeOf(snapshot.record)
+    }
+
+    private fun onResult(snapshot: PageSnapshot, result: StateResult) {
+        val page = snapshot.page
+        page.inFlight = false
+        when (result) {
+            is StateResult.Committed -> onCommitted(snapshot, result.revision)
+            is StateResult.Conflict -> onConflict(snapshot, result)
+            // The write may still be applied, much later: the guard on the page's version lets only one of the two
+            // through.
+            else -> page.dirty = true
+        }
+        if (page.dirty) dirtyJobs.add(snapshot.job)
+    }
+
+    private fun onCommitted(snapshot: PageSnapshot, revision: Long) {
+        snapshot.page.version = revision
+        snapshot.page.alone = false
+        snapshot.placements.filterNot { it.stored }.forEach { onStored(it, revision) }
+        snapshot.job.storedDone.or(snapshot.done)
+    }
+
+    private fun onStored(placement: Placement, revision: Long) {
+        placement.stored = true
+        placement.machine.unsent = true
+        log.info(
+            "task placed task={}/{} machine={} attempt={} revision={}",
+            placement.job.spec.id,
+            placement.task,
+            placement.machine.id,
+            placement.attempt,
+            revision,
+        )
+    }
+
+    private fun onConflict(snapshot: PageSnapshot, conflict: StateResult.Conflict) {
+        snapshot.page.dirty = true
+        if (snapshot.key in conflict.failed) snapshot.page.reread = true
+        if (Keys.job(snapshot.job.spec.id) in conflict.failed) reader.rereadJob(snapshot.job)
+    }
+}
