--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -76,7 +76,7 @@
 
     private fun loadJobs() = store.readAll(Keys.JOBS) { jobs, revision ->
         jobs.forEach { item ->
-            (item.value as? JobRecord)?.let { schedulerState.learn(Keys.jobId(item.key), it, item.version) }
+            (item.value as? JobRecord)?.let { schedulerState.onJobRecord(Keys.jobId(item.key), it, item.version) }
         }
         store.readAll(Keys.PAGES) { pages, _ -> loadPages(pages, revision) }
     }
@@ -87,12 +87,12 @@
             val record = item.value as? PageRecord ?: continue
             val job = schedulerState.find(Keys.jobId(item.key))
             if (job != null) {
-                schedulerState.restore(job, item, record)
+                schedulerState.restorePage(job, item, record)
             } else if (record.placements.isEmpty()) {
                 orphans.add(item.key)
             }
         }
-        schedulerState.restored()
+        schedulerState.finishRestore()
         loaded = true
         log.info("epoch {}: took over {} jobs, {} machines", store.epoch, schedulerState.live.size, fleet.machines.size)
         schedulerState.removeLeftovers(orphans)
@@ -105,13 +105,13 @@
             when (result) {
                 is StateResult.News -> {
                     result.events.forEach { e ->
-                        (e.value as? JobRecord)?.let { schedulerState.learn(Keys.jobId(e.key), it, e.version) }
+                        (e.value as? JobRecord)?.let { schedulerState.onJobRecord(Keys.jobId(e.key), it, e.version) }
                     }
                     watch(maxOf(after, result.revision))
                 }
                 StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
                     jobs.forEach {
-                        (it.value as? JobRecord)?.let { r -> schedulerState.learn(Keys.jobId(it.key), r, it.version) }
+                        (it.value as? JobRecord)?.let { r -> schedulerState.onJobRecord(Keys.jobId(it.key), r, it.version) }
                     }
                     watch(revision)
                 }
@@ -256,7 +256,7 @@
     /** Null while the book is not read yet, or if it has no such job. */
     fun progressOf(id: String): JobProgress? = if (loaded) schedulerState.find(id)?.progress else null
 
-    fun news(): List<ProgressUpdate> = if (loaded) teller.news(store.epoch) else emptyList()
+    fun news(): List<ProgressUpdate> = if (loaded) teller.nextUpdates(store.epoch) else emptyList()
 
     fun end() = store.close()
 
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -54,15 +54,15 @@
     fun isCancelled(id: String): Boolean = dependencies.isCancelled(id)
 
     /** Jobs that [id] needs and that are over: until it is known how, nobody can say whether [id] is withdrawn. */
-    fun unsettled(id: String): Set<String> = dependencies.unsettled(id) { it !in live }
+    fun unsettled(id: String): Set<String> = dependencies.unresolved(id) { it !in live }
 
     /** What a live job still waits for, as far as known here. */
-    fun openOf(id: String): List<String> = dependencies.openOf(id).toList()
+    fun openOf(id: String): List<String> = dependencies.unfinishedOf(id).toList()
 
     /** How a job that others need has ended. */
     fun settle(id: String, stage: JobStage) {
-        if (stage == JobStage.DONE) dependencies.done(id) else dependencies.cancelled(id)
-        dependencies.over(id)
+        if (stage == JobStage.DONE) dependencies.markDone(id) else dependencies.markCancelled(id)
+        dependencies.forget(id)
     }
 
     fun tick() {
@@ -107,13 +107,13 @@
         if (keepFacts) facts[id] = record.spec.factsFor(record.owner)
         dependencies.add(id, record.spec.dependencies)
         if (record.cancelledMs > 0) {
-            dependencies.cancelled(id)
+            dependencies.markCancelled(id)
             cancellations?.learn(id)
         }
     }
 
     private fun drop(id: String) {
-        dependencies.over(id)
+        dependencies.forget(id)
         facts.remove(id)
         cancellations?.onJobEnded(id)
         if (live.remove(id)) onOver(id)
--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -9,141 +9,100 @@
 import plankwall.wire.StateResult
 
 /**
- * The leader's side of dependencies: which jobs may start, and which are withdrawn with one that they need. A job is
- * ready only when the final record of every job that it names has been read, or written by this leader, as done. One
- * that is merely missing from the book is looked up; what can't be read yet is not done yet.
+ * The leader's side of DAG dependencies: which jobs may start, and which are cancelled with one that they depend on. A
+ * job is ready only when the final record of every job that it names has been read, or written by this leader, as done.
+ * One that is merely missing from [SchedulerState] is looked up in the store; what can't be read yet is not done yet.
+ *
+ * Owns the leader's [DependencyGraph], [Job.needed], and the inherited [Job.priority] and [Job.dueMs]. Stores nothing.
  */
-class DependencyTracker(
+internal class DependencyTracker(
     private val ctx: Context,
     private val store: LeaderStore,
-    private val fleet: Fleet,
+    private val inheritance: InheritedUrgency,
     private val find: (String) -> Job?,
     private val cancel: (job: Job, through: String) -> Unit,
-    private val becameReady: (Job) -> Unit,
+    private val onReady: (Job) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("pipelines")
-    private val graph = DependencyGraph()
 
-    /** Named by waiting jobs and not in the book, with the moment of the next look. */
+    /** Shared with [inheritance]. */
+    private val graph = inheritance.graph
+
+    /** Named by waiting jobs and not in [SchedulerState]: when each is to be looked up next. */
     private val missing = LinkedHashMap<String, Double>()
-    private var reading = 0
+    private var readsUnderWay = 0
 
-    /** A job new to the book, its own dependencies included. */
-    fun learned(job: Job) {
+    /** Adds [job], its own dependencies included. */
+    fun add(job: Job) {
         val id = job.spec.id
         missing.remove(id)
         if (graph.dependentsOf(id).isNotEmpty()) job.needed = true
         val names = job.spec.dependencies
-        pull(job)
+        inheritance.recompute(job)
         if (names.isEmpty()) {
-            becameReady(job)
+            onReady(job)
             return
         }
-        spread(id, graph.add(id, names))
+        cancelAll(graph.add(id, names), id)
         names.mapNotNull(find).forEach { it.needed = true }
         names.filter { find(it) == null }.forEach { missing[it] = ctx.now }
-        raiseNeeded(job)
+        inheritance.raiseDependenciesOf(job)
     }
 
-    /** [job] is stored as withdrawn by its user, or follows one that is. */
-    fun cancelled(job: Job) {
-        spread(job.spec.id, graph.cancelled(job.spec.id))
-        // It raises nothing any more; where all go with it, nothing is to be done for them either.
-        job.spec.dependencies.mapNotNull(find).filter { !it.cancelled }.forEach(::pull)
+    /** [job] is stored as cancelled by its user, or cancelled through one that is. */
+    fun onCancelled(job: Job) {
+        cancelAll(graph.markCancelled(job.spec.id), job.spec.id)
+        // It raises its dependencies no more; those that are cancelled with it need no update.
+        job.spec.dependencies.mapNotNull(find).filter { !it.cancelled }.forEach(inheritance::recompute)
     }
 
-    /** The final record of [id] says how it ended; [atMs] 0 where an older version wrote it. */
-    fun ended(id: String, stage: JobStage, atMs: Long) {
+    /** The final record of [id] says how it ended; [atMs] is 0 where an older version wrote it. */
+    fun onEnded(id: String, stage: JobStage, atMs: Long) {
         missing.remove(id)
         if (stage == JobStage.DONE) {
-            for (name in graph.done(id)) find(name)?.let { ready(it, id, atMs) }
+            for (name in graph.markDone(id)) find(name)?.let { makeReady(it, id, atMs) }
         } else {
-            spread(id, graph.cancelled(id))
+            cancelAll(graph.markCancelled(id), id)
         }
-        graph.over(id)
+        graph.forget(id)
     }
 
-    private fun ready(job: Job, last: String, atMs: Long) {
+    private fun makeReady(job: Job, lastDependency: String, atMs: Long) {
         job.readyMs = maxOf(job.readyMs, atMs)
-        log.info("job {} waits for nothing any more: {} is done", job.spec.id, last)
-        becameReady(job)
+        log.info("job ready job={} last_dependency={}", job.spec.id, lastDependency)
+        onReady(job)
     }
 
-    private fun spread(through: String, ids: List<String>) = ids.forEach { id ->
+    private fun cancelAll(ids: List<String>, through: String) = ids.forEach { id ->
         find(id)?.let { cancel(it, through) }
     }
 
-    /** Looks up the ends of jobs that are not in the book: over before this leader came, or news still on their way. */
+    /**
+     * Looks up how jobs ended that are not in [SchedulerState]: they ended before this leader came, or their records
+     * are still on their way.
+     */
     fun tick() {
         if (missing.isEmpty()) return
-        for ((id, at) in missing.entries.toList()) {
+        for ((id, lookUpAt) in missing.entries.toList()) {
             if (graph.dependentsOf(id).isEmpty()) missing.remove(id)
-            if (ctx.now < at || id !in missing) continue
-            if (reading >= MAX_READING || !store.mayRead()) return
+            if (ctx.now < lookUpAt || id !in missing) continue
+            if (readsUnderWay >= MAX_READS_UNDER_WAY || !store.mayRead()) return
             missing[id] = ctx.now + RETRY_S
-            reading++
-            store.read(Keys.final(id)) { result ->
-                reading--
-                val end = (result as? StateResult.Item)?.item?.value as? FinalRecord
-                if (end != null && id in missing) ended(id, end.stage, end.endedMs)
-            }
-        }
-    }
-
-    /**
-     * Priority and deadline of a job follow from those that need it: a stage counts as much as the job that its user
-     * waits for, and must be over early enough for what comes after it. Changes travel up the chain.
-     */
-    private fun pull(from: Job) {
-        val next = ArrayDeque(listOf(from))
-        while (next.isNotEmpty()) {
-            val job = next.removeFirst()
-            val needing = graph.dependentsOf(job.spec.id).mapNotNull(find).filter { !it.cancelled }
-            val priority =
-                needing.maxOfOrNull { it.priority }?.let { maxOf(it, job.spec.priority) } ?: job.spec.priority
-            val due = minOf(job.ownDueMs, needing.minOfOrNull { startByMs(it) } ?: Long.MAX_VALUE)
-            if (priority == job.priority && due == job.dueMs) continue
-            job.priority = priority
-            job.dueMs = due
-            next.addAll(job.spec.dependencies.mapNotNull(find))
+            lookUp(id)
         }
     }
 
-    /**
-     * What [from] needs counts at least as much as it does. One more dependent can only raise, so no others are looked
-     * at.
-     */
-    private fun raiseNeeded(from: Job) {
-        val next = ArrayDeque(listOf(from))
-        while (next.isNotEmpty()) {
-            val job = next.removeFirst()
-            val startBy = startByMs(job)
-            for (needed in job.spec.dependencies.mapNotNull(find)) {
-                if (needed.priority >= job.priority && needed.dueMs <= startBy) continue
-                needed.priority = maxOf(needed.priority, job.priority)
-                needed.dueMs = minOf(needed.dueMs, startBy)
-                next.addLast(needed)
-            }
+    private fun lookUp(id: String) {
+        readsUnderWay++
+        store.read(Keys.final(id)) { result ->
+            readsUnderWay--
+            val end = (result as? StateResult.Item)?.item?.value as? FinalRecord
+            if (end != null && id in missing) onEnded(id, end.stage, end.endedMs)
         }
     }
 
-    /** By when [job] must start: what it needs must be over by then. */
-    private fun startByMs(job: Job): Long = if (job.dueMs ==
-        Long.MAX_VALUE
-    ) {
-        Long.MAX_VALUE
-    } else {
-        job.dueMs - lastsMs(job)
-    }
-
-    /** How long [job] should take from its start, the fetch of its image included. */
-    private fun lastsMs(job: Job): Long {
-        val fetch = fleet.catalog?.types?.maxOfOrNull { it.fetchS(job.spec.imageGb) } ?: 0.0
-        return ((job.spec.estimateS + fetch) * 1000).toLong()
-    }
-
     private companion object {
-        const val MAX_READING = 20
+        const val MAX_READS_UNDER_WAY = 20
         const val RETRY_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -3,8 +3,6 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.statemachine.Context
 import plankwall.core.store.LeaderStore
-import plankwall.model.ImageIndex
-import plankwall.model.JobIndex
 import plankwall.model.JobStage
 import plankwall.model.Resources
 import plankwall.model.TeamIndex
@@ -14,81 +12,79 @@
 import plankwall.wire.StateItem
 
 /**
- * The leader's book of live jobs, their tasks, placements and attempts, and its copy in the state service. The book
- * may run ahead of the store; commands only follow what the store has confirmed.
+ * The leader's state: the live jobs with their tasks, placements and attempts, and what each team uses. It may run
+ * ahead of the store, into which [flush] brings it; commands to workers only follow what the store has confirmed.
+ *
+ * Only this class adds and removes jobs, attaches placements to jobs and machines and detaches them. A new leader
+ * builds it from the stored job records and pages.
  */
 class SchedulerState(
     private val ctx: Context,
     private val store: LeaderStore,
     private val fleet: Fleet,
-    private val isCancelledElsewhere: (String) -> Boolean = { false },
+    private val isKnownCancelled: (String) -> Boolean = { false },
 ) {
     private val log = LoggerFactory.getLogger("jobs")
     private val jobs = LinkedHashMap<String, Job>()
-    private val writer = StateWriter(ctx, store, ::learn, ::forget)
-    private val pipelines = DependencyTracker(ctx, store, fleet, ::find, ::cancelByDependency, ::becameReady)
-    private val used = Array(ctx.settings.teams.size) { Resources.NONE }
-    private var nextIx = 0
-    private var nextDemand = 0
-    private var nextAttempt = 0L
+    private val factory = JobFactory(ctx)
+    private val writer = StateWriter(ctx, store, ::onJobRecord, ::onJobEnded)
+    private val dependencies = DependencyTracker(
+        ctx,
+        store,
+        InheritedUrgency(DependencyGraph(), fleet, ::find),
+        ::find,
+        ::cancelByDependency,
+        ::onReady,
+    )
+    private val usedByTeam = Array(ctx.settings.teams.size) { Resources.NONE }
+    private var nextDemandIndex = 0
+    private var lastAttempt = 0L
 
+    /** All jobs that are not over, in the order in which this leader learned of them. */
     val live: Collection<Job> get() = jobs.values
 
+    /** The live job [id], or null. */
     fun find(id: String): Job? = jobs[id]
 
-    fun used(team: TeamIndex): Resources = used[team.value]
+    /** What all placements of [team] take that are not proven gone. */
+    fun used(team: TeamIndex): Resources = usedByTeam[team.value]
 
-    fun withinLimit(team: TeamIndex, extra: Resources): Boolean = ctx.settings.teams[team.value].allows(
-        used(team) + extra,
-    )
+    /** Whether the quota of [team] allows [extra] beside what it uses. */
+    fun withinLimit(team: TeamIndex, extra: Resources): Boolean =
+        ctx.settings.teams[team.value].allows(used(team) + extra)
 
-    /** Rises whenever a job comes or goes. */
+    /** Rises whenever a job is added, becomes ready, or ends. */
     var changes = 0
         private set
 
     /** Unique for ever without being stored: the epoch is never given twice, nor is a number within it. */
-    fun newAttempt(): Long = store.epoch * ATTEMPTS_PER_EPOCH + ++nextAttempt
-
-    /** A job's record as read or announced by the state service. */
-    fun learn(id: String, record: JobRecord, version: Long) {
-        val job = jobs[id] ?: admit(record) ?: return
-        if (version > job.version) {
-            job.version = version
-            // An older version that withdraws a job rewrites its record without the owner.
-            job.owner = record.owner ?: job.owner
-            if (record.cancelledMs > 0 && !job.cancelled) cancel(job, record.cancelledMs)
-            // What this was read from may be older than what a user was told.
-            if (!job.cancelled && isCancelledElsewhere(id)) cancel(job, ctx.time.wallMs)
-            markDirty(job)
-        }
+    fun newAttempt(): Long = store.epoch * ATTEMPTS_PER_EPOCH + ++lastAttempt
+
+    /** Takes the record of the job [id] as read or announced by the state service at [version]. */
+    fun onJobRecord(id: String, record: JobRecord, version: Long) {
+        val job = jobs[id] ?: addJob(record) ?: return
+        if (version <= job.version) return
+        job.version = version
+        // An older version that cancels a job rewrites its record without the owner.
+        job.owner = record.owner ?: job.owner
+        if (record.cancelledMs > 0 && !job.cancelled) cancel(job, record.cancelledMs)
+        // The record may be older than the answer that confirmed the cancellation to a user.
+        if (!job.cancelled && isKnownCancelled(id)) cancel(job, ctx.time.wallMs)
+        writer.markDirty(job)
     }
 
-    private fun admit(record: JobRecord): Job? {
-        val spec = record.spec
-        val known = ctx.names.teams.find(spec.team)
-        if (known == null) {
-            // Only after a change of settings: one such job must not keep all others from being served.
-            log.error("job {} is of team {}, which the settings no longer have", spec.id, spec.team)
-            return null
-        }
-        val team = TeamIndex(known)
-        val image = ImageIndex(ctx.names.images.intern(spec.image))
-        val job =
-            Job(JobIndex(nextIx++), spec, team, image, record.pageSize, record.submittedMs, ctx.now, isExpected(record))
-        for (task in 0 until spec.tasks) job.waiting.addLast(task)
+    private fun addJob(record: JobRecord): Job? {
+        val job = factory.create(record) ?: return null
+        val spec = job.spec
         jobs[spec.id] = job
         changes++
-        pipelines.learned(job)
-        log.debug("job {} learned: {} of {} tasks, team {}", spec.id, spec.shape, spec.tasks, spec.team)
+        dependencies.add(job)
+        log.debug("job added job={} shape={} tasks={} team={}", spec.id, spec.shape, spec.tasks, spec.team)
         return job
     }
 
-    /** A guarantee is an aim of its own, for whatever its team submits. */
-    private fun isExpected(record: JobRecord): Boolean = ctx.objectives.isStated(record.spec.jobClass) ||
-        ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
-
-    /** A job known to the store when we took over: its page tells what may be running. */
-    fun restore(job: Job, item: StateItem, record: PageRecord) {
+    /** Restores a stored page of [job] after the election: it names the tasks that may be running. */
+    fun restorePage(job: Job, item: StateItem, record: PageRecord) {
         val number = Keys.pageNumber(item.key) ?: return
         val page = job.page(number)
         page.version = item.version
@@ -96,109 +92,112 @@
             page.partSize = record.partSize
             page.cover(page.from, minOf(page.from + record.partSize, page.to))
         }
-        // A part of a page that does not say it is divided: left by a leader that ended while dividing it.
+        // A part of a page that does not state a part size: left by a leader that ended while splitting it.
         if (page.tasks == 0) return
         job.done.or(record.done)
         job.doneCount = job.done.cardinality()
         job.storedDone.or(record.done)
-        for (p in record.placements) {
-            val machine = fleet.machine(p.machine)
-            val placement = Placement(job, p.task, p.attempt, machine, p.session)
+        for (stored in record.placements) {
+            val placement = Placement(job, stored.task, stored.attempt, fleet.machine(stored.machine), stored.session)
             placement.stored = true
             placement.commanded = true
             placement.plannedAt = ctx.now
             attach(placement)
             if (job.cancelled) stop(placement, StopCause.CANCELLED, 0.0)
         }
-        if (job.complete) markDirty(job)
+        if (job.complete) writer.markDirty(job)
     }
 
-    /** Once all pages are restored: what is neither done nor placed waits. */
-    fun restored() = jobs.values.forEach { job -> job.waiting.removeAll { it in job.placements || job.done[it] } }
+    /** To be called once all pages are restored: what is neither done nor placed waits. */
+    fun finishRestore() = jobs.values.forEach { job -> job.waiting.removeAll { it in job.placements || job.done[it] } }
 
-    private fun attach(p: Placement) {
-        p.job.placements[p.task] = p
-        p.machine.add(p)
-        used[p.job.team.value] += p.job.spec.need
+    private fun attach(placement: Placement) {
+        placement.job.placements[placement.task] = placement
+        placement.machine.add(placement)
+        usedByTeam[placement.job.team.value] += placement.job.spec.need
     }
 
     /** Plans [task] onto [machine]. Nothing is commanded before the store has it. */
     fun place(job: Job, task: Int, machine: Machine, attempt: Long): Placement {
-        val p = Placement(job, task, attempt, machine, machine.session)
-        p.plannedAt = ctx.now
+        val placement = Placement(job, task, attempt, machine, machine.session)
+        placement.plannedAt = ctx.now
         job.waiting.remove(task)
-        attach(p)
+        attach(placement)
         machine.scheduleFetch(job.image, job.spec.imageGb, ctx.now)
         job.pageOf(task).dirty = true
         job.urgent = true
-        markDirty(job)
-        return p
+        writer.markDirty(job)
+        return placement
     }
 
-    fun stop(p: Placement, cause: StopCause, graceS: Double) {
-        if (p.stopping != null) {
-            // A withdrawal overrides the patience shown before.
+    /** Stops [placement], which gets [graceS] seconds for its checkpoint. The stop is sent to the worker afterwards. */
+    fun stop(placement: Placement, cause: StopCause, graceS: Double) {
+        if (placement.stopping != null) {
+            // A cancellation overrides the grace given before.
             if (cause == StopCause.CANCELLED) {
-                p.stopping = cause
-                p.graceS = 0.0
+                placement.stopping = cause
+                placement.graceS = 0.0
             }
             return
         }
-        p.stopping = cause
-        p.graceS = graceS
-        p.stopSince = ctx.now
-        p.machine.unsent = true
-        log.info("stop {} on {}: {}", p.id, p.machine.id, cause)
-        if (!p.commanded) release(p, "never commanded")
+        placement.stopping = cause
+        placement.graceS = graceS
+        placement.stopSince = ctx.now
+        placement.machine.unsent = true
+        log.info("task stopping task={} machine={} cause={}", placement.id, placement.machine.id, cause)
+        if (!placement.commanded) release(placement, "never commanded")
     }
 
-    /** Stops a task so that it can save, if its job saves at all. */
-    fun stopWithSave(p: Placement, cause: StopCause) {
-        val spec = p.job.spec
-        val grace = if (spec.checkpointS > 0) spec.saveS + 1.0 else 0.0
-        // Of a gang all must be told within a short time, or the save fails.
-        if (p.job.isGang) p.job.placements.values.toList().forEach { stop(it, cause, grace) } else stop(p, cause, grace)
+    /** Stops [placement] with time for a checkpoint, if its job makes any. */
+    fun stopWithSave(placement: Placement, cause: StopCause) {
+        val job = placement.job
+        val graceS = if (job.spec.checkpointS > 0) job.spec.saveS + SAVE_MARGIN_S else 0.0
+        // All tasks of a gang must get the stop within a short time, or the checkpoint fails.
+        if (job.isGang) stopAll(job, cause, graceS) else stop(placement, cause, graceS)
     }
 
-    /** The task is proven gone (or was never commanded): it frees its room and waits again, unless it is done. */
-    fun release(p: Placement, proof: String) {
-        val job = p.job
-        if (job.placements[p.task] !== p) return
-        job.placements.remove(p.task)
-        p.machine.remove(p)
-        used[job.team.value] -= job.spec.need
-        job.pageOf(p.task).dirty = true
-        if (!job.done[p.task]) job.waiting.addFirst(p.task)
-        markDirty(job)
-        log.info("released {} from {}: {}", p.id, p.machine.id, proof)
+    private fun stopAll(job: Job, cause: StopCause, graceS: Double) =
+        job.placements.values.toList().forEach { stop(it, cause, graceS) }
+
+    /** The task is proven gone (or was never commanded): it frees its capacity and waits again, unless it is done. */
+    fun release(placement: Placement, proof: String) {
+        val job = placement.job
+        val task = placement.task
+        if (job.placements[task] !== placement) return
+        job.placements.remove(task)
+        placement.machine.remove(placement)
+        usedByTeam[job.team.value] -= job.spec.need
+        job.pageOf(task).dirty = true
+        if (!job.done[task]) job.waiting.addFirst(task)
+        writer.markDirty(job)
+        log.info("task released task={} machine={} proof=\"{}\"", placement.id, placement.machine.id, proof)
         // A gang's attempt is spent as soon as one task of it is lost.
-        if (job.isGang && !job.done[p.task]) {
-            job.placements.values.toList().forEach { stop(it, StopCause.GANG, 0.0) }
-        }
+        if (job.isGang && !job.done[task]) stopAll(job, StopCause.GANG, 0.0)
     }
 
+    /** [task] of [job] is done for good. */
     fun complete(job: Job, task: Int) {
         job.markDone(task)
-        markDirty(job)
+        writer.markDirty(job)
     }
 
-    private fun becameReady(job: Job) {
+    private fun onReady(job: Job) {
         job.ready = true
         job.readyAt = ctx.now
-        job.demandIx = nextDemand++
+        job.demandIx = nextDemandIndex++
         changes++
     }
 
-    private fun cancelByDependency(job: Job, other: String) {
+    private fun cancelByDependency(job: Job, dependency: String) {
         if (job.cancelled) return
-        log.info("job {} follows {}, which is withdrawn", job.spec.id, other)
+        log.info("job cancelled by dependency job={} dependency={}", job.spec.id, dependency)
         job.cancelledByDependency = true
         cancel(job, ctx.time.wallMs)
     }
 
     /**
-     * A user was told that [id] is withdrawn, by whatever node, so it is stored though not read here yet. Its tasks are
-     * stopped at once, which needs nothing stored, and none starts; that anything is gone is proven as ever.
+     * Some node confirmed to a user that [id] is cancelled, so that is stored though not read here yet. Its tasks are
+     * stopped at once, which needs nothing stored, and none starts; that anything is gone still needs its proof.
      */
     fun onCancelled(id: String) {
         val job = jobs[id] ?: return
@@ -208,31 +207,34 @@
     private fun cancel(job: Job, atMs: Long) {
         job.cancelled = true
         job.cancelledMs = atMs
-        log.info("job {} withdrawn with {} tasks placed", job.spec.id, job.placements.size)
-        job.placements.values.toList().forEach { stop(it, StopCause.CANCELLED, 0.0) }
-        markDirty(job)
-        pipelines.cancelled(job)
+        log.info("job cancelled job={} placed={}", job.spec.id, job.placements.size)
+        stopAll(job, StopCause.CANCELLED, 0.0)
+        writer.markDirty(job)
+        dependencies.onCancelled(job)
     }
 
-    private fun markDirty(job: Job) = writer.markDirty(job)
-
+    /** Writes what the store does not have yet, as far as its rate allows. */
     fun flush() = writer.flush()
 
+    /** Removes the stored pages under [keys], which belong to no live job. */
     fun removeLeftovers(keys: List<String>) = writer.removeLeftovers(keys)
 
-    /** Looks after jobs that wait for others. */
-    fun tick() = pipelines.tick()
+    /** Looks up how the dependencies of waiting jobs ended. */
+    fun tick() = dependencies.tick()
 
-    /** [job]'s final record says how it ended. */
-    private fun forget(job: Job, stage: JobStage, endedMs: Long) {
+    /** [job]'s final record is stored and says how it ended. */
+    private fun onJobEnded(job: Job, stage: JobStage, endedMs: Long) {
         if (jobs.remove(job.spec.id) == null) return
         changes++
         writer.forget(job)
-        log.info("job {} {}: {} of {} tasks", job.spec.id, stage, job.doneCount, job.spec.tasks)
-        pipelines.ended(job.spec.id, stage, endedMs)
+        log.info("job ended job={} stage={} done={} tasks={}", job.spec.id, stage, job.doneCount, job.spec.tasks)
+        dependencies.onEnded(job.spec.id, stage, endedMs)
     }
 
-    companion object {
+    private companion object {
         const val ATTEMPTS_PER_EPOCH = 10_000_000L
+
+        /** Added to the time that a checkpoint takes. */
+        const val SAVE_MARGIN_S = 1.0
     }
 }
--- a/src/test/kotlin/plankwall/core/state/DependencyGraphTest.kt
+++ b/src/test/kotlin/plankwall/core/state/DependencyGraphTest.kt
@@ -15,7 +15,7 @@
 
     @ParameterizedTest(name = "{0}: {1}")
     @CsvSource(
-        // graph, what happens, ready, withdrawn
+        // graph, what happens, ready, cancelled
         "'b:a', '', '', ''",
         "'b:a', '+a', 'b', ''",
         "'b:a c:b', '+a', 'b', ''",
@@ -31,50 +31,48 @@
         "'c:b b:a', '-a', '', 'b c'",
         "'b:a', '-a +a', '', 'b'",
     )
-    fun `ends spread`(jobs: String, events: String, ready: String, cancelled: String) {
-        val told = ArrayList<String>()
-        words(jobs).forEach { told += graph.add(it.substringBefore(':'), it.substringAfter(':').split(',')) }
+    fun `the end of a job spreads to its dependents`(jobs: String, events: String, ready: String, cancelled: String) {
+        val cancelledBy = ArrayList<String>()
+        words(jobs).forEach { cancelledBy += graph.add(it.substringBefore(':'), it.substringAfter(':').split(',')) }
         val all = words(jobs).map { it.substringBefore(':') }
         val becameReady = ArrayList<String>()
-        for (e in words(events)) {
-            if (e[0] ==
-                '+'
-            ) {
-                becameReady += graph.done(e.drop(1))
+        for (event in words(events)) {
+            if (event.startsWith('+')) {
+                becameReady += graph.markDone(event.drop(1))
             } else {
-                told += graph.cancelled(e.drop(1))
+                cancelledBy += graph.markCancelled(event.drop(1))
             }
         }
         assertEquals(words(ready), becameReady.sorted(), "became ready")
-        assertEquals(words(cancelled), told.sorted(), "told as withdrawn")
+        assertEquals(words(cancelled), cancelledBy.sorted(), "reported as cancelled")
         assertEquals(words(cancelled), all.filter { graph.isCancelled(it) && "-$it" !in words(events) }.sorted())
     }
 
     @Test
-    fun `a job that comes after the end of one it names, and whose dependents came before it`() {
+    fun `a job added after the end of one it depends on and after its own dependents`() {
         graph.add("c", listOf("b"))
-        graph.cancelled("a")
+        graph.markCancelled("a")
         assertEquals(listOf("b", "c"), graph.add("b", listOf("a")))
         assertEquals(emptyList<String>(), graph.add("b", listOf("a")), "once")
     }
 
     @Test
-    fun `what nobody knows the end of is asked for, through live jobs too`() {
+    fun `dependencies of unknown outcome are found through live jobs too`() {
         graph.add("b", listOf("a"))
         graph.add("c", listOf("b", "x"))
-        assertEquals(setOf("a", "x"), graph.unsettled("c") { it in setOf("a", "x") })
-        graph.done("x")
-        graph.over("x")
-        assertEquals(setOf("a"), graph.unsettled("c") { it == "a" })
-        assertEquals(emptySet<String>(), graph.unsettled("a") { true })
+        assertEquals(setOf("a", "x"), graph.unresolved("c") { it in setOf("a", "x") })
+        graph.markDone("x")
+        graph.forget("x")
+        assertEquals(setOf("a"), graph.unresolved("c") { it == "a" })
+        assertEquals(emptySet<String>(), graph.unresolved("a") { true })
     }
 
     @Test
     fun `a chain of a hundred thousand and a job with as many dependents`() {
         for (n in 1..100_000) graph.add("c$n", listOf("c${n - 1}"))
         for (n in 1..100_000) graph.add("w$n", listOf("c50000"))
-        assertEquals(setOf("c0"), graph.unsettled("c100000") { it == "c0" })
-        assertEquals(150_000, graph.cancelled("c50000").size)
+        assertEquals(setOf("c0"), graph.unresolved("c100000") { it == "c0" })
+        assertEquals(150_000, graph.markCancelled("c50000").size)
         assertFalse(graph.isCancelled("c49999"))
         assertTrue(graph.isCancelled("c100000"))
     }
--- a/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -315,7 +315,7 @@
         assertEquals(listOf(Priority.HIGH, Priority.HIGH), listOf(first.priority, second.priority))
         // What comes after takes 20 s to run and 2 s to fetch its image.
         assertEquals(listOf(last.dueMs - 22_000, last.dueMs - 44_000), listOf(second.dueMs, first.dueMs))
-        parts.schedulerState.learn(last.spec.id, JobRecord(last.spec, 1, 2, 100), 9)
+        parts.schedulerState.onJobRecord(last.spec.id, JobRecord(last.spec, 1, 2, 100), 9)
         assertEquals(listOf(Priority.LOW, Priority.LOW), listOf(first.priority, second.priority))
         assertEquals(listOf(Long.MAX_VALUE, Long.MAX_VALUE), listOf(first.dueMs, second.dueMs))
     }
