--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -138,7 +138,7 @@
         relay.tick()
         if (ctx.now >= nextStatus) {
             nextStatus = ctx.now + 1.0
-            val links = leadership.links(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
+            val links = leadership.reachabilityReport(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
             ctx.out.add(Effect.PeerSend(leadership.status(relay.unservedWorkers, links, term?.sessionPlan)))
             term?.news()?.forEach { ctx.out.add(Effect.PeerSend(it)) }
         }
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -7,22 +7,24 @@
 import plankwall.wire.PeerStatus
 
 /**
- * What this node knows of withdrawn jobs, and up to when it knows them all. Whoever keeps a worker's lease alive keeps
- * its tasks alive, among them those of a job whose user was told that it is withdrawn; so a leader has to hear of that
- * in time though the state service refuses it, and has to stop answering when it can't be sure to have heard
+ * The cancelled jobs that this node knows, and up to when it knows them all. Whoever renews a worker's lease keeps its
+ * tasks running, among them those of a job whose cancellation was confirmed to a user. So a leader has to learn of it
+ * in time even if the state service refuses calls, and has to withhold answers when it can't be sure to have done so
  * ([isAware]).
  *
- * Two moments by our own clock, neither of which ever goes back:
- * - [storedUpTo]: every withdrawal that was stored before it is known here: a reading of the store begun then, our own
- * or a peer's.
- * - [knownUpTo]: every withdrawal that a user was told of before it is known here. What was told was stored before, so
- * it is at least [storedUpTo]; beyond that each peer has to vouch for what it told, with a list that is whole
- * ([PeerCancellations]) and with an echo of our own that says how old its word can be. One that is silent or forgets what it
- * told vouches for nothing.
+ * Two moments by this node's own clock, neither of which ever goes back:
+ * - [storedUpTo]: every cancellation that was stored before it is known here: a read of the store began then, by this
+ * node or a peer.
+ * - [knownUpTo]: every cancellation that was confirmed to a user before it is known here. What is confirmed was stored
+ * before, so it is at least [storedUpTo]. Beyond that each peer has to confirm that its list is complete
+ * ([PeerCancellations]), with an echo of a frame of this node that bounds the age of its update. A peer that is silent
+ * or was restarted confirms nothing.
+ *
+ * Owns the set of known cancellations; nothing of it is stored, since the jobs' records are.
  */
 class Cancellations(private val ctx: Context, private val reachability: ReachabilityMatrix) {
     private val log = LoggerFactory.getLogger("cancellations")
-    private val own = LocalCancellations(ctx)
+    private val local = LocalCancellations(ctx)
     private val peers = HashMap<String, PeerCancellations>()
     private var startedAt = Double.NaN
 
@@ -30,112 +32,106 @@
         override fun removeEldestEntry(eldest: Map.Entry<String, Unit>): Boolean = size > MAX_KNOWN
     }
 
-    /** Learns of each withdrawal once, however the word of it came. */
+    /** Called for each cancellation once, from whatever source. */
     var onLearned: (job: String) -> Unit = {}
 
+    /** Every cancellation stored before is known here; seconds of the steady clock. */
     var storedUpTo = Double.NEGATIVE_INFINITY
         private set
+
+    /** Every cancellation confirmed to a user before is known here; seconds of the steady clock. */
     var knownUpTo = Double.NEGATIVE_INFINITY
         private set
 
     /**
-     * How far behind [knownUpTo] may be while workers are answered: an answer of now keeps tasks for a lease, and
-     * whoever was told just after [knownUpTo] must not see them longer than `cancel_s`. Where that leaves nothing, no
-     * answer at all could keep the rule, and a machine that just can't be reached would break it too; a node that hears
-     * its peers goes on then.
+     * How far [knownUpTo] may lag while workers are answered: an answer given now keeps tasks for a lease, and a user
+     * who got the confirmation just after [knownUpTo] must not see them longer than `cancel_s`. Where that leaves
+     * nothing, no answer at all could keep the rule, and a machine that merely can't be reached would break it too; a
+     * node that is connected to its peers goes on then.
      */
     val toleratedLagS: Double =
         (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
 
-    /** No withdrawal that is unknown here can run out of its time if a worker's lease is renewed now. */
+    /** No cancellation that is unknown here can exceed `cancel_s` if a worker's lease is renewed now. */
     val isAware: Boolean get() = ctx.now - knownUpTo <= toleratedLagS
 
+    /** Whether [job] is known as cancelled. */
     fun isKnown(job: String): Boolean = job in known
 
-    /** [job] is stored as withdrawn; to be said before any user is told so, and as the store is read. */
+    /** [job] is stored as cancelled. To be called before any user gets the confirmation, and as the store is read. */
     fun learn(job: String) {
-        if (note(job)) advance()
+        if (add(job)) advance()
     }
 
-    private fun note(job: String): Boolean {
+    private fun add(job: String): Boolean {
         if (known.put(job, Unit) != null) return false
-        // Also what a peer said: our own list is whole only if it names all that we may read or tell later as known
-        // already.
-        own.add(job)
+        // Also what a peer sent: this node's list is complete only if it names everything that the node may later read
+        // or confirm as known already.
+        local.add(job)
         onLearned(job)
         return true
     }
 
-    /** The store was read as it stood at [begunAt] or later, and all that it says of live jobs was [learn]ed. */
+    /** The store was read as of [begunAt] or later, and all that it holds of live jobs was passed to [learn]. */
     fun readUpTo(begunAt: Double) {
         storedUpTo = maxOf(storedUpTo, begunAt)
         advance()
     }
 
-    /** [job] is over: nothing of it is on any machine. */
+    /** [job] has ended: nothing of it is on any machine. */
     fun onJobEnded(job: String) {
         known.remove(job)
     }
 
-    /**
-     * To be told of each [status] that is the newest of its node; an older one says nothing that the newest does not.
-     */
+    /** Takes each [status] that is the newest of its node; an older one holds nothing that the newest does not. */
     fun onStatus(status: PeerStatus) {
-        val news = status.cancellations
+        val update = status.cancellations
         val links = status.links
-        if (news == null || links == null) {
+        if (update == null || links == null) {
             peers.remove(status.node)
             return
         }
-        // What it has had from us it need not tell again.
-        links.echoes[ctx.settings.node]?.let { own.arrived(status.node, it) }
-        news.jobs.forEach { if (note(it)) log.info("job {} is withdrawn, says {}", it, status.node) }
-        peers.getOrPut(status.node) {
-            PeerCancellations()
-        }.onUpdate(status.incarnation, news, reachability.echoedAt(status.node), ctx.now)
+        // What has arrived there need not be sent again.
+        links.echoes[ctx.settings.node]?.let { local.onArrived(status.node, it) }
+        update.jobs.forEach { if (add(it)) log.info("cancellation learned from peer job={} peer={}", it, status.node) }
+        peers.getOrPut(status.node) { PeerCancellations() }
+            .onUpdate(status.incarnation, update, reachability.echoedAt(status.node), ctx.now)
         advance()
     }
 
-    /** This node's own word for the frame numbered [seq]. */
+    /** What this node sends in the frame numbered [seq]. */
     fun nextUpdate(seq: Long): CancellationUpdate =
-        own.nextUpdate(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
-
-    private fun millisSince(at: Double): Long = if (at ==
-        Double.NEGATIVE_INFINITY
-    ) {
-        -1
-    } else {
-        ((ctx.now - at) * 1000).toLong() + 1
-    }
+        local.nextUpdate(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
+
+    /** Rounded up, so that the peer does not take the read for newer than it is; -1 if there was none. */
+    private fun millisSince(at: Double): Long =
+        if (at == Double.NEGATIVE_INFINITY) -1 else ((ctx.now - at) * 1000).toLong() + 1
 
     private fun advance() {
-        // A peer's reading says as much as our own, if we have all that it read since and knew before; and one may
-        // bring in another.
+        // A peer's read proves as much as one of this node's own, if all that the peer read since and knew before has
+        // arrived here. One peer's read may make that true of another.
         do {
             val before = storedUpTo
             for (peer in peers.values) {
-                if (peer.wholeSince <=
-                    storedUpTo
-                ) {
-                    storedUpTo = maxOf(storedUpTo, peer.storedUpTo)
-                }
+                if (peer.completeSince <= storedUpTo) storedUpTo = maxOf(storedUpTo, peer.storedUpTo)
             }
         } while (storedUpTo > before)
-        val vouched = ctx.settings.peers.minOfOrNull { vouchedFor(it.node) } ?: ctx.now
-        knownUpTo = maxOf(knownUpTo, storedUpTo, vouched)
+        val confirmed = ctx.settings.peers.minOfOrNull { confirmedUpTo(it.node) } ?: ctx.now
+        knownUpTo = maxOf(knownUpTo, storedUpTo, confirmed)
     }
 
-    private fun vouchedFor(node: String): Double =
-        peers[node]?.takeIf { it.wholeSince <= storedUpTo }?.madeAt ?: Double.NEGATIVE_INFINITY
+    private fun confirmedUpTo(node: String): Double =
+        peers[node]?.takeIf { it.completeSince <= storedUpTo }?.sentAt ?: Double.NEGATIVE_INFINITY
 
-    /** Who vouches for nothing, for the log. */
-    fun doubts(): String = ctx.settings.peers.filter {
-        ctx.now - vouchedFor(it.node) > ReachabilityMatrix.FRESH_S
-    }.joinToString(",") { it.node }.ifEmpty { "nobody" }
+    /** The peers without a recent confirmation, for the log. */
+    fun unconfirmedPeers(): String = ctx.settings.peers.filter {
+        ctx.now - confirmedUpTo(it.node) > ReachabilityMatrix.FRESH_S
+    }.joinToString(",") { it.node }.ifEmpty { "none" }
 
+    /** To be called regularly. */
     fun tick() {
         if (startedAt.isNaN()) startedAt = ctx.now
-        // A node by itself knows all that it told; with peers this changes only as they speak.
+        // A node without peers knows all that it confirmed; with peers this changes only with their updates.
         if (ctx.settings.peers.isEmpty()) advance()
     }
 
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -6,6 +6,7 @@
 import plankwall.core.connectivity.LeaderRouting
 import plankwall.core.connectivity.LeadershipClaim
 import plankwall.core.connectivity.ReachabilityMatrix
+import plankwall.core.election.LeaderKey.Acquisition
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
 import plankwall.wire.Guard
@@ -17,232 +18,213 @@
 import plankwall.wire.SessionPlan
 import plankwall.wire.SessionUpdate
 import plankwall.wire.StateItem
-import plankwall.wire.StateOp
 import plankwall.wire.StateResult
-import plankwall.wire.Write
 
 /**
- * Who leads. The leader holds the key `leader`, attached to a short lease of the state service; the revision that
- * wrote the key is the epoch. It is the token for the workers and the guard of every write, so whatever an old leader
- * still has under way fails by itself.
+ * The leader election. The leader holds the key `leader`, attached to a short lease of the state service; the revision
+ * that wrote the key is the epoch. It is the fencing token for the workers and the guard of every write, so whatever an
+ * old leader still has under way fails by itself.
+ *
+ * Owns this node's epoch and lease. While it leads it renews the lease; otherwise it polls the key and, once the key is
+ * free and its turn has come, is a candidate for it.
  */
 class Leadership(
     private val ctx: Context,
-    private val onWon: () -> Unit,
-    private val onLost: () -> Unit,
+    private val onElected: () -> Unit,
+    private val onResigned: () -> Unit,
     recentWorkers: () -> Int = { 0 },
 ) {
     private val log = LoggerFactory.getLogger("leadership")
 
-    private val ttlS: Double =
-        if (ctx.tuning.leaderLeaseS >
-            0
-        ) {
-            ctx.tuning.leaderLeaseS
-        } else {
-            (ctx.settings.workers.leaseS / 6).coerceIn(1.5, 2.5)
-        }
+    private val ttlS: Double = if (ctx.tuning.leaderLeaseS > 0) {
+        ctx.tuning.leaderLeaseS
+    } else {
+        (ctx.settings.workers.leaseS / 6).coerceIn(MIN_LEASE_S, MAX_LEASE_S)
+    }
 
+    /** What this node and its peers know of the links between nodes. */
     val reachability = ReachabilityMatrix(ctx)
+
+    /** Who leads, as far as this node knows. */
     val routing = LeaderRouting(ctx, reachability, ttlS)
+
+    /** When this node may be a candidate. */
     val candidatePriority = CandidatePriority(ctx, reachability, recentWorkers)
+
+    /** The cancelled jobs that this node knows. */
     val cancellations = Cancellations(ctx, reachability)
 
-    /** The highest epoch heard of from anybody. */
+    private val key = LeaderKey(ctx, ttlS)
+    private val olderLeaders = OlderLeaders(ctx)
+    private val withheldAnswers = WithheldAnswers(ctx, cancellations)
+
+    /** The highest epoch that any worker, peer or read of the store has shown. */
     val epochSeen: Long get() = routing.epochSeen
 
     /** This node's epoch while it leads, else 0. */
     var epoch = 0L
         private set
+
+    /** The epoch that this node last resigned, or 0. */
     var resignedEpoch = 0L
         private set
+
+    /** When this node was last elected, in seconds of the steady clock. */
     var wonAt = 0.0
         private set
 
     private var lease = 0L
-    private var validUntil = 0.0
-    private var nextPoll = 0.0
-    private var polling = false
-    private var acquiring = false
-    private val confirmedPeers = HashSet<String>()
+    private var leaseExpiresAt = 0.0
+    private var nextPollAt = 0.0
+    private var isPolling = false
+    private var isCandidate = false
 
-    /** Whom this node would have lead; told to all until somebody does. */
+    /** Whom this node proposes as the next leader: in every status until there is one. */
     private var successor: String? = null
 
-    /** The moment from which no older leader can have answered a worker; unknown until the peers confirm it. */
-    private var othersSilentFrom: Double? = null
-
+    /** This node leads. Its lease may have run out meanwhile: see [mayWrite] and [mayAnswer]. */
     val leading: Boolean get() = epoch != 0L
 
-    /** May store: the lease is surely still ours. */
-    val mayWrite: Boolean get() = leading && ctx.now < validUntil
+    /** Whether this node may store: the lease surely has not expired. */
+    val mayWrite: Boolean get() = leading && ctx.now < leaseExpiresAt
 
     /**
-     * May answer workers: bounded, so that a successor can tell when we have surely stopped, and so that no task
-     * outlives a withdrawal that we don't know of.
+     * Whether this node may answer workers: bounded in time, so that a successor can tell when this node has surely
+     * stopped, and so that no task outlives a cancellation that is unknown here.
      */
-    val mayAnswer: Boolean get() = leading && ctx.now < validUntil + ctx.outageGraceS && cancellations.isAware
-
-    /** Refused to answer for the sake of withdrawals, as far as the log says. */
-    private var unaware = false
+    val mayAnswer: Boolean get() = leading && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isAware
 
     /** Every other node has shown that it runs this version or a later one. */
     val allNodesCurrent: Boolean get() = ctx.settings.peers.all {
         (reachability.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL
     }
 
-    /** A node of an older version is about: it will be replaced soon, so it had better not take the lead. */
-    private val olderAbout: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
+    /** A node of an older version runs: it will be replaced soon, so it should not be elected. */
+    private val isOlderNodeLive: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
 
-    /** No leader before us can have renewed a worker's lease after this moment. */
-    val olderLeadersSilentAt: Double get() = othersSilentFrom ?: (wonAt + ctx.outageGraceS)
+    /** No leader before this one can have renewed a worker's lease after this moment. */
+    val olderLeadersSilentAt: Double get() = olderLeaders.silentAt(wonAt)
 
+    /** The guard of every write: the leader's key is still as this node wrote it. */
     fun guard(): Guard = Guard(Keys.LEADER, epoch)
 
+    /** Renews the lease or polls the key, whichever is due. */
     fun tick() {
         cancellations.tick()
-        tellAwareness()
-        if (polling || acquiring || ctx.now < nextPoll) return
-        polling = true
+        withheldAnswers.logChange(epoch)
+        if (isPolling || isCandidate || ctx.now < nextPollAt) return
+        isPolling = true
         reachability.storeAsked()
-        if (leading) renew() else poll()
+        if (leading) renewLease() else pollKey()
     }
 
-    private fun tellAwareness() {
-        val now = leading && !cancellations.isAware
-        if (now == unaware) return
-        unaware = now
-        if (!now) return log.info("every withdrawal is known here again that could have run out")
-        log.warn(
-            "epoch {}: workers get no answer, since users may have been told of withdrawals unknown here: the store was read {} s ago, and {} do not vouch",
-            epoch,
-            (ctx.now - cancellations.storedUpTo).toLong(),
-            cancellations.doubts(),
-        )
-    }
-
-    private fun renew() {
+    private fun renewLease() {
         val sentAt = ctx.now
         val renewed = lease
-        ctx.out.state(StateOp.Renew(renewed)) { result ->
-            polling = false
+        key.renew(renewed) { result ->
+            isPolling = false
             reachability.storeAnswered(result)
-            if (!leading || lease != renewed) return@state
-            nextPoll = ctx.now + if (result == StateResult.Renewed) ttlS / 4 else 0.3
+            if (!leading || lease != renewed) return@renew
+            nextPollAt = ctx.now + if (result == StateResult.Renewed) ttlS / 4 else RENEWAL_RETRY_S
             when (result) {
-                StateResult.Renewed -> validUntil = maxOf(validUntil, sentAt + ttlS)
+                StateResult.Renewed -> leaseExpiresAt = maxOf(leaseExpiresAt, sentAt + ttlS)
                 StateResult.NoLease -> resign("the state service ended the lease")
-                else -> log.debug("renewal of epoch {} not confirmed: {}", epoch, result)
+                else -> log.debug("lease renewal unconfirmed epoch={} result={}", epoch, result)
             }
         }
     }
 
-    private fun poll() {
+    private fun pollKey() {
         val askedAt = ctx.now
-        ctx.out.state(StateOp.Get(Keys.LEADER)) { result ->
-            polling = false
+        key.read { result ->
+            isPolling = false
             reachability.storeAnswered(result)
-            nextPoll = ctx.now + if (olderAbout) EAGER_S else 0.35 + ctx.random.nextDouble() * 0.3
-            if (result is StateResult.Item) noteLeader(result.item, askedAt)
+            nextPollAt = ctx.now + if (isOlderNodeLive) EAGER_POLL_S else POLL_S + ctx.random.nextDouble() * POLL_JITTER_S
+            if (result is StateResult.Item) onLeaderRecord(result.item, askedAt)
         }
     }
 
-    private fun noteLeader(item: StateItem?, askedAt: Double) {
+    private fun onLeaderRecord(item: StateItem?, askedAt: Double) {
         val record = item?.value as? LeaderRecord
         routing.read(record?.node, item?.version ?: 0L, askedAt)
         if (item != null && record != null) {
             candidatePriority.taken()
             successor = null
-        } else if (!leading && !acquiring && candidatePriority.mayStand()) {
-            acquire()
+        } else if (!leading && !isCandidate && candidatePriority.mayStand()) {
+            standForElection()
         }
     }
 
-    private fun acquire() {
-        acquiring = true
+    private fun standForElection() {
+        isCandidate = true
         val sentAt = ctx.now
-        ctx.out.state(StateOp.Grant((ttlS * 1000).toLong())) { granted ->
-            if (granted !is StateResult.Granted) {
-                acquiring = false
-                return@state
-            }
-            val write = Write.Put(Keys.LEADER, LeaderRecord(ctx.settings.node, ctx.incarnation), granted.lease)
-            ctx.out.state(StateOp.Txn(listOf(Guard(Keys.LEADER, 0)), listOf(write))) { result ->
-                acquiring = false
-                if (result is StateResult.Committed && ctx.now < sentAt + ttlS) {
-                    lease = granted.lease
-                    epoch = result.revision
-                    routing.onEpoch(epoch)
-                    successor = null
-                    validUntil = sentAt + ttlS
-                    wonAt = ctx.now
-                    othersSilentFrom = null
-                    confirmedPeers.clear()
-                    nextPoll = ctx.now + ttlS / 4
-                    log.info("won leadership: epoch {} lease {}", epoch, lease)
-                    onWon()
-                } else {
-                    // Lost the race, or the outcome is unknown: whatever was written must not outlive this try.
-                    ctx.out.state(StateOp.Drop(granted.lease)) {}
-                    // Somebody else has won, and the workers are at the door already: who it is had better be known at
-                    // once.
-                    nextPoll = minOf(nextPoll, ctx.now)
-                }
+        key.acquire { acquisition ->
+            isCandidate = false
+            when (acquisition) {
+                is Acquisition.Won -> lead(acquisition, sentAt)
+                // Another node has won, and workers already ask for it here: who it is should be known at once.
+                Acquisition.Lost -> nextPollAt = minOf(nextPollAt, ctx.now)
+                Acquisition.NoLease -> Unit
             }
         }
     }
 
-    /** A token or epoch heard from a worker, a peer or the store. A higher one than ours ends our leadership. */
-    fun onEpoch(heard: Long, from: String) {
-        routing.onEpoch(heard)
-        if (leading && heard > epoch) resign("epoch $heard heard from $from")
+    private fun lead(won: Acquisition.Won, leaseFrom: Double) {
+        lease = won.lease
+        epoch = won.epoch
+        routing.onEpoch(epoch)
+        successor = null
+        leaseExpiresAt = leaseFrom + ttlS
+        wonAt = ctx.now
+        olderLeaders.reset()
+        nextPollAt = ctx.now + ttlS / 4
+        log.info("leader elected epoch={} lease={}", epoch, lease)
+        onElected()
     }
 
-    /**
-     * Epochs prove the same however late the word of them comes; what else [status] says is believed only while it is
-     * the newest.
-     */
+    /** A fencing token or epoch shown by [source]: a higher one than this node's ends its leadership. */
+    fun onEpoch(shown: Long, source: String) {
+        routing.onEpoch(shown)
+        if (leading && shown > epoch) resign("epoch $shown shown by $source")
+    }
+
+    /** Epochs prove the same however late they arrive; what else [status] says counts only while it is the newest. */
     fun onPeerStatus(status: PeerStatus) {
         onEpoch(status.epochSeen, "peer ${status.node}")
-        if (leading && othersSilentFrom == null && status.epochSeen >= epoch && !status.leading) {
-            confirmedPeers.add(status.node)
-            if (ctx.settings.peers.all { it.node in confirmedPeers }) {
-                othersSilentFrom = ctx.now
-                log.info("epoch {}: every peer follows, older leaders are silent", epoch)
-            }
-        }
-        // The one that is named asks for the lead at once, instead of when its turn comes.
+        if (leading) olderLeaders.onPeerStatus(status, epoch)
         if (!reachability.onStatus(status)) return
         cancellations.onStatus(status)
-        if (candidatePriority.onStatus(status) && !leading) nextPoll = minOf(nextPoll, ctx.now)
+        // The proposed successor asks for the key at once, instead of at its next poll.
+        if (candidatePriority.onStatus(status) && !leading) nextPollAt = minOf(nextPollAt, ctx.now)
     }
 
     /** Steps down. [dropLease] lets the next leader start at once. */
-    fun resign(why: String, dropLease: Boolean = false) {
+    fun resign(reason: String, dropLease: Boolean = false) {
         if (!leading) return
-        log.info("yielding epoch {}: {}", epoch, why)
+        log.info("leadership resigned epoch={} reason=\"{}\"", epoch, reason)
         resignedEpoch = epoch
         epoch = 0
-        nextPoll = ctx.now + if (dropLease) ttlS else 0.2
-        if (dropLease) ctx.out.state(StateOp.Drop(lease)) {}
-        onLost()
+        nextPollAt = ctx.now + if (dropLease) ttlS else RESIGNED_POLL_S
+        if (dropLease) key.drop(lease)
+        onResigned()
     }
 
-    /** Steps down for the sake of workers that can't come here, and names who is reached by most of them. */
-    fun resignForWorkers(why: String) {
+    /** Steps down since workers can't reach this node, and proposes the peer that most of them reach. */
+    fun resignForWorkers(reason: String) {
         successor = candidatePriority.best()?.node
         candidatePriority.lostWorkers()
-        resign("$why; next had better be ${successor ?: "anybody else"}", dropLease = true)
-        // Told before the key is found free, or the first to look would take it.
-        ctx.out.add(Effect.PeerSend(status(0, links(0))))
+        resign("$reason; proposed successor: ${successor ?: "any"}", dropLease = true)
+        // Sent before the key is found free, or the first to poll would take it.
+        ctx.out.add(Effect.PeerSend(status(0, reachabilityReport(0))))
     }
 
-    /** What this node tells its peers of its links, as far as it does not concern machines. */
-    fun links(recentWorkers: Int): ReachabilityReport {
-        val own = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.own()
-        return reachability.report(recentWorkers, own, successor)
+    /** What this node reports to its peers about its links, machines aside. */
+    fun reachabilityReport(recentWorkers: Int): ReachabilityReport {
+        val leader = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.own()
+        return reachability.report(recentWorkers, leader, successor)
     }
 
+    /** This node's status for its peers, to be sent with the [links] that [reachabilityReport] made. */
     fun status(unservedWorkers: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
         ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, reachability.storeReachable,
         unservedWorkers,
@@ -251,7 +233,14 @@
     )
 
     private companion object {
-        /** Below the older version's wait, so that the lead passes to this version the first time it changes hands. */
-        const val EAGER_S = 0.12
+        const val MIN_LEASE_S = 1.5
+        const val MAX_LEASE_S = 2.5
+        const val POLL_S = 0.35
+        const val POLL_JITTER_S = 0.3
+
+        /** Below the older version's poll, so that this version is elected at the first change of leaders. */
+        const val EAGER_POLL_S = 0.12
+        const val RENEWAL_RETRY_S = 0.3
+        const val RESIGNED_POLL_S = 0.2
     }
 }
