--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -83,7 +83,7 @@
                 term?.onRelayedHeartbeat(it)
             }
             is Input.PeerMessageReceived -> when (val message = input.message) {
-                is PeerStatus -> leadership.notePeer(message)
+                is PeerStatus -> leadership.onPeerStatus(message)
                 is ProgressUpdate -> board.onUpdate(message, front::isLive)
                 is RelayedHeartbeat -> relayed(message)
                 is RelayedAnswer -> relay.answered(message)
@@ -138,7 +138,7 @@
         relay.tick()
         if (ctx.now >= nextStatus) {
             nextStatus = ctx.now + 1.0
-            val links = leadership.links(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
+            val links = leadership.reachabilityReport(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
             ctx.out.add(Effect.PeerSend(leadership.status(relay.unservedWorkers, links, term?.sessionPlan)))
             term?.news()?.forEach { ctx.out.add(Effect.PeerSend(it)) }
         }
