--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -1,8 +1,8 @@
 package plankwall.audit
 
 import org.slf4j.LoggerFactory
-import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.TokenBucket
 import plankwall.wire.AccessKeys
 import plankwall.wire.AuditSegment
 import plankwall.wire.Guard
@@ -36,7 +36,7 @@
 
     /** Changes that this chain may cost; a busy node has more than the equal part. */
     private val budget = (limits.writeRps * share / ctx.settings.nodes * UNEVEN).let {
-        Budget(ctx.time, it, maxOf(it, 1.0))
+        TokenBucket(ctx.time, it, maxOf(it, 1.0))
     }
     private val half = maxOf(1.0, limits.writeRps * share / ctx.settings.nodes)
     private val finder = AuditChainTail(ctx, node)
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -79,19 +79,19 @@
             is Input.StateReply -> ctx.out.resume(input.call, input.result)
             is Input.CloudReply -> ctx.out.resume(input.call, input.result)
             is Input.WorkerReply -> input.report?.let {
-                relay.reached(it.machine)
+                relay.onCommandAnswered(it.machine)
                 term?.onRelayedHeartbeat(it)
             }
             is Input.PeerMessageReceived -> when (val message = input.message) {
                 is PeerStatus -> leadership.notePeer(message)
                 is ProgressUpdate -> board.onUpdate(message, front::isLive)
                 is RelayedHeartbeat -> relayed(message)
-                is RelayedAnswer -> relay.answered(message)
+                is RelayedAnswer -> relay.onAnswer(message)
                 is HeartbeatBatch -> batched(message)
-                is AnswerBatch -> relay.answered(message)
+                is AnswerBatch -> relay.onAnswer(message)
             }
         }
-        return ctx.out.take()
+        return ctx.out.drain()
     }
 
     /** Without a gate anybody may ask; with one, a request without proof never gets behind it. */
@@ -116,7 +116,7 @@
     private fun progressOf(id: String): JobProgress? = term?.progressOf(id) ?: board[id]
 
     private fun begin() {
-        relay.leads()
+        relay.onLeadershipGained()
         bases = HeartbeatBaselines()
         term = LeadershipTerm(ctx, leadership, capacityView).also { it.begin() }
         // The workers that other nodes serve are to stay there: who leads now had better be known at once.
@@ -175,7 +175,7 @@
     }
 
     /** Held back on the way: its worker has given up, and a newer report may be anywhere by now. */
-    private fun isHeldBack(echo: Long): Boolean = leadership.reachability.ageOf(echo) > ReachabilityMatrix.FRESH_S
+    private fun isHeldBack(echo: Long): Boolean = leadership.reachability.echoAgeS(echo) > ReachabilityMatrix.FRESH_S
 
     private fun answerRelayed(from: String, address: String, report: HeartbeatStatus): WorkerAnswer {
         val refused = refused(address, report)
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -115,7 +115,7 @@
                     }
                     watch(revision)
                 }
-                else -> ctx.later(0.3) { if (store.active) watch(after) }
+                else -> ctx.runAfter(0.3) { if (store.active) watch(after) }
             }
         }
     }
@@ -127,7 +127,7 @@
         if (!loaded) return
         if (leadership.mayWrite) {
             // A leader that may have been replaced does not hear its workers for that reason: it concludes nothing.
-            heartbeats.releaseSilent()
+            heartbeats.releaseExpired()
             schedulerState.tick()
             placer.plan()
             schedulerState.flush()
@@ -156,10 +156,10 @@
     fun onHeartbeat(r: HeartbeatStatus, through: String): Word {
         if (fleet.isGone(r.machine)) return Word.Refused
         val m = fleet.machine(r.machine)
-        reach.elsewhere(m, r.zone, through)?.let { return Word.ReportTo(it) }
+        reach.redirectTarget(m, r.zone, through)?.let { return Word.ReportTo(it) }
         if (through == ctx.settings.node) {
-            reach.cameStraight(m)
-        } else if (reach.cameThrough(m, r.zone)) {
+            reach.onDirectHeartbeat(m)
+        } else if (reach.onIndirectHeartbeat(m, r.zone)) {
             return Word.ReportTo(ctx.settings.node)
         }
         val orders = if (loaded) heartbeats.onHeartbeat(r) else keepLease(m, r)
@@ -183,7 +183,7 @@
         if (isForeign(r)) return
         if (store.active && loaded) heartbeats.onRelayedHeartbeat(r)
         val m = fleet.find(r.machine) ?: return
-        reach.reached(m)
+        reach.onCommandAnswered(m)
         // A refusal names the session to use; the next try follows at once.
         if (!m.confirmed && r.token < leadership.epoch && r.session > m.announceSession) {
             m.announceSession = r.session
@@ -208,22 +208,22 @@
     /** Also without the state service: a stop needs nothing stored, and what is stored already may start. */
     private fun sendUrgent() {
         for (m in fleet.machines) {
-            if (!m.unsent || reach.onlyThroughOthers(m)) continue
-            val orders = heartbeats.urgent(m) ?: continue
+            if (!m.unsent || reach.isUnreachable(m)) continue
+            val orders = heartbeats.urgentOrders(m) ?: continue
             m.token = maxOf(m.token, store.lastRevision)
             post(m, m.session, orders)
         }
     }
 
     /** Machines whose reports come through others are tried with a command that orders nothing. */
-    private fun probe() = reach.toProbe().forEach { post(it, it.session, emptyList()) }
+    private fun probe() = reach.machinesToProbe().forEach { post(it, it.session, emptyList()) }
 
     private fun post(m: Machine, session: Long, orders: List<Order>) {
-        reach.commanded(m)
+        reach.onCommandSent(m)
         ctx.out.add(Effect.WorkerPost(m.id, m.address, WorkerCodec.commands(tokenFor(m.id), session, orders)))
     }
 
-    fun zones(): List<ZoneReach> = reach.zones()
+    fun zones(): List<ZoneReach> = reach.reachByZone()
 
     /** Which nodes serve workers' sessions; null while all come here. */
     val sessionPlan: SessionPlan? get() = sessions.plan
--- a/src/main/kotlin/plankwall/core/api/JobApi.kt
+++ b/src/main/kotlin/plankwall/core/api/JobApi.kt
@@ -3,11 +3,11 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.election.Leadership
 import plankwall.core.statemachine.Action
-import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Decision
 import plankwall.core.statemachine.RequestId
+import plankwall.core.statemachine.TokenBucket
 import plankwall.core.store.StoreLimits
 import plankwall.model.Catalog
 import plankwall.model.JobFacts
@@ -53,7 +53,7 @@
      * A node's part of the common rate. The users do not come in equal parts, so it is more than the equal one. They
      * are divided among the nodes that have the state service: where only one has, all come to it.
      */
-    private val calls = Budget(ctx.time, rateAmong(ctx.settings.nodes))
+    private val calls = TokenBucket(ctx.time, rateAmong(ctx.settings.nodes))
 
     private fun rateAmong(nodes: Int): Double = ctx.settings.state.rps * PART_OF_RATE / nodes * UNEVEN
 
@@ -329,7 +329,7 @@
         if (ctx.now < nextShare) return
         nextShare = ctx.now + 1.0
         // Silent peers may serve all the same; only those that say they can't leave their part to others.
-        val unable = leadership.reachability.fresh().count { !it.stateReachable }
+        val unable = leadership.reachability.freshPeers().count { !it.stateReachable }
         if (unable == lastUnable) return
         lastUnable = unable
         calls.setRate(rateAmong((ctx.settings.nodes - unable).coerceAtLeast(1)))
--- a/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
@@ -19,7 +19,7 @@
     private var named: String? = null
 
     /** The lead was given up here since the workers could not come: until they are seen, others go first. */
-    fun lostWorkers() {
+    fun onWorkersLost() {
         lostWorkersAt = ctx.now
     }
 
@@ -32,18 +32,18 @@
     }
 
     /** To be asked whenever the lead is found free: whether this node should stand for it now. */
-    fun mayStand(): Boolean {
+    fun mayAcquire(): Boolean {
         if (freeSince.isNaN() || ctx.now - freeSince > FORGET_S) freeSince = ctx.now
         return ctx.now - freeSince >= waitS()
     }
 
-    fun taken() {
+    fun onLeaderSeen() {
         freeSince = Double.NaN
     }
 
     /** Waits are short, and always bounded: a lead that nobody takes costs more than one that the second best takes. */
     private fun waitS(): Double {
-        val able = reachability.fresh().filter { it.stateReachable }
+        val able = reachability.freshPeers().filter { it.stateReachable }
         val mine = recentWorkers()
         val chosen = named?.takeIf { ctx.now - namedAt < FORGET_S }
         return when {
@@ -56,7 +56,7 @@
     }
 
     /** Whom to name when this node gives up the lead: it has the store, and most workers turn up there. */
-    fun best(): PeerStatus? = reachability.fresh().filter {
+    fun preferredSuccessor(): PeerStatus? = reachability.freshPeers().filter {
         it.stateReachable && it.recentWorkers > 0
     }.maxByOrNull { it.recentWorkers }
 
--- a/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
@@ -30,14 +30,14 @@
     }
 
     /** What a read of the leader's key showed that began at [askedAt]; null: nobody holds it. */
-    fun read(node: String?, epoch: Long, askedAt: Double) {
+    fun onLeaderKeyRead(node: String?, epoch: Long, askedAt: Double) {
         stored = node?.let { LeadershipClaim(it, epoch, askedAt) }
         onEpoch(epoch)
     }
 
     /** Proof that this node has itself, as its peers may be told. */
-    fun own(): LeadershipClaim? = (
-        reachability.fresh().filter {
+    fun provenLeader(): LeadershipClaim? = (
+        reachability.freshPeers().filter {
             it.leading
         }.map { LeadershipClaim(it.node, it.epochSeen, reachability.provenAt(it.node)) } +
             listOfNotNull(freshStored())
@@ -47,7 +47,8 @@
     /** The leader in office, or null if that is not known; never this node. */
     fun leader(): LeadershipClaim? {
         val best =
-            (listOfNotNull(own()) + reachability.fresh().mapNotNull(::told)).maxByOrNull { it.epoch } ?: return null
+            (listOfNotNull(provenLeader()) + reachability.freshPeers().mapNotNull(::told)).maxByOrNull { it.epoch }
+                ?: return null
         return best.takeIf { it.node != ctx.settings.node && isInOffice(it) }
     }
 
@@ -57,7 +58,8 @@
      * hold.
      */
     private fun freshStored(): LeadershipClaim? = stored?.takeIf {
-        ctx.now - it.at < if (reachability.live().isEmpty()) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
+        ctx.now - it.at <
+            if (reachability.livePeers().isEmpty()) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
     }
 
     private fun told(peer: PeerStatus): LeadershipClaim? {
@@ -71,7 +73,7 @@
 
     private fun isInOffice(claim: LeadershipClaim): Boolean {
         if (claim.epoch < epochSeen) return false
-        val word = reachability.word(claim.node) ?: return true
+        val word = reachability.statusOf(claim.node) ?: return true
         // Exact, however late the word comes: an epoch that was resigned is over, and whoever knows of it without
         // leading does not lead.
         return word.resignedEpoch < claim.epoch && (word.leading || word.epochSeen < claim.epoch)
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -58,10 +58,10 @@
     }
 
     /** The newest word of [node], however old. */
-    fun word(node: String): PeerStatus? = peers[node]?.status
+    fun statusOf(node: String): PeerStatus? = peers[node]?.status
 
     /** Peers heard within the last few seconds. */
-    fun live(): List<PeerStatus> = peers.values.filter { ctx.now - it.at < FRESH_S }.map { it.status }
+    fun livePeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.at < FRESH_S }.map { it.status }
 
     /** When the newest word of [node] was surely not made yet, in seconds of our clock; negative infinity: unknown. */
     fun provenAt(node: String): Double = peers[node]?.provenAt ?: Double.NEGATIVE_INFINITY
@@ -75,16 +75,16 @@
     fun isFresh(node: String): Boolean = ctx.now - provenAt(node) < FRESH_S
 
     /** Peers whose newest word is surely new, in both directions: they hear us too. */
-    fun fresh(): List<PeerStatus> = peers.values.filter { ctx.now - it.provenAt < FRESH_S }.map { it.status }
+    fun freshPeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.provenAt < FRESH_S }.map { it.status }
 
     /** The newest frame that [node] is known to have sent, to be shown to it as proof; 0 if it sends no numbers. */
-    fun lastFrom(node: String): Long = peers[node]?.status?.links?.seq ?: 0L
+    fun lastSeqFrom(node: String): Long = peers[node]?.status?.links?.seq ?: 0L
 
     /** How long ago our frame [echo] was sent, in seconds; infinite if it is not remembered. */
-    fun ageOf(echo: Long): Double = sentAt[echo]?.let { ctx.now - it } ?: Double.POSITIVE_INFINITY
+    fun echoAgeS(echo: Long): Double = sentAt[echo]?.let { ctx.now - it } ?: Double.POSITIVE_INFINITY
 
     /** A node that has sent us numbers knows the frames that relay reports. */
-    fun relays(node: String): Boolean = word(node)?.links != null
+    fun supportsRelay(node: String): Boolean = statusOf(node)?.links != null
 
     /**
      * Whether the state service serves this node: the questions that every node asks all the time, whether somebody
@@ -94,7 +94,7 @@
         get() = storeMisses < 2 && !(ctx.now - storeSilentSince > STORE_SILENT_S)
 
     /** The state service is there for others and not for this node: users had better go to them. */
-    fun onlyOthersHaveStore(): Boolean = !storeReachable && live().any { it.stateReachable }
+    fun onlyOthersHaveStore(): Boolean = !storeReachable && livePeers().any { it.stateReachable }
 
     /** To be told of each regular question when it is sent, and of what became of it. */
     fun storeAsked() {
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -88,11 +88,11 @@
 
     /** Every other node has shown that it runs this version or a later one. */
     val allCurrent: Boolean get() = ctx.settings.peers.all {
-        (reachability.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL
+        (reachability.statusOf(it.node)?.level ?: 0) >= PeerCodec.LEVEL
     }
 
     /** A node of an older version is about: it will be replaced soon, so it had better not take the lead. */
-    private val olderAbout: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
+    private val olderAbout: Boolean get() = reachability.livePeers().any { it.level < PeerCodec.LEVEL }
 
     /** No leader before us can have renewed a worker's lease after this moment. */
     val othersSilent: Double get() = othersSilentFrom ?: (wonAt + ctx.outageGraceS)
@@ -149,11 +149,11 @@
 
     private fun noteLeader(item: StateItem?, askedAt: Double) {
         val record = item?.value as? LeaderRecord
-        routing.read(record?.node, item?.version ?: 0L, askedAt)
+        routing.onLeaderKeyRead(record?.node, item?.version ?: 0L, askedAt)
         if (item != null && record != null) {
-            succession.taken()
+            succession.onLeaderSeen()
             successor = null
-        } else if (!leading && !acquiring && succession.mayStand()) {
+        } else if (!leading && !acquiring && succession.mayAcquire()) {
             acquire()
         }
     }
@@ -230,8 +230,8 @@
 
     /** Steps down for the sake of workers that can't come here, and names who is reached by most of them. */
     fun yieldForWorkers(why: String) {
-        successor = succession.best()?.node
-        succession.lostWorkers()
+        successor = succession.preferredSuccessor()?.node
+        succession.onWorkersLost()
         yield("$why; next had better be ${successor ?: "anybody else"}", dropLease = true)
         // Told before the key is found free, or the first to look would take it.
         ctx.out.add(Effect.PeerSend(status(0, links(0))))
@@ -239,7 +239,7 @@
 
     /** What this node tells its peers of its links, as far as it does not concern machines. */
     fun links(recentWorkers: Int): ReachabilityReport {
-        val own = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.own()
+        val own = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.provenLeader()
         return reachability.report(recentWorkers, own, successor)
     }
 
--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -25,7 +25,7 @@
     private val fleet: Fleet,
 ) {
     private val log = LoggerFactory.getLogger("workers")
-    private val evidence = FaultAttribution(ctx, schedulerState, fleet)
+    private val faultAttribution = FaultAttribution(ctx, schedulerState, fleet)
 
     /** The orders for the answer to [r], or null if the report is an old one that must change nothing. */
     fun onHeartbeat(r: HeartbeatStatus): List<Order>? {
@@ -89,7 +89,7 @@
      * What is worth a direct command: stops, which do no harm when late, and a higher token, on which the worker checks
      * in within half a second and gets its `run` with the answer. Null if there is nothing of the kind.
      */
-    fun urgent(m: Machine): List<Order>? {
+    fun urgentOrders(m: Machine): List<Order>? {
         if (!m.unsent || !m.registered || m.address.isEmpty() || m.deleting) return null
         val stops = m.placements.values.filter { it.stopping != null && it.commanded && !it.stopPosted && !it.ended }
         stops.forEach { it.stopPosted = true }
@@ -182,7 +182,7 @@
             if (p.stage != t.stage) m.noteImage(image, p.job.spec.imageGb, ctx.now)
         }
         p.stage = t.stage
-        if (t.stage == TaskStage.RUNNING) evidence.runs(p)
+        if (t.stage == TaskStage.RUNNING) faultAttribution.runs(p)
     }
 
     /**
@@ -213,13 +213,13 @@
         val job = p.job
         val m = p.machine
         if (t.cause == ExitCause.DONE) {
-            evidence.succeeded(p)
+            faultAttribution.succeeded(p)
             schedulerState.complete(job, p.task)
         }
         when (t.cause) {
             ExitCause.ERROR -> {
                 if (p.runningSince > 0.0) job.longestFailS = maxOf(job.longestFailS, ctx.now - p.runningSince)
-                evidence.failed(p)
+                faultAttribution.failed(p)
             }
             ExitCause.NO_ROOM, ExitCause.BUSY -> m.blockedUntil = ctx.now + 5.0
             ExitCause.UNKNOWN -> job.backoffUntil = ctx.now + 2.0
@@ -253,7 +253,7 @@
      * Releases what is on machines whose worker's lease is surely over, and takes back what never left for one that has
      * gone quiet.
      */
-    fun releaseSilent() {
+    fun releaseExpired() {
         for (m in fleet.machines) {
             if (m.placements.isEmpty()) continue
             if (ctx.now >= fleet.surelyEmptyAt(m, leadership.othersSilent)) {
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -60,7 +60,7 @@
 
     private fun of(m: Machine): Reach = byMachine.getOrPut(m.ix.value) { Reach() }
 
-    fun cameStraight(m: Machine) {
+    fun onDirectHeartbeat(m: Machine) {
         val reach = of(m)
         reach.directAt = ctx.now
         m.group?.let { lastOpen[it.zone] = ctx.now }
@@ -72,8 +72,8 @@
      * it came. A worker that was at its node a lease ago has left it for a reason, and one that was sent there and is
      * here has not got there: both are served as they come for a while, longer each time.
      */
-    fun elsewhere(m: Machine, zone: String, through: String): String? {
-        val home = sessions.homeOf(m.id, zone) ?: return null
+    fun redirectTarget(m: Machine, zone: String, through: String): String? {
+        val home = sessions.assignedNode(m.id, zone) ?: return null
         val reach = of(m)
         if (reach.home != home) {
             reach.home = home
@@ -97,9 +97,9 @@
     }
 
     /** A report through another node. True if the worker had better come itself: the report is not taken then. */
-    fun cameThrough(m: Machine, zone: String): Boolean {
+    fun onIndirectHeartbeat(m: Machine, zone: String): Boolean {
         // As planned: its own way here is not known, and not asked for.
-        if (sessions.homeOf(m.id, zone) != null) return false
+        if (sessions.assignedNode(m.id, zone) != null) return false
         val reach = of(m)
         // Called before, and not here since: the way that the leader found open is closed to the worker.
         if (reach.calledAt > reach.directAt && reach.calledAt > reach.reachedAt) {
@@ -124,7 +124,7 @@
     }
 
     /** The machine answered a direct command: the way is open in both directions. */
-    fun reached(m: Machine) {
+    fun onCommandAnswered(m: Machine) {
         of(m).reachedAt = ctx.now
         m.group?.let {
             lastOpen[it.zone] = ctx.now
@@ -137,8 +137,8 @@
      * Out of reach for direct commands, which would go nowhere and take the place of others: its reports come through
      * other nodes, and either nobody of its zone comes straight or it was called in vain.
      */
-    fun onlyThroughOthers(m: Machine): Boolean {
-        if (sessions.homeOf(m) != null) return isShut(m)
+    fun isUnreachable(m: Machine): Boolean {
+        if (sessions.assignedNode(m) != null) return isShut(m)
         val reach = byMachine[m.ix.value] ?: return false
         return reach.relayedAt > maxOf(reach.directAt, reach.reachedAt) && (ctx.now < reach.notBefore || !isOpen(m))
     }
@@ -154,8 +154,8 @@
     }
 
     /** A command was sent to [m]. */
-    fun commanded(m: Machine) {
-        if (sessions.homeOf(m) != null) m.group?.let { unansweredSince.putIfAbsent(it.zone, ctx.now) }
+    fun onCommandSent(m: Machine) {
+        if (sessions.assignedNode(m) != null) m.group?.let { unansweredSince.putIfAbsent(it.zone, ctx.now) }
     }
 
     /** Somebody of the machine's zone has come straight, or was reached, within a report interval. */
@@ -163,7 +163,7 @@
         ctx.now - (lastOpen[m.group?.zone] ?: Machine.NEVER) < times.longestReportS
 
     /** Machines to be tried now: a few while nothing gets through, many once something does. */
-    fun toProbe(): List<Machine> {
+    fun machinesToProbe(): List<Machine> {
         if (quiet) return emptyList()
         val rate = if (ctx.now - lastReached < times.reportS) PROBES_OPEN else PROBES_SHUT
         probes = minOf(rate, probes + (ctx.now - probesAt) * rate)
@@ -188,14 +188,14 @@
     private fun isThrough(r: Reach): Boolean = r.relayedAt > r.directAt && ctx.now - r.relayedAt < times.reportS * 2
 
     /** For the peers, by zone: how many machines should come here, and how many of them have not come straight. */
-    fun zones(): List<ZoneReach> {
+    fun reachByZone(): List<ZoneReach> {
         val known = HashMap<String, Int>()
         val late = HashMap<String, Int>()
         val overdueS = times.longestReportS + 0.5
         for (m in fleet.machines) {
             val zone = m.group?.zone ?: continue
             if (m.returning ||
-                sessions.homeOf(m) != null ||
+                sessions.assignedNode(m) != null ||
                 !(m.registered || (failureDetector.firstAreBack && failureDetector.isAwaited(m)))
             ) {
                 continue
@@ -221,7 +221,7 @@
         if (now > 0 ||
             through > 0
         ) {
-            log.info("{} machines report through other nodes, {} before; by zone {}", now, through, zones())
+            log.info("{} machines report through other nodes, {} before; by zone {}", now, through, reachByZone())
         }
         through = now
     }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -42,7 +42,7 @@
     }
 
     private fun giveUpUnheard(silent: Int, known: Int, registered: Int) {
-        val peers = leadership.reachability.live()
+        val peers = leadership.reachability.livePeers()
         val unservedWorkers = peers.filter { it.stateReachable }.sumOf { it.unservedWorkers }
         val alone = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
         if (!alone && unservedWorkers * 2 <= known) return
@@ -62,7 +62,7 @@
         }
         if (mostlyThroughSince.isNaN()) mostlyThroughSince = ctx.now
         if (ctx.now - mostlyThroughSince < times.leaseS * DISTANT_LEASES) return
-        val best = leadership.succession.best() ?: return
+        val best = leadership.succession.preferredSuccessor() ?: return
         if (best.recentWorkers * 2 <= known) return
         leadership.yieldForWorkers(
             "$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}",
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -1,8 +1,8 @@
 package plankwall.core.relay
 
-import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Effect
+import plankwall.core.statemachine.TokenBucket
 import plankwall.wire.HeartbeatStatus
 import plankwall.wire.WorkerCodec
 
@@ -30,7 +30,7 @@
 /** The workers that reported to this node within a lease, and which of them nobody serves. */
 class SeenWorkers(private val ctx: Context) {
     private val workers = LinkedHashMap<String, SeenWorker>()
-    private val tries = Budget(ctx.time, TRIES_A_SECOND)
+    private val tries = TokenBucket(ctx.time, TRIES_A_SECOND)
     private val times = ctx.settings.workers
 
     /** Workers that turned up within a report interval, whatever became of them. */
@@ -66,7 +66,7 @@
     }
 
     /** [machine] answered a direct command of this node. */
-    fun reached(machine: String) {
+    fun onCommandAnswered(machine: String) {
         workers[machine]?.reached = true
     }
 
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -63,7 +63,7 @@
     val unservedWorkers: Int get() = workers.unserved
 
     /** [machine] answered a direct command of this node. */
-    fun reached(machine: String) = workers.reached(machine)
+    fun onCommandAnswered(machine: String) = workers.onCommandAnswered(machine)
 
     fun onHeartbeat(input: Input.Heartbeat) {
         val seen = workers.note(input.report)
@@ -94,10 +94,11 @@
     private fun homeOf(leader: LeadershipClaim, report: HeartbeatStatus): String? =
         planOf(leader)?.let { SessionAssignment.nodeFor(it, report.machine, report.zone) }
 
-    private fun planOf(leader: LeadershipClaim): SessionPlan? = reachability.word(leader.node)?.sessions?.plan?.takeIf {
-        it.epoch ==
-            leader.epoch
-    }
+    private fun planOf(leader: LeadershipClaim): SessionPlan? =
+        reachability.statusOf(leader.node)?.sessions?.plan?.takeIf {
+            it.epoch ==
+                leader.epoch
+        }
 
     private fun SeenWorker.keep(leader: LeadershipClaim) {
         sentTo = leader.epoch
@@ -121,7 +122,7 @@
         return scouts.merge(zone, 1, Int::plus).let { it != null && it <= SCOUTS }
     }
 
-    private fun wordOf(leader: LeadershipClaim): PeerStatus? = reachability.word(leader.node)?.takeIf {
+    private fun wordOf(leader: LeadershipClaim): PeerStatus? = reachability.statusOf(leader.node)?.takeIf {
         it.leading &&
             reachability.isFresh(leader.node)
     }
@@ -142,7 +143,7 @@
 
     private fun relay(input: Input.Heartbeat, leader: LeadershipClaim): Boolean {
         if (!reachability.isFresh(leader.node) ||
-            !reachability.relays(leader.node) ||
+            !reachability.supportsRelay(leader.node) ||
             waiting.size >= mostWaiting
         ) {
             return false
@@ -157,7 +158,7 @@
             return true
         }
         val message =
-            RelayedHeartbeat(ctx.settings.node, id, reachability.lastFrom(leader.node), input.from, input.report)
+            RelayedHeartbeat(ctx.settings.node, id, reachability.lastSeqFrom(leader.node), input.from, input.report)
         ctx.out.add(Effect.PeerSend(message, leader.node))
         return true
     }
@@ -187,14 +188,14 @@
 
     private fun refuse(request: RequestId, why: String) = ctx.out.answer(request, 503, JobCodec.error(why), 1)
 
-    fun answered(answer: RelayedAnswer) {
+    fun onAnswer(answer: RelayedAnswer) {
         // What was given up is answered already; its answer must not reach the worker's next request.
         val open = waiting[answer.id]?.takeIf { it.leader.node == answer.from } ?: return
         hand(answer.id, open, answer.status, answer.body)
     }
 
     /** Answers to reports that went in a batch: to those of this epoch alone, whichever node says so. */
-    fun answered(batch: AnswerBatch) {
+    fun onAnswer(batch: AnswerBatch) {
         for (answer in batch.answers) {
             val open =
                 waiting[answer.id]?.takeIf { it.leader.node == batch.from && it.leader.epoch == batch.epoch }
@@ -255,7 +256,7 @@
     }
 
     /** This node leads now: what waits for another leader is answered, and the workers are its own. */
-    fun leads() {
+    fun onLeadershipGained() {
         waiting.values.forEach { refuse(it.request, "the lead has passed on") }
         waiting.clear()
         workers.clear()
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -45,7 +45,7 @@
     ): Boolean {
         val batch =
             open?.takeIf { it.leader.epoch == leader.epoch }
-                ?: Open(leader, reachability.lastFrom(leader.node), ctx.now).also { open = it }
+                ?: Open(leader, reachability.lastSeqFrom(leader.node), ctx.now).also { open = it }
         val base = if (whole) {
             null
         } else {
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -52,7 +52,7 @@
         }
 
     /** The other node that serves the session of [machine], or null if it comes to the leader. */
-    fun homeOf(machine: String, zone: String): String? {
+    fun assignedNode(machine: String, zone: String): String? {
         val current = plan ?: return null
         return homes.getOrPut(machine) {
             SessionAssignment.nodeFor(current, machine, zone)?.takeIf {
@@ -62,7 +62,7 @@
         }
     }
 
-    fun homeOf(m: Machine): String? = m.group?.let { homeOf(m.id, it.zone) }
+    fun assignedNode(m: Machine): String? = m.group?.let { assignedNode(m.id, it.zone) }
 
     fun tick() {
         if (!enabled || ctx.now < nextLook) return
@@ -100,7 +100,7 @@
      * moment, all would be moved for nothing.
      */
     private fun nodesIn(): List<SessionNode> {
-        for (status in reachability.fresh()) {
+        for (status in reachability.freshPeers()) {
             val capacity = status.sessions?.capacity ?: 0
             if (capacity <= 0) continue
             val seen = nodesSeen.getOrPut(status.node) { Seen(ctx.now) }
--- a/src/main/kotlin/plankwall/core/statemachine/Context.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Context.kt
@@ -69,7 +69,7 @@
         cloudWaiting.remove(call)?.invoke(result)
     }
 
-    fun take(): List<Effect> {
+    fun drain(): List<Effect> {
         val taken = effects
         effects = ArrayList()
         return taken
@@ -77,7 +77,7 @@
 }
 
 /** A rate with a burst, of one second's worth where nothing else is said. */
-class Budget(private val time: Time, private var perSecond: Double, private var burst: Double = perSecond) {
+class TokenBucket(private val time: Time, private var perSecond: Double, private var burst: Double = perSecond) {
     private var left = burst
     private var at = 0.0
 
@@ -131,7 +131,7 @@
     val now: Double get() = time.now
 
     /** Runs [action] on the first tick after [delayS]. */
-    fun later(delayS: Double, action: () -> Unit) {
+    fun runAfter(delayS: Double, action: () -> Unit) {
         timers.add(Timer(now + delayS, action))
     }
 
--- a/src/main/kotlin/plankwall/core/store/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -2,8 +2,8 @@
 
 import org.slf4j.LoggerFactory
 import plankwall.core.election.Leadership
-import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.TokenBucket
 import plankwall.wire.Guard
 import plankwall.wire.Keys
 import plankwall.wire.StateCodec
@@ -25,12 +25,12 @@
     val limits = StoreLimits(ctx.settings)
 
     // The other nodes' submissions and withdrawals need a part of the common rate.
-    private val writes = Budget(ctx.time, ctx.settings.stateTight.writeRps * 0.75)
+    private val writes = TokenBucket(ctx.time, ctx.settings.stateTight.writeRps * 0.75)
 
     /** The newest revision that a write of this leader made; no other leader can have, or later get, a token of it. */
     var lastRevision = epoch
         private set
-    private val calls = Budget(ctx.time, ctx.settings.stateTight.rps * 0.4)
+    private val calls = TokenBucket(ctx.time, ctx.settings.stateTight.rps * 0.4)
 
     fun close() {
         active = false
@@ -98,7 +98,7 @@
         ctx.out.state(StateOp.Range(prefix, after, PAGE)) { result ->
             if (!active) return@state
             if (result !is StateResult.Items) {
-                ctx.later(0.3) { if (active) readFrom(prefix, after, found, firstRevision, then) }
+                ctx.runAfter(0.3) { if (active) readFrom(prefix, after, found, firstRevision, then) }
                 return@state
             }
             found.addAll(result.items)
--- a/src/main/kotlin/plankwall/gateway/GatewayLimits.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewayLimits.kt
@@ -1,15 +1,15 @@
 package plankwall.gateway
 
-import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Time
+import plankwall.core.statemachine.TokenBucket
 
 /**
  * How often each of many may still be denied before it is no longer judged. Bounded: the one unseen for longest is
  * forgotten, and may begin anew.
  */
 class GatewayLimits(private val time: Time, private val perSecond: Double, private val burst: Double) {
-    private val budgets = object : LinkedHashMap<String, Budget>(16, 0.75f, true) {
-        override fun removeEldestEntry(eldest: Map.Entry<String, Budget>): Boolean = size > MAX_NAMES
+    private val budgets = object : LinkedHashMap<String, TokenBucket>(16, 0.75f, true) {
+        override fun removeEldestEntry(eldest: Map.Entry<String, TokenBucket>): Boolean = size > MAX_NAMES
     }
     private val shed = LinkedHashMap<String, Int>()
 
@@ -21,7 +21,9 @@
         return true
     }
 
-    fun denied(name: String) = budgets.getOrPut(name) { Budget(time, perSecond, burst).also { it.spend(0) } }.spend(1)
+    fun denied(name: String) = budgets.getOrPut(name) {
+        TokenBucket(time, perSecond, burst).also { it.spend(0) }
+    }.spend(1)
 
     fun retryAfterS(): Int = maxOf(1, (1 / perSecond).toInt())
 
--- a/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
@@ -30,7 +30,7 @@
         collect()
     }
 
-    private fun collect() = ctx.out.take().forEach { open.addLast(it as Effect.StateCall) }
+    private fun collect() = ctx.out.drain().forEach { open.addLast(it as Effect.StateCall) }
 
     private fun answer(result: StateResult) {
         ctx.out.resume(open.removeFirst().call, result)
--- a/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
@@ -19,7 +19,7 @@
     private fun win() {
         core.leadership.tick()
         repeat(3) {
-            val call = ctx.out.take().filterIsInstance<Effect.StateCall>().single()
+            val call = ctx.out.drain().filterIsInstance<Effect.StateCall>().single()
             ctx.out.resume(
                 call.call,
                 when (call.op) {
--- a/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
+++ b/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
@@ -53,8 +53,8 @@
         val node = what.substringBefore('@')
         val epoch = what.substringAfter('@', "0").toLongOrNull() ?: 0L
         when (kind) {
-            "read" -> routing.read(node, epoch, ctx.now)
-            "free" -> routing.read(null, 0, ctx.now)
+            "read" -> routing.onLeaderKeyRead(node, epoch, ctx.now)
+            "free" -> routing.onLeaderKeyRead(null, 0, ctx.now)
             "leads" -> hear(node, epoch, true, links = links(seq, mine))
             "late" -> mine.let { echo ->
                 ctx.time.advance(ctx.now + 60.0, 0)
@@ -138,10 +138,10 @@
                 ),
             )
         reachability.onStatus(status)
-        if (lost) succession.lostWorkers()
+        if (lost) succession.onWorkersLost()
         assertEquals(named == "n0", succession.onStatus(status))
         var waited = 0.0
-        while (!succession.mayStand() && waited < 5.0) {
+        while (!succession.mayAcquire() && waited < 5.0) {
             waited += 0.1
             ctx.time.advance(100.0 + waited, 0)
         }
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -10,7 +10,7 @@
 /** Who is blamed after tasks of jobs 1, 2, … failed (-) or were done (+) on machines A, B, …, in this order. */
 class FaultAttributionTest {
     private val core = CoreParts()
-    private val evidence = FaultAttribution(core.ctx, core.schedulerState, core.fleet)
+    private val faultAttribution = FaultAttribution(core.ctx, core.schedulerState, core.fleet)
 
     private fun job(number: Int): Job =
         core.schedulerState.find("job-%06d".format(number)) ?: core.learn(SimulatedCluster.job(number, tasks = 20))
@@ -39,10 +39,10 @@
                 core.schedulerState.newAttempt(),
             )
             if ('+' in e) {
-                evidence.succeeded(p)
+                faultAttribution.succeeded(p)
                 core.schedulerState.complete(job, p.task)
             } else {
-                evidence.failed(p)
+                faultAttribution.failed(p)
             }
             core.schedulerState.release(p, "ended")
         }
@@ -59,7 +59,7 @@
     fun `is tried again ever more rarely`(failures: Int, pauseS: Double) {
         val job = job(1)
         repeat(failures) { n ->
-            evidence.failed(
+            faultAttribution.failed(
                 core.schedulerState.place(job, job.waiting.first(), core.machine("m$n"), 1).also {
                     core.schedulerState.release(it, "ended")
                 },
@@ -73,13 +73,13 @@
     fun `running on for a while clears a job as much as its end`(ranS: Double, doubtful: Boolean) {
         val job = job(1)
         listOf("A", "B").forEach {
-            evidence.failed(core.schedulerState.place(job, job.waiting.first(), core.machine(it), 1))
+            faultAttribution.failed(core.schedulerState.place(job, job.waiting.first(), core.machine(it), 1))
         }
         val p = core.schedulerState.place(job, job.waiting.first(), core.machine("C"), 2).apply {
             runningSince =
                 core.ctx.now - ranS
         }
-        evidence.runs(p)
+        faultAttribution.runs(p)
         assertEquals(doubtful, job.doubtful)
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -21,7 +21,7 @@
 class HeartbeatHandlerTest {
     private val core = CoreParts()
     private val schedulerState = core.schedulerState
-    private val desk = HeartbeatHandler(core.ctx, core.leadership, schedulerState, core.fleet)
+    private val handler = HeartbeatHandler(core.ctx, core.leadership, schedulerState, core.fleet)
 
     private fun report(machine: String, seq: Long, tasks: List<TaskStatus>) =
         HeartbeatStatus(machine, "addr:$machine", "box", "a", false, 1, seq, 0, null, tasks)
@@ -37,10 +37,10 @@
     fun `a copy of an earlier session as the first word bars a machine only until it shows our token`() {
         core.lead()
         val m = core.machine("i-1")
-        desk.onHeartbeat(word(session = 1, seq = 5, token = 2))
-        desk.onHeartbeat(word(session = 2, seq = 9, token = 2))
+        handler.onHeartbeat(word(session = 1, seq = 5, token = 2))
+        handler.onHeartbeat(word(session = 2, seq = 9, token = 2))
         assertFalse(placer.usable(m), "it may be one that hears nobody")
-        desk.onHeartbeat(word(session = 2, seq = 10, token = CoreParts.EPOCH))
+        handler.onHeartbeat(word(session = 2, seq = 10, token = CoreParts.EPOCH))
         assertTrue(placer.usable(m))
     }
 
@@ -48,11 +48,11 @@
     fun `a machine that heard us once and lost its lease though answered is barred for a lease`() {
         core.lead()
         val m = core.machine("i-1")
-        desk.onHeartbeat(word(session = 1, seq = 5, token = CoreParts.EPOCH))
-        desk.onHeartbeat(word(session = 2, seq = 9, token = CoreParts.EPOCH))
+        handler.onHeartbeat(word(session = 1, seq = 5, token = CoreParts.EPOCH))
+        handler.onHeartbeat(word(session = 2, seq = 9, token = CoreParts.EPOCH))
         assertFalse(placer.usable(m))
         wait(core.ctx.surelyOverS)
-        desk.onHeartbeat(word(session = 2, seq = 12, token = CoreParts.EPOCH))
+        handler.onHeartbeat(word(session = 2, seq = 12, token = CoreParts.EPOCH))
         assertTrue(placer.usable(m))
     }
 
@@ -63,17 +63,17 @@
     ) {
         core.lead()
         val m = core.machine("i-1")
-        desk.onHeartbeat(word(session = 1, seq = 5, token = 2))
+        handler.onHeartbeat(word(session = 1, seq = 5, token = 2))
         val p = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, m, 7).apply { stored = true }
-        if (commanded) desk.onHeartbeat(word(session = 1, seq = 6, token = 2))
+        if (commanded) handler.onHeartbeat(word(session = 1, seq = 6, token = 2))
         wait(core.ctx.settings.workers.missedS - 0.1)
-        desk.releaseSilent()
+        handler.releaseExpired()
         assertTrue(p.job.placements[0] === p, "not late yet")
         wait(0.2)
-        desk.releaseSilent()
+        handler.releaseExpired()
         assertEquals(commanded, p.job.placements[0] === p)
         assertEquals(commanded, placer.usable(m), "nothing more is placed in vain")
-        desk.onHeartbeat(word(session = 1, seq = 8, token = 2))
+        handler.onHeartbeat(word(session = 1, seq = 8, token = 2))
         assertTrue(placer.usable(m))
     }
 
@@ -86,9 +86,9 @@
             commanded = true
         }
         schedulerState.stop(p, StopCause.CANCELLED, 0.0)
-        desk.onHeartbeat(word(session = 1, seq = 3, token = 2))
+        handler.onHeartbeat(word(session = 1, seq = 3, token = 2))
         assertTrue(p.job.placements[0] === p)
-        desk.onHeartbeat(word(session = 1, seq = 9, token = CoreParts.EPOCH))
+        handler.onHeartbeat(word(session = 1, seq = 9, token = CoreParts.EPOCH))
         assertTrue(p.job.placements.isEmpty())
     }
 
@@ -112,15 +112,15 @@
         val job = core.learn(spec)
         val placed = listOf("i-1", "i-2").mapIndexed { task, name ->
             val m = core.fleet.machine(name)
-            desk.onHeartbeat(report(name, 1, emptyList()))
+            handler.onHeartbeat(report(name, 1, emptyList()))
             schedulerState.place(job, task, m, 7).apply { stored = true }
         }
-        desk.onHeartbeat(report("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
+        handler.onHeartbeat(report("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
         when (mate) {
             "stopping" -> placed[1].apply { commanded = true }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
-        val answer = desk.onHeartbeat(
+        val answer = handler.onHeartbeat(
             report("i-1", 3, listOf(TaskStatus(spec.id, 0, 7, TaskStage.EXITED, cause, false))),
         ).orEmpty()
         assertEquals(orders, answer.filter { it.task == 0 }.joinToString(" ") { it.op.name })
--- a/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -58,7 +58,7 @@
         reachability.onStatus(PeerStatus("n1", 1, epoch, true, 0, true, 0, 2, links, null, SessionUpdate(100, plan)))
     }
 
-    private fun told(): String = ctx.out.take().joinToString(" ") {
+    private fun told(): String = ctx.out.drain().joinToString(" ") {
         when (it) {
             is Effect.Answer -> "${it.status}"
             is Effect.PeerSend -> when (val m = it.message) {
@@ -91,7 +91,7 @@
         ),
     )
 
-    private fun answers(w: List<String>) = relay.answered(
+    private fun answers(w: List<String>) = relay.onAnswer(
         AnswerBatch(
             w[1],
             w[2].toLong(),
@@ -129,10 +129,10 @@
                 )
             }
             word.startsWith("answer") -> word.split(':').let {
-                relay.answered(RelayedAnswer(it[1], lastId, it[2].toInt(), byteArrayOf(1)))
+                relay.onAnswer(RelayedAnswer(it[1], lastId, it[2].toInt(), byteArrayOf(1)))
             }
-            word == "lead" -> relay.leads()
-            word.startsWith("reached:") -> relay.reached("i-${word.drop(8)}")
+            word == "lead" -> relay.onLeadershipGained()
+            word.startsWith("reached:") -> relay.onCommandAnswered("i-${word.drop(8)}")
             word == "strays" -> return "${relay.unservedWorkers}"
             else -> error(word)
         }
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -65,7 +65,7 @@
 
     private fun win(ctx: Context, leadership: Leadership) {
         fun answer(result: (StateOp) -> StateResult) =
-            ctx.out.take().filterIsInstance<plankwall.core.statemachine.Effect.StateCall>().forEach {
+            ctx.out.drain().filterIsInstance<plankwall.core.statemachine.Effect.StateCall>().forEach {
                 ctx.out.resume(it.call, result(it.op))
             }
         leadership.tick()
