--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -96,11 +96,11 @@
 
     /** Every other node has shown that it runs this version or a later one. */
     val allNodesCurrent: Boolean get() = ctx.settings.peers.all {
-        (reachability.word(it.node)?.level ?: 0) >= PeerCodec.LEVEL
+        (reachability.statusOf(it.node)?.level ?: 0) >= PeerCodec.LEVEL
     }
 
     /** A node of an older version runs: it will be replaced soon, so it should not be elected. */
-    private val isOlderNodeLive: Boolean get() = reachability.live().any { it.level < PeerCodec.LEVEL }
+    private val isOlderNodeLive: Boolean get() = reachability.livePeers().any { it.level < PeerCodec.LEVEL }
 
     /** No leader before this one can have renewed a worker's lease after this moment. */
     val olderLeadersSilentAt: Double get() = olderLeaders.silentAt(wonAt)
@@ -146,11 +146,11 @@
 
     private fun onLeaderRecord(item: StateItem?, askedAt: Double) {
         val record = item?.value as? LeaderRecord
-        routing.read(record?.node, item?.version ?: 0L, askedAt)
+        routing.onLeaderKeyRead(record?.node, item?.version ?: 0L, askedAt)
         if (item != null && record != null) {
-            candidatePriority.taken()
+            candidatePriority.onLeaderSeen()
             successor = null
-        } else if (!leading && !isCandidate && candidatePriority.mayStand()) {
+        } else if (!leading && !isCandidate && candidatePriority.mayAcquire()) {
             standForElection()
         }
     }
@@ -211,8 +211,8 @@
 
     /** Steps down since workers can't reach this node, and proposes the peer that most of them reach. */
     fun resignForWorkers(reason: String) {
-        successor = candidatePriority.best()?.node
-        candidatePriority.lostWorkers()
+        successor = candidatePriority.preferredSuccessor()?.node
+        candidatePriority.onWorkersLost()
         resign("$reason; proposed successor: ${successor ?: "any"}", dropLease = true)
         // Sent before the key is found free, or the first to poll would take it.
         ctx.out.add(Effect.PeerSend(status(0, reachabilityReport(0))))
@@ -220,7 +220,7 @@
 
     /** What this node reports to its peers about its links, machines aside. */
     fun reachabilityReport(recentWorkers: Int): ReachabilityReport {
-        val leader = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.own()
+        val leader = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.provenLeader()
         return reachability.report(recentWorkers, leader, successor)
     }
 
