--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -189,7 +189,7 @@
      * A gang task whose mates took longer over their images than it may wait. The others still wait or fetch, and the
      * same attempt, started here again, completes the gang; giving it up would throw away every fetch under way.
      */
-    private fun waitsOn(p: Placement, t: TaskStatus): Boolean = t.cause == ExitCause.ALONE &&
+    private fun waitsOn(p: Placement, t: TaskStatus): Boolean = t.cause == ExitCause.GANG_INCOMPLETE &&
         p.stopping == null &&
         !p.ended &&
         !p.machine.returning &&
@@ -221,7 +221,7 @@
                 if (p.runningSince > 0.0) job.longestFailS = maxOf(job.longestFailS, ctx.now - p.runningSince)
                 evidence.failed(p)
             }
-            ExitCause.NO_ROOM, ExitCause.BUSY -> m.blockedUntil = ctx.now + 5.0
+            ExitCause.INSUFFICIENT_RESOURCES, ExitCause.OTHER_ATTEMPT_PRESENT -> m.blockedUntil = ctx.now + 5.0
             ExitCause.UNKNOWN -> job.backoffUntil = ctx.now + 2.0
             else -> Unit
         }
--- a/src/main/kotlin/plankwall/wire/AdminCodec.kt
+++ b/src/main/kotlin/plankwall/wire/AdminCodec.kt
@@ -1,7 +1,8 @@
 package plankwall.wire
 
-/** Requests about rights and trail, and their answers. */
+/** Requests of administrators about the policy and the audit log, and their answers. Those that read throw [MalformedMessageException]. */
 object AdminCodec {
+    /** A policy to publish after version [base]: a new [text], or the text of the earlier version [to]. */
     class Publication(val base: Long, val text: String?, val to: Long?)
 
     /** `{"base":3,"text":"…"}` publishes, `{"base":3,"to":1}` goes back to an earlier version's text. */
@@ -17,7 +18,7 @@
             }
         }
         Publication(
-            base ?: throw MalformedMessageException("base: missing: the version that this is to follow"),
+            base ?: throw MalformedMessageException("base", "missing: the version that this is to follow"),
             text,
             to,
         )
@@ -37,6 +38,7 @@
         }
     }
 
+    /** A published policy version. */
     class RightsView(val version: Long, val by: String, val atMs: Long, val text: String)
 
     fun rights(version: Long, by: String, atMs: Long, text: String): ByteArray = writeJson {
@@ -51,26 +53,25 @@
     fun readRights(bytes: ByteArray): RightsView = parseJson(bytes) { p ->
         var version = 0L
         var by = ""
-        var at = 0L
+        var atMs = 0L
         var text = ""
         p.fields { name ->
             when (name) {
                 "version" -> version = whole(name)
                 "by" -> by = text(name)
-                "at_ms" -> at = whole(name)
+                "at_ms" -> atMs = whole(name)
                 "text" -> text = text(name)
             }
         }
-        RightsView(version, by, at, text)
+        RightsView(version, by, atMs, text)
     }
 
     fun published(version: Long): ByteArray = writeJson { obj { writeNumberField("version", version) } }
 
-    fun segment(s: AuditSegment): ByteArray = writeJson { AccessRecordCodec.write(this, s) }
+    fun segment(segment: AuditSegment): ByteArray = writeJson { AccessRecordCodec.write(this, segment) }
 
-    fun seal(s: AuditSeal): ByteArray = writeJson { AccessRecordCodec.write(this, s) }
+    fun seal(seal: AuditSeal): ByteArray = writeJson { AccessRecordCodec.write(this, seal) }
 
-    /** Throws [MalformedMessageException]. */
     fun readSegment(bytes: ByteArray): AuditSegment = parseJson(bytes) {
         AccessRecordCodec.read(AccessKeys.TRAIL, it) as? AuditSegment
             ?: throw MalformedMessageException("no segment")
--- a/src/main/kotlin/plankwall/wire/CancellationCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CancellationCodec.kt
@@ -2,26 +2,31 @@
 
 import okio.Buffer
 
-/** The part of a status frame that tells of withdrawn jobs. A later version adds to its end. */
+/** The part of a status frame that lists cancelled jobs. A later version adds to its end. */
 internal object CancellationCodec {
-    fun write(b: Buffer, w: CancellationUpdate) {
-        b.writeLong(w.first).writeInt(w.jobs.size)
-        w.jobs.forEach { b.name(it) }
-        b.writeLong(w.readAgeMs).writeLong(w.upMs)
+    fun write(buffer: Buffer, update: CancellationUpdate) {
+        buffer.writeLong(update.first).writeInt(update.jobs.size)
+        update.jobs.forEach { buffer.name(it) }
+        buffer.writeLong(update.readAgeMs).writeLong(update.upMs)
     }
 
-    /** A list that can't be read whole is no list: the frame is dropped, and its sender vouches for nothing by it. */
-    fun read(b: Buffer): CancellationUpdate {
-        val first = b.readLong()
-        val jobs = b.readList {
-            b.readName().also { if (!JobCodec.isJobId(it)) throw MalformedMessageException("peer: no job's id") }
+    /**
+     * Throws [MalformedMessageException] for a list that can't be read whole: the frame is dropped then, and its sender
+     * confirms nothing by it.
+     */
+    fun read(buffer: Buffer): CancellationUpdate {
+        val first = buffer.readLong()
+        val jobs = buffer.readList { readJobId(buffer) }
+        val update = CancellationUpdate(first, jobs, buffer.readLong(), buffer.readLong())
+        if (first < 1 || update.upMs < 0) {
+            throw MalformedMessageException("peer", "a list of withdrawn jobs that begins nowhere")
         }
-        val news = CancellationUpdate(first, jobs, b.readLong(), b.readLong())
-        if (first < 1 ||
-            news.upMs < 0
-        ) {
-            throw MalformedMessageException("peer: a list of withdrawn jobs that begins nowhere")
-        }
-        return news
+        return update
+    }
+
+    private fun readJobId(buffer: Buffer): String {
+        val id = buffer.readName()
+        if (!JobCodec.isJobId(id)) throw MalformedMessageException("peer", "no job's id")
+        return id
     }
 }
--- a/src/main/kotlin/plankwall/wire/CloudCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CloudCodec.kt
@@ -7,50 +7,13 @@
 import plankwall.model.MachineType
 import plankwall.model.Resources
 
-enum class ListedState { BOOTING, RUNNING, FAILED }
-
-data class ListedMachine(
-    val id: String,
-    val address: String,
-    val group: GroupKey,
-    val state: ListedState,
-    val ageS: Double,
-)
-
-sealed interface CloudOp {
-    data object GetCatalog : CloudOp
-
-    data class Rent(val request: String, val group: GroupKey, val count: Int) : CloudOp
-
-    data class Delete(val machines: List<String>) : CloudOp
-
-    data class ListMachines(val after: String?, val limit: Int) : CloudOp
-}
-
-sealed interface CloudResult {
-    data class CatalogRead(val catalog: Catalog) : CloudResult
-
-    data class Rented(val machines: List<String>) : CloudResult
-
-    data object NoCapacity : CloudResult
-
-    data object Deleted : CloudResult
-
-    data class Listed(val machines: List<ListedMachine>, val more: Boolean) : CloudResult
-
-    /** 400: this request will never be served as it stands. */
-    data object Malformed : CloudResult
-
-    /** Refused or unanswered: may have been executed, is to be repeated. */
-    data object Trouble : CloudResult
-}
-
+/** Requests to the cloud, and its answers. Those that read throw [MalformedMessageException]. */
 object CloudCodec {
     fun catalog(bytes: ByteArray): Catalog = parseJson(bytes) { readCatalog(it) }
 
-    internal fun readCatalog(p: JsonParser): Catalog {
+    private fun readCatalog(p: JsonParser): Catalog {
         val types = ArrayList<MachineType>()
-        p.fields { name -> if (name == "builds") elements { types.add(type()) } }
+        p.fields { name -> if (name == Fields.MACHINE_TYPES) elements { types.add(type()) } }
         return Catalog(types)
     }
 
@@ -59,7 +22,7 @@
         var more = 0
         p.fields { name ->
             when (name) {
-                "builds" -> elements { types.add(type()) }
+                Fields.MACHINE_TYPES -> elements { types.add(type()) }
                 "more" -> more = intValue
             }
         }
@@ -69,67 +32,75 @@
     private fun JsonParser.type(): MachineType {
         var typeName = ""
         var capacity = Resources.NONE
-        var cache = 0.0
-        var fetch = 0.0
+        var cacheGb = 0.0
+        var fetchGbPerS = 0.0
         var price = 0.0
         var spotPrice = 0.0
-        var boot = 0.0
+        var bootS = 0.0
         val zones = ArrayList<String>()
         fields { name ->
             when (name) {
                 "name" -> typeName = text(name)
-                "cores" -> capacity = capacity.copy(cpus = Resources.capacity(decimal(name)))
-                "accelerators" -> capacity = capacity.copy(gpus = Resources.capacity(decimal(name)))
-                "ram_gb" -> capacity = capacity.copy(memory = Resources.capacity(decimal(name)))
-                "cache_gb" -> cache = double(name)
-                "pull_gb_per_s" -> fetch = double(name)
-                "rate" -> price = double(name)
-                "low_price" -> spotPrice = doubleOrNull(name) ?: 0.0
-                "ready_s" -> boot = double(name)
-                "yards" -> elements { zones.add(text(name)) }
+                Fields.CPUS -> capacity = capacity.copy(cpus = Resources.capacity(decimal(name)))
+                Fields.GPUS -> capacity = capacity.copy(gpus = Resources.capacity(decimal(name)))
+                Fields.MEMORY_GB -> capacity = capacity.copy(memory = Resources.capacity(decimal(name)))
+                "cache_gb" -> cacheGb = double(name)
+                Fields.FETCH_GB_PER_S -> fetchGbPerS = double(name)
+                Fields.PRICE -> price = double(name)
+                Fields.SPOT_PRICE -> spotPrice = doubleOrNull(name) ?: 0.0
+                Fields.BOOT_S -> bootS = double(name)
+                Fields.ZONES -> elements { zones.add(text(name)) }
             }
         }
-        if (typeName.isEmpty()) throw MalformedMessageException("catalogue: a type without a name")
-        return MachineType(typeName, capacity, cache, fetch.coerceAtLeast(0.001), price, spotPrice, boot, zones)
+        if (typeName.isEmpty()) throw MalformedMessageException("catalogue", "a type without a name")
+        return MachineType(
+            typeName,
+            capacity,
+            cacheGb,
+            fetchGbPerS.coerceAtLeast(MIN_FETCH_GB_PER_S),
+            price,
+            spotPrice,
+            bootS,
+            zones,
+        )
     }
 
-    internal fun writeCatalog(g: JsonGenerator, catalog: Catalog, more: Int) = g.obj {
+    /** [more]: how many further keys hold the rest of a stored catalogue, see [CatalogRecord]. */
+    internal fun writeCatalog(generator: JsonGenerator, catalog: Catalog, more: Int) = generator.obj {
         if (more > 0) writeNumberField("more", more)
-        arr("builds") {
-            catalog.types.forEach { t ->
-                obj {
-                    writeStringField("name", t.name)
-                    writeNumberField("cores", t.capacity.cpus / 1000.0)
-                    writeNumberField("accelerators", t.capacity.gpus / 1000.0)
-                    writeNumberField("ram_gb", t.capacity.memory / 1000.0)
-                    writeNumberField("cache_gb", t.cacheGb)
-                    writeNumberField("pull_gb_per_s", t.fetchGbPerS)
-                    writeNumberField("rate", t.price)
-                    writeNumberField("low_price", t.spotPrice)
-                    writeNumberField("ready_s", t.bootS)
-                    arr("yards") { t.zones.forEach { writeString(it) } }
-                }
-            }
-        }
+        arr(Fields.MACHINE_TYPES) { catalog.types.forEach { type(it) } }
+    }
+
+    private fun JsonGenerator.type(type: MachineType) = obj {
+        writeStringField("name", type.name)
+        writeNumberField(Fields.CPUS, type.capacity.cpus / 1000.0)
+        writeNumberField(Fields.GPUS, type.capacity.gpus / 1000.0)
+        writeNumberField(Fields.MEMORY_GB, type.capacity.memory / 1000.0)
+        writeNumberField("cache_gb", type.cacheGb)
+        writeNumberField(Fields.FETCH_GB_PER_S, type.fetchGbPerS)
+        writeNumberField(Fields.PRICE, type.price)
+        writeNumberField(Fields.SPOT_PRICE, type.spotPrice)
+        writeNumberField(Fields.BOOT_S, type.bootS)
+        arr(Fields.ZONES) { type.zones.forEach { writeString(it) } }
     }
 
     fun rent(op: CloudOp.Rent): ByteArray = writeJson {
         obj {
-            writeStringField("charter", op.request)
-            writeStringField("build", op.group.type)
-            writeStringField("yard", op.group.zone)
-            writeBooleanField("loaners", op.group.spot)
-            writeNumberField("how_many", op.count)
+            writeStringField(Fields.REQUEST_ID, op.request)
+            writeStringField(Fields.MACHINE_TYPE, op.group.type)
+            writeStringField(Fields.ZONE, op.group.zone)
+            writeBooleanField(Fields.SPOT, op.group.spot)
+            writeNumberField(Fields.COUNT, op.count)
         }
     }
 
     fun delete(op: CloudOp.Delete): ByteArray = writeJson {
-        obj { arr("berths") { op.machines.forEach { writeString(it) } } }
+        obj { arr(Fields.MACHINES) { op.machines.forEach { writeString(it) } } }
     }
 
     fun rented(bytes: ByteArray): CloudResult = parseJson(bytes) { p ->
         val machines = ArrayList<String>()
-        p.fields { name -> if (name == "berths") elements { machines.add(text(name)) } }
+        p.fields { name -> if (name == Fields.MACHINES) elements { machines.add(text(name)) } }
         CloudResult.Rented(machines)
     }
 
@@ -138,8 +109,8 @@
         var more = false
         p.fields { name ->
             when (name) {
-                "berths" -> elements { machines.add(machine()) }
-                "has_next" -> more = flag(name)
+                Fields.MACHINES -> elements { machines.add(machine()) }
+                Fields.HAS_MORE -> more = flag(name)
             }
         }
         CloudResult.Listed(machines, more)
@@ -152,23 +123,26 @@
         var zone = ""
         var spot = false
         var state = ListedState.BOOTING
-        var age = 0.0
+        var ageS = 0.0
         fields { name ->
             when (name) {
                 "id" -> id = text(name)
                 "address" -> address = textOrNull(name).orEmpty()
-                "build" -> type = text(name)
-                "yard" -> zone = text(name)
-                "loaners" -> spot = flag(name)
+                Fields.MACHINE_TYPE -> type = text(name)
+                Fields.ZONE -> zone = text(name)
+                Fields.SPOT -> spot = flag(name)
                 "stage" -> state = when (text(name)) {
                     "running" -> ListedState.RUNNING
                     "failed" -> ListedState.FAILED
                     else -> ListedState.BOOTING
                 }
-                "held_s" -> age = double(name)
+                Fields.AGE_S -> ageS = double(name)
             }
         }
-        if (id.isEmpty()) throw MalformedMessageException("list: a machine without a name")
-        return ListedMachine(id, address, GroupKey(type, zone, spot), state, age)
+        if (id.isEmpty()) throw MalformedMessageException("list", "a machine without a name")
+        return ListedMachine(id, address, GroupKey(type, zone, spot), state, ageS)
     }
+
+    /** Keeps fetch times finite. */
+    private const val MIN_FETCH_GB_PER_S = 0.001
 }
--- a/src/main/kotlin/plankwall/wire/FrameParts.kt
+++ b/src/main/kotlin/plankwall/wire/FrameParts.kt
@@ -16,13 +16,13 @@
 
 internal fun Buffer.readName(): String {
     val size = readInt()
-    if (size !in 1..MAX_NAME) throw MalformedMessageException("peer: bad name")
+    if (size !in 1..MAX_NAME) throw MalformedMessageException("peer", "bad name")
     return readUtf8(size.toLong())
 }
 
 internal fun Buffer.readText(): String? {
     val size = readInt()
-    if (size !in 0..MAX_TEXT) throw MalformedMessageException("peer: bad text")
+    if (size !in 0..MAX_TEXT) throw MalformedMessageException("peer", "bad text")
     return readUtf8(size.toLong()).ifEmpty { null }
 }
 
@@ -30,14 +30,16 @@
 
 internal fun Buffer.readFlag(): Boolean = readByte().toInt() == 1
 
-/** A list behind its length. The bound keeps a forged length from taking the memory. */
+/** A list after its length. The bound keeps a forged length from exhausting the memory. */
 internal inline fun <T> Buffer.readList(item: () -> T): List<T> {
     val count = readInt()
-    if (count !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer: $count entries")
+    if (count !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer", "$count entries")
     return List(count) { item() }
 }
 
+/** The ordinal; -1 for null. */
 internal fun <E : Enum<E>> E?.code(): Int = this?.ordinal ?: -1
 
+/** The constant with the ordinal [code]; null for -1. */
 internal fun <E : Enum<E>> List<E>.ofCode(code: Int): E? =
-    if (code == -1) null else getOrNull(code) ?: throw MalformedMessageException("peer: unknown word $code")
+    if (code == -1) null else getOrNull(code) ?: throw MalformedMessageException("peer", "unknown word $code")
--- a/src/main/kotlin/plankwall/wire/FrameSeal.kt
+++ b/src/main/kotlin/plankwall/wire/FrameSeal.kt
@@ -1,15 +1,19 @@
 package plankwall.wire
 
-/** Proves frames between controllers, where the operators gave them keys. */
+/** Authenticates frames between controllers, where the operators configured keys. */
 interface FrameSeal {
-    /** Bytes that a seal adds at the most. */
+    /** The most bytes that a seal adds to a frame. */
     val overhead: Int
 
+    /** Signs [frame] at wall-clock [wallMs]. */
     fun seal(frame: ByteArray, wallMs: Long): ByteArray
 
-    /** What [sealed] says; null if it is not believed. Throws [MalformedMessageException] if it is believed and says nothing known. */
+    /**
+     * The message in [sealed]; null if it is not authentic. Throws [MalformedMessageException] for an authentic frame
+     * that can't be read.
+     */
     fun open(sealed: ByteArray, wallMs: Long): PeerMessage?
 
-    /** Whether a link from [address] may be opened at all. */
+    /** Whether [address] may open a connection at all. */
     fun admits(address: String): Boolean
 }
--- a/src/main/kotlin/plankwall/wire/Json.kt
+++ b/src/main/kotlin/plankwall/wire/Json.kt
@@ -9,15 +9,25 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigDecimal
 
-/** A message that is not what the protocol says. Carries the reason for the log or the user. */
-class MalformedMessageException(reason: String) : Exception(reason, null, false, false)
-
 internal val jsonFactory: JsonFactory = JsonFactory.builder()
     .streamReadConstraints(
-        StreamReadConstraints.builder().maxNestingDepth(40).maxNumberLength(100).maxStringLength(16 shl 20).build(),
+        StreamReadConstraints.builder()
+            .maxNestingDepth(MAX_DEPTH)
+            .maxNumberLength(MAX_NUMBER_LENGTH)
+            .maxStringLength(MAX_STRING_LENGTH)
+            .build(),
     ).build()
 
-/** Reads [bytes] as one JSON value and nothing behind it; whatever is wrong with it becomes a [MalformedMessageException]. */
+private const val MAX_DEPTH = 40
+private const val MAX_NUMBER_LENGTH = 100
+private const val MAX_STRING_LENGTH = 16 shl 20
+private const val MAX_INTEGER_DIGITS = 18
+private const val MAX_DECIMALS = 60
+
+/**
+ * Reads [bytes] as one JSON value and nothing behind it; throws [MalformedMessageException] for whatever is wrong with
+ * it.
+ */
 internal inline fun <T> parseJson(bytes: ByteArray, read: (JsonParser) -> T): T = try {
     jsonFactory.createParser(bytes).use { p ->
         p.nextToken() ?: throw MalformedMessageException("empty body")
@@ -26,11 +36,12 @@
         value
     }
 } catch (e: JsonProcessingException) {
-    throw MalformedMessageException("not JSON: ${e.originalMessage}")
+    throw MalformedMessageException("not JSON: ${e.originalMessage}", e)
 } catch (e: ArithmeticException) {
-    throw MalformedMessageException("number out of range")
+    throw MalformedMessageException("number out of range", e)
 }
 
+/** The JSON that [write] generates, as UTF-8. */
 internal inline fun writeJson(write: JsonGenerator.() -> Unit): ByteArray {
     val out = ByteArrayOutputStream(256)
     jsonFactory.createGenerator(out).use { it.write() }
@@ -64,6 +75,7 @@
     }
 }
 
+/** Walks the elements of the array that the parser stands on; [element] must not move past its value. */
 internal inline fun JsonParser.elements(element: JsonParser.() -> Unit) {
     if (currentToken() != JsonToken.START_ARRAY) throw MalformedMessageException("not an array")
     while (nextToken() != JsonToken.END_ARRAY) {
@@ -73,7 +85,7 @@
 }
 
 internal fun JsonParser.text(name: String): String {
-    if (currentToken() != JsonToken.VALUE_STRING) throw MalformedMessageException("$name: not a string")
+    if (currentToken() != JsonToken.VALUE_STRING) throw MalformedMessageException(name, "not a string")
     return text
 }
 
@@ -83,25 +95,27 @@
 internal fun JsonParser.flag(name: String): Boolean = when (currentToken()) {
     JsonToken.VALUE_TRUE -> true
     JsonToken.VALUE_FALSE -> false
-    else -> throw MalformedMessageException("$name: not true or false")
+    else -> throw MalformedMessageException(name, "not true or false")
 }
 
 internal fun JsonParser.whole(name: String): Long {
     if (currentToken() == JsonToken.VALUE_NUMBER_INT) return longValue
-    // Some writers put counts as 3.0.
+    // Some clients write counts as 3.0.
     val exact = decimal(name)
     return try {
         exact.longValueExact()
-    } catch (_: ArithmeticException) {
-        throw MalformedMessageException("$name: not a whole number")
+    } catch (e: ArithmeticException) {
+        throw MalformedMessageException(name, "not a whole number", e)
     }
 }
 
 internal fun JsonParser.decimal(name: String): BigDecimal {
-    if (currentToken()?.isNumeric != true) throw MalformedMessageException("$name: not a number")
-    val d = decimalValue
-    if (d.precision() - d.scale() > 18 || d.scale() > 60) throw MalformedMessageException("$name: out of range")
-    return d
+    if (currentToken()?.isNumeric != true) throw MalformedMessageException(name, "not a number")
+    val value = decimalValue
+    if (value.precision() - value.scale() > MAX_INTEGER_DIGITS || value.scale() > MAX_DECIMALS) {
+        throw MalformedMessageException(name, "out of range")
+    }
+    return value
 }
 
 internal fun JsonParser.double(name: String): Double = decimal(name).toDouble()
--- a/src/main/kotlin/plankwall/wire/NameRuns.kt
+++ b/src/main/kotlin/plankwall/wire/NameRuns.kt
@@ -1,10 +1,11 @@
 package plankwall.wire
 
 /**
- * Machine names come numbered in order of creation, so those of one rental are mostly consecutive: written as a first
+ * Machine names come numbered in order of creation, so those of one scale-out are mostly consecutive: written as a first
  * name and how many follow it, hundreds of them fit a stored value of a few KiB.
  */
 internal object NameRuns {
+    /** Passes every run of consecutive [names], in order, to [run]. */
     fun write(names: List<String>, run: (first: String, following: Int) -> Unit) {
         var first: String? = null
         var last = ""
@@ -22,7 +23,7 @@
         if (first != null) run(first, following)
     }
 
-    /** The names of one run; a count that nobody can have written is a broken value. */
+    /** The names of one run; throws [MalformedMessageException] for a count that is never written. */
     fun read(first: String, following: Int): List<String> {
         if (following !in 0..MAX_RUN) throw MalformedMessageException("run of $following names")
         return generateSequence(first) { next(it) }.take(following + 1).toList()
@@ -31,10 +32,13 @@
     /** The name numbered one higher, of the same length; null if there is none. */
     private fun next(name: String): String? {
         val digits = name.length - name.indexOfLast { !it.isDigit() } - 1
-        if (digits == 0 || digits > 18) return null
+        if (digits == 0 || digits > MAX_DIGITS) return null
         val number = (name.takeLast(digits).toLong() + 1).toString()
         return if (number.length > digits) null else name.dropLast(digits) + number.padStart(digits, '0')
     }
 
     private const val MAX_RUN = 100_000
+
+    /** A number of more digits may not fit a Long. */
+    private const val MAX_DIGITS = 18
 }
--- a/src/main/kotlin/plankwall/wire/PeerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/PeerCodec.kt
@@ -1,90 +1,100 @@
 package plankwall.wire
 
 import okio.Buffer
+import java.io.EOFException
 
-/** Frames between controllers. */
+/** Frames between controllers: a byte for the kind of message, then its fields. */
 object PeerCodec {
     private const val STATUS = 1
     private const val PROGRESS = 2
-    private const val REPORT = 3
-    private const val ANSWER = 4
-    private const val REPORTS = 5
-    private const val ANSWERS = 6
+    private const val RELAYED_HEARTBEAT = 3
+    private const val RELAYED_ANSWER = 4
+    private const val HEARTBEAT_BATCH = 5
+    private const val ANSWER_BATCH = 6
+
+    /** The most bytes of a frame, without its seal. */
     const val MAX_FRAME = 64 * 1024
 
-    /** The first version, whose frames name no level. */
+    /** The level of the first version, whose frames hold none. */
     const val FIRST_LEVEL = 1
 
-    /** This version: knows dependencies, divided pages and values that go on under further keys. */
+    /** The level of this version: reads dependencies, divided pages and values that continue under further keys. */
     const val LEVEL = 2
 
+    /** [message] as a frame without its length and its seal. */
     fun write(message: PeerMessage): ByteArray = when (message) {
-        is PeerStatus -> status(message)
-        is ProgressUpdate -> progress(message)
-        is RelayedHeartbeat -> RelayCodec.write(Buffer().writeByte(REPORT), message)
-        is RelayedAnswer -> RelayCodec.write(Buffer().writeByte(ANSWER), message)
-        is HeartbeatBatch -> SessionCodec.write(Buffer().writeByte(REPORTS), message)
-        is AnswerBatch -> SessionCodec.write(Buffer().writeByte(ANSWERS), message)
+        is PeerStatus -> writeStatus(message)
+        is ProgressUpdate -> writeProgress(message)
+        is RelayedHeartbeat -> RelayCodec.write(Buffer().writeByte(RELAYED_HEARTBEAT), message)
+        is RelayedAnswer -> RelayCodec.write(Buffer().writeByte(RELAYED_ANSWER), message)
+        is HeartbeatBatch -> SessionCodec.write(Buffer().writeByte(HEARTBEAT_BATCH), message)
+        is AnswerBatch -> SessionCodec.write(Buffer().writeByte(ANSWER_BATCH), message)
     }
 
-    private fun status(s: PeerStatus): ByteArray {
+    private fun writeStatus(status: PeerStatus): ByteArray {
         val body = Buffer()
-        body.writeByte(STATUS).name(s.node)
-        body.writeLong(s.incarnation).writeLong(s.epochSeen).writeLong(s.resignedEpoch)
-        body.flag(s.leading).flag(s.stateReachable).writeInt(s.unservedWorkers)
+        body.writeByte(STATUS).name(status.node)
+        body.writeLong(status.incarnation).writeLong(status.epochSeen).writeLong(status.resignedEpoch)
+        body.flag(status.leading).flag(status.stateReachable).writeInt(status.unservedWorkers)
         // Frames grow at the end only: the first version reads up to here and ignores the rest.
-        body.writeInt(s.level)
+        body.writeInt(status.level)
         // The second one up to here.
-        s.links?.let { ReachabilityCodec.write(body, it) }
+        status.links?.let { ReachabilityCodec.write(body, it) }
         // The third one up to here.
-        if (s.links != null) s.cancellations?.let { CancellationCodec.write(body, it) }
+        if (status.links != null) status.cancellations?.let { CancellationCodec.write(body, it) }
         // The fourth one up to here.
-        if (s.links != null && s.cancellations != null) s.sessions?.let { SessionCodec.write(body, it) }
+        if (status.links != null && status.cancellations != null) {
+            status.sessions?.let { SessionCodec.write(body, it) }
+        }
         return body.readByteArray()
     }
 
-    private fun progress(news: ProgressUpdate): ByteArray {
+    private fun writeProgress(update: ProgressUpdate): ByteArray {
         val body = Buffer()
-        body.writeByte(PROGRESS).writeLong(news.epoch).writeInt(news.jobs.size)
-        news.jobs.forEach { body.name(it.id).writeInt(it.done).writeInt(it.running) }
+        body.writeByte(PROGRESS).writeLong(update.epoch).writeInt(update.jobs.size)
+        update.jobs.forEach { body.name(it.id).writeInt(it.done).writeInt(it.running) }
         return body.readByteArray()
     }
 
+    /** Throws [MalformedMessageException] for a frame that can't be read whole. */
     fun read(frame: ByteArray): PeerMessage = try {
-        val b = Buffer().write(frame)
-        when (b.readByte().toInt()) {
-            STATUS -> readStatus(b)
-            PROGRESS -> readProgress(b)
-            REPORT -> RelayCodec.readReport(b)
-            ANSWER -> RelayCodec.readAnswer(b)
-            REPORTS -> SessionCodec.readReports(b)
-            ANSWERS -> SessionCodec.readAnswers(b)
-            else -> throw MalformedMessageException("peer: unknown kind of frame")
+        val buffer = Buffer().write(frame)
+        when (buffer.readByte().toInt()) {
+            STATUS -> readStatus(buffer)
+            PROGRESS -> readProgress(buffer)
+            RELAYED_HEARTBEAT -> RelayCodec.readHeartbeat(buffer)
+            RELAYED_ANSWER -> RelayCodec.readAnswer(buffer)
+            HEARTBEAT_BATCH -> SessionCodec.readHeartbeats(buffer)
+            ANSWER_BATCH -> SessionCodec.readAnswers(buffer)
+            else -> throw MalformedMessageException("peer", "unknown kind of frame")
         }
-    } catch (_: java.io.EOFException) {
-        throw MalformedMessageException("peer: short frame")
+    } catch (e: EOFException) {
+        throw MalformedMessageException("peer", "short frame", e)
     }
 
-    private fun readStatus(b: Buffer): PeerStatus {
-        val node = b.readName()
-        val incarnation = b.readLong()
-        val epochSeen = b.readLong()
-        val resigned = b.readLong()
-        val leading = b.readFlag()
-        val reachable = b.readFlag()
-        val unservedWorkers = b.readInt()
-        val level = if (b.exhausted()) FIRST_LEVEL else b.readInt()
-        val links = if (b.exhausted()) null else ReachabilityCodec.read(b)
-        val cancellations = if (b.exhausted()) null else CancellationCodec.read(b)
-        val sessions = if (b.exhausted()) null else SessionCodec.read(b)
-        return PeerStatus(
-            node, incarnation, epochSeen, leading, resigned, reachable, unservedWorkers, level, links, cancellations,
-            sessions,
-        )
-    }
+    // Arguments are evaluated in the order of the frame's fields.
+    private fun readStatus(buffer: Buffer): PeerStatus = PeerStatus(
+        node = buffer.readName(),
+        incarnation = buffer.readLong(),
+        epochSeen = buffer.readLong(),
+        resignedEpoch = buffer.readLong(),
+        leading = buffer.readFlag(),
+        stateReachable = buffer.readFlag(),
+        unservedWorkers = buffer.readInt(),
+        // Frames of older versions end sooner.
+        level = if (buffer.exhausted()) FIRST_LEVEL else buffer.readInt(),
+        links = if (buffer.exhausted()) null else ReachabilityCodec.read(buffer),
+        cancellations = if (buffer.exhausted()) null else CancellationCodec.read(buffer),
+        sessions = if (buffer.exhausted()) null else SessionCodec.read(buffer),
+    )
 
-    private fun readProgress(b: Buffer): ProgressUpdate {
-        val epoch = b.readLong()
-        return ProgressUpdate(epoch, b.readList { JobProgress(b.readName(), b.readInt(), b.readInt()) })
+    private fun readProgress(buffer: Buffer): ProgressUpdate {
+        val epoch = buffer.readLong()
+        return ProgressUpdate(
+            epoch,
+            buffer.readList {
+                JobProgress(buffer.readName(), buffer.readInt(), buffer.readInt())
+            },
+        )
     }
 }
--- a/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
@@ -2,40 +2,39 @@
 
 import okio.Buffer
 
-/** The part of a status frame that tells of links. A later version adds to its end. */
+/** The part of a status frame that reports connectivity. A later version adds to its end. */
 internal object ReachabilityCodec {
-    fun write(b: Buffer, l: ReachabilityReport) {
-        b.writeLong(l.seq).writeInt(l.echoes.size)
-        l.echoes.forEach { (node, seq) -> b.name(node).writeLong(seq) }
-        b.writeInt(l.storeAgesMs.size)
-        l.storeAgesMs.forEach { b.writeInt(it) }
-        b.writeInt(l.cloudAgeMs).writeInt(l.recentWorkers).writeInt(l.zones.size)
-        l.zones.forEach { b.name(it.zone).writeInt(it.known).writeInt(it.late) }
-        b.text(l.leader?.node).writeLong(l.leader?.epoch ?: 0L).writeInt(l.leader?.ageMs ?: -1)
-        b.text(l.successor)
+    fun write(buffer: Buffer, report: ReachabilityReport) {
+        buffer.writeLong(report.seq).writeInt(report.echoes.size)
+        report.echoes.forEach { (node, seq) -> buffer.name(node).writeLong(seq) }
+        buffer.writeInt(report.storeAgesMs.size)
+        report.storeAgesMs.forEach { buffer.writeInt(it) }
+        buffer.writeInt(report.cloudAgeMs).writeInt(report.recentWorkers).writeInt(report.zones.size)
+        report.zones.forEach { buffer.name(it.zone).writeInt(it.known).writeInt(it.late) }
+        writeLeader(buffer, report.leader)
+        buffer.text(report.successor)
     }
 
-    fun read(b: Buffer): ReachabilityReport {
-        val seq = b.readLong()
-        val echoes = b.readList { b.readName() to b.readLong() }.toMap()
-        val ages = b.readList { b.readInt() }
-        val cloudAge = b.readInt()
-        val recentWorkers = b.readInt()
-        val zones = b.readList { ZoneReach(b.readName(), b.readInt(), b.readInt()) }
-        val leader = b.readText()
-        val epoch = b.readLong()
-        val age = b.readInt()
-        return ReachabilityReport(
-            seq,
-            echoes,
-            ages,
-            cloudAge,
-            recentWorkers,
-            zones,
-            leader?.let {
-                LeaderSighting(it, epoch, age)
-            },
-            b.readText(),
-        )
+    private fun writeLeader(buffer: Buffer, leader: LeaderSighting?) {
+        buffer.text(leader?.node).writeLong(leader?.epoch ?: 0L).writeInt(leader?.ageMs ?: -1)
+    }
+
+    // Arguments are evaluated in the order of the frame's fields.
+    fun read(buffer: Buffer): ReachabilityReport = ReachabilityReport(
+        seq = buffer.readLong(),
+        echoes = buffer.readList { buffer.readName() to buffer.readLong() }.toMap(),
+        storeAgesMs = buffer.readList { buffer.readInt() },
+        cloudAgeMs = buffer.readInt(),
+        recentWorkers = buffer.readInt(),
+        zones = buffer.readList { ZoneReach(buffer.readName(), buffer.readInt(), buffer.readInt()) },
+        leader = readLeader(buffer),
+        successor = buffer.readText(),
+    )
+
+    private fun readLeader(buffer: Buffer): LeaderSighting? {
+        val node = buffer.readText()
+        val epoch = buffer.readLong()
+        val ageMs = buffer.readInt()
+        return node?.let { LeaderSighting(it, epoch, ageMs) }
     }
 }
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -3,68 +3,86 @@
 import okio.Buffer
 
 /**
- * Reports and answers on their way through another node. Binary: the leader reads them by the hundred when links are
- * cut.
+ * Heartbeats and answers that are relayed through another node. Binary: the leader reads hundreds of them at a time when
+ * connections are cut.
  */
 internal object RelayCodec {
-    fun write(b: Buffer, r: RelayedHeartbeat): ByteArray {
-        b.name(r.from).writeLong(r.id).writeLong(r.echo).text(r.address)
-        report(b, r.report)
-        return b.readByteArray()
+    fun write(buffer: Buffer, heartbeat: RelayedHeartbeat): ByteArray {
+        buffer.name(heartbeat.from).writeLong(heartbeat.id).writeLong(heartbeat.echo).text(heartbeat.address)
+        writeStatus(buffer, heartbeat.report)
+        return buffer.readByteArray()
     }
 
-    fun readReport(b: Buffer): RelayedHeartbeat =
-        RelayedHeartbeat(b.readName(), b.readLong(), b.readLong(), b.readText().orEmpty(), readWorkerReport(b))
+    fun readHeartbeat(buffer: Buffer): RelayedHeartbeat = RelayedHeartbeat(
+        from = buffer.readName(),
+        id = buffer.readLong(),
+        echo = buffer.readLong(),
+        address = buffer.readText().orEmpty(),
+        report = readStatus(buffer),
+    )
 
-    fun write(b: Buffer, a: RelayedAnswer): ByteArray {
-        b.name(a.from).writeLong(a.id).writeInt(a.status).writeInt(a.body.size).write(a.body)
-        return b.readByteArray()
+    fun write(buffer: Buffer, answer: RelayedAnswer): ByteArray {
+        buffer.name(answer.from).writeLong(answer.id)
+        writeAnswer(buffer, answer.status, answer.body)
+        return buffer.readByteArray()
     }
 
-    fun readAnswer(b: Buffer): RelayedAnswer {
-        val from = b.readName()
-        val id = b.readLong()
-        val status = b.readInt()
-        val size = b.readInt()
-        if (size !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer: answer of $size bytes")
-        return RelayedAnswer(from, id, status, b.readByteArray(size.toLong()))
+    fun readAnswer(buffer: Buffer): RelayedAnswer =
+        RelayedAnswer(buffer.readName(), buffer.readLong(), buffer.readInt(), readBody(buffer))
+
+    fun writeAnswer(buffer: Buffer, status: Int, body: ByteArray) {
+        buffer.writeInt(status).writeInt(body.size).write(body)
+    }
+
+    /** The body of an answer, after its length. */
+    fun readBody(buffer: Buffer): ByteArray {
+        val size = buffer.readInt()
+        if (size !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer", "answer of $size bytes")
+        return buffer.readByteArray(size.toLong())
     }
 
-    internal fun report(b: Buffer, r: HeartbeatStatus) {
-        b.name(r.machine).text(r.address).text(r.type).text(r.zone).flag(r.spot)
-        b.writeLong(
-            r.session,
-        ).writeLong(r.seq).writeLong(r.token).flag(r.noticeS != null).writeLong((r.noticeS ?: 0.0).toBits())
-        b.writeInt(r.tasks.size)
-        r.tasks.forEach { t ->
-            b.name(
-                t.jobId,
-            ).writeInt(t.task).writeLong(t.attempt).writeByte(t.stage.code()).writeByte(t.cause.code()).flag(t.saved)
-        }
+    fun writeStatus(buffer: Buffer, status: HeartbeatStatus) {
+        buffer.name(status.machine).text(status.address).text(status.type).text(status.zone).flag(status.spot)
+        buffer.writeLong(status.session).writeLong(status.seq).writeLong(status.token)
+        buffer.flag(status.noticeS != null).writeLong((status.noticeS ?: 0.0).toBits())
+        buffer.writeInt(status.tasks.size)
+        status.tasks.forEach { writeTask(buffer, it) }
     }
 
-    internal fun readWorkerReport(b: Buffer): HeartbeatStatus {
-        val machine = b.readName()
-        val address = b.readText().orEmpty()
-        val type = b.readText().orEmpty()
-        val zone = b.readText().orEmpty()
-        val spot = b.readFlag()
-        val session = b.readLong()
-        val seq = b.readLong()
-        val token = b.readLong()
-        val hasNotice = b.readFlag()
-        val notice = Double.fromBits(b.readLong()).takeIf { hasNotice }
-        return HeartbeatStatus(machine, address, type, zone, spot, session, seq, token, notice, b.readList { task(b) })
+    private fun writeTask(buffer: Buffer, task: TaskStatus) {
+        buffer.name(task.jobId).writeInt(task.task).writeLong(task.attempt)
+        buffer.writeByte(task.stage.code()).writeByte(task.cause.code()).flag(task.saved)
     }
 
-    private fun task(b: Buffer): TaskStatus {
-        val job = b.readName()
-        val task = b.readInt()
-        val attempt = b.readLong()
-        // An entry that can't be read must not be taken for an absent one: absence is proof that a task is gone.
-        val stage =
-            TaskStage.entries.ofCode(b.readByte().toInt())
-                ?: throw MalformedMessageException("peer: a task without a stage")
-        return TaskStatus(job, task, attempt, stage, ExitCause.entries.ofCode(b.readByte().toInt()), b.readFlag())
+    // Arguments are evaluated in the order of the frame's fields.
+    fun readStatus(buffer: Buffer): HeartbeatStatus = HeartbeatStatus(
+        machine = buffer.readName(),
+        address = buffer.readText().orEmpty(),
+        type = buffer.readText().orEmpty(),
+        zone = buffer.readText().orEmpty(),
+        spot = buffer.readFlag(),
+        session = buffer.readLong(),
+        seq = buffer.readLong(),
+        token = buffer.readLong(),
+        noticeS = readNotice(buffer),
+        tasks = buffer.readList { readTask(buffer) },
+    )
+
+    private fun readNotice(buffer: Buffer): Double? {
+        val hasNotice = buffer.readFlag()
+        return Double.fromBits(buffer.readLong()).takeIf { hasNotice }
     }
+
+    private fun readTask(buffer: Buffer): TaskStatus = TaskStatus(
+        jobId = buffer.readName(),
+        task = buffer.readInt(),
+        attempt = buffer.readLong(),
+        stage = readStage(buffer),
+        cause = ExitCause.entries.ofCode(buffer.readByte().toInt()),
+        saved = buffer.readFlag(),
+    )
+
+    /** An entry that can't be read must not be taken for an absent one: absence is proof that a task is gone. */
+    private fun readStage(buffer: Buffer): TaskStage = TaskStage.entries.ofCode(buffer.readByte().toInt())
+        ?: throw MalformedMessageException("peer", "a task without a stage")
 }
--- a/src/main/kotlin/plankwall/wire/SessionCodec.kt
+++ b/src/main/kotlin/plankwall/wire/SessionCodec.kt
@@ -2,88 +2,97 @@
 
 import okio.Buffer
 
-/** The part of a status frame that tells of sessions, and the frames that carry reports and answers of many workers. */
+/** The part of a status frame about sessions, and the frames that carry heartbeats and answers of many workers. */
 internal object SessionCodec {
-    private const val WHOLE = 1
+    private const val FULL = 1
     private const val UNCHANGED = 2
     private const val MAX_CAPACITY = 1_000_000
 
-    fun write(b: Buffer, s: SessionUpdate) {
-        b.writeInt(s.capacity).flag(s.plan != null)
-        s.plan?.let { plan ->
-            b.writeLong(plan.epoch).writeInt(plan.zones.size)
-            plan.zones.forEach { (zone, shares) ->
-                b.name(zone).writeInt(shares.size)
-                shares.forEach { b.name(it.node).writeInt(it.weight) }
-            }
+    fun write(buffer: Buffer, update: SessionUpdate) {
+        buffer.writeInt(update.capacity).flag(update.plan != null)
+        update.plan?.let { writePlan(buffer, it) }
+    }
+
+    private fun writePlan(buffer: Buffer, plan: SessionPlan) {
+        buffer.writeLong(plan.epoch).writeInt(plan.zones.size)
+        plan.zones.forEach { (zone, shares) ->
+            buffer.name(zone).writeInt(shares.size)
+            shares.forEach { buffer.name(it.node).writeInt(it.weight) }
         }
     }
 
-    fun read(b: Buffer): SessionUpdate {
-        val capacity = b.readInt()
-        if (capacity !in 0..MAX_CAPACITY) throw MalformedMessageException("peer: room for $capacity sessions")
-        return SessionUpdate(capacity, if (b.readFlag()) readPlan(b) else null)
+    fun read(buffer: Buffer): SessionUpdate {
+        val capacity = buffer.readInt()
+        if (capacity !in 0..MAX_CAPACITY) throw MalformedMessageException("peer", "room for $capacity sessions")
+        return SessionUpdate(capacity, if (buffer.readFlag()) readPlan(buffer) else null)
     }
 
-    private fun readPlan(b: Buffer): SessionPlan {
-        val epoch = b.readLong()
-        val zones = b.readList { b.readName() to b.readList { readShare(b) } }
+    private fun readPlan(buffer: Buffer): SessionPlan {
+        val epoch = buffer.readLong()
+        val zones = buffer.readList { buffer.readName() to buffer.readList { readShare(buffer) } }
         return SessionPlan(epoch, zones.toMap())
     }
 
-    private fun readShare(b: Buffer): SessionShare {
-        val share = SessionShare(b.readName(), b.readInt())
-        if (share.weight < 1) throw MalformedMessageException("peer: a share of ${share.weight}")
+    private fun readShare(buffer: Buffer): SessionShare {
+        val share = SessionShare(buffer.readName(), buffer.readInt())
+        if (share.weight < 1) throw MalformedMessageException("peer", "a share of ${share.weight}")
         return share
     }
 
-    fun write(b: Buffer, batch: HeartbeatBatch): ByteArray {
-        b.name(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.reports.size)
-        batch.reports.forEach { report(b, it) }
-        return b.readByteArray()
+    fun write(buffer: Buffer, batch: HeartbeatBatch): ByteArray {
+        buffer.name(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.reports.size)
+        batch.reports.forEach { writeHeartbeat(buffer, it) }
+        return buffer.readByteArray()
     }
 
-    private fun report(b: Buffer, r: BatchedHeartbeat) {
-        b.writeByte(if (r is FullHeartbeat) WHOLE else UNCHANGED).writeLong(r.id).text(r.address)
-        when (r) {
-            is FullHeartbeat -> RelayCodec.report(b, r.report)
-            is UnchangedHeartbeat -> b.name(r.machine).writeLong(r.baseId).writeLong(r.seq).writeLong(r.token)
+    private fun writeHeartbeat(buffer: Buffer, heartbeat: BatchedHeartbeat) {
+        val kind = if (heartbeat is FullHeartbeat) FULL else UNCHANGED
+        buffer.writeByte(kind).writeLong(heartbeat.id).text(heartbeat.address)
+        when (heartbeat) {
+            is FullHeartbeat -> RelayCodec.writeStatus(buffer, heartbeat.report)
+            is UnchangedHeartbeat ->
+                buffer.name(heartbeat.machine).writeLong(heartbeat.baseId).writeLong(heartbeat.seq)
+                    .writeLong(heartbeat.token)
         }
     }
 
-    fun readReports(b: Buffer): HeartbeatBatch = HeartbeatBatch(
-        b.readName(),
-        b.readLong(),
-        b.readLong(),
-        b.readList {
-            readReport(b)
-        },
+    fun readHeartbeats(buffer: Buffer): HeartbeatBatch = HeartbeatBatch(
+        from = buffer.readName(),
+        epoch = buffer.readLong(),
+        echo = buffer.readLong(),
+        reports = buffer.readList { readHeartbeat(buffer) },
     )
 
-    private fun readReport(b: Buffer): BatchedHeartbeat {
-        val kind = b.readByte().toInt()
-        val id = b.readLong()
-        val address = b.readText().orEmpty()
+    private fun readHeartbeat(buffer: Buffer): BatchedHeartbeat {
+        val kind = buffer.readByte().toInt()
+        val id = buffer.readLong()
+        val address = buffer.readText().orEmpty()
         return when (kind) {
-            WHOLE -> FullHeartbeat(id, address, RelayCodec.readWorkerReport(b))
-            UNCHANGED -> UnchangedHeartbeat(id, address, b.readName(), b.readLong(), b.readLong(), b.readLong())
-            else -> throw MalformedMessageException("peer: unknown kind of report")
+            FULL -> FullHeartbeat(id, address, RelayCodec.readStatus(buffer))
+            UNCHANGED -> UnchangedHeartbeat(
+                id,
+                address,
+                machine = buffer.readName(),
+                baseId = buffer.readLong(),
+                seq = buffer.readLong(),
+                token = buffer.readLong(),
+            )
+            else -> throw MalformedMessageException("peer", "unknown kind of report")
         }
     }
 
-    fun write(b: Buffer, batch: AnswerBatch): ByteArray {
-        b.name(batch.from).writeLong(batch.epoch).writeInt(batch.answers.size)
-        batch.answers.forEach { b.writeLong(it.id).writeInt(it.status).writeInt(it.body.size).write(it.body) }
-        return b.readByteArray()
+    fun write(buffer: Buffer, batch: AnswerBatch): ByteArray {
+        buffer.name(batch.from).writeLong(batch.epoch).writeInt(batch.answers.size)
+        batch.answers.forEach { answer ->
+            buffer.writeLong(answer.id)
+            RelayCodec.writeAnswer(buffer, answer.status, answer.body)
+        }
+        return buffer.readByteArray()
     }
 
-    fun readAnswers(b: Buffer): AnswerBatch = AnswerBatch(b.readName(), b.readLong(), b.readList { readAnswer(b) })
+    fun readAnswers(buffer: Buffer): AnswerBatch =
+        AnswerBatch(buffer.readName(), buffer.readLong(), buffer.readList { readAnswer(buffer) })
 
-    private fun readAnswer(b: Buffer): BatchedAnswer {
-        val id = b.readLong()
-        val status = b.readInt()
-        val size = b.readInt()
-        if (size !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer: answer of $size bytes")
-        return BatchedAnswer(id, status, b.readByteArray(size.toLong()))
-    }
+    private fun readAnswer(buffer: Buffer): BatchedAnswer =
+        BatchedAnswer(buffer.readLong(), buffer.readInt(), RelayCodec.readBody(buffer))
 }
--- a/src/main/kotlin/plankwall/wire/StateCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateCodec.kt
@@ -1,102 +1,44 @@
 package plankwall.wire
 
+import com.fasterxml.jackson.core.JsonGenerator
+import com.fasterxml.jackson.core.JsonParser
 import java.io.ByteArrayOutputStream
 
-data class StateItem(val key: String, val value: Stored, val version: Long)
-
-data class Guard(val key: String, val version: Long)
-
-sealed interface Write {
-    data class Put(val key: String, val value: Stored, val lease: Long? = null) : Write
-
-    data class Remove(val key: String) : Write
-}
-
-sealed interface StateOp {
-    data class Get(val key: String) : StateOp
-
-    data class Range(val prefix: String, val after: String?, val limit: Int) : StateOp
-
-    data class Txn(val guards: List<Guard>, val writes: List<Write>) : StateOp
-
-    data class Grant(val ttlMs: Long) : StateOp
-
-    data class Renew(val lease: Long) : StateOp
-
-    data class Drop(val lease: Long) : StateOp
-
-    /** What has changed so far, without waiting. */
-    data class Changes(val prefix: String, val after: Long) : StateOp
-
-    data class Watch(val prefix: String, val after: Long, val waitMs: Long) : StateOp
-}
-
-data class StateEvent(val key: String, val value: Stored?, val version: Long)
-
-sealed interface StateResult {
-    data class Item(val item: StateItem?) : StateResult
-
-    data class Items(val items: List<StateItem>, val more: Boolean, val revision: Long) : StateResult
-
-    data class Committed(val revision: Long) : StateResult
-
-    data class Conflict(val failed: Set<String>) : StateResult
-
-    data class Granted(val lease: Long) : StateResult
-
-    data object Renewed : StateResult
-
-    data object NoLease : StateResult
-
-    data class News(val events: List<StateEvent>, val revision: Long) : StateResult
-
-    data object TooOld : StateResult
-
-    /** 400: not executed, and never will be as it is: too large, or malformed. */
-    data object Rejected : StateResult
-
-    /** 429, 503, or never sent: surely not executed. */
-    data object Refused : StateResult
-
-    /** No answer, or one that can't be read: may have been executed, or may still be. */
-    data object Unknown : StateResult
-}
-
+/** Requests to the state service, and its answers. Those that read throw [MalformedMessageException]. */
 object StateCodec {
     fun txn(op: StateOp.Txn): ByteArray = writeJson {
         obj {
-            arr("guards") {
-                op.guards.forEach {
-                    obj {
-                        writeStringField("key", it.key)
-                        writeNumberField("stamp", it.version)
-                    }
-                }
-            }
-            arr("writes") {
-                op.writes.forEach { w ->
-                    obj {
-                        when (w) {
-                            is Write.Put -> {
-                                writeStringField("set", w.key)
-                                writeFieldName("data")
-                                RecordCodec.write(this, w.value)
-                                if (w.lease != null) writeNumberField("permit", w.lease)
-                            }
-                            is Write.Remove -> writeStringField("remove", w.key)
-                        }
-                    }
-                }
+            arr("guards") { op.guards.forEach { guard(it) } }
+            arr("writes") { op.writes.forEach { write(it) } }
+        }
+    }
+
+    private fun JsonGenerator.guard(guard: Guard) = obj {
+        writeStringField("key", guard.key)
+        writeNumberField(Fields.VERSION, guard.version)
+    }
+
+    private fun JsonGenerator.write(write: Write) = obj {
+        when (write) {
+            is Write.Put -> {
+                writeStringField("set", write.key)
+                writeFieldName("data")
+                RecordCodec.write(this, write.value)
+                if (write.lease != null) writeNumberField(Fields.LEASE, write.lease)
             }
+            is Write.Remove -> writeStringField("remove", write.key)
         }
     }
 
     /** How many bytes [record] takes as a stored value. */
     fun sizeOf(record: Stored): Int = writeJson { RecordCodec.write(this, record) }.size
 
-    fun grant(ttlMs: Long): ByteArray = writeJson { obj { writeNumberField("life_ms", ttlMs) } }
+    fun grant(ttlMs: Long): ByteArray = writeJson { obj { writeNumberField(Fields.TTL_MS, ttlMs) } }
 
-    /** The value comes as bytes first, since its key, which says what it is, may stand behind it. */
+    /**
+     * A key with its value, a write or a change, whichever fields it has. The value is kept as bytes until it is asked
+     * for, since the key, which says what kind of record it is, may follow it.
+     */
     internal class Entry {
         var key: String? = null
         var removed: String? = null
@@ -104,35 +46,44 @@
         var version = 0L
         var lease: Long? = null
 
+        /** Null without a key or a value, and for a kind of record that this version does not know. */
         fun value(): Stored? {
-            val k = key ?: return null
-            return data?.let { bytes -> parseJson(bytes) { RecordCodec.read(k, it) } }
+            val valueKey = key ?: return null
+            return data?.let { bytes -> parseJson(bytes) { RecordCodec.read(valueKey, it) } }
         }
 
         fun item(): StateItem? {
-            val k = key ?: return null
-            return value()?.let { StateItem(k, it, version) }
+            val itemKey = key ?: return null
+            return value()?.let { StateItem(itemKey, it, version) }
+        }
+
+        /** Null for a change of a kind of record that this version does not know. */
+        fun event(): StateEvent? {
+            removed?.let { return StateEvent(it, null, version) }
+            return item()?.let { StateEvent(it.key, it.value, it.version) }
         }
     }
 
-    internal fun com.fasterxml.jackson.core.JsonParser.entry(): Entry {
+    internal fun JsonParser.entry(): Entry {
         val entry = Entry()
         fields { name ->
             when (name) {
                 "key", "set" -> entry.key = text(name)
                 "remove" -> entry.removed = text(name)
-                "data" -> {
-                    val out = ByteArrayOutputStream()
-                    jsonFactory.createGenerator(out).use { it.copyCurrentStructure(this) }
-                    entry.data = out.toByteArray()
-                }
-                "stamp" -> entry.version = whole(name)
-                "permit" -> entry.lease = whole(name)
+                "data" -> entry.data = copyValue()
+                Fields.VERSION -> entry.version = whole(name)
+                Fields.LEASE -> entry.lease = whole(name)
             }
         }
         return entry
     }
 
+    private fun JsonParser.copyValue(): ByteArray {
+        val copy = ByteArrayOutputStream()
+        jsonFactory.createGenerator(copy).use { it.copyCurrentStructure(this) }
+        return copy.toByteArray()
+    }
+
     fun item(bytes: ByteArray): StateResult = parseJson(bytes) { StateResult.Item(it.entry().item()) }
 
     fun items(bytes: ByteArray): StateResult = parseJson(bytes) { p ->
@@ -142,8 +93,8 @@
         p.fields { name ->
             when (name) {
                 "items" -> elements { entry().item()?.let(items::add) }
-                "has_next" -> more = flag(name)
-                "ledger" -> revision = whole(name)
+                Fields.HAS_MORE -> more = flag(name)
+                Fields.REVISION -> revision = whole(name)
             }
         }
         StateResult.Items(items, more, revision)
@@ -154,25 +105,16 @@
         var revision = 0L
         p.fields { name ->
             when (name) {
-                "news" -> elements {
-                    val e = entry()
-                    val removed = e.removed
-                    val key = e.key
-                    if (removed != null) {
-                        events.add(StateEvent(removed, null, e.version))
-                    } else if (key != null) {
-                        e.value()?.let { events.add(StateEvent(key, it, e.version)) }
-                    }
-                }
-                "ledger" -> revision = whole(name)
+                Fields.EVENTS -> elements { entry().event()?.let(events::add) }
+                Fields.REVISION -> revision = whole(name)
             }
         }
         StateResult.News(events, revision)
     }
 
-    fun committed(bytes: ByteArray): StateResult = StateResult.Committed(number(bytes, "ledger"))
+    fun committed(bytes: ByteArray): StateResult = StateResult.Committed(number(bytes, Fields.REVISION))
 
-    fun granted(bytes: ByteArray): StateResult = StateResult.Granted(number(bytes, "permit"))
+    fun granted(bytes: ByteArray): StateResult = StateResult.Granted(number(bytes, Fields.LEASE))
 
     fun conflict(bytes: ByteArray): StateResult = parseJson(bytes) { p ->
         val failed = HashSet<String>()
@@ -183,7 +125,7 @@
     private fun number(bytes: ByteArray, field: String): Long = parseJson(bytes) { p ->
         var found = -1L
         p.fields { name -> if (name == field) found = whole(name) }
-        if (found < 0) throw MalformedMessageException("$field: missing")
+        if (found < 0) throw MalformedMessageException(field, "missing")
         found
     }
 }
--- a/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import plankwall.wire.StateCodec.entry
 
-/** The state service's side of its protocol, for stand-ins: reads what [StateCodec] writes and writes what it reads. */
+/** The state service's side of its protocol, for simulations: reads what [StateCodec] writes and writes what it reads. */
 object StateServiceCodec {
     fun readTxn(bytes: ByteArray): StateOp.Txn = parseJson(bytes) { p ->
         val guards = ArrayList<Guard>()
@@ -18,22 +18,22 @@
     }
 
     private fun StateCodec.Entry.guard(): Guard =
-        Guard(key ?: throw MalformedMessageException("guard: no key"), version)
+        Guard(key ?: throw MalformedMessageException("guard", "no key"), version)
 
     private fun StateCodec.Entry.write(): Write {
         removed?.let { return Write.Remove(it) }
-        val target = key ?: throw MalformedMessageException("write: no key")
+        val target = key ?: throw MalformedMessageException("write", "no key")
         return Write.Put(
             target,
-            value() ?: throw MalformedMessageException("write: a value of an unknown kind under $target"),
+            value() ?: throw MalformedMessageException("write", "a value of an unknown kind under $target"),
             lease,
         )
     }
 
     fun readGrant(bytes: ByteArray): StateOp.Grant = parseJson(bytes) { p ->
         var ttlMs = -1L
-        p.fields { name -> if (name == "life_ms") ttlMs = whole(name) }
-        if (ttlMs <= 0) throw MalformedMessageException("life_ms: missing")
+        p.fields { name -> if (name == Fields.TTL_MS) ttlMs = whole(name) }
+        if (ttlMs <= 0) throw MalformedMessageException(Fields.TTL_MS, "missing")
         StateOp.Grant(ttlMs)
     }
 
@@ -43,9 +43,9 @@
                 is StateResult.Item -> result.item?.let { itemFields(it) }
                 is StateResult.Items -> items(result)
                 is StateResult.News -> news(result)
-                is StateResult.Committed -> writeNumberField("ledger", result.revision)
+                is StateResult.Committed -> writeNumberField(Fields.REVISION, result.revision)
                 is StateResult.Conflict -> arr("failed") { result.failed.forEach { writeString(it) } }
-                is StateResult.Granted -> writeNumberField("permit", result.lease)
+                is StateResult.Granted -> writeNumberField(Fields.LEASE, result.lease)
                 else -> writeStringField("error", result.toString())
             }
         }
@@ -55,29 +55,27 @@
         writeStringField("key", item.key)
         writeFieldName("data")
         RecordCodec.write(this, item.value)
-        writeNumberField("stamp", item.version)
+        writeNumberField(Fields.VERSION, item.version)
     }
 
     private fun JsonGenerator.items(result: StateResult.Items) {
         arr("items") { result.items.forEach { obj { itemFields(it) } } }
-        writeBooleanField("has_next", result.more)
-        writeNumberField("ledger", result.revision)
+        writeBooleanField(Fields.HAS_MORE, result.more)
+        writeNumberField(Fields.REVISION, result.revision)
     }
 
     private fun JsonGenerator.news(result: StateResult.News) {
-        writeNumberField("ledger", result.revision)
-        arr("news") {
-            result.events.forEach { event ->
-                obj {
-                    val value = event.value
-                    writeStringField(if (value == null) "remove" else "set", event.key)
-                    if (value != null) {
-                        writeFieldName("data")
-                        RecordCodec.write(this, value)
-                    }
-                    writeNumberField("stamp", event.version)
-                }
-            }
+        writeNumberField(Fields.REVISION, result.revision)
+        arr(Fields.EVENTS) { result.events.forEach { event(it) } }
+    }
+
+    private fun JsonGenerator.event(event: StateEvent) = obj {
+        val value = event.value
+        writeStringField(if (value == null) "remove" else "set", event.key)
+        if (value != null) {
+            writeFieldName("data")
+            RecordCodec.write(this, value)
         }
+        writeNumberField(Fields.VERSION, event.version)
     }
 }
--- a/src/main/kotlin/plankwall/wire/WorkerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerCodec.kt
@@ -2,38 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.core.JsonParser
+import com.fasterxml.jackson.core.JsonToken
 
-enum class TaskStage { FETCHING, WAITING, RUNNING, SAVING, EXITED }
-
-enum class ExitCause { DONE, STOPPED, PEERS, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN }
-
-data class TaskStatus(
-    val jobId: String,
-    val task: Int,
-    val attempt: Long,
-    val stage: TaskStage,
-    val cause: ExitCause?,
-    val saved: Boolean,
-)
-
-/** One worker's word on itself. (`session`, `seq`) orders the words of one machine. */
-data class HeartbeatStatus(
-    val machine: String,
-    val address: String,
-    val type: String,
-    val zone: String,
-    val spot: Boolean,
-    val session: Long,
-    val seq: Long,
-    val token: Long,
-    val noticeS: Double?,
-    val tasks: List<TaskStatus>,
-)
-
-enum class OrderOp(val word: String) { START("run"), STOP("stop"), FORGET("clear") }
-
-data class Order(val op: OrderOp, val jobId: String, val task: Int, val attempt: Long, val graceS: Double = 0.0)
-
+/** Heartbeats and commands under the protocol's names. */
 object WorkerCodec {
     private val stages = mapOf(
         "fetching" to TaskStage.FETCHING,
@@ -45,14 +16,17 @@
     private val causes = mapOf(
         "done" to ExitCause.DONE,
         "stopped" to ExitCause.STOPPED,
-        "mates_gone" to ExitCause.PEERS,
-        "incomplete" to ExitCause.ALONE,
+        "mates_gone" to ExitCause.PEER_LOST,
+        "incomplete" to ExitCause.GANG_INCOMPLETE,
         "error" to ExitCause.ERROR,
-        "full" to ExitCause.NO_ROOM,
-        "in_use" to ExitCause.BUSY,
+        "full" to ExitCause.INSUFFICIENT_RESOURCES,
+        "in_use" to ExitCause.OTHER_ATTEMPT_PRESENT,
         "unknown" to ExitCause.UNKNOWN,
     )
+    private val stageWords = stages.entries.associate { (word, stage) -> stage to word }
+    private val causeWords = causes.entries.associate { (word, cause) -> cause to word }
 
+    /** Reads a heartbeat; throws [MalformedMessageException] if a field that matters is missing or wrong. */
     fun readReport(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { p ->
         var machine = ""
         var address = ""
@@ -62,112 +36,107 @@
         var session = -1L
         var seq = -1L
         var token = -1L
-        var notice: Double? = null
+        var noticeS: Double? = null
         val tasks = ArrayList<TaskStatus>()
         p.fields { name ->
             when (name) {
-                "berth" -> machine = text(name)
+                Fields.MACHINE -> machine = text(name)
                 "address" -> address = text(name)
-                "build" -> type = text(name)
-                "yard" -> zone = text(name)
-                "loaners" -> spot = flag(name)
-                "watch" -> session = whole(name)
-                "tally" -> seq = whole(name)
-                "baton" -> token = whole(name)
-                "recall_s" -> notice = doubleOrNull(name)
-                "pieces" -> elements { tasks.add(task()) }
+                Fields.MACHINE_TYPE -> type = text(name)
+                Fields.ZONE -> zone = text(name)
+                Fields.SPOT -> spot = flag(name)
+                Fields.AGENT_EPOCH -> session = whole(name)
+                Fields.SEQUENCE_NUMBER -> seq = whole(name)
+                Fields.FENCING_TOKEN -> token = whole(name)
+                Fields.PREEMPTION_NOTICE_S -> noticeS = doubleOrNull(name)
+                Fields.TASKS -> elements { tasks.add(readTask()) }
             }
         }
-        if (machine.isEmpty() ||
-            session < 0 ||
-            seq < 0 ||
-            token < 0
-        ) {
-            throw MalformedMessageException("report: a field is missing")
-        }
-        HeartbeatStatus(machine, address, type, zone, spot, session, seq, token, notice, tasks)
-    }
-
-    private val stageWords = stages.entries.associate { (word, stage) -> stage to word }
-    private val causeWords = causes.entries.associate { (word, cause) -> cause to word }
-
-    /** A report as a worker sends it, for stand-ins. */
-    fun writeReport(r: HeartbeatStatus): ByteArray = writeJson {
-        obj {
-            writeStringField("berth", r.machine)
-            writeStringField("address", r.address)
-            writeStringField("build", r.type)
-            writeStringField("yard", r.zone)
-            writeBooleanField("loaners", r.spot)
-            writeNumberField("watch", r.session)
-            writeNumberField("tally", r.seq)
-            writeNumberField("baton", r.token)
-            r.noticeS?.let { writeNumberField("recall_s", it) }
-            arr("pieces") { r.tasks.forEach { obj { taskFields(it) } } }
+        if (machine.isEmpty() || minOf(session, seq, token) < 0) {
+            throw MalformedMessageException("report", "a field is missing")
         }
+        HeartbeatStatus(machine, address, type, zone, spot, session, seq, token, noticeS, tasks)
     }
 
-    private fun JsonGenerator.taskFields(t: TaskStatus) {
-        writeStringField("piece", "${t.jobId}/${t.task}")
-        writeNumberField("try", t.attempt)
-        writeStringField("stage", stageWords.getValue(t.stage))
-        t.cause?.let { writeStringField("cause", causeWords.getValue(it)) }
-        if (t.saved) writeBooleanField("kept", true)
-    }
-
-    private fun JsonParser.task(): TaskStatus {
-        var piece = ""
+    private fun JsonParser.readTask(): TaskStatus {
+        var taskName = ""
         var attempt = -1L
         var stage: TaskStage? = null
         var cause: ExitCause? = null
         var saved = false
         fields { name ->
             when (name) {
-                "piece" -> piece = text(name)
-                "try" -> attempt = whole(name)
+                Fields.TASK -> taskName = text(name)
+                Fields.ATTEMPT -> attempt = whole(name)
                 "stage" -> stage = stages[text(name)]
                 "cause" -> cause = textOrNull(name)?.let { causes[it] }
-                "kept" -> saved = currentToken() == com.fasterxml.jackson.core.JsonToken.VALUE_TRUE
+                Fields.CHECKPOINT_SAVED -> saved = currentToken() == JsonToken.VALUE_TRUE
             }
         }
-        val slash = piece.lastIndexOf('/')
-        val task = if (slash > 0) piece.substring(slash + 1).toIntOrNull() else null
-        val known = stage
+        val slash = taskName.lastIndexOf('/')
+        val task = if (slash > 0) taskName.substring(slash + 1).toIntOrNull() else null
+        val knownStage = stage
         // An entry that can't be read must not be taken for an absent one: absence is proof that a task is gone.
-        if (task == null ||
-            attempt < 0 ||
-            known == null
-        ) {
-            throw MalformedMessageException("report: bad task entry '$piece'")
+        if (task == null || attempt < 0 || knownStage == null) {
+            throw MalformedMessageException("report", "bad task entry '$taskName'")
         }
-        return TaskStatus(piece.substring(0, slash), task, attempt, known, cause, saved)
+        return TaskStatus(taskName.substring(0, slash), task, attempt, knownStage, cause, saved)
     }
 
-    private fun JsonGenerator.orders(orders: List<Order>) = arr("orders") {
-        orders.forEach { o ->
-            obj {
-                writeStringField("verb", o.op.word)
-                writeStringField("piece", "${o.jobId}/${o.task}")
-                writeNumberField("try", o.attempt)
-                if (o.op == OrderOp.STOP) writeNumberField("wind_down_s", o.graceS)
-            }
+    /** A heartbeat as a worker sends it, for simulated workers. */
+    fun writeReport(report: HeartbeatStatus): ByteArray = writeJson {
+        obj {
+            writeStringField(Fields.MACHINE, report.machine)
+            writeStringField("address", report.address)
+            writeStringField(Fields.MACHINE_TYPE, report.type)
+            writeStringField(Fields.ZONE, report.zone)
+            writeBooleanField(Fields.SPOT, report.spot)
+            writeNumberField(Fields.AGENT_EPOCH, report.session)
+            writeNumberField(Fields.SEQUENCE_NUMBER, report.seq)
+            writeNumberField(Fields.FENCING_TOKEN, report.token)
+            report.noticeS?.let { writeNumberField(Fields.PREEMPTION_NOTICE_S, it) }
+            arr(Fields.TASKS) { report.tasks.forEach { task -> obj { taskFields(task) } } }
         }
     }
 
+    private fun JsonGenerator.taskFields(task: TaskStatus) {
+        writeStringField(Fields.TASK, "${task.jobId}/${task.task}")
+        writeNumberField(Fields.ATTEMPT, task.attempt)
+        writeStringField("stage", stageWords.getValue(task.stage))
+        task.cause?.let { writeStringField("cause", causeWords.getValue(it)) }
+        if (task.saved) writeBooleanField(Fields.CHECKPOINT_SAVED, true)
+    }
+
+    /** The answer to a heartbeat, by the leader whose fencing token is [token]. */
     fun answer(token: Long, orders: List<Order>): ByteArray = writeJson {
         obj {
-            writeNumberField("baton", token)
+            writeNumberField(Fields.FENCING_TOKEN, token)
             orders(orders)
         }
     }
 
+    /** Commands sent to a worker directly; valid for the agent epoch [session] only. */
     fun commands(token: Long, session: Long, orders: List<Order>): ByteArray = writeJson {
         obj {
-            writeNumberField("baton", token)
-            writeNumberField("watch", session)
+            writeNumberField(Fields.FENCING_TOKEN, token)
+            writeNumberField(Fields.AGENT_EPOCH, session)
             orders(orders)
         }
     }
 
-    fun reportTo(node: String?): ByteArray = writeJson { obj { if (node != null) writeStringField("foreman", node) } }
+    private fun JsonGenerator.orders(orders: List<Order>) = arr("orders") {
+        orders.forEach { order ->
+            obj {
+                writeStringField(Fields.COMMAND, order.op.word)
+                writeStringField(Fields.TASK, "${order.jobId}/${order.task}")
+                writeNumberField(Fields.ATTEMPT, order.attempt)
+                if (order.op == OrderOp.STOP) writeNumberField(Fields.GRACE_PERIOD_S, order.graceS)
+            }
+        }
+    }
+
+    /** The answer that redirects a worker's heartbeats to [node]; without one, to any other controller. */
+    fun reportTo(node: String?): ByteArray = writeJson {
+        obj { if (node != null) writeStringField(Fields.ASSIGNED_CONTROLLER, node) }
+    }
 }
