--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -130,7 +130,7 @@
         registry.refresh(arrivals)
         returns.returnFailed()
         // Right after a take-over nearly all workers that we know of are silent because they are on their way to us.
-        if (failureDetector.settling && !failureDetector.firstAreBack) return
+        if (failureDetector.isSettling && !failureDetector.heartbeatRoundElapsed) return
         if (ctx.now >= haltedUntil && !registry.inGoodShape) {
             haltedUntil = ctx.now + ctx.tuning.haltRetryS
             fleet.machines.forEach { it.unneededSince = Machine.NEVER }
@@ -138,7 +138,7 @@
         }
         val usable = fleet.machines.filter { placer.usable(it) }
         val halted = ctx.now < haltedUntil
-        if (halted || failureDetector.settling) {
+        if (halted || failureDetector.isSettling) {
             // Those still on their way count as there, with what room they have beside what is stored as placed on
             // them.
             val present = usable + fleet.machines.filter { it.type != null && failureDetector.isAwaited(it) }
@@ -216,7 +216,7 @@
     private fun mayExpandForLive(key: GroupKey): Boolean = isOpen(key) && !registry.group(key).startsFail
 
     private fun isOpen(key: GroupKey): Boolean =
-        (noCapacityUntil[key] ?: 0.0) <= ctx.now && key.zone !in registry.cutZones
+        (noCapacityUntil[key] ?: 0.0) <= ctx.now && key.zone !in registry.partitionedZones
 
     /** Whether the cloud refused, or filled in part only, what was last asked of every group that [job] may use. */
     private fun isScarce(job: Job): Boolean {
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -44,7 +44,7 @@
 ) {
     var groups: Map<GroupKey, GroupHealth> = emptyMap()
         private set
-    val cutZones: Set<String> get() = failureDetector.cutZones
+    val partitionedZones: Set<String> get() = failureDetector.partitionedZones
     var registered = 0
         private set
     var unexplained = 0
@@ -80,7 +80,7 @@
     fun isLate(a: BootingMachine): Boolean = ctx.now - a.rentedAt > patienceS(a.group)
 
     private fun isExplained(m: Machine, key: GroupKey): Boolean =
-        m.returning || m.noticeAt > Machine.NEVER || m.listed == ListedState.FAILED || key.zone in cutZones
+        m.returning || m.noticeAt > Machine.NEVER || m.listed == ListedState.FAILED || key.zone in partitionedZones
 
     fun group(key: GroupKey): GroupHealth = groups[key] ?: GroupHealth(key)
 
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -59,7 +59,7 @@
         if (fleet.isReady(m) ||
             m.placements.isEmpty() ||
             !registry.inGoodShape ||
-            !failureDetector.fewSilent
+            !failureDetector.silenceIsIsolated
         ) {
             return false
         }
@@ -67,13 +67,13 @@
         // After a cut or a take-over the last worker finds its way back many seconds after the first. One that has been
         // heard since the take-over was back already.
         val zone = m.group?.zone ?: return false
-        if (zone in failureDetector.cutZones || !isWorthDeleting(m)) return false
+        if (zone in failureDetector.partitionedZones || !isWorthDeleting(m)) return false
         val from = if (m.registered) {
-            failureDetector.troubledAt(
+            failureDetector.degradedAt(
                 zone,
             )
         } else {
-            maxOf(startedAt, failureDetector.troubledAt(zone))
+            maxOf(startedAt, failureDetector.degradedAt(zone))
         }
         return ctx.now - from > ctx.settings.workers.reportS * WAY_BACK_REPORTS
     }
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -21,7 +21,7 @@
     private val troubled = HashMap<String, Double>()
 
     /** Zones that are silent nearly whole: cut off rather than broken, explained, not expanded, left alone. */
-    var cutZones: Set<String> = emptySet()
+    var partitionedZones: Set<String> = emptySet()
         private set
 
     /** Zones of which nearly all are late already: machines there do not fall silent by themselves. */
@@ -31,7 +31,7 @@
      * Whether machines have fallen silent one by one, rather than so many at once that it may be this leader's own
      * ears.
      */
-    var fewSilent = true
+    var silenceIsIsolated = true
         private set
 
     /** To be called once for each round, before anything else is asked. */
@@ -46,11 +46,11 @@
         }
         late.bad.forEach { (zone, n) -> if (n > maxOf(1, late.all.getValue(zone) / 3)) troubled[zone] = ctx.now }
         lateZones = late.nearlyWhole()
-        cutZones = zones.nearlyWhole()
-        val silent = zones.bad.filterKeys { it !in cutZones }.values.sum()
-        fewSilent =
+        partitionedZones = zones.nearlyWhole()
+        val silent = zones.bad.filterKeys { it !in partitionedZones }.values.sum()
+        silenceIsIsolated =
             silent < HANDFUL ||
-            silent <= zones.all.filterKeys { it !in cutZones }.values.sum() * ctx.tuning.haltUnreadyShare
+            silent <= zones.all.filterKeys { it !in partitionedZones }.values.sum() * ctx.tuning.haltUnreadyShare
     }
 
     private class Zones {
@@ -66,7 +66,7 @@
     }
 
     /** When more than one machine in three (and more than one) of [zone] were last late with their reports. */
-    fun troubledAt(zone: String): Double = troubled[zone] ?: Machine.NEVER
+    fun degradedAt(zone: String): Double = troubled[zone] ?: Machine.NEVER
 
     /** Was up when this leader took over, by the store or the list, and has not been heard by it yet. */
     fun isAwaited(m: Machine): Boolean =
@@ -81,10 +81,10 @@
     private val wayBackS = reportS * 3 + 4.0
 
     /** Workers that are sound may still be on their way to this leader. */
-    val settling: Boolean get() = ctx.now < startedAt + wayBackS && fleet.machines.any { isAwaited(it) }
+    val isSettling: Boolean get() = ctx.now < startedAt + wayBackS && fleet.machines.any { isAwaited(it) }
 
     /** Every worker that can reach a node has been due with a report since the take-over, and nearly all are here. */
-    val firstAreBack: Boolean get() = ctx.now >= startedAt + ctx.settings.workers.longestReportS + HOPS_S
+    val heartbeatRoundElapsed: Boolean get() = ctx.now >= startedAt + ctx.settings.workers.longestReportS + HOPS_S
 
     /**
      * Replicas of live services on machines believed lost, by job. They count as placed until there is proof, and start
@@ -93,7 +93,7 @@
      * a cut.
      */
     fun endangered(): Map<Job, Set<Placement>> = fleet.machines
-        .filter { isSilent(it) && it.group?.zone !in cutZones && it.group?.zone !in lateZones }
+        .filter { isSilent(it) && it.group?.zone !in partitionedZones && it.group?.zone !in lateZones }
         .flatMap { it.placements.values }
         .filter { it.job.spec.shape == Shape.SERVICE && !it.job.cancelled && it.stopping == null }
         .groupBy { it.job }
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -196,7 +196,7 @@
             val zone = m.group?.zone ?: continue
             if (m.returning ||
                 sessions.homeOf(m) != null ||
-                !(m.registered || (failureDetector.firstAreBack && failureDetector.isAwaited(m)))
+                !(m.registered || (failureDetector.heartbeatRoundElapsed && failureDetector.isAwaited(m)))
             ) {
                 continue
             }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -30,7 +30,7 @@
      */
     fun tick() {
         val known = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
-        if (known.size < 2 || !leadership.mayWrite || !failureDetector.firstAreBack) return
+        if (known.size < 2 || !leadership.mayWrite || !failureDetector.heartbeatRoundElapsed) return
         val silent = known.count { ctx.now - it.lastHeard > times.missedS }
         if (silent * 2 >
             known.size
--- a/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
@@ -57,7 +57,7 @@
         add("b", silentB, 60.0)
         registry.refresh(emptyMap())
         assertEquals(good, registry.inGoodShape, name)
-        assertEquals(cut, registry.cutZones.sorted().joinToString(" "), name)
+        assertEquals(cut, registry.partitionedZones.sorted().joinToString(" "), name)
     }
 
     @ParameterizedTest(name = "{0}")
