--- a/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
@@ -3,155 +3,155 @@
 import plankwall.identity.PublicKey
 import plankwall.wire.AuditSegment
 
-/** Something that is not as it was written. [place]: the first link at which it shows. */
+/** A link that is not as it was written. [place]: the first one at which it shows. */
 data class VerificationFailure(val place: String, val what: String) {
     override fun toString(): String = "$place: $what"
 }
 
-/** All that a trail consists of, as read from the state service or from an export. */
+/** A whole audit log as read from the state service or an export: segments by node and number, seals by number. */
 class AuditLogCopy(val chains: Map<String, Map<Long, AuditSegment>>, val seals: Map<Long, String>)
 
 /**
- * Checks a whole trail: that each chain's entries follow from each other, that the seals do, that they are signed, and
- * that the chains hold what the seals say. Knows nothing of how a trail is written but the format.
+ * Verifies a whole audit log: that each chain's entries follow from each other, that the seals do, that they are
+ * signed, and that the chains hold what the seals say. Shares nothing with the writer but the format. [keyOf]: a node's
+ * public key by its id, or null.
  */
 class AuditLogVerifier(private val keyOf: (node: String, key: String) -> PublicKey?) {
+    /** [entries]: how many were verified. [sealed]: how many of each node are covered by a seal. */
     class Outcome(val broken: List<VerificationFailure>, val entries: Long, val sealed: Map<String, Long>)
 
-    /** [checkpoints]: seals that somebody kept; the trail must still hold what they say. */
-    fun verify(auditLog: AuditLogCopy, checkpoints: List<String> = emptyList()): Outcome {
-        val broken = ArrayList<VerificationFailure>()
-        val hashes = auditLog.chains.mapValues { (node, segments) -> chain(node, segments, broken) }
-        val sealed = seals(auditLog.seals, hashes, broken)
-        checkpoints.forEachIndexed { n, jws -> kept("checkpoint ${n + 1}", jws, auditLog.seals, hashes, broken) }
-        return Outcome(broken, hashes.values.sumOf { it.size.toLong() }, sealed)
-    }
+    /** [checkpoints]: seals that somebody kept elsewhere; the log must still hold what they say. */
+    fun verify(auditLog: AuditLogCopy, checkpoints: List<String> = emptyList()): Outcome =
+        Verification(auditLog).run(checkpoints)
 
-    /** The hashes of a chain's entries up to the first broken link. */
-    private fun chain(
-        node: String,
-        segments: Map<Long, AuditSegment>,
-        broken: MutableList<VerificationFailure>,
-    ): List<String> {
-        val hashes = ArrayList<String>()
-        var before = AuditLines.START
-        for (number in 0 until segments.size.toLong()) {
-            val segment = segments[number]
-            val place = "trail of $node, segment $number"
-            if (segment == null) {
-                broken.add(VerificationFailure(place, "missing"))
-                return hashes
-            }
-            if (segment.first != hashes.size.toLong() || segment.before != before || segment.lines.isEmpty()) {
-                broken.add(VerificationFailure(place, "does not follow from the segment before it"))
-                return hashes
-            }
-            for (text in segment.lines) {
-                val wrong = wrongWith(text, hashes.size.toLong(), before, node)
-                if (wrong != null) {
-                    broken.add(VerificationFailure("trail of $node, entry ${hashes.size}", wrong))
-                    return hashes
+    private inner class Verification(private val auditLog: AuditLogCopy) {
+        private val failures = ArrayList<VerificationFailure>()
+
+        /** The hashes of each chain's entries up to its first broken link. */
+        private val hashes = auditLog.chains.mapValues { (node, segments) -> checkChain(node, segments) }
+
+        fun run(checkpoints: List<String>): Outcome {
+            val sealed = checkSeals()
+            checkpoints.forEachIndexed { index, jws -> checkKeptSeal("checkpoint ${index + 1}", jws) }
+            return Outcome(failures, hashes.values.sumOf { it.size.toLong() }, sealed)
+        }
+
+        private fun fail(place: String, what: String) {
+            failures.add(VerificationFailure(place, what))
+        }
+
+        private fun checkChain(node: String, segments: Map<Long, AuditSegment>): List<String> {
+            val chain = ArrayList<String>()
+            for (number in 0 until segments.size.toLong()) {
+                val place = "trail of $node, segment $number"
+                val segment = segments[number]
+                if (segment == null) {
+                    fail(place, "missing")
+                    return chain
                 }
-                before = AuditLines.hash(text)
-                hashes.add(before)
+                val before = chain.lastOrNull() ?: AuditLines.START
+                if (segment.first != chain.size.toLong() || segment.before != before || segment.lines.isEmpty()) {
+                    fail(place, "does not follow from the segment before it")
+                    return chain
+                }
+                if (!checkLines(node, segment.lines, chain)) return chain
             }
+            return chain
         }
-        return hashes
-    }
 
-    private fun wrongWith(text: String, number: Long, before: String, node: String): String? = try {
-        val line = AuditLines.read(text)
-        when {
-            line.node != node -> "was written by ${line.node}"
-            line.number != number -> "has number ${line.number}"
-            line.before != before -> "does not follow from the entry before it"
-            else -> null
+        /** Appends the hashes of [lines] to [chain]; false at the first broken link. */
+        private fun checkLines(node: String, lines: List<String>, chain: MutableList<String>): Boolean {
+            for (text in lines) {
+                val problem = findLineProblem(text, chain.size.toLong(), chain.lastOrNull() ?: AuditLines.START, node)
+                if (problem != null) {
+                    fail("trail of $node, entry ${chain.size}", problem)
+                    return false
+                }
+                chain.add(AuditLines.hash(text))
+            }
+            return true
         }
-    } catch (e: MalformedAuditLineException) {
-        "can't be read: ${e.message}"
-    }
 
-    private fun seals(
-        seals: Map<Long, String>,
-        hashes: Map<String, List<String>>,
-        broken: MutableList<VerificationFailure>,
-    ): Map<String, Long> {
-        var before = AuditLines.START
-        var heads: Map<String, ChainHead> = emptyMap()
-        for (number in 0 until seals.size.toLong()) {
-            val place = "seal $number"
-            val jws = seals[number]
-            val wrong = if (jws == null) "missing" else sealWrong(jws, number, before, heads)
-            if (jws == null || wrong != null) {
-                broken.add(VerificationFailure(place, wrong ?: "missing"))
-                return heads.mapValues { it.value.next }
+        private fun findLineProblem(text: String, number: Long, before: String, node: String): String? = try {
+            val line = AuditLines.read(text)
+            when {
+                line.node != node -> "was written by ${line.node}"
+                line.number != number -> "has number ${line.number}"
+                line.before != before -> "does not follow from the entry before it"
+                else -> null
             }
-            before = AuditLines.hash(jws)
-            val newer = Seals.read(jws).heads
-            compare(place, newer, hashes, broken)
-            heads = newer
+        } catch (e: MalformedAuditLineException) {
+            "can't be read: ${e.message}"
         }
-        return heads.mapValues { it.value.next }
-    }
 
-    private fun sealWrong(jws: String, number: Long, before: String, earlier: Map<String, ChainHead>): String? = try {
-        val seal = Seals.read(jws)
-        when {
-            !Seals.isSigned(jws, keyOf) -> "is not signed by ${seal.by}"
-            seal.number != number -> "has number ${seal.number}"
-            seal.before != before -> "does not follow from the seal before it"
-            earlier.any { (node, h) -> (seal.heads[node]?.next ?: -1) < h.next } -> "says less than the seal before it"
-            else -> null
+        /** How many entries of each chain the last sound seal covers. */
+        private fun checkSeals(): Map<String, Long> {
+            var before = AuditLines.START
+            var heads: Map<String, ChainHead> = emptyMap()
+            for (number in 0 until auditLog.seals.size.toLong()) {
+                val place = "seal $number"
+                val jws = auditLog.seals[number]
+                val problem = if (jws == null) "missing" else findSealProblem(jws, number, before, heads)
+                if (jws == null || problem != null) {
+                    fail(place, problem ?: "missing")
+                    break
+                }
+                before = AuditLines.hash(jws)
+                heads = Seals.read(jws).heads
+                checkHeads(place, heads)
+            }
+            return heads.mapValues { it.value.next }
         }
-    } catch (e: MalformedAuditLineException) {
-        "can't be read: ${e.message}"
-    }
 
-    private fun compare(
-        place: String,
-        heads: Map<String, ChainHead>,
-        hashes: Map<String, List<String>>,
-        broken: MutableList<VerificationFailure>,
-    ) {
-        for ((node, head) in heads) {
-            val chain = hashes[node].orEmpty()
-            val there = chain.getOrNull((head.next - 1).toInt())
-            val name = "trail of $node, entry ${head.next - 1}"
-            // What lies behind the first broken link of a chain has been told already.
-            if (broken.any { it.place.startsWith("trail of $node,") }) continue
-            if (there ==
-                null
-            ) {
-                broken.add(
-                    VerificationFailure(name, "missing, though $place holds it; the chain ends after ${chain.size}"),
-                )
-            } else if (there != head.hash) {
-                broken.add(VerificationFailure(name, "is not the one that $place holds"))
+        private fun findSealProblem(
+            jws: String,
+            number: Long,
+            before: String,
+            earlier: Map<String, ChainHead>,
+        ): String? = try {
+            val seal = Seals.read(jws)
+            val goesBack = earlier.any { (node, head) -> (seal.heads[node]?.next ?: -1) < head.next }
+            when {
+                !Seals.isSigned(jws, keyOf) -> "is not signed by ${seal.by}"
+                seal.number != number -> "has number ${seal.number}"
+                seal.before != before -> "does not follow from the seal before it"
+                goesBack -> "says less than the seal before it"
+                else -> null
             }
+        } catch (e: MalformedAuditLineException) {
+            "can't be read: ${e.message}"
         }
-    }
 
-    private fun kept(
-        name: String,
-        jws: String,
-        seals: Map<Long, String>,
-        hashes: Map<String, List<String>>,
-        broken: MutableList<VerificationFailure>,
-    ) {
-        val seal = try {
-            Seals.read(jws)
-        } catch (e: MalformedAuditLineException) {
-            broken.add(VerificationFailure(name, "can't be read: ${e.message}"))
-            return
+        /** Whether the chains hold the [heads] that [place] names. */
+        private fun checkHeads(place: String, heads: Map<String, ChainHead>) {
+            for ((node, head) in heads) {
+                // Everything behind the first broken link of a chain follows from that failure.
+                if (failures.any { it.place.startsWith("trail of $node,") }) continue
+                val chain = hashes[node].orEmpty()
+                val stored = chain.getOrNull((head.next - 1).toInt())
+                val name = "trail of $node, entry ${head.next - 1}"
+                when (stored) {
+                    null -> fail(name, "missing, though $place holds it; the chain ends after ${chain.size}")
+                    head.hash -> Unit
+                    else -> fail(name, "is not the one that $place holds")
+                }
+            }
         }
-        val there = seals[seal.number]
-        when {
-            !Seals.isSigned(jws, keyOf) -> broken.add(VerificationFailure(name, "is not signed by ${seal.by}"))
-            there == null -> broken.add(
-                VerificationFailure("seal ${seal.number}", "missing, though it is the kept $name"),
-            )
-            there != jws -> broken.add(VerificationFailure("seal ${seal.number}", "is not the kept $name"))
+
+        private fun checkKeptSeal(name: String, jws: String) {
+            val seal = try {
+                Seals.read(jws)
+            } catch (e: MalformedAuditLineException) {
+                fail(name, "can't be read: ${e.message}")
+                return
+            }
+            val stored = auditLog.seals[seal.number]
+            when {
+                !Seals.isSigned(jws, keyOf) -> fail(name, "is not signed by ${seal.by}")
+                stored == null -> fail("seal ${seal.number}", "missing, though it is the kept $name")
+                stored != jws -> fail("seal ${seal.number}", "is not the kept $name")
+            }
+            checkHeads("the kept $name", seal.heads)
         }
-        compare("the kept $name", seal.heads, hashes, broken)
     }
 }
--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -3,341 +3,252 @@
 import org.slf4j.LoggerFactory
 import plankwall.core.statemachine.Budget
 import plankwall.core.statemachine.Context
-import plankwall.wire.AccessKeys
-import plankwall.wire.AuditSegment
-import plankwall.wire.Guard
-import plankwall.wire.StateCodec
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
-import plankwall.wire.Write
 
 /**
- * One node's chain. An entry and the change it allows are one transaction, so that neither is ever there without the
- * other, also when the transaction is applied late or its answer is lost. One transaction at a time is under way; what
- * comes meanwhile goes with the next one, all of it, so that a busy node writes few. Each is guarded on the newest
- * segment's stamp and on there being none behind it: of two that claim the same place in the chain only one can get
- * through.
+ * Appends to the audit log of one [node], a chain of hashed entries. An entry and the change that it allows are one
+ * transaction, so that neither is ever stored without the other, also when the transaction is applied late or its
+ * answer is lost. One transaction at a time is in flight; what comes meanwhile goes with the next one, so that a busy
+ * node writes few. Each is guarded on the newest segment's stamp and on there being none behind it: of two that claim
+ * the same place in the chain only one can be applied.
+ *
+ * [share]: the part of the store's rate of changes that all nodes' audit logs may use together.
  */
 class AuditLogWriter(private val ctx: Context, private val node: String, share: Double) {
     private val log = LoggerFactory.getLogger("audit")
-
-    private class Item(
-        val entry: AuditEntry,
-        val txn: StateOp.Txn?,
-        val since: Double,
-        val patienceS: Double,
-        val then: (StateResult) -> Unit,
-    ) {
-        var tries = 0
-    }
-
     private val limits = ctx.settings.stateTight
-    private var valueBytes = (limits.valueKb * 1024 * NEARLY).toInt()
+    private var valueBytes = (limits.valueKb * 1024 * VALUE_FILL_SHARE).toInt()
 
-    /** Changes that this chain may cost; a busy node has more than the equal part. */
-    private val budget = (limits.writeRps * share / ctx.settings.nodes * UNEVEN).let {
+    /** Changes a second that this chain may cost; a busy node gets more than the equal share. */
+    private val budget = (limits.writeRps * share / ctx.settings.nodes * UNEVEN_LOAD_FACTOR).let {
         Budget(ctx.time, it, maxOf(it, 1.0))
     }
-    private val half = maxOf(1.0, limits.writeRps * share / ctx.settings.nodes)
-    private val finder = AuditChainTail(ctx, node)
 
-    private var end: AuditChainTail.End? = null
-    private var loading = false
-    private var busy = false
-    private var alone = false
-    private var retryAt = 0.0
-    private var lastNotes = 0.0
-    private val changes = ArrayDeque<Item>()
-    private val notes = ArrayDeque<Item>()
+    /** Below this budget entries wait for others to share a transaction with. */
+    private val lowBudget = maxOf(1.0, limits.writeRps * share / ctx.settings.nodes)
+    private val tailSearch = AuditChainTail(ctx, node)
 
-    val ready: Boolean get() = end != null
+    /** The end of the chain; null until it was found. */
+    private var tail: AuditChainTail.End? = null
+    private var isSearchingTail = false
+    private var isInFlight = false
+
+    /** After a refusal of a transaction of several: they are tried one by one. */
+    private var sendsSingly = false
+    private var retryAt = 0.0
+    private var lastRecordsAt = 0.0
+    private val changes = ArrayDeque<PendingAuditEntry>()
+    private val records = ArrayDeque<PendingAuditEntry>()
 
     /** Entries of this node's chain so far. */
-    val length: Long get() = end?.next ?: 0
+    val length: Long get() = tail?.next ?: 0
 
-    /** Stores a decision by itself. Refused at once if too many wait. */
-    fun note(entry: AuditEntry, then: (stored: Boolean) -> Unit) =
-        queue(notes, Item(entry, null, ctx.now, PATIENCE_S) { then(it is StateResult.Committed) })
+    /** Stores a decision by itself; [then] learns whether it was. Refused at once if too many wait. */
+    fun record(entry: AuditEntry, then: (stored: Boolean) -> Unit) = enqueue(
+        records,
+        PendingAuditEntry(entry, null, ctx.now, TIMEOUT_S) { then(it is StateResult.Committed) },
+    )
 
     /**
-     * Keeps a decision that was told already until it can be stored. False: too many are kept, so it must not be told.
+     * Keeps a decision that is answered before it is stored until the store can be written to. False: too many are
+     * kept, so it must not be answered.
      */
-    fun noteLater(entry: AuditEntry): Boolean {
-        if (notes.size >= MAX_LATER) return false
-        queue(
-            notes,
-            Item(entry, null, ctx.now, LATER_S) {
-                if (it !is StateResult.Committed) log.error("decision {} could not be stored", entry.id)
+    fun recordLater(entry: AuditEntry): Boolean {
+        if (records.size >= MAX_DEFERRED) return false
+        enqueue(
+            records,
+            PendingAuditEntry(entry, null, ctx.now, DEFERRED_TIMEOUT_S) {
+                if (it !is StateResult.Committed) log.error("decision could not be stored id={}", entry.id)
             },
         )
         return true
     }
 
-    /** Stores a change and its decision, or neither. */
+    /** Stores a change and its decision in one transaction, or neither. */
     fun change(entry: AuditEntry, txn: StateOp.Txn, then: (StateResult) -> Unit) =
-        queue(changes, Item(entry, txn, ctx.now, PATIENCE_S, then))
+        enqueue(changes, PendingAuditEntry(entry, txn, ctx.now, TIMEOUT_S, then))
 
-    private fun queue(to: ArrayDeque<Item>, item: Item) {
-        if (changes.size + notes.size >= MAX_QUEUED) {
+    private fun enqueue(queue: ArrayDeque<PendingAuditEntry>, item: PendingAuditEntry) {
+        if (changes.size + records.size >= MAX_QUEUED) {
             item.then(StateResult.Refused)
             return
         }
-        to.addLast(item)
-        pump()
+        queue.addLast(item)
+        sendNext()
     }
 
     fun tick() {
-        if (end == null && !loading) load(emptyList())
-        // What waits too long is given up while its caller still listens; nothing of it was ever sent, or it would be
-        // busy.
-        for (queue in listOf(changes, notes)) {
-            val late = queue.filter { ctx.now - it.since > it.patienceS }
-            queue.removeAll(late.toSet())
-            late.forEach { it.then(StateResult.Refused) }
-        }
-        pump()
+        if (tail == null && !isSearchingTail) findTail(emptyList())
+        expireOverdue(changes)
+        expireOverdue(records)
+        sendNext()
     }
 
-    /** Finds the chain's end anew. What of [sent], or of what waits, turns out to be in it has been stored. */
-    private fun load(sent: List<Item>) {
-        loading = true
-        val known = end
-        finder.find(known) { found ->
-            loading = false
+    /** Gives up what waits too long, while its caller still listens. Nothing of it was sent, or it would not wait. */
+    private fun expireOverdue(queue: ArrayDeque<PendingAuditEntry>) {
+        val overdue = queue.filter { ctx.now - it.queuedAt > it.timeoutS }
+        queue.removeAll(overdue.toSet())
+        overdue.forEach { it.then(StateResult.Refused) }
+    }
+
+    /** Finds the chain's tail anew. What of [sent], or of what waits, turns out to be in the chain has been stored. */
+    private fun findTail(sent: List<PendingAuditEntry>) {
+        isSearchingTail = true
+        val known = tail
+        tailSearch.find(known) { found ->
+            isSearchingTail = false
             if (found == null) {
-                end = known
+                tail = known
                 retryAt = ctx.now + RETRY_S
-                unresolved(sent, emptySet())
+                resolveUnanswered(sent, emptySet())
                 return@find
             }
-            end = found
-            val landed = found.idsSince(known)
-            unresolved(sent, landed)
-            val stored = notes.filter { it.entry.id in landed }
-            notes.removeAll(stored.toSet())
+            tail = found
+            val storedIds = found.idsSince(known)
+            resolveUnanswered(sent, storedIds)
+            val stored = records.filter { it.entry.id in storedIds }
+            records.removeAll(stored.toSet())
             stored.forEach { it.then(StateResult.Committed(found.version)) }
-            pump()
+            sendNext()
         }
     }
 
     /**
-     * What was sent and not answered: stored if it is in the chain; else nobody can say yet, and a note is tried again.
+     * What was sent and not answered: stored if its id is in the chain; else it may still be applied, so the result of
+     * a change is unknown, and a record is sent again.
      */
-    private fun unresolved(sent: List<Item>, landed: Set<String>) {
-        busy = false
+    private fun resolveUnanswered(sent: List<PendingAuditEntry>, storedIds: Set<String>) {
+        isInFlight = false
         for (item in sent.asReversed()) {
             when {
-                item.entry.id in landed -> item.then(StateResult.Committed(end?.version ?: 0L))
-                item.txn == null -> notes.addFirst(item)
+                item.entry.id in storedIds -> item.then(StateResult.Committed(tail?.version ?: 0L))
+                item.txn == null -> records.addFirst(item)
                 else -> item.then(StateResult.Unknown)
             }
         }
     }
 
-    private fun pump() {
-        val e = end ?: return
-        if (busy || loading || ctx.now < retryAt || (changes.isEmpty() && notes.isEmpty())) return
-        val room = budget.available()
-        val waited = notes.firstOrNull()?.let { ctx.now - it.since } ?: 0.0
-        // The first note after a quiet moment goes at once. Those behind it wait for company, longer while the budget
-        // is low, so that a flood of them costs a few changes a second.
-        if (room < 1 ||
-            (changes.isEmpty() && (ctx.now < lastNotes + NOTE_GAP_S || room < half && waited < NOTE_WAIT_S))
-        ) {
-            return
-        }
-        val batch = Batch(e)
+    private fun sendNext() {
+        val chainTail = tail ?: return
+        if (isInFlight || isSearchingTail || ctx.now < retryAt || !mayAffordNext()) return
+        val batch = AuditBatch(node, chainTail, limits, valueBytes)
         fill(batch, changes)
-        if (!alone || batch.items.isEmpty()) fill(batch, notes)
+        if (!sendsSingly || batch.items.isEmpty()) fill(batch, records)
         if (batch.items.isEmpty()) return
         budget.spend(1)
-        if (batch.items.any { it.txn == null }) lastNotes = ctx.now
+        if (batch.items.any { it.txn == null }) lastRecordsAt = ctx.now
         send(batch)
     }
 
-    private fun fill(batch: Batch, from: ArrayDeque<Item>) {
-        while (from.isNotEmpty() && !(alone && batch.items.isNotEmpty()) && batch.add(from.first())) from.removeFirst()
-    }
-
     /**
-     * The next transaction: entries behind the chain's end, in its last segment or, where they don't fit, in a new one.
+     * Whether something waits that may go now. The first record after a quiet moment goes at once. Those behind it
+     * wait to share a transaction, longer while the budget is low, so that a flood of them costs a few changes a
+     * second.
      */
-    private inner class Batch(private val end: AuditChainTail.End) {
-        val items = ArrayList<Item>()
-        private val lines = ArrayList<String>()
-        private val touched = HashSet<String>()
-        private var hash = end.hash
-        private var size = if (end.version > 0) end.size else EMPTY_SEGMENT
-        private var turned = false
-        private var ops = 1
-        private var guards = 3
-        private var bytes = 400
-
-        fun add(item: Item): Boolean {
-            val txn = item.txn
-            val line = AuditLines.write(end.next + lines.size, hash, node, item.entry)
-            val lineSize = AuditChainTail.sizeOf(line)
-            val moreOps = txn?.writes?.size ?: 0
-            val moreGuards = txn?.guards?.size ?: 0
-            val moreBytes = txn?.let { StateCodec.txn(it).size } ?: 0
-            if (size + lineSize > valueBytes) {
-                // A segment is turned only by the first entry of a transaction; the others wait for the next one.
-                if (items.isNotEmpty() ||
-                    end.version == 0L
-                ) {
-                    return items.isEmpty() &&
-                        take(item, line, lineSize, moreOps, moreGuards, moreBytes)
-                }
-                turned = true
-                size = EMPTY_SEGMENT
-            }
-            if (items.isNotEmpty()) {
-                val full =
-                    ops + moreOps > limits.txnOps ||
-                        guards + moreGuards > limits.txnOps * 4 ||
-                        bytes + size + lineSize + moreBytes > MAX_BYTES
-                if (full || txn != null && txn.writes.any { keyOf(it) in touched }) return false
-            }
-            return take(item, line, lineSize, moreOps, moreGuards, moreBytes)
-        }
-
-        private fun take(
-            item: Item,
-            line: String,
-            lineSize: Int,
-            moreOps: Int,
-            moreGuards: Int,
-            moreBytes: Int,
-        ): Boolean {
-            items.add(item)
-            lines.add(line)
-            hash = AuditLines.hash(line)
-            size += lineSize
-            ops += moreOps
-            guards += moreGuards
-            bytes += moreBytes
-            item.txn?.writes?.forEach { touched.add(keyOf(it)) }
-            return true
-        }
-
-        private val number: Long get() = if (turned) end.segment + 1 else end.segment
-
-        /** Guards on the old segment too, so that nothing late is written behind a turn. */
-        val own: List<Guard>
-            get() = listOf(
-                Guard(AccessKeys.segment(node, end.segment), end.version),
-                Guard(AccessKeys.segment(node, end.segment + 1), 0),
-            )
-
-        fun segment(): AuditSegment = if (turned || end.version == 0L) {
-            AuditSegment(end.next, end.hash, lines.toList())
-        } else {
-            AuditSegment(end.first, end.before, end.lines + lines)
+    private fun mayAffordNext(): Boolean {
+        if (changes.isEmpty() && records.isEmpty()) return false
+        val available = budget.available()
+        if (available < 1) return false
+        if (changes.isNotEmpty()) return true
+        val waitedS = records.firstOrNull()?.let { ctx.now - it.queuedAt } ?: 0.0
+        return ctx.now >= lastRecordsAt + RECORD_INTERVAL_S && (available >= lowBudget || waitedS >= MAX_RECORD_WAIT_S)
+    }
+
+    private fun fill(batch: AuditBatch, from: ArrayDeque<PendingAuditEntry>) {
+        while (from.isNotEmpty()) {
+            if (sendsSingly && batch.items.isNotEmpty()) return
+            if (!batch.add(from.first())) return
+            from.removeFirst()
         }
-
-        fun write(): Write = Write.Put(AccessKeys.segment(node, number), segment())
-
-        fun committed(revision: Long): AuditChainTail.End = AuditChainTail.End(number, revision, segment())
-    }
-
-    private fun keyOf(w: Write): String = when (w) {
-        is Write.Put -> w.key
-        is Write.Remove -> w.key
     }
 
-    private fun send(batch: Batch) {
-        busy = true
-        val guards = (batch.own + batch.items.flatMap { it.txn?.guards.orEmpty() }).distinct()
-        val writes = listOf(batch.write()) + batch.items.flatMap { it.txn?.writes.orEmpty() }
-        ctx.out.state(StateOp.Txn(guards, writes)) { result ->
+    private fun send(batch: AuditBatch) {
+        isInFlight = true
+        ctx.out.state(batch.transaction()) { result ->
             when (result) {
-                is StateResult.Committed -> {
-                    end = batch.committed(result.revision)
-                    busy = false
-                    alone = false
-                    batch.items.forEach { it.then(result) }
-                    pump()
-                }
-                is StateResult.Conflict -> conflict(batch, result.failed)
-                StateResult.Refused -> again(batch, batch.items.filter { it.txn != null }, StateResult.Refused, RETRY_S)
-                StateResult.Rejected -> rejected(batch)
-                else -> load(batch.items)
+                is StateResult.Committed -> onCommitted(batch, result)
+                is StateResult.Conflict -> onConflict(batch, result.failed)
+                StateResult.Refused -> onRefused(batch)
+                StateResult.Rejected -> onRejected(batch)
+                else -> findTail(batch.items)
             }
         }
     }
 
-    /** Those whose own guards failed hear of it; the others were only in their company and go again. */
-    private fun conflict(batch: Batch, failed: Set<String>) {
-        val theirs = batch.items.filter { item -> item.txn?.guards.orEmpty().any { it.key in failed } }
-        val ours = batch.own.any { it.key in failed }
-        val rest = batch.items - theirs.toSet()
-        requeue(rest)
-        busy = false
-        theirs.forEach { item ->
-            item.then(
-                StateResult.Conflict(
-                    failed.filterTo(HashSet()) { key ->
-                        item.txn?.guards.orEmpty().any {
-                            it.key ==
-                                key
-                        }
-                    },
-                ),
-            )
+    private fun onCommitted(batch: AuditBatch, result: StateResult.Committed) {
+        tail = batch.tailAfterCommit(result.revision)
+        isInFlight = false
+        sendsSingly = false
+        batch.items.forEach { it.then(result) }
+        sendNext()
+    }
+
+    /** Entries whose own guards failed get the conflict; the others only shared the transaction and are sent again. */
+    private fun onConflict(batch: AuditBatch, failed: Set<String>) {
+        val conflicting = batch.items.filter { item -> item.guardKeys().any { it in failed } }
+        val isChainConflict = batch.chainGuards.any { it.key in failed }
+        requeue(batch.items - conflicting.toSet())
+        isInFlight = false
+        conflicting.forEach { item ->
+            val own = item.guardKeys()
+            item.then(StateResult.Conflict(failed.filterTo(HashSet()) { it in own }))
         }
-        // Something of ours that was given up was applied after all: the chain goes on behind it.
-        if (ours) load(emptyList()) else pump()
+        // An earlier transaction without an answer was applied after all: the chain goes on behind it.
+        if (isChainConflict) findTail(emptyList()) else sendNext()
     }
 
-    private fun requeue(items: List<Item>) {
+    private fun PendingAuditEntry.guardKeys(): Set<String> = txn?.guards.orEmpty().mapTo(HashSet()) { it.key }
+
+    private fun requeue(items: List<PendingAuditEntry>) {
         for (item in items.asReversed()) {
             when {
-                ++item.tries > MAX_TRIES && item.patienceS == PATIENCE_S -> item.then(StateResult.Refused)
-                item.txn == null -> notes.addFirst(item)
+                ++item.attempts > MAX_ATTEMPTS && item.timeoutS == TIMEOUT_S -> item.then(StateResult.Refused)
+                item.txn == null -> records.addFirst(item)
                 else -> changes.addFirst(item)
             }
         }
     }
 
-    /** [given] are told [result]; the others of the batch wait for the next one. */
-    private fun again(batch: Batch, given: List<Item>, result: StateResult, pauseS: Double) {
-        busy = false
-        retryAt = ctx.now + pauseS
-        for (item in (batch.items - given.toSet()).asReversed()) notes.addFirst(item)
-        given.forEach { it.then(result) }
+    /** Not executed: changes are refused to their callers, records are sent again. */
+    private fun onRefused(batch: AuditBatch) {
+        val (ownRecords, ownChanges) = batch.items.partition { it.txn == null }
+        isInFlight = false
+        retryAt = ctx.now + RETRY_S
+        for (item in ownRecords.asReversed()) records.addFirst(item)
+        ownChanges.forEach { it.then(StateResult.Refused) }
     }
 
-    private fun rejected(batch: Batch) {
-        busy = false
+    /** Refused for good: too large for the store, as it is. */
+    private fun onRejected(batch: AuditBatch) {
+        isInFlight = false
         if (batch.items.size > 1) {
-            alone = true
+            sendsSingly = true
             requeue(batch.items)
-        } else if (valueBytes > LEAST_BYTES) {
-            // The store takes less than was announced: segments are kept smaller, and what there is is left behind.
-            valueBytes = maxOf(LEAST_BYTES, valueBytes / 2)
-            log.warn("trail: a write was refused for good; segments of at most {} bytes from now on", valueBytes)
+        } else if (valueBytes > MIN_VALUE_BYTES) {
+            // The store takes less than was announced: later segments are smaller, the present one stays as it is.
+            valueBytes = maxOf(MIN_VALUE_BYTES, valueBytes / 2)
+            log.warn("audit log write refused for good, segments get smaller max_bytes={}", valueBytes)
             requeue(batch.items)
         } else {
             batch.items.forEach { it.then(StateResult.Rejected) }
         }
-        pump()
+        sendNext()
     }
 
     private companion object {
-        const val NEARLY = 0.95
-        const val UNEVEN = 2.0
+        const val VALUE_FILL_SHARE = 0.95
+        const val UNEVEN_LOAD_FACTOR = 2.0
         const val MAX_QUEUED = 400
-        const val PATIENCE_S = 3.0
+        const val TIMEOUT_S = 3.0
 
-        /** Outages end; what was told during a longer one than this is in the log alone. */
-        const val LATER_S = 600.0
-        const val MAX_LATER = 100
+        /** What was answered during a longer outage stands in the process's log alone. */
+        const val DEFERRED_TIMEOUT_S = 600.0
+        const val MAX_DEFERRED = 100
         const val RETRY_S = 0.25
-        const val NOTE_GAP_S = 0.25
-        const val NOTE_WAIT_S = 0.5
-        const val MAX_TRIES = 8
-        const val MAX_BYTES = 56_000
-        const val LEAST_BYTES = 1024
-        const val EMPTY_SEGMENT = 90
+        const val RECORD_INTERVAL_S = 0.25
+        const val MAX_RECORD_WAIT_S = 0.5
+        const val MAX_ATTEMPTS = 8
+        const val MIN_VALUE_BYTES = 1024
     }
 }
--- a/src/main/kotlin/plankwall/audit/Seals.kt
+++ b/src/main/kotlin/plankwall/audit/Seals.kt
@@ -10,10 +10,10 @@
 import plankwall.identity.SigningKey
 import plankwall.identity.signatureOf
 
-/** How far one chain had come: [next] entries, the last of which has [hash]. [segment] is where that one lies. */
+/** The state of one chain: [next] entries, the last of which has [hash] and is stored in [segment]. */
 data class ChainHead(val segment: Long, val next: Long, val hash: String)
 
-/** A checkpoint over all chains. [before]: the hash of the seal before it. */
+/** A checkpoint over all chains. [before]: the hash of the previous seal. [by]: the node that signed it. */
 data class Seal(
     val number: Long,
     val before: String,
@@ -26,8 +26,10 @@
 /** Seals are written as a signed compact JWS, so that they can be kept and checked by themselves. */
 object Seals {
     private const val TYPE = "plankwall-seal"
+    private const val HEAD_FIELDS = 3
     private val json = ObjectMapper()
 
+    /** [seal] as a compact JWS signed with [key]. */
     fun sign(seal: Seal, key: SigningKey): String {
         val payload = json.createObjectNode().apply {
             put("n", seal.number)
@@ -36,19 +38,19 @@
             put("e", seal.epoch)
             put("d", seal.by)
             val heads = putObject("heads")
-            seal.heads.toSortedMap().forEach { (node, h) ->
-                heads.putArray(node).add(h.segment).add(h.next).add(h.hash)
+            seal.heads.toSortedMap().forEach { (node, head) ->
+                heads.putArray(node).add(head.segment).add(head.next).add(head.hash)
             }
         }.toString()
         return signatureOf(payload, key, TYPE)
     }
 
-    /** What a seal says, whoever signed it. Throws [MalformedAuditLineException]. */
-    fun read(jws: String): Seal = decode(JsonWebSignature().also { parse(it, jws) }.unverifiedPayload)
+    /** Reads a seal without checking its signature. Throws [MalformedAuditLineException]. */
+    fun read(jws: String): Seal = decode(parse(jws).unverifiedPayload)
 
-    /** Whether the node that a seal names has signed it, by one of its keys in [keyOf]. */
+    /** Whether the node that a seal names has signed it with one of its keys; [keyOf] looks them up. */
     fun isSigned(jws: String, keyOf: (node: String, key: String) -> PublicKey?): Boolean = try {
-        val signature = JsonWebSignature().also { parse(it, jws) }
+        val signature = parse(jws)
         val key = signature.keyIdHeaderValue?.let { keyOf(decode(signature.unverifiedPayload).by, it) }
         key != null &&
             signature.getHeader("typ") == TYPE &&
@@ -60,33 +62,45 @@
         false
     }
 
-    private fun parse(into: JsonWebSignature, jws: String) = try {
-        into.compactSerialization = jws
-    } catch (_: JoseException) {
-        throw MalformedAuditLineException("not a signed seal")
-    } catch (_: RuntimeException) {
-        throw MalformedAuditLineException("not a signed seal")
+    @Suppress("TooGenericExceptionCaught") // The library throws several kinds on input that is no JWS at all.
+    private fun parse(jws: String): JsonWebSignature = try {
+        JsonWebSignature().also { it.compactSerialization = jws }
+    } catch (e: JoseException) {
+        throw MalformedAuditLineException("not a signed seal", e)
+    } catch (e: RuntimeException) {
+        throw MalformedAuditLineException("not a signed seal", e)
     }
 
     private fun decode(payload: String): Seal {
-        val o = try {
+        val fields = try {
             json.readTree(payload) as? ObjectNode ?: throw MalformedAuditLineException("a seal without fields")
-        } catch (_: JsonProcessingException) {
-            throw MalformedAuditLineException("a seal that is not JSON")
+        } catch (e: JsonProcessingException) {
+            throw MalformedAuditLineException("a seal that is not JSON", e)
         }
+        val heads = decodeHeads(fields)
+        return Seal(
+            fields.number("n"),
+            fields.text("b"),
+            fields.number("t"),
+            fields.number("e"),
+            fields.text("d"),
+            heads,
+        )
+    }
+
+    private fun decodeHeads(fields: ObjectNode): Map<String, ChainHead> {
+        val stored = fields.get("heads") as? ObjectNode ?: throw MalformedAuditLineException("a seal without heads")
         val heads = LinkedHashMap<String, ChainHead>()
-        for ((node, h) in (
-            o.get(
-                "heads",
-            ) as? ObjectNode ?: throw MalformedAuditLineException("a seal without heads")
-            ).fields()) {
-            if (h.size() != 3) throw MalformedAuditLineException("a seal's head of $node")
-            heads[node] = ChainHead(h[0].asLong(), h[1].asLong(), h[2].asText())
+        for ((node, head) in stored.fields()) {
+            if (head.size() != HEAD_FIELDS) throw MalformedAuditLineException("a seal's head of $node")
+            heads[node] = ChainHead(head[0].asLong(), head[1].asLong(), head[2].asText())
         }
-        fun number(name: String): Long = o.get(name)?.takeIf { it.isIntegralNumber }?.longValue()
-            ?: throw MalformedAuditLineException("a seal without $name")
-        fun text(name: String): String = o.get(name)?.takeIf { it.isTextual }?.textValue()
-            ?: throw MalformedAuditLineException("a seal without $name")
-        return Seal(number("n"), text("b"), number("t"), number("e"), text("d"), heads)
+        return heads
     }
+
+    private fun ObjectNode.number(name: String): Long = get(name)?.takeIf { it.isIntegralNumber }?.longValue()
+        ?: throw MalformedAuditLineException("a seal without $name")
+
+    private fun ObjectNode.text(name: String): String = get(name)?.takeIf { it.isTextual }?.textValue()
+        ?: throw MalformedAuditLineException("a seal without $name")
 }
