--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -7,10 +7,11 @@
 import plankwall.model.JobFacts
 import plankwall.model.Priority
 import plankwall.model.Shape
+import plankwall.wire.JobCodec
 
 enum class PrincipalKind { PERSON, SERVICE, NODE }
 
-/** Somebody, or something, that can prove who it is. [networks]: null for any. */
+/** A person, service or node that can prove who it is. [networks]: from where; null for anywhere. */
 class Principal(
     val name: String,
     val kind: PrincipalKind,
@@ -21,7 +22,7 @@
     fun key(id: String): PublicKey? = if (disabled) null else keys.find { it.id == id }
 }
 
-/** A condition on a job. One that asks about what is not known of it does not hold, and neither does its opposite. */
+/** A condition on a job. One on an attribute that is not known does not hold, and neither does its negation. */
 sealed interface Condition {
     class All(val parts: List<Condition>) : Condition
 
@@ -40,21 +41,21 @@
     CLASS("class", { it.jobClass }),
     TEAM("team", { it.team }),
     OWNER("owner", { it.owner }),
-    PRIORITY("priority", { Words.of(it.priority) }),
-    SHAPE("shape", { Words.of(it.shape) }),
+    PRIORITY("priority", { PolicyWords.of(it.priority) }),
+    SHAPE("shape", { PolicyWords.of(it.shape) }),
 }
 
 /** Priorities and shapes by the names that users write. */
-internal object Words {
-    val priorities: Map<String, Priority> = plankwall.wire.JobCodec.priorityWords
-    val shapes: Map<String, Shape> = plankwall.wire.JobCodec.shapeWords
+internal object PolicyWords {
+    val priorities: Map<String, Priority> = JobCodec.priorityWords
+    val shapes: Map<String, Shape> = JobCodec.shapeWords
 
-    fun of(p: Priority): String = plankwall.wire.JobCodec.priorityName(p)
+    fun of(priority: Priority): String = JobCodec.priorityName(priority)
 
-    fun of(s: Shape): String = plankwall.wire.JobCodec.shapeName(s)
+    fun of(shape: Shape): String = JobCodec.shapeName(shape)
 }
 
-/** [line]: where it stands in the text. [cancel]: what its loss means for a running job; null: not said. */
+/** [line]: in the policy's text. [cancel]: whether revoking the right cancels running jobs; null: not stated. */
 class Rule(
     val name: String,
     val line: Int,
@@ -64,12 +65,16 @@
     val cancel: Boolean?,
 )
 
-/** How a rule stands to a request. */
+/** How a rule relates to a request. */
 enum class RuleOutcome { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
 
+/** A rule and how it relates to the request that was explained. */
 class Explained(val rule: Rule, val standing: RuleOutcome)
 
-/** One version of who there is and who may do what. */
+/**
+ * One version of the principals and of who may do what. [workers], [peers]: from where workers and peers may connect;
+ * null: from anywhere.
+ */
 class Policy(
     val version: Long,
     val principals: Map<String, Principal>,
@@ -77,11 +82,13 @@
     val workers: Networks?,
     val peers: Networks?,
 ) {
+    /** The rules for [principal], in the order of the text. */
     fun rulesOf(principal: String): List<Rule> = rules[principal].orEmpty()
 
+    /** The key of [principal] with this id; null if there is none or the principal is disabled. */
     fun publicKey(principal: String, key: String): PublicKey? = principals[principal]?.key(key)
 
-    /** A deny that applies wins; else the first allow; else nobody has allowed it. */
+    /** Decides [action] on [job]: a deny that applies wins, else the first allow, else it is denied. */
     fun authorize(principal: String, action: Action, job: JobFacts?): Verdict {
         val known = principals[principal]
         if (known == null) return Verdict(false, UNKNOWN)
@@ -92,20 +99,15 @@
             if (!rule.allows) return Verdict(false, rule.name, rule.cancel ?: false)
             if (allowing == null) allowing = rule
         }
-        return if (allowing ==
-            null
-        ) {
-            Verdict(false, NOTHING_ALLOWS)
-        } else {
-            Verdict(true, allowing.name, allowing.cancel ?: false)
-        }
+        if (allowing == null) return Verdict(false, NOTHING_ALLOWS)
+        return Verdict(true, allowing.name, allowing.cancel ?: false)
     }
 
-    /** Whether some rule that denies it to [principal] says what becomes of a job that runs. */
+    /** Whether the first rule that denies it to [principal] cancels running jobs; null if none does or says. */
     fun cancelsOnDeny(principal: String, action: Action, job: JobFacts?): Boolean? = rulesOf(principal)
         .firstOrNull { !it.allows && action in it.actions && holds(it.condition, principal, job) }?.cancel
 
-    /** All rules of [principal] and how each stands to the request, in the order of the text. */
+    /** All rules of [principal] and how each relates to the request, in the order of the text. */
     fun explain(principal: String, action: Action, job: JobFacts?): List<Explained> {
         val deciding = authorize(principal, action, job)
         var decided = false
@@ -113,9 +115,9 @@
             val standing = when {
                 action !in rule.actions -> RuleOutcome.OTHER_ACTION
                 !holds(rule.condition, principal, job) -> RuleOutcome.CONDITION_FAILS
-                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> RuleOutcome.DECIDES.also {
-                    decided =
-                        true
+                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> {
+                    decided = true
+                    RuleOutcome.DECIDES
                 }
                 else -> RuleOutcome.APPLIES
             }
--- a/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
@@ -65,7 +65,7 @@
         may: Boolean,
     ) {
         val policy = PolicyReader.read(text, 7)
-        val facts = job(c, owner, Words.priorities.getValue(p), Words.shapes.getValue(s), team)
+        val facts = job(c, owner, PolicyWords.priorities.getValue(p), PolicyWords.shapes.getValue(s), team)
         assertEquals(may, policy.authorize(who, Action.entries.first { it.word == action }, facts).allowed)
     }
 
@@ -147,10 +147,12 @@
                 List(3000) {
                     "class is x"
                 }.joinToString(" or "),
-            ).take(PolicyReader.LONGEST).substringBeforeLast(" or") +
+            ).take(PolicyReader.MAX_LENGTH).substringBeforeLast(" or") +
                 ";",
             1,
         )
-        assertThrows(InvalidPolicyException::class.java) { PolicyReader.read(" ".repeat(PolicyReader.LONGEST + 1), 1) }
+        assertThrows(InvalidPolicyException::class.java) {
+            PolicyReader.read(" ".repeat(PolicyReader.MAX_LENGTH + 1), 1)
+        }
     }
 }
