--- a/src/main/kotlin/plankwall/gateway/AdminService.kt
+++ b/src/main/kotlin/plankwall/gateway/AdminService.kt
@@ -17,20 +17,22 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** Requests about the rights and the trail themselves: checked and recorded like all others. */
+/**
+ * Requests about the policy and the audit log themselves: authenticated, authorized and recorded like all others.
+ */
 internal class AdminService(
     private val ctx: Context,
-    private val schedulerState: PolicyStore,
-    private val entered: (RequestId, Credentials, (AccessGateway.Guest) -> Unit) -> Unit,
+    private val policies: PolicyStore,
+    private val authenticator: RequestAuthenticator,
 ) {
+    /** Answers [request], which asks for [asked]. */
     fun handle(request: RequestId, credentials: Credentials, asked: AdminRequest) =
-        entered(request, credentials) { guest ->
-            PendingRequest(request, guest, asked).handle()
-        }
+        authenticator.authenticate(request, credentials) { caller -> Exchange(request, caller, asked).handle() }
 
-    private inner class PendingRequest(
+    /** One request of an authenticated [caller], answered once. */
+    private inner class Exchange(
         private val request: RequestId,
-        private val guest: AccessGateway.Guest,
+        private val caller: AuthenticatedCaller,
         private val asked: AdminRequest,
     ) {
         private val action = if (asked is AdminRequest.Trail) Action.AUDIT else Action.ADMINISTER
@@ -41,80 +43,83 @@
             is AdminRequest.OldRights -> "rights ${asked.version}"
             AdminRequest.Rights -> "rights"
         }
-        private val verdict: Verdict get() = guest.authorize(action, null)
 
         fun handle() {
-            val v = verdict
-            if (!v.allowed) {
-                respond(v, 403, JobCodec.error("you may not ${action.word}"))
+            val verdict = authorize()
+            if (!verdict.allowed) {
+                recordAndAnswer(verdict, 403, JobCodec.error("you may not ${action.word}"))
                 return
             }
             when (asked) {
-                AdminRequest.Rights -> current(v)
-                is AdminRequest.OldRights -> old(asked.version) { text ->
-                    respond(v, 200, AdminCodec.rights(asked.version, "", 0, text))
+                AdminRequest.Rights -> showCurrentPolicy(verdict)
+                is AdminRequest.OldRights -> readVersion(asked.version) { text ->
+                    recordAndAnswer(verdict, 200, AdminCodec.rights(asked.version, "", 0, text))
                 }
-                is AdminRequest.Trail -> auditLog(v, asked)
+                is AdminRequest.Trail -> showAuditRecord(verdict, asked)
                 is AdminRequest.Publish -> publish(asked.base, asked.text)
-                is AdminRequest.Rollback -> old(asked.to) { publish(asked.base, it) }
+                is AdminRequest.Rollback -> readVersion(asked.to) { publish(asked.base, it) }
             }
         }
 
+        /** Evaluated anew at each step, since the policy may change while the store is asked. */
+        private fun authorize(): Verdict = caller.authorize(action, null)
+
         private fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) =
             ctx.out.answer(request, status, body, retryAfterS)
 
-        private fun respond(v: Verdict, status: Int, body: ByteArray) =
-            guest.record(Decision(action, subject, v, status)) { stored ->
-                if (stored) answer(status, body) else later("the decision can't be recorded now")
+        private fun recordAndAnswer(verdict: Verdict, status: Int, body: ByteArray) =
+            caller.record(Decision(action, subject, verdict, status)) { stored ->
+                if (stored) answer(status, body) else answerUnavailable("the decision can't be recorded now")
             }
 
-        private fun later(why: String) = answer(503, JobCodec.error(why), 1)
+        private fun answerUnavailable(reason: String) = answer(503, JobCodec.error(reason), 1)
 
-        private fun current(v: Verdict) {
-            val head = schedulerState.head
-            if (head ==
-                null
-            ) {
-                later("the rights are not known yet")
+        private fun showCurrentPolicy(verdict: Verdict) {
+            val head = policies.head
+            if (head == null) {
+                answerUnavailable("the rights are not known yet")
             } else {
-                respond(v, 200, AdminCodec.rights(head.version, head.by, head.atMs, schedulerState.text))
+                recordAndAnswer(verdict, 200, AdminCodec.rights(head.version, head.by, head.atMs, policies.text))
             }
         }
 
-        private fun old(version: Long, then: (String) -> Unit) = schedulerState.parts(version) { parts ->
+        private fun readVersion(version: Long, then: (String) -> Unit) = policies.readParts(version) { parts ->
             when {
-                parts == null -> later("the state service can't be read")
+                parts == null -> answerUnavailable("the state service can't be read")
                 // Parts of a version that was never published lie beyond the newest one.
-                parts.isEmpty() || version > schedulerState.policy.version -> respond(
-                    verdict,
-                    404,
-                    JobCodec.error("there is no version $version of the rights"),
-                )
+                parts.isEmpty() || version > policies.policy.version -> {
+                    val error = JobCodec.error("there is no version $version of the rights")
+                    recordAndAnswer(authorize(), 404, error)
+                }
                 else -> then(parts.joinToString(""))
             }
         }
 
         private fun publish(base: Long, text: String) {
-            val v = verdict
-            val head = schedulerState.head
-            val wrong = wrongWith(base, text)
+            val verdict = authorize()
+            val head = policies.head
+            val problem = findProblem(base, text)
             when {
-                head == null -> later("the rights are not known yet")
-                base != head.version -> respond(
-                    v,
-                    409,
-                    JobCodec.error("the rights are at version ${head.version} by now, not $base"),
-                )
-                wrong != null -> respond(v, 400, JobCodec.error(wrong))
-                else -> schedulerState.prepare(base, schedulerState.stamp, text, guest.name) { ready ->
-                    if (ready == null) later("the state service did not confirm") else store(v, ready)
+                head == null -> answerUnavailable("the rights are not known yet")
+                base != head.version -> {
+                    val error = JobCodec.error("the rights are at version ${head.version} by now, not $base")
+                    recordAndAnswer(verdict, 409, error)
+                }
+                problem != null -> recordAndAnswer(verdict, 400, JobCodec.error(problem))
+                else -> policies.prepare(base, policies.stamp, text, caller.name) { prepared ->
+                    if (prepared == null) {
+                        answerUnavailable("the state service did not confirm")
+                    } else {
+                        store(verdict, prepared)
+                    }
                 }
             }
         }
 
-        private fun wrongWith(base: Long, text: String): String? = try {
+        /** Why [text] can't follow version [base], or null. */
+        private fun findProblem(base: Long, text: String): String? = try {
             val next = PolicyReader.read(text, base + 1)
-            if (next.authorize(guest.name, Action.ADMINISTER, null).allowed) {
+            if (next.authorize(caller.name, Action.ADMINISTER, null).allowed) {
                 null
             } else {
                 "by these rights you could not administer any more: have somebody publish them who still can"
@@ -123,30 +128,27 @@
             e.message
         }
 
-        private fun store(v: Verdict, ready: PolicyStore.Prepared) =
-            guest.change(Decision(action, subject, v, 200), ready.txn) { result ->
+        private fun store(verdict: Verdict, prepared: PreparedPolicy) =
+            caller.change(Decision(action, subject, verdict, 200), prepared.txn) { result ->
                 when (result) {
-                    is StateResult.Committed -> schedulerState.refresh {
-                        answer(200, AdminCodec.published(ready.version))
+                    is StateResult.Committed -> policies.refresh {
+                        answer(200, AdminCodec.published(prepared.version))
                     }
-                    is StateResult.Conflict -> respond(
-                        guest.authorize(action, null),
-                        409,
-                        JobCodec.error("somebody else published meanwhile"),
-                    )
-                    else -> later("the state service did not confirm")
+                    is StateResult.Conflict ->
+                        recordAndAnswer(authorize(), 409, JobCodec.error("somebody else published meanwhile"))
+                    else -> answerUnavailable("the state service did not confirm")
                 }
             }
 
-        private fun auditLog(v: Verdict, asked: AdminRequest.Trail) {
+        private fun showAuditRecord(verdict: Verdict, asked: AdminRequest.Trail) {
             val key = asked.node?.let { AccessKeys.segment(it, asked.number) } ?: AccessKeys.seal(asked.number)
             ctx.out.state(StateOp.Get(key)) { result ->
                 val value = (result as? StateResult.Item)?.item?.value
                 when {
-                    result !is StateResult.Item -> later("the state service can't be read")
-                    value is AuditSegment -> respond(v, 200, AdminCodec.segment(value))
-                    value is AuditSeal -> respond(v, 200, AdminCodec.seal(value))
-                    else -> respond(v, 404, JobCodec.error("the trail has no such piece"))
+                    result !is StateResult.Item -> answerUnavailable("the state service can't be read")
+                    value is AuditSegment -> recordAndAnswer(verdict, 200, AdminCodec.segment(value))
+                    value is AuditSeal -> recordAndAnswer(verdict, 200, AdminCodec.seal(value))
+                    else -> recordAndAnswer(verdict, 404, JobCodec.error("the trail has no such piece"))
                 }
             }
         }
--- /dev/null
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -0,0 +1,68 @@
+package plankwall.gateway
+
+import org.slf4j.LoggerFactory
+import plankwall.audit.AuditLogWriter
+import plankwall.core.statemachine.Action
+import plankwall.core.statemachine.Caller
+import plankwall.core.statemachine.Decision
+import plankwall.core.statemachine.Verdict
+import plankwall.model.JobFacts
+import plankwall.wire.AccessKeys
+import plankwall.wire.Guard
+import plankwall.wire.StateOp
+import plankwall.wire.StateResult
+
+/**
+ * A caller that proved who it is, with the request it made. [ownJobsOnly]: the policy could not be read lately, so all
+ * that is left is reading one's own jobs.
+ */
+internal class AuthenticatedCaller(
+    private val origin: RequestOrigin,
+    private val ownJobsOnly: Boolean,
+    private val policies: PolicyStore,
+    private val auditLog: AuditLogWriter,
+    private val entries: AuditEntryFactory,
+    private val denials: DenialLimiter,
+) : Caller {
+    override val name: String get() = origin.name
+
+    override fun authorize(action: Action, job: JobFacts?): Verdict {
+        if (ownJobsOnly) {
+            return Verdict(action == Action.SHOW && job?.owner == name, "rights too old: own jobs may be looked at")
+        }
+        return policies.policy.authorize(name, action, job)
+    }
+
+    override fun record(decision: Decision, then: (Boolean) -> Unit) {
+        val entry = entries.create(origin, decision)
+        val verdict = decision.verdict
+        if (!verdict.allowed) {
+            denials.recordDenial(name)
+            log.info(
+                "action denied caller={} action={} subject={} rule={}",
+                name,
+                decision.action.word,
+                decision.subject,
+                verdict.rule,
+            )
+        }
+        // Reading one's own jobs does not wait for a store that is away; it is recorded when that is back.
+        if (ownJobsOnly && verdict.allowed) then(auditLog.recordLater(entry)) else auditLog.record(entry, then)
+    }
+
+    override fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit) {
+        val isGuarded = txn.guards.any { it.key == AccessKeys.HEAD }
+        val guarded = if (isGuarded) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, policies.stamp))
+        auditLog.change(entries.create(origin, decision), guarded) { result ->
+            if (result is StateResult.Conflict && AccessKeys.HEAD in result.failed) {
+                policies.refresh { then(result) }
+            } else {
+                then(result)
+            }
+        }
+    }
+
+    private companion object {
+        val log = LoggerFactory.getLogger("gateway")
+    }
+}
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -1,6 +1,5 @@
 package plankwall.gateway
 
-import okio.ByteString.Companion.encodeUtf8
 import org.slf4j.LoggerFactory
 import plankwall.authorization.InvalidPolicyException
 import plankwall.authorization.Policy
@@ -14,208 +13,189 @@
 import plankwall.wire.StateResult
 import plankwall.wire.Write
 
+/** A policy whose parts are stored: [txn] writes the head that publishes it as [version]. */
+internal class PreparedPolicy(val version: Long, val txn: StateOp.Txn)
+
 /**
- * The rights as the state service holds them. Read anew several times a second, so that what was revoked is refused
- * everywhere within a second; that no change slips through meanwhile is seen to by the guard on the head's stamp.
+ * This node's copy of the published policy. Read anew several times a second, so that a revoked right is refused on
+ * every node within a second; a change between two readings is caught by the guard on the head's stamp.
+ *
+ * [firstRights]: the text that is published where the store holds no policy; null: none is.
  */
 class PolicyStore(private val ctx: Context, private val firstRights: String?) {
-    private val log = LoggerFactory.getLogger("rights")
+    private val log = LoggerFactory.getLogger("policy")
+    private val chunks = PolicyChunks(ctx.settings.stateTight)
 
+    /** The policy in force, [Policy.NOBODY] until one was read. */
     var policy: Policy = Policy.NOBODY
         private set
+
+    /** The stored head of [policy]; null until one was read. */
     var head: RightsHead? = null
         private set
 
-    /** The stamp of the head that [policy] was read with: what every allowed change is guarded on. */
+    /** The stamp of [head]: what every allowed change is guarded on. */
     var stamp = 0L
         private set
+
+    /** The text of [policy]. */
     var text = ""
         private set
 
     /** When the reading began that last found [policy] to be the newest. */
     private var confirmedAt = NEVER
-    private var reading = false
+    private var isReading = false
     private var nextRead = 0.0
-    private val waiting = ArrayList<() -> Unit>()
+    private val awaitingRead = ArrayList<() -> Unit>()
 
+    /** Whether a policy was read. */
     val known: Boolean get() = head != null
 
-    fun fresh(withinS: Double): Boolean = ctx.now - confirmedAt <= withinS
+    /** Whether [policy] was confirmed to be the newest within the last [withinS] seconds. */
+    fun isFresh(withinS: Double): Boolean = ctx.now - confirmedAt <= withinS
 
     fun tick() {
-        if (!reading && ctx.now >= nextRead) read()
+        if (!isReading && ctx.now >= nextRead) readHead()
     }
 
-    /** Reads the head now; [then] is called when that has been tried. */
+    /** Reads the head now; [then] is called once that has been tried. */
     fun refresh(then: () -> Unit) {
-        waiting.add(then)
-        if (!reading) read()
+        awaitingRead.add(then)
+        if (!isReading) readHead()
     }
 
-    private fun read() {
-        reading = true
-        val began = ctx.now
-        nextRead = began + EVERY_S
+    private fun readHead() {
+        isReading = true
+        val startedAt = ctx.now
+        nextRead = startedAt + READ_INTERVAL_S
         ctx.out.state(StateOp.Get(AccessKeys.HEAD)) { result ->
             val item = (result as? StateResult.Item)?.item
             val found = item?.value as? RightsHead
             when {
-                result !is StateResult.Item -> done()
-                item == null || found == null -> begin()
+                result !is StateResult.Item -> finishReading()
+                item == null || found == null -> onMissingHead()
                 item.version == stamp -> {
-                    confirmedAt = began
-                    done()
+                    confirmedAt = startedAt
+                    finishReading()
                 }
-                else -> load(found, item.version, began)
+                else -> load(found, item.version, startedAt)
             }
         }
     }
 
-    private fun done() {
-        reading = false
-        val told = waiting.toList()
-        waiting.clear()
-        told.forEach { it() }
+    private fun finishReading() {
+        isReading = false
+        val callbacks = awaitingRead.toList()
+        awaitingRead.clear()
+        callbacks.forEach { it() }
     }
 
-    /** The store holds no rights at all: the operators' first version is put there, by whichever node comes first. */
-    private fun begin() {
+    /** The store holds no policy: the first version is published, by whichever node comes first. */
+    private fun onMissingHead() {
         if (firstRights == null || stamp > 0) {
-            // A head that was there and is gone: somebody with access to the store took it. Nobody may do anything.
-            if (stamp > 0) log.error("the rights are gone from the state service")
+            // A head that was there and is gone was removed by somebody with access to the store: nothing is allowed.
+            if (stamp > 0) log.error("policy missing from the state service: nothing is allowed")
             policy = Policy.NOBODY
             head = null
-            done()
+            finishReading()
             return
         }
-        publish(null, firstRights, "first version", emptyList()) { done() }
+        publishFirst(firstRights)
+    }
+
+    private fun publishFirst(rights: String) {
+        prepare(0, 0, rights, "first version") { prepared ->
+            if (prepared == null) finishReading() else ctx.out.state(prepared.txn) { finishReading() }
+        }
     }
 
-    private fun load(found: RightsHead, version: Long, began: Double) = readText(found) { read ->
+    private fun load(found: RightsHead, foundStamp: Long, startedAt: Double) = readText(found) { read ->
         if (read == null) {
-            done()
+            finishReading()
             return@readText
         }
-        policy = try {
-            PolicyReader.read(read, found.version).also {
-                log.info("rights version {} by {}: {} principals", found.version, found.by, it.principals.size)
-            }
-        } catch (e: InvalidPolicyException) {
-            // Checked before it was stored, so it is a later version's language, or somebody's edit of the store.
-            log.error("rights version {} can't be read, so nobody may do anything: {}", found.version, e.message)
-            Policy.NOBODY
-        }
+        policy = parse(read, found)
         head = found
         text = read
-        stamp = version
-        confirmedAt = began
-        done()
+        stamp = foundStamp
+        confirmedAt = startedAt
+        finishReading()
+    }
+
+    private fun parse(text: String, head: RightsHead): Policy = try {
+        PolicyReader.read(text, head.version).also {
+            log.info("policy loaded version={} by={} principals={}", head.version, head.by, it.principals.size)
+        }
+    } catch (e: InvalidPolicyException) {
+        // It was checked before it was stored: a later version of the language, or an edit of the store.
+        log.error("policy unreadable, nothing is allowed version={} problem={}", head.version, e.message)
+        Policy.NOBODY
     }
 
-    /** The text of a version; [then] gets null if it can't be read, or is not what [head] says. */
-    private fun readText(head: RightsHead, then: (String?) -> Unit) = parts(head.version) { parts ->
+    /** The text of the version that [head] names; [then] gets null if it can't be read or has another digest. */
+    private fun readText(head: RightsHead, then: (String?) -> Unit) = readParts(head.version) { parts ->
         val text = parts?.take(head.parts)?.joinToString("")
-        if (text != null &&
-            digest(text) != head.digest
-        ) {
-            log.error("rights version {}: the stored text is not the one that was published", head.version)
+        if (text != null && chunks.digest(text) != head.digest) {
+            log.error("policy text is not the one that was published version={}", head.version)
         }
-        then(text?.takeIf { digest(it) == head.digest })
+        then(text?.takeIf { chunks.digest(it) == head.digest })
     }
 
-    /** [then] gets null if the store can't be read. */
-    fun parts(version: Long, then: (List<String>?) -> Unit) =
+    /** The stored parts of [version], none if it does not exist; [then] gets null if the store can't be read. */
+    fun readParts(version: Long, then: (List<String>?) -> Unit) =
         ctx.out.state(StateOp.Range(AccessKeys.parts(version), null, MAX_PARTS)) { result ->
             then((result as? StateResult.Items)?.items?.mapNotNull { (it.value as? RightsPart)?.text })
         }
 
     /**
-     * A version that is ready to be published once its head is: [txn] writes the head, guarded on all that it names.
+     * Stores the parts of [text] as the version after [base], whose head has [baseStamp]; [then] gets null if the
+     * store did not confirm. The parts have no effect until the head names them; the head is guarded on each of them,
+     * so that two concurrent publications can't be mixed.
      */
-    class Prepared(val version: Long, val txn: StateOp.Txn)
-
-    /**
-     * Stores the parts of [text] as the version after [base] and hands on what publishes it. The parts count for
-     * nothing until the head names them; it is guarded on each, so that two who publish at the same time can't be
-     * mixed.
-     */
-    fun prepare(base: Long, baseStamp: Long, text: String, by: String, then: (Prepared?) -> Unit) {
+    internal fun prepare(base: Long, baseStamp: Long, text: String, by: String, then: (PreparedPolicy?) -> Unit) {
         val version = base + 1
-        val pieces = pieces(text)
-        val head = RightsHead(version, pieces.size, digest(text), by, ctx.time.wallMs)
-        val keys = pieces.indices.map { AccessKeys.part(version, it) }
-        put(version, pieces, 0, baseStamp, ArrayList()) { stamps ->
+        val parts = chunks.split(text)
+        val head = RightsHead(version, parts.size, chunks.digest(text), by, ctx.time.wallMs)
+        val keys = parts.indices.map { AccessKeys.part(version, it) }
+        storeParts(version, parts, 0, baseStamp, ArrayList()) { stamps ->
             if (stamps == null) {
                 then(null)
             } else {
-                val guards =
-                    listOf(Guard(AccessKeys.HEAD, baseStamp)) + keys.zip(stamps) { key, stamp -> Guard(key, stamp) }
-                then(Prepared(version, StateOp.Txn(guards, listOf(Write.Put(AccessKeys.HEAD, head)))))
+                val partGuards = keys.zip(stamps) { key, stamp -> Guard(key, stamp) }
+                val guards = listOf(Guard(AccessKeys.HEAD, baseStamp)) + partGuards
+                then(PreparedPolicy(version, StateOp.Txn(guards, listOf(Write.Put(AccessKeys.HEAD, head)))))
             }
         }
     }
 
-    private fun put(
+    /** Stores [parts] from number [from] on, as many at once as fit; [then] gets the stamps of all. */
+    private fun storeParts(
         version: Long,
-        pieces: List<String>,
+        parts: List<String>,
         from: Int,
         baseStamp: Long,
         stamps: ArrayList<Long>,
         then: (List<Long>?) -> Unit,
     ) {
-        if (from >= pieces.size) {
+        if (from >= parts.size) {
             then(stamps)
             return
         }
-        val perTxn = minOf(ctx.settings.stateTight.txnOps, maxOf(1, (MAX_BYTES / pieceBytes))).coerceAtLeast(1)
-        val now = pieces.drop(from).take(perTxn)
-        val writes = now.mapIndexed { n, piece -> Write.Put(AccessKeys.part(version, from + n), RightsPart(piece)) }
+        val batch = parts.drop(from).take(chunks.perTransaction)
+        val writes = batch.mapIndexed { n, part -> Write.Put(AccessKeys.part(version, from + n), RightsPart(part)) }
         ctx.out.state(StateOp.Txn(listOf(Guard(AccessKeys.HEAD, baseStamp)), writes)) { result ->
             if (result !is StateResult.Committed) {
                 then(null)
             } else {
-                repeat(now.size) { stamps.add(result.revision) }
-                put(version, pieces, from + now.size, baseStamp, stamps, then)
+                repeat(batch.size) { stamps.add(result.revision) }
+                storeParts(version, parts, from + batch.size, baseStamp, stamps, then)
             }
         }
     }
 
-    private fun publish(base: RightsHead?, text: String, by: String, more: List<Write>, then: () -> Unit) {
-        prepare(base?.version ?: 0, if (base == null) 0 else stamp, text, by) { ready ->
-            if (ready == null) then() else ctx.out.state(ready.txn.copy(writes = ready.txn.writes + more)) { then() }
-        }
-    }
-
-    private val pieceBytes = (ctx.settings.stateTight.valueKb * 1024 * 0.8).toInt()
-
-    /** JSON may need two bytes where the text needs one, and some characters take three. */
-    private fun pieces(text: String): List<String> {
-        val found = ArrayList<String>()
-        var from = 0
-        while (from < text.length) {
-            var to = from
-            var size = 0
-            while (to < text.length && size < pieceBytes) size += cost(text[to++])
-            if (to < text.length && text[to - 1].isHighSurrogate()) to--
-            found.add(text.substring(from, to))
-            from = to
-        }
-        return found.ifEmpty { listOf("") }
-    }
-
-    private fun cost(c: Char): Int = when {
-        c == '\n' || c == '"' || c == '\\' || c == '\r' || c == '\t' -> 2
-        c < ' ' -> 6
-        c < '\u0080' -> 1
-        else -> 3
-    }
-
-    private fun digest(text: String): String = text.encodeUtf8().sha256().base64Url()
-
     private companion object {
         const val NEVER = -1e12
-        const val EVERY_S = 0.4
+        const val READ_INTERVAL_S = 0.4
         const val MAX_PARTS = 400
-        const val MAX_BYTES = 40_000
     }
 }
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -1,12 +1,10 @@
 package plankwall.gateway
 
 import org.slf4j.LoggerFactory
-import plankwall.audit.AuditEntry
 import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.LeaseAuthority
-import plankwall.core.statemachine.Verdict
 import plankwall.model.factsFor
 import plankwall.wire.AccessKeys
 import plankwall.wire.Guard
@@ -19,73 +17,72 @@
 import plankwall.wire.Write
 
 /**
- * What new rights mean for jobs that were accepted under older ones. The leader goes through the live jobs once for
- * each version: a job whose owner may not submit it any more is marked with that version, and withdrawn if the rule
- * says so, in one transaction with the trail's entry that links the two. A version counts as applied once no job is
- * left; a new leader goes on where that was not stored, and finds those that are marked already.
+ * Applies a new policy to jobs that were accepted under an older one. The leader goes through the live jobs once for
+ * each version: a job whose owner may not submit it any more is marked with that version, and cancelled if the rule
+ * says so, in one transaction with its audit entry. A version counts as applied once every job was examined; a new
+ * leader starts over where that was not stored, and skips the jobs that are marked already.
  */
 internal class RevocationTask(
     private val ctx: Context,
-    private val schedulerState: PolicyStore,
+    private val policies: PolicyStore,
     private val auditLog: AuditLogWriter,
-    private val entry: (AccessGateway.Who, String, String, Verdict, Int, String) -> AuditEntry,
+    private val entries: AuditEntryFactory,
 ) {
-    private val log = LoggerFactory.getLogger("gate")
+    private val log = LoggerFactory.getLogger("gateway")
     private var epoch = 0L
-    private var applied = UNREAD
-    private var busy = false
+
+    /** The newest version that is known to be applied, or [UNREAD]. */
+    private var appliedVersion = UNREAD
+    private var isBusy = false
     private var retryAt = 0.0
 
+    /** Starts a pass where the policy is newer than the one applied last. [authority]: null while not leading. */
     fun tick(authority: LeaseAuthority?) {
         if (authority == null) return
         if (epoch != authority.epoch) {
             epoch = authority.epoch
-            applied = UNREAD
+            appliedVersion = UNREAD
         }
-        val version = schedulerState.policy.version
-        if (busy || version == 0L || applied >= version || ctx.now < retryAt || !authority.mayWrite()) return
-        busy = true
-        val term = epoch
-        if (applied !=
-            UNREAD
-        ) {
-            page(term, null, Pass(version))
+        val version = policies.policy.version
+        if (isBusy || version == 0L || appliedVersion >= version || ctx.now < retryAt || !authority.mayWrite()) return
+        isBusy = true
+        if (appliedVersion == UNREAD) readAppliedVersion() else examinePage(epoch, null, Pass(version))
+    }
+
+    private fun readAppliedVersion() = ctx.out.state(StateOp.Get(AccessKeys.APPLIED)) { result ->
+        if (result is StateResult.Item) {
+            appliedVersion = (result.item?.value as? RightsApplied)?.version ?: 0L
         } else {
-            ctx.out.state(StateOp.Get(AccessKeys.APPLIED)) { result ->
-                if (result is StateResult.Item) {
-                    applied = (result.item?.value as? RightsApplied)?.version ?: 0L
-                } else {
-                    pause()
-                }
-                busy = false
-            }
+            scheduleRetry()
         }
+        isBusy = false
     }
 
-    private fun pause() {
+    private fun scheduleRetry() {
         retryAt = ctx.now + RETRY_S
     }
 
+    /** One walk over all live jobs. */
     private class Pass(val version: Long) {
-        var open = 0
-        var read = false
-        var failed = false
+        var openWrites = 0
+        var isRead = false
+        var hasFailed = false
     }
 
-    private fun page(term: Long, after: String?, pass: Pass): Unit =
-        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE)) { result ->
+    private fun examinePage(term: Long, after: String?, pass: Pass): Unit =
+        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE_SIZE)) { result ->
             if (result !is StateResult.Items || term != epoch) {
-                pass.failed = true
-                pass.read = true
-                settle(term, pass)
+                pass.hasFailed = true
+                pass.isRead = true
+                finishIfDone(term, pass)
                 return@state
             }
             result.items.forEach { examine(term, it, pass) }
             if (result.more && result.items.isNotEmpty()) {
-                page(term, result.items.last().key, pass)
+                examinePage(term, result.items.last().key, pass)
             } else {
-                pass.read = true
-                settle(term, pass)
+                pass.isRead = true
+                finishIfDone(term, pass)
             }
         }
 
@@ -94,61 +91,55 @@
         val owned = record.owned ?: return
         if (record.cancelledMs > 0 || owned.revokedBy > 0) return
         val facts = record.spec.factsFor(owned.owner)
-        val verdict = schedulerState.policy.authorize(owned.owner, Action.SUBMIT, facts)
+        val verdict = policies.policy.authorize(owned.owner, Action.SUBMIT, facts)
         if (verdict.allowed) return
-        val cancel = schedulerState.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
+        val cancels = policies.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
         val marked = record.copy(
             owned = owned.copy(revokedBy = pass.version),
-            cancelledMs = if (cancel) ctx.time.wallMs else 0,
+            cancelledMs = if (cancels) ctx.time.wallMs else 0,
         )
-        val e =
-            entry(
-                AccessGateway.Who(owned.owner, "", ""),
-                "revoke",
-                record.spec.id,
-                verdict,
-                0,
-                if (cancel) "withdraw" else "finish",
-            )
+        // The notes are the policy language's own words.
+        val note = if (cancels) "withdraw" else "finish"
+        val origin = RequestOrigin(owned.owner, "", "")
+        val entry = entries.create(origin, "revoke", record.spec.id, verdict, 0, note)
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
-        pass.open++
-        auditLog.change(e, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
-            pass.open--
+        pass.openWrites++
+        auditLog.change(entry, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
+            pass.openWrites--
             if (result is StateResult.Committed) {
                 log.info(
-                    "job {} of {}, who may not submit it any more by {}: {}",
+                    "job's owner may not submit it any more job={} owner={} rule={} consequence={}",
                     record.spec.id,
                     owned.owner,
                     verdict.rule,
-                    e.note,
+                    note,
                 )
             } else {
-                // Changed meanwhile, or nobody knows: looked at again in the next pass.
-                pass.failed = true
+                // Changed meanwhile, or the result is unknown: examined again in the next pass.
+                pass.hasFailed = true
             }
-            settle(term, pass)
+            finishIfDone(term, pass)
         }
     }
 
-    private fun settle(term: Long, pass: Pass) {
-        if (!pass.read || pass.open > 0 || !busy) return
-        if (pass.failed || term != epoch || schedulerState.policy.version != pass.version) {
-            busy = false
-            pause()
+    private fun finishIfDone(term: Long, pass: Pass) {
+        if (!pass.isRead || pass.openWrites > 0 || !isBusy) return
+        if (pass.hasFailed || term != epoch || policies.policy.version != pass.version) {
+            isBusy = false
+            scheduleRetry()
             return
         }
-        val guards = listOf(Guard(Keys.LEADER, term), Guard(AccessKeys.HEAD, schedulerState.stamp))
-        ctx.out.state(
-            StateOp.Txn(guards, listOf(Write.Put(AccessKeys.APPLIED, RightsApplied(pass.version)))),
-        ) { result ->
-            busy = false
-            if (result is StateResult.Committed) applied = pass.version else pause()
+        val guards = listOf(Guard(Keys.LEADER, term), Guard(AccessKeys.HEAD, policies.stamp))
+        val write = Write.Put(AccessKeys.APPLIED, RightsApplied(pass.version))
+        ctx.out.state(StateOp.Txn(guards, listOf(write))) { result ->
+            isBusy = false
+            if (result is StateResult.Committed) appliedVersion = pass.version else scheduleRetry()
         }
     }
 
     private companion object {
         const val UNREAD = -1L
-        const val PAGE = 200
+        const val PAGE_SIZE = 200
         const val RETRY_S = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/identity/Keys.kt
+++ b/src/main/kotlin/plankwall/identity/Keys.kt
@@ -37,7 +37,7 @@
             Ed25519.verify(signature, 0, point, 0, signed, 0, signed.size)
     }
 
-    fun holds(wallMs: Long, toleranceMs: Long): Boolean =
+    fun isValidAt(wallMs: Long, toleranceMs: Long): Boolean =
         wallMs >= sinceMs - toleranceMs && wallMs < untilMs + toleranceMs
 
     companion object {
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -110,7 +110,7 @@
         val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME } ?: return MALFORMED
         val kid = header.text("kid") ?: return MALFORMED
         val key = keyOf(principal, kid) ?: return UNPROVEN
-        if (!key.holds(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
+        if (!key.isValidAt(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
         val meantFor = claims.get("aud")?.let { if (it.isArray && it.size() == 1) it[0] else it }
         if (meantFor?.isTextual != true ||
             meantFor.textValue() != audience
--- a/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
@@ -149,11 +149,11 @@
     @Test
     fun `a limit is forgotten for the one unseen for longest, never for the one that is over it now`() {
         val ctx = Context(SimulatedCluster.settings("n0", 1), Tuning(), 1, Random(1)).apply { time.advance(1000.0, 0) }
-        val limits = GatewayLimits(ctx.time, 1.0, 2.0)
-        repeat(3) { limits.denied("eve") }
+        val limits = DenialLimiter(ctx.time, 1.0, 2.0)
+        repeat(3) { limits.recordDenial("eve") }
         for (n in 0 until 5000) {
-            assertTrue(limits.exhausted("eve"), "$n")
-            limits.denied("x$n")
+            assertTrue(limits.isExhausted("eve"), "$n")
+            limits.recordDenial("x$n")
         }
         assertEquals(mapOf("eve" to 5000), limits.takeShed())
         assertNull(limits.takeShed()["eve"])
