--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -1,8 +1,8 @@
 package plankwall.audit
 
 import org.slf4j.LoggerFactory
-import plankwall.core.statemachine.TokenBucket
 import plankwall.core.statemachine.Context
+import plankwall.core.statemachine.TokenBucket
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -111,7 +111,9 @@
                 }
                 StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
                     jobs.forEach {
-                        (it.value as? JobRecord)?.let { r -> schedulerState.onJobRecord(Keys.jobId(it.key), r, it.version) }
+                        (it.value as? JobRecord)?.let { r ->
+                            schedulerState.onJobRecord(Keys.jobId(it.key), r, it.version)
+                        }
                     }
                     watch(revision)
                 }
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -70,8 +70,8 @@
     }
 
     /** Whether [machine] was heard recently enough that its status and its lease can be relied on. */
-    fun isReady(machine: Machine): Boolean =
-        machine.registered && ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_REPORTS + READY_MARGIN_S
+    fun isReady(machine: Machine): Boolean = machine.registered &&
+        ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_REPORTS + READY_MARGIN_S
 
     /**
      * The moment from which the worker of [machine] has surely stopped all tasks that older answers let it keep.
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -226,6 +226,7 @@
     private companion object {
         /** Failures on as many machines are attributed to the job. */
         const val SUSPECT_MACHINES = 2
+
         /** [demandIx] of a job that is not demand yet. */
         const val NO_DEMAND = -1
     }
--- a/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
+++ b/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
@@ -1,7 +1,7 @@
 package plankwall.gateway
 
-import plankwall.core.statemachine.TokenBucket
 import plankwall.core.statemachine.Time
+import plankwall.core.statemachine.TokenBucket
 
 /** How many denied requests are still checked, of each principal and from each network. */
 internal class DenialLimits(val byPrincipal: DenialLimiter, val byNetwork: DenialLimiter)
