--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -1,6 +1,5 @@
 package plankwall.gateway
 
-import org.slf4j.LoggerFactory
 import plankwall.audit.AuditLogSealer
 import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.AccessCheck
@@ -19,7 +18,6 @@
  * each owns its own state.
  */
 class AccessGateway(private val ctx: Context, private val settings: GatewaySettings) : AccessCheck {
-    private val log = LoggerFactory.getLogger("gateway")
     private val policies = PolicyStore(ctx, settings.firstRights)
     private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.trailShare)
     private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.sealS)
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -1,6 +1,5 @@
 package plankwall.gateway
 
-import org.slf4j.LoggerFactory
 import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Caller
@@ -61,8 +60,4 @@
             }
         }
     }
-
-    private companion object {
-        val log = LoggerFactory.getLogger("gateway")
-    }
 }
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -1,7 +1,6 @@
 package plankwall.gateway
 
 import okio.ByteString.Companion.encodeUtf8
-import org.slf4j.LoggerFactory
 import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.Context
 import plankwall.core.statemachine.Credentials
@@ -27,7 +26,6 @@
     private val entries: AuditEntryFactory,
     private val denials: DenialLimits,
 ) {
-    private val log = LoggerFactory.getLogger("gateway")
     private val toleranceMs = settings.clockToleranceMs + ctx.settings.timeBoundMs.toLong() + 1
     private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenS * MS_PER_S).toLong())
     private val usedTokens = ReplayGuard(MAX_USED_TOKENS)
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -1,6 +1,5 @@
 package plankwall.gateway
 
-import org.slf4j.LoggerFactory
 import plankwall.audit.AuditLogWriter
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Context
@@ -28,7 +27,6 @@
     private val auditLog: AuditLogWriter,
     private val entries: AuditEntryFactory,
 ) {
-    private val log = LoggerFactory.getLogger("gateway")
     private var epoch = 0L
 
     /** The newest version that is known to be applied, or [UNREAD]. */
