--- a/src/main/kotlin/plankwall/io/Accept.kt
+++ b/src/main/kotlin/plankwall/io/Accept.kt
@@ -11,21 +11,23 @@
 
 private val log = LoggerFactory.getLogger("accept")
 
-/** Serves every connection that comes while there is [room]; the others are closed at once. */
-internal suspend fun acceptAll(listener: ServerSocket, room: () -> Boolean, serve: suspend (Socket) -> Unit) =
+/** Serves every connection that is opened while [hasCapacity]; the others are closed at once. */
+internal suspend fun acceptAll(listener: ServerSocket, hasCapacity: () -> Boolean, serve: suspend (Socket) -> Unit) =
     coroutineScope {
         while (isActive) {
             val socket = try {
                 listener.accept()
             } catch (e: CancellationException) {
                 throw e
-            } catch (e: Exception) {
+            } catch (
                 // Out of sockets, most likely: trying again without a pause would take the whole processor.
-                log.debug("accept failed: {}", e.toString())
+                @Suppress("TooGenericExceptionCaught") e: Exception,
+            ) {
+                log.debug("accept failed error={}", e.toString())
                 delay(ACCEPT_PAUSE_MS)
                 continue
             }
-            if (room()) launch { serve(socket) } else socket.close()
+            if (hasCapacity()) launch { serve(socket) } else socket.close()
         }
     }
 
--- a/src/main/kotlin/plankwall/io/AdminRoutes.kt
+++ b/src/main/kotlin/plankwall/io/AdminRoutes.kt
@@ -2,37 +2,42 @@
 
 import plankwall.core.statemachine.AdminRequest
 import plankwall.wire.AdminCodec
+import plankwall.wire.MalformedMessageException
 
-/** Paths of the rights and the trail. */
+/** Paths of the policy and the audit log. */
 internal object AdminRoutes {
     private const val RIGHTS = "/api/rights"
     private const val TRAIL = "/api/trail/"
     private const val SEALS = "/api/seals/"
+    private const val MAX_NUMBER = 9_999_999_999
+    private val NODE = Regex("[A-Za-z0-9_.-]{1,100}")
 
-    /** Null for what is no such request. Throws [plankwall.wire.MalformedMessageException] for one whose body is wrong. */
-    fun read(r: HttpRequest): AdminRequest? = when {
-        r.path == RIGHTS && r.method == "GET" -> AdminRequest.Rights
-        r.path == RIGHTS && r.method == "POST" -> publication(AdminCodec.publication(r.body))
-        r.method != "GET" -> null
-        r.path.startsWith("$RIGHTS/") -> number(r.path.removePrefix("$RIGHTS/"))?.let { AdminRequest.OldRights(it) }
-        r.path.startsWith(SEALS) -> number(r.path.removePrefix(SEALS))?.let { AdminRequest.Trail(null, it) }
-        r.path.startsWith(TRAIL) -> segment(r.path.removePrefix(TRAIL))
-        else -> null
+    /** Null if [request] is no administrative one; throws [MalformedMessageException] if its body is wrong. */
+    fun read(request: HttpRequest): AdminRequest? {
+        val path = request.path
+        return when {
+            path == RIGHTS && request.method == "GET" -> AdminRequest.Rights
+            path == RIGHTS && request.method == "POST" -> publication(AdminCodec.publication(request.body))
+            request.method != "GET" -> null
+            path.startsWith("$RIGHTS/") -> number(path.removePrefix("$RIGHTS/"))?.let { AdminRequest.OldRights(it) }
+            path.startsWith(SEALS) -> number(path.removePrefix(SEALS))?.let { AdminRequest.Trail(null, it) }
+            path.startsWith(TRAIL) -> segment(path.removePrefix(TRAIL))
+            else -> null
+        }
     }
 
-    private fun publication(p: AdminCodec.Publication): AdminRequest? {
-        val text = p.text
-        val to = p.to
-        return if (text != null) AdminRequest.Publish(p.base, text) else to?.let { AdminRequest.Rollback(p.base, it) }
+    private fun publication(publication: AdminCodec.Publication): AdminRequest? {
+        val text = publication.text
+        if (text != null) return AdminRequest.Publish(publication.base, text)
+        return publication.to?.let { AdminRequest.Rollback(publication.base, it) }
     }
 
+    /** [rest]: a node's name, a slash and a segment's number. */
     private fun segment(rest: String): AdminRequest? {
         val number = number(rest.substringAfterLast('/')) ?: return null
-        return rest.substringBeforeLast('/', "").takeIf { NODE.matches(it) }?.let { AdminRequest.Trail(it, number) }
+        val node = rest.substringBeforeLast('/', "")
+        return if (NODE.matches(node)) AdminRequest.Trail(node, number) else null
     }
 
     private fun number(text: String): Long? = text.toLongOrNull()?.takeIf { it in 0..MAX_NUMBER }
-
-    private val NODE = Regex("[A-Za-z0-9_.-]{1,100}")
-    private const val MAX_NUMBER = 9_999_999_999
 }
--- a/src/main/kotlin/plankwall/io/CloudClient.kt
+++ b/src/main/kotlin/plankwall/io/CloudClient.kt
@@ -9,23 +9,24 @@
 import plankwall.wire.CloudResult
 import plankwall.wire.MalformedMessageException
 
-/** Speaks the cloud's protocol, evenly paced below its rate. */
+/** A client of the cloud that spaces its requests evenly, at a part of the rate [rps] that the cloud allows. */
 class CloudClient(selector: SelectorManager, address: Address, rps: Double, private val nowMs: () -> Long) {
     private val log = LoggerFactory.getLogger("cloud")
     private val client = HttpClient(selector, address, maxConnections = 6, maxWaiting = 60)
-    private val gapMs = (1000.0 / (rps * 0.7)).toLong()
-    private var nextSlot = 0L
+    private val intervalMs = (1000.0 / (rps * USED_RATE_SHARE)).toLong()
+    private var nextRequestMs = 0L
 
+    /** Executes [op]; failures are results too. */
     suspend fun run(op: CloudOp): CloudResult {
         val now = nowMs()
-        val slot = maxOf(now, nextSlot)
-        nextSlot = slot + gapMs
-        if (slot > now) delay(slot - now)
+        val startMs = maxOf(now, nextRequestMs)
+        nextRequestMs = startMs + intervalMs
+        if (startMs > now) delay(startMs - now)
         val outcome = send(op)
         return try {
             read(op, outcome)
         } catch (e: MalformedMessageException) {
-            log.warn("answer to {} can't be read: {}", op, e.message)
+            log.warn("cloud answer malformed op={} problem={}", op, e.message)
             CloudResult.Trouble
         }
     }
@@ -41,25 +42,38 @@
     }
 
     private fun read(op: CloudOp, outcome: HttpOutcome): CloudResult {
-        if (outcome is HttpOutcome.Answered && outcome.status == 200) {
-            return when (op) {
-                CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.catalog(outcome.body))
-                is CloudOp.Rent -> CloudCodec.rented(outcome.body)
-                is CloudOp.Delete -> CloudResult.Deleted
-                is CloudOp.ListMachines -> CloudCodec.listed(outcome.body)
-            }
+        if (outcome !is HttpOutcome.Answered) {
+            logFailure(op, outcome)
+            return CloudResult.Trouble
         }
-        log.debug("{}: {}", op, describe(outcome))
-        if (outcome !is HttpOutcome.Answered) return CloudResult.Trouble
+        if (outcome.status == HttpStatus.OK) return success(op, outcome.body)
+        logFailure(op, outcome)
         return when {
-            outcome.status == 400 -> CloudResult.Malformed.also { log.warn("{}: {}", op, describe(outcome)) }
-            outcome.status == 503 && op is CloudOp.Rent && "no capacity" in outcome.body.decodeToString() ->
-                CloudResult.NoCapacity
+            outcome.status == HttpStatus.BAD_REQUEST -> {
+                log.warn("cloud rejected request as malformed op={} answer={}", op, describe(outcome))
+                CloudResult.Malformed
+            }
+            op is CloudOp.Rent && saysNoCapacity(outcome) -> CloudResult.NoCapacity
             else -> CloudResult.Trouble
         }
     }
 
+    private fun success(op: CloudOp, body: ByteArray): CloudResult = when (op) {
+        CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.catalog(body))
+        is CloudOp.Rent -> CloudCodec.rented(body)
+        is CloudOp.Delete -> CloudResult.Deleted
+        is CloudOp.ListMachines -> CloudCodec.listed(body)
+    }
+
+    private fun saysNoCapacity(answer: HttpOutcome.Answered): Boolean =
+        answer.status == HttpStatus.SERVICE_UNAVAILABLE && NO_CAPACITY in answer.body.decodeToString()
+
+    private fun logFailure(op: CloudOp, outcome: HttpOutcome) =
+        log.debug("cloud request failed op={} outcome={}", op, describe(outcome))
+
     private companion object {
         const val TIMEOUT_MS = 6_000L
+        const val USED_RATE_SHARE = 0.7
+        const val NO_CAPACITY = "no capacity"
     }
 }
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -12,8 +12,9 @@
 import kotlinx.coroutines.coroutineScope
 import kotlinx.coroutines.launch
 import kotlinx.io.readByteArray
+import java.net.InetSocketAddress
 
-/** One HTTP answer as bytes on the wire's other side. */
+/** The answer to an HTTP request. [close]: whether the connection is closed after it. */
 class HttpReply(
     val status: Int,
     val body: ByteArray,
@@ -22,7 +23,7 @@
     val close: Boolean = false,
 )
 
-/** One request. What only an identity check wants to know is read when it is asked for. */
+/** One request. What only authentication needs is read when it is asked for. */
 class HttpRequest(private val head: Request, val body: ByteArray, private val socketAddress: SocketAddress) {
     val method: String = head.method.value
 
@@ -31,35 +32,36 @@
     val query: String
 
     init {
-        val target = head.uri.toString()
-        path = target.substringBefore('?')
-        query = target.substringAfter('?', "")
+        val uri = head.uri.toString()
+        path = uri.substringBefore('?')
+        query = uri.substringAfter('?', "")
     }
 
+    /** The path with the query, if there is one. */
     val target: String get() = if (query.isEmpty()) path else "$path?$query"
 
+    /** The header of that name. */
     val authorization: String? get() = head.headers["Authorization"]?.toString()
 
     /** The caller's address without a port; empty if it has none. */
     val from: String
-        get() = (socketAddress.toJavaAddress() as? java.net.InetSocketAddress)?.address?.hostAddress.orEmpty()
+        get() = (socketAddress.toJavaAddress() as? InetSocketAddress)?.address?.hostAddress.orEmpty()
 }
 
-/** A message that can't be read on; the connection is of no more use. */
-class MalformedHttpException(reason: String) : Exception(reason, null, false, false)
+/** A message that can't be read to its end, for [problem]; the connection can't be used any more. */
+class MalformedHttpException(val problem: String) : Exception(problem, null, false, false)
 
 internal val NO_BODY = ByteArray(0)
 
+/** Whether the sender of [headers] closes the connection after the message. */
 internal fun closes(headers: HttpHeadersMap): Boolean =
     headers["Connection"]?.toString().equals("close", ignoreCase = true)
 
 /** Reads a body of at most [limit] bytes; null if it is longer. */
 internal suspend fun readBody(headers: HttpHeadersMap, input: ByteReadChannel, limit: Int): ByteArray? {
-    val coding = headers["Transfer-Encoding"]
-    if (coding != null) return readCoded(headers, input, limit)
+    if (headers["Transfer-Encoding"] != null) return readCoded(headers, input, limit)
     val length = headers["Content-Length"]?.toString()?.trim() ?: return NO_BODY
-    val size = length.toLongOrNull() ?: throw MalformedHttpException("bad Content-Length")
-    if (size < 0) throw MalformedHttpException("bad Content-Length")
+    val size = length.toLongOrNull()?.takeIf { it >= 0 } ?: throw MalformedHttpException("bad Content-Length")
     if (size > limit) return null
     val body = ByteArray(size.toInt())
     if (body.isNotEmpty()) input.readFully(body)
@@ -73,7 +75,10 @@
             try {
                 parseHttpBody(headers, input, plain)
                 plain.flushAndClose()
-            } catch (e: Exception) {
+            } catch (
+                // Whatever ends the decoding, a cancellation included, has to end the read below too.
+                @Suppress("TooGenericExceptionCaught") e: Exception,
+            ) {
                 plain.cancel(e)
             }
         }
@@ -81,20 +86,3 @@
         decoder.cancel()
         if (body.size > limit) null else body
     }
-
-internal fun reason(status: Int): String = when (status) {
-    200 -> "OK"
-    201 -> "Created"
-    400 -> "Bad Request"
-    401 -> "Unauthorized"
-    403 -> "Forbidden"
-    404 -> "Not Found"
-    405 -> "Method Not Allowed"
-    409 -> "Conflict"
-    413 -> "Payload Too Large"
-    421 -> "Misdirected Request"
-    422 -> "Unprocessable Entity"
-    429 -> "Too Many Requests"
-    503 -> "Service Unavailable"
-    else -> "Status"
-}
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -8,11 +8,12 @@
 import io.ktor.network.sockets.openWriteChannel
 import io.ktor.utils.io.writeFully
 import kotlinx.coroutines.CancellationException
+import kotlinx.coroutines.TimeoutCancellationException
 import kotlinx.coroutines.sync.Semaphore
 import kotlinx.coroutines.withTimeout
 import plankwall.model.Address
 
-/** What became of a request: it matters greatly whether it can have been executed. */
+/** The outcome of a request; it matters whether the request can have been executed. */
 sealed interface HttpOutcome {
     class Answered(val status: Int, val body: ByteArray) : HttpOutcome
 
@@ -23,7 +24,16 @@
     data class Unanswered(val why: String) : HttpOutcome
 }
 
-/** A client of one address with a bounded number of connections and waiters. */
+/** One line about [outcome] for the log. */
+internal fun describe(outcome: HttpOutcome): String = when (outcome) {
+    is HttpOutcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(LOGGED_CHARACTERS)}"
+    is HttpOutcome.NotSent -> "not sent: ${outcome.why}"
+    is HttpOutcome.Unanswered -> "unanswered: ${outcome.why}"
+}
+
+private const val LOGGED_CHARACTERS = 200
+
+/** A client of one address with a bounded number of connections and of requests that wait for one. */
 class HttpClient(
     private val selector: SelectorManager,
     private val address: Address,
@@ -35,6 +45,9 @@
         val input = socket.openReadChannel()
         val output = socket.openWriteChannel(autoFlush = false)
 
+        val isOpen: Boolean
+            get() = !input.isClosedForRead && !output.isClosedForWrite && !socket.socketContext.isCompleted
+
         fun close() = socket.close()
     }
 
@@ -42,44 +55,25 @@
     private val idle = ArrayDeque<Connection>()
     private var waiting = 0
 
+    /** One request, which has [timeoutMs] for everything, the wait for a connection included. */
     suspend fun call(method: String, path: String, body: ByteArray?, timeoutMs: Long): HttpOutcome {
         if (waiting >= maxWaiting) return HttpOutcome.NotSent("too many requests wait")
         waiting++
-        var sent = false
-        var connection: Connection? = null
-        var holding = false
-        try {
-            return withTimeout(timeoutMs) {
-                slots.acquire()
-                holding = true
-                val c = reuse() ?: connect()
-                connection = c
-                sent = true
-                c.output.writeFully(message(method, path, body))
-                c.output.flush()
-                val response = parseResponse(c.input) ?: throw MalformedHttpException("closed before the answer")
-                val answer = try {
-                    val bytes =
-                        readBody(response.headers, c.input, MAX_ANSWER)
-                            ?: throw MalformedHttpException("answer too long")
-                    if (keepAlive && !closes(response.headers) && idle.size < MAX_IDLE) {
-                        idle.addLast(c)
-                        connection = null
-                    }
-                    HttpOutcome.Answered(response.status, bytes)
-                } finally {
-                    response.release()
-                }
-                answer
-            }
-        } catch (e: Exception) {
-            // A time-out of this call is an outcome; a cancellation from outside is not.
-            if (e is CancellationException && e !is kotlinx.coroutines.TimeoutCancellationException) throw e
-            return if (sent) HttpOutcome.Unanswered(e.toString()) else HttpOutcome.NotSent(e.toString())
+        val exchange = Exchange()
+        return try {
+            withTimeout(timeoutMs) { exchange.run(message(method, path, body)) }
+        } catch (e: TimeoutCancellationException) {
+            exchange.failure(e)
+        } catch (e: CancellationException) {
+            throw e
+        } catch (
+            // Sockets, channels and the parser fail in many ways, all of which are an outcome of the request.
+            @Suppress("TooGenericExceptionCaught") e: Exception,
+        ) {
+            exchange.failure(e)
         } finally {
             waiting--
-            connection?.close()
-            if (holding) slots.release()
+            exchange.release()
         }
     }
 
@@ -89,11 +83,52 @@
         idle.clear()
     }
 
-    private fun reuse(): Connection? {
+    /** One request with what it holds: a slot, and a connection until that goes back to the idle ones. */
+    private inner class Exchange {
+        private var sent = false
+        private var holdsSlot = false
+        private var connection: Connection? = null
+
+        suspend fun run(message: ByteArray): HttpOutcome {
+            slots.acquire()
+            holdsSlot = true
+            val current = takeIdle() ?: connect()
+            connection = current
+            sent = true
+            current.output.writeFully(message)
+            current.output.flush()
+            return readAnswer(current)
+        }
+
+        private suspend fun readAnswer(current: Connection): HttpOutcome {
+            val response = parseResponse(current.input) ?: throw MalformedHttpException("closed before the answer")
+            return try {
+                val body = readBody(response.headers, current.input, MAX_ANSWER)
+                    ?: throw MalformedHttpException("answer too long")
+                if (keepAlive && !closes(response.headers) && idle.size < MAX_IDLE) {
+                    idle.addLast(current)
+                    connection = null
+                }
+                HttpOutcome.Answered(response.status, body)
+            } finally {
+                response.release()
+            }
+        }
+
+        fun failure(cause: Exception): HttpOutcome =
+            if (sent) HttpOutcome.Unanswered(cause.toString()) else HttpOutcome.NotSent(cause.toString())
+
+        fun release() {
+            connection?.close()
+            if (holdsSlot) slots.release()
+        }
+    }
+
+    private fun takeIdle(): Connection? {
         while (idle.isNotEmpty()) {
-            val c = idle.removeLast()
-            if (!c.input.isClosedForRead && !c.output.isClosedForWrite && !c.socket.isClosed) return c
-            c.close()
+            val connection = idle.removeLast()
+            if (connection.isOpen) return connection
+            connection.close()
         }
         return null
     }
@@ -105,9 +140,7 @@
     private fun message(method: String, path: String, body: ByteArray?): ByteArray {
         val head = buildString {
             append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(address).append("\r\n")
-            if (body !=
-                null
-            ) {
+            if (body != null) {
                 append("Content-Type: application/json\r\nContent-Length: ").append(body.size).append("\r\n")
             }
             if (!keepAlive) append("Connection: close\r\n")
@@ -122,5 +155,3 @@
         const val CONNECT_MS = 1_000L
     }
 }
-
-private val Socket.isClosed: Boolean get() = socketContext.isCompleted
--- a/src/main/kotlin/plankwall/io/StateClient.kt
+++ b/src/main/kotlin/plankwall/io/StateClient.kt
@@ -8,23 +8,22 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** Speaks the state service's protocol. Watches have connections of their own, so that they hold up nothing. */
+/** A client of the state service. Watches have connections of their own, so that they delay no other request. */
 class StateClient(selector: SelectorManager, address: Address) {
     private val log = LoggerFactory.getLogger("state")
     private val calls = HttpClient(selector, address, maxConnections = 12, maxWaiting = 150)
     private val watches = HttpClient(selector, address, maxConnections = 2, maxWaiting = 4)
 
+    /** Executes [op]; failures are results too. */
     suspend fun run(op: StateOp): StateResult = try {
         val outcome = send(op)
         val result = read(op, outcome)
-        if (result == StateResult.Unknown ||
-            result == StateResult.Refused
-        ) {
-            log.debug("{}: {}", name(op), describe(outcome))
+        if (result == StateResult.Unknown || result == StateResult.Refused) {
+            log.debug("state service request failed op={} outcome={}", name(op), describe(outcome))
         }
         result
     } catch (e: MalformedMessageException) {
-        log.warn("answer to {} can't be read: {}", name(op), e.message)
+        log.warn("state service answer malformed op={} problem={}", name(op), e.message)
         StateResult.Unknown
     }
 
@@ -38,31 +37,25 @@
         is StateOp.Grant -> calls.call("POST", "/grants", StateCodec.grant(op.ttlMs), CALL_MS)
         is StateOp.Renew -> calls.call("POST", "/grants/${op.lease}/touch", NO_BODY, CALL_MS)
         is StateOp.Drop -> calls.call("DELETE", "/grants/${op.lease}", null, CALL_MS)
-        is StateOp.Changes -> calls.call(
-            "GET",
-            "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=0",
-            null,
-            CALL_MS,
-        )
-        is StateOp.Watch -> watches.call(
-            "GET",
-            "/changes?prefix=${op.prefix}&from=${op.after}&block_ms=${op.waitMs}",
-            null,
-            op.waitMs + 4_000,
-        )
+        is StateOp.Changes -> calls.call("GET", changes(op.prefix, op.after, blockMs = 0), null, CALL_MS)
+        is StateOp.Watch ->
+            watches.call("GET", changes(op.prefix, op.after, op.waitMs), null, op.waitMs + WATCH_MARGIN_MS)
     }
 
+    private fun changes(prefix: String, after: Long, blockMs: Long) =
+        "/changes?prefix=$prefix&from=$after&block_ms=$blockMs"
+
     private fun read(op: StateOp, outcome: HttpOutcome): StateResult = when (outcome) {
         is HttpOutcome.NotSent -> StateResult.Refused
         is HttpOutcome.Unanswered -> StateResult.Unknown
         is HttpOutcome.Answered -> when (outcome.status) {
-            200, 201, 204 -> success(op, outcome.body)
-            429, 503 -> StateResult.Refused
-            404 -> if (op is StateOp.Get) StateResult.Item(null) else StateResult.NoLease
-            409 -> StateCodec.conflict(outcome.body)
-            410 -> StateResult.TooOld
-            400 -> {
-                log.warn("{} refused as malformed: {}", name(op), describe(outcome))
+            HttpStatus.OK, HttpStatus.CREATED, HttpStatus.NO_CONTENT -> success(op, outcome.body)
+            HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE -> StateResult.Refused
+            HttpStatus.NOT_FOUND -> if (op is StateOp.Get) StateResult.Item(null) else StateResult.NoLease
+            HttpStatus.CONFLICT -> StateCodec.conflict(outcome.body)
+            HttpStatus.GONE -> StateResult.TooOld
+            HttpStatus.BAD_REQUEST -> {
+                log.warn("state service rejected request as malformed op={} answer={}", name(op), describe(outcome))
                 StateResult.Rejected
             }
             else -> StateResult.Unknown
@@ -85,11 +78,8 @@
 
     private companion object {
         const val CALL_MS = 1_500L
-    }
-}
 
-internal fun describe(outcome: HttpOutcome): String = when (outcome) {
-    is HttpOutcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(200)}"
-    is HttpOutcome.NotSent -> "not sent: ${outcome.why}"
-    is HttpOutcome.Unanswered -> "unanswered: ${outcome.why}"
+        /** What a watch may take beyond the time that it waits for changes. */
+        const val WATCH_MARGIN_MS = 4_000L
+    }
 }
