--- a/src/main/kotlin/plankwall/cli/GatewayComponents.kt
+++ b/src/main/kotlin/plankwall/cli/GatewayComponents.kt
@@ -9,30 +9,35 @@
 import plankwall.model.Settings
 import plankwall.wire.FrameSeal
 
-/** Builds what stands at the doors of a node whose operators want to know who asks. */
+/** Builds what authenticates the callers and peers of a node. */
 internal object GatewayComponents {
-    fun of(gate: GatewaySettings, settings: Settings): AccessComponents {
-        val key = gate.nodeKey
-        if (key != null &&
-            key.principal != settings.node
-        ) {
+    fun of(gatewaySettings: GatewaySettings, settings: Settings): AccessComponents {
+        val key = gatewaySettings.nodeKey
+        if (key != null && key.principal != settings.node) {
             throw InvalidSettingsException(
-                "node_key_file: the key is ${key.principal}'s, this node is ${settings.node}",
+                "node_key_file",
+                "the key is ${key.principal}'s, this node is ${settings.node}",
             )
         }
-        var house: AccessGateway? = null
-        val toleranceMs = gate.clockToleranceMs + settings.timeBoundMs.toLong() + 1
-        val frames: ((Long) -> FrameSeal)? = if (gate.peerKeys.isEmpty()) {
+        var gateway: AccessGateway? = null
+        val toleranceMs = gatewaySettings.clockToleranceMs + settings.timeBoundMs.toLong() + 1
+        val frames: ((Long) -> FrameSeal)? = if (gatewaySettings.peerKeys.isEmpty()) {
             null
         } else {
             { incarnation ->
                 PeerAuthenticator(
-                    PeerSeal(settings.node, incarnation, gate.peerKeys, gate.allowUnsignedPeers, toleranceMs),
+                    PeerSeal(
+                        settings.node,
+                        incarnation,
+                        gatewaySettings.peerKeys,
+                        gatewaySettings.allowUnsignedPeers,
+                        toleranceMs,
+                    ),
                 ) {
-                    house?.peerNetworks
+                    gateway?.peerNetworks
                 }
             }
         }
-        return AccessComponents({ ctx -> AccessGateway(ctx, gate).also { house = it } }, frames)
+        return AccessComponents({ ctx -> AccessGateway(ctx, gatewaySettings).also { gateway = it } }, frames)
     }
 }
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -30,11 +30,11 @@
     var after: List<String> = emptyList()
 
     override fun call(): Int {
-        if (!file.canRead()) throw InvalidSettingsException("$file: can't be read")
+        if (!file.canRead()) throw InvalidSettingsException("$file", "can't be read")
         val body = try {
             if (after.isEmpty()) file.readBytes() else JobCodec.withDependencies(file.readBytes(), after)
         } catch (e: MalformedMessageException) {
-            throw InvalidSettingsException("$file: ${e.message}")
+            throw InvalidSettingsException("$file", e.message.orEmpty(), e)
         }
         return calls.report(calls.ask("POST", "/api/jobs", body))
     }
--- a/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
@@ -94,14 +94,15 @@
     override fun call(): Int {
         if (!deploy.isFile) {
             throw InvalidSettingsException(
-                "$deploy: no such file; run this at the root of the project, after a build",
+                "$deploy",
+                "no such file; run this at the root of the project, after a build",
             )
         }
         val figures = try {
             val into = folder ?: Files.createTempDirectory("plankwall-scale").toFile()
             LoadTestRun(plan(), deploy, into, tuning, nodeLog) { println(it) }.play()
         } catch (e: InvalidLoadTestPlanException) {
-            throw InvalidSettingsException(e.message.orEmpty())
+            throw InvalidSettingsException(e.message.orEmpty(), e)
         }
         report?.writeText(LoadTestReport.json(figures))
         conclude(figures)
--- a/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
@@ -47,9 +47,7 @@
     lateinit var out: File
 
     override fun call(): Int {
-        if (!NAME.matches(name) ||
-            !NAME.matches(id)
-        ) {
+        if (!NAME.matches(name) || !NAME.matches(id)) {
             throw InvalidSettingsException("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
         }
         val key = SigningKey.generate(name, id)
--- a/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
+++ b/src/main/kotlin/plankwall/cli/remote/NodeCalls.kt
@@ -46,14 +46,12 @@
         lazy { HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build() }
 
     class Answer(val status: Int, val body: String) {
-        val good: Boolean get() = status in 200..299
+        val isSuccess: Boolean get() = status in 200..299
     }
 
     /** Null, with a line that says why, if there was no answer. */
     fun ask(method: String, path: String, body: ByteArray? = null): Answer? {
-        val publisher = if (body ==
-            null
-        ) {
+        val publisher = if (body == null) {
             HttpRequest.BodyPublishers.noBody()
         } else {
             HttpRequest.BodyPublishers.ofByteArray(body)
@@ -61,9 +59,9 @@
         val request = try {
             HttpRequest.newBuilder(URI("http://$node$path")).method(method, publisher).timeout(TIMEOUT)
         } catch (e: URISyntaxException) {
-            throw InvalidSettingsException("--node: ${e.message}")
+            throw InvalidSettingsException("--node", e.message.orEmpty(), e)
         } catch (e: IllegalArgumentException) {
-            throw InvalidSettingsException("--node: ${e.message}")
+            throw InvalidSettingsException("--node", e.message.orEmpty(), e)
         }
         key?.let { request.header("Authorization", proof(it, method, path, body ?: ByteArray(0))) }
         return try {
@@ -91,7 +89,7 @@
     fun report(answer: Answer?): Int {
         if (answer == null) return 1
         println(answer.body)
-        return if (answer.good) 0 else 1.also { System.err.println("plankwall: status ${answer.status}") }
+        return if (answer.isSuccess) 0 else 1.also { System.err.println("plankwall: status ${answer.status}") }
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -8,7 +8,7 @@
 import java.io.File
 import java.io.IOException
 
-/** Reads the YAML that switches identities, rights and trail on. An unknown key is refused. */
+/** Reads the YAML that enables identities, policy and audit log. An unknown key is refused. */
 object IdentitiesFile {
     private val known = setOf(
         "audience", "rights_file", "node_key_file", "peer_keys_file", "unsigned_peers", "clock_tolerance_ms",
@@ -24,10 +24,8 @@
     fun read(root: JsonNode?, folder: File): GatewaySettings {
         if (root == null || !root.isObject) throw InvalidSettingsException("must be a map of settings")
         root.fieldNames().forEach {
-            if (it !in
-                known
-            ) {
-                throw InvalidSettingsException("$it: unknown; known are ${known.joinToString(", ")}")
+            if (it !in known) {
+                throw InvalidSettingsException("$it", "unknown; known are ${known.joinToString(", ")}")
             }
         }
         val default = GatewaySettings("")
@@ -35,7 +33,7 @@
         return GatewaySettings(
             audience =
             root.get("audience")?.asText()?.takeIf { it.isNotBlank() }
-                ?: throw InvalidSettingsException("audience: missing: the name of this installation"),
+                ?: throw InvalidSettingsException("audience", "missing: the name of this installation"),
             firstRights = file(root, "rights_file", folder)?.let { rights(it) },
             nodeKey = file(root, "node_key_file", folder)?.let { KeyFiles.signing(it) },
             peerKeys = peerKeys,
@@ -59,17 +57,15 @@
     private fun rights(file: File): String = try {
         file.readText().also { PolicyReader.read(it, 1) }
     } catch (e: InvalidPolicyException) {
-        throw InvalidSettingsException("rights_file: $file: ${e.message}")
+        throw InvalidSettingsException("rights_file", "$file: ${e.message}", e)
     } catch (e: IOException) {
-        throw InvalidSettingsException("rights_file: $file: can't be read: ${e.message}")
+        throw InvalidSettingsException("rights_file", "$file: can't be read: ${e.message}", e)
     }
 
     private fun file(root: JsonNode, key: String, folder: File): File? {
         val node = root.get(key) ?: return null
-        if (!node.isTextual ||
-            node.textValue().isBlank()
-        ) {
-            throw InvalidSettingsException("$key: must be the name of a file")
+        if (!node.isTextual || node.textValue().isBlank()) {
+            throw InvalidSettingsException("$key", "must be the name of a file")
         }
         return folder.resolve(node.textValue())
     }
@@ -77,16 +73,15 @@
     private fun choice(root: JsonNode, key: String, allowed: List<String>): String {
         val value = root.get(key)?.asText() ?: return allowed.first()
         return value.takeIf { it in allowed }
-            ?: throw InvalidSettingsException("$key: '$value' must be ${allowed.joinToString(" or ")}")
+            ?: throw InvalidSettingsException("$key", "'$value' must be ${allowed.joinToString(" or ")}")
     }
 
     private fun number(root: JsonNode, key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
         val node = root.get(key) ?: return default
-        if (!node.isNumber ||
-            node.asDouble() !in range
-        ) {
+        if (!node.isNumber || node.asDouble() !in range) {
             throw InvalidSettingsException(
-                "$key: ${node.asText()} must be a number in ${range.start}..${range.endInclusive}",
+                "$key",
+                "${node.asText()} must be a number in ${range.start}..${range.endInclusive}",
             )
         }
         return node.asDouble()
@@ -94,7 +89,7 @@
 
     private fun flag(root: JsonNode, key: String, default: Boolean): Boolean {
         val node = root.get(key) ?: return default
-        if (!node.isBoolean) throw InvalidSettingsException("$key: '${node.asText()}' must be true or false")
+        if (!node.isBoolean) throw InvalidSettingsException("$key", "'${node.asText()}' must be true or false")
         return node.booleanValue()
     }
 }
--- a/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
@@ -12,16 +12,16 @@
 import plankwall.model.WorkerTimes
 import java.io.File
 
-/** Reads the platform's TOML file. Unknown fields are ignored: the platform may know more than we do. */
+/** Reads the platform's settings (TOML). Unknown fields are ignored: a newer platform may write more of them. */
 object SettingsFile {
     fun read(file: File): Settings = readSettings(file, TomlMapper(), "TOML") { read(it) }
 
     fun read(root: JsonNode): Settings {
         val external = table(root, "external")
-        val s = table(root, "settings")
-        val workers = table(s, "workers", "settings.")
-        val state = table(s, "state", "settings.")
-        val cloud = table(s, "cloud", "settings.")
+        val common = table(root, "settings")
+        val workers = table(common, "workers", "settings.")
+        val state = table(common, "state", "settings.")
+        val cloud = table(common, "cloud", "settings.")
         return Settings(
             node = text(root, "node"),
             zone = text(root, "site"),
@@ -30,10 +30,10 @@
             peers = rows(root, "known").map { peer(it) },
             cloudAddress = address(external, "cloud"),
             stateAddress = address(external, "state"),
-            zones = rows(s, "zones").map { it.asText() },
-            timeBoundMs = amount(s, "time_bound_ms", 0.0, 0.0, 1e6),
-            teams = rows(s, "teams").map { team(it) },
-            objectives = rows(s, "objectives").map { objective(it) },
+            zones = rows(common, "zones").map { it.asText() },
+            timeBoundMs = amount(common, "time_bound_ms", 0.0, 0.0, 1e6),
+            teams = rows(common, "teams").map { team(it) },
+            objectives = rows(common, "objectives").map { objective(it) },
             workers = WorkerTimes(
                 reportS = amount(workers, "report_s", null, 0.1, 600.0),
                 leaseS = amount(workers, "lease_s", null, 1.0, 3600.0),
@@ -46,25 +46,26 @@
                 rps = amount(cloud, "rps", null, 0.1, 1e6),
                 listLagS = amount(cloud, "list_lag_s", 0.0, 0.0, 3600.0),
             ),
-            maxConnections = s.get("limits")?.let { amount(it, "max_connections", 1000.0, 20.0, 1e6).toInt() } ?: 1000,
+            maxConnections =
+            common.get("limits")?.let { amount(it, "max_connections", 1000.0, 20.0, 1e6).toInt() } ?: 1000,
             stateNext = state.get("next")?.let {
-                if (!it.isObject) throw InvalidSettingsException("state.next: must be a table")
+                if (!it.isObject) throw InvalidSettingsException("state.next", "must be a table")
                 limits(it, "state.next.", limits(state, "", null).rps)
             },
         )
     }
 
-    /** [rps] stands in where a later limit leaves the rate of requests as it is. */
-    private fun limits(t: JsonNode, prefix: String, rps: Double?) = StateLimits(
-        rps = amount(t, "rps", rps, 1.0, 1e6, prefix),
-        writeRps = amount(t, "write_rps", null, 1.0, 1e6, prefix),
-        valueKb = amount(t, "value_kb", null, 1.0, 64.0, prefix),
-        txnOps = amount(t, "txn_ops", null, 4.0, 1e4, prefix).toInt(),
+    /** [rps]: the rate of requests where [table] holds none. */
+    private fun limits(table: JsonNode, prefix: String, rps: Double?) = StateLimits(
+        rps = amount(table, "rps", rps, 1.0, 1e6, prefix),
+        writeRps = amount(table, "write_rps", null, 1.0, 1e6, prefix),
+        valueKb = amount(table, "value_kb", null, 1.0, 64.0, prefix),
+        txnOps = amount(table, "txn_ops", null, 4.0, 1e4, prefix).toInt(),
     )
 
     private fun peer(row: JsonNode): Peer {
-        val a = address(row, "address")
-        return Peer(text(row, "node"), text(row, "site"), a.host, a.port)
+        val address = address(row, "address")
+        return Peer(text(row, "node"), text(row, "site"), address.host, address.port)
     }
 
     private fun team(row: JsonNode): Team {
@@ -85,16 +86,16 @@
 
     private fun rows(parent: JsonNode, key: String): List<JsonNode> {
         val node = parent.get(key) ?: return emptyList()
-        if (!node.isArray) throw InvalidSettingsException("$key: must be a list")
+        if (!node.isArray) throw InvalidSettingsException("$key", "must be a list")
         return node.toList()
     }
 
     private fun text(parent: JsonNode, key: String): String =
         parent.get(key)?.takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText()
-            ?: throw InvalidSettingsException("$key: is missing or not a text")
+            ?: throw InvalidSettingsException("$key", "is missing or not a text")
 
     private fun address(parent: JsonNode, key: String): Address = Address.parse(text(parent, key))
-        ?: throw InvalidSettingsException("$key: must be an address such as 10.0.0.1:8080")
+        ?: throw InvalidSettingsException("$key", "must be an address such as 10.0.0.1:8080")
 
     private fun amount(
         parent: JsonNode,
@@ -104,17 +105,12 @@
         max: Double,
         prefix: String = "",
     ): Double {
-        val node =
-            parent.get(key)
-                ?: return default ?: throw InvalidSettingsException("$prefix$key: is missing; must lie in $min..$max")
-        val value = if (node.isNumber) {
-            node.asDouble()
-        } else {
-            throw InvalidSettingsException(
-                "$prefix$key: must be a number in $min..$max",
-            )
-        }
-        if (value !in min..max) throw InvalidSettingsException("$prefix$key: $value must lie in $min..$max")
+        val name = "$prefix$key"
+        val node = parent.get(key)
+            ?: return default ?: throw InvalidSettingsException(name, "is missing; must lie in $min..$max")
+        if (!node.isNumber) throw InvalidSettingsException(name, "must be a number in $min..$max")
+        val value = node.asDouble()
+        if (value !in min..max) throw InvalidSettingsException(name, "$value must lie in $min..$max")
         return value
     }
 }
--- a/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
@@ -5,7 +5,7 @@
 import plankwall.model.Tuning
 import java.io.File
 
-/** Reads the operators' own YAML. An unknown key is refused: a misspelt one would silently change nothing. */
+/** Reads the operators' own settings (YAML). An unknown key is refused: a misspelt one would silently change nothing. */
 object TuningFile {
     private class Key(val range: ClosedFloatingPointRange<Double>, val set: (Tuning, Double) -> Tuning)
 
@@ -31,12 +31,10 @@
         for ((name, node) in root.fields()) {
             val key =
                 keys[name]
-                    ?: throw InvalidSettingsException("$name: unknown; known are ${keys.keys.joinToString(", ")}")
+                    ?: throw InvalidSettingsException("$name", "unknown; known are ${keys.keys.joinToString(", ")}")
             val allowed = "must be a number in ${key.range.start}..${key.range.endInclusive}"
-            if (!node.isNumber ||
-                node.asDouble() !in key.range
-            ) {
-                throw InvalidSettingsException("$name: ${node.asText()} $allowed")
+            if (!node.isNumber || node.asDouble() !in key.range) {
+                throw InvalidSettingsException("$name", "${node.asText()} $allowed")
             }
             tuning = key.set(tuning, node.asDouble())
         }
