--- a/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
@@ -105,7 +105,7 @@
         }
         report?.writeText(LoadTestReport.json(figures))
         conclude(figures)
-        return if (figures.broken.isEmpty()) 0 else 1
+        return if (figures.violations.isEmpty()) 0 else 1
     }
 
     private fun plan(): LoadTestPlan {
@@ -131,10 +131,10 @@
         println(
             "services: ${f.serviceTasksStarted} of ${f.serviceTasks} tasks begun; jobs given up by their users: ${f.givenUp}; controllers ended by themselves: ${f.endedByItself}",
         )
-        if (f.broken.isEmpty()) {
+        if (f.violations.isEmpty()) {
             println("no rule broken")
         } else {
-            f.broken.take(SHOWN).forEach {
+            f.violations.take(SHOWN).forEach {
                 println("rule broken: $it")
             }
         }
--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -47,11 +47,11 @@
         if (each) {
             results.forEach { r ->
                 println(
-                    "day ${r.seed}, ${r.nodes} nodes: killed ${r.leaseDeaths} (${r.avoidable}), leads ${r.leads}; ${r.troubles}",
+                    "day ${r.seed}, ${r.nodes} nodes: killed ${r.tasksKilledByLease} (${r.avoidableKills}), leads ${r.leaderChanges}; ${r.faults}",
                 )
             }
         }
-        results.forEach { r -> r.broken.forEach { println("day ${r.seed}: $it") } }
+        results.forEach { r -> r.violations.forEach { println("day ${r.seed}: $it") } }
         println(
             "nodes   days  broken  killed by lease  of these avoidable  leads a day  served after p50  p90  p99  max (s)",
         )
@@ -62,14 +62,17 @@
                 "%5d %6d %7d %16d %19d %12.1f %17.1f %4.1f %4.1f %4.1f".format(
                     n, group.size,
                     group.sumOf {
-                        it.broken.size
+                        it.violations.size
                     },
-                    group.sumOf { it.leaseDeaths }, group.sumOf { it.avoidable },
-                    group.map { it.leads }.average(), served.s(50.0), served.s(90.0), served.s(99.0), served.s(100.0),
+                    group.sumOf { it.tasksKilledByLease }, group.sumOf { it.avoidableKills },
+                    group.map {
+                        it.leaderChanges
+                    }.average(),
+                    served.s(50.0), served.s(90.0), served.s(99.0), served.s(100.0),
                 ),
             )
         }
-        return if (results.any { it.broken.isNotEmpty() }) 1 else 0
+        return if (results.any { it.violations.isNotEmpty() }) 1 else 0
     }
 
     private fun Histogram.s(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
@@ -104,10 +107,10 @@
             ).play()
         }.toList()
         for (r in results) {
-            r.broken.forEach { println("day ${r.seed}: $it") }
-            if (r.unserved.isNotEmpty()) {
+            r.violations.forEach { println("day ${r.seed}: $it") }
+            if (r.unfinishedJobs.isNotEmpty()) {
                 println(
-                    "day ${r.seed}, ${r.nodes} nodes: not done ${r.unserved}; ${r.troubles}",
+                    "day ${r.seed}, ${r.nodes} nodes: not done ${r.unfinishedJobs}; ${r.faults}",
                 )
             }
         }
@@ -115,13 +118,13 @@
             "%d days: %d rules broken, %d jobs not done, at most %d machines at a time, %d starts".format(
                 days,
                 results.sumOf {
-                    it.broken.size
+                    it.violations.size
                 },
-                results.sumOf { it.unserved.size },
-                results.maxOf { it.most },
+                results.sumOf { it.unfinishedJobs.size },
+                results.maxOf { it.maxInstances },
                 results.sumOf { it.starts },
             ),
         )
-        return if (results.any { it.broken.isNotEmpty() }) 1 else 0
+        return if (results.any { it.violations.isNotEmpty() }) 1 else 0
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -10,20 +10,20 @@
 
 /** The cloud as one controller reaches it. */
 class CloudEndpoint(
-    private val site: LoadTestCluster,
+    private val cluster: LoadTestCluster,
     private val meter: NodeMeter,
     private val rate: SimulatedStore.Meter,
 ) {
     fun handle(request: HttpRequest): HttpReply {
         meter.cloudRequests++
         val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
-        return site.enter {
+        return cluster.enter {
             if (rate.note(
-                    site.clock.now,
+                    cluster.clock.now,
                     1,
                 )
             ) {
-                answer(site.cloud.run(op))
+                answer(cluster.cloud.run(op))
             } else {
                 HttpReply(429, JobCodec.error("too many requests"), 1)
             }
--- a/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -11,7 +11,7 @@
  * name.
  */
 data class ControllerAddresses(
-    val front: Address,
+    val apiAddress: Address,
     val internal: Address,
     val state: Address,
     val cloud: Address,
@@ -43,7 +43,7 @@
         val mapper = TomlMapper()
         val root = mapper.createObjectNode()
         root.put("node", plan.nodeName(index)).put("site", plan.zoneOfNode(index))
-        root.put("front", addresses.front.toString()).put("internal_addr", addresses.internal.toString())
+        root.put("front", addresses.apiAddress.toString()).put("internal_addr", addresses.internal.toString())
         val known = root.putArray("known")
         (0 until plan.controllers).filter { it != index }.forEach { peer ->
             known.addObject().put("node", plan.nodeName(peer)).put("site", plan.zoneOfNode(peer))
--- a/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
@@ -12,7 +12,7 @@
 class ControllerProcess(
     val name: String,
     val zone: String,
-    val front: Address,
+    val apiAddress: Address,
     private val command: List<String>,
     private val folder: File,
     private val logLevel: String,
--- a/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
@@ -8,47 +8,47 @@
 
 /** Brings the faults of a plan about. */
 class FaultTimeline(
-    private val site: LoadTestCluster,
+    private val cluster: LoadTestCluster,
     private val controllers: List<ControllerProcess>,
     private val links: Map<Pair<Int, Int>, PeerProxy>,
 ) {
-    private val plan = site.plan
+    private val plan = cluster.plan
     private val results = ArrayList<FaultOutcome>()
 
     val outcomes: List<FaultOutcome> get() = results
 
-    fun begin() = plan.faults.forEach { fault -> site.clock.after(fault.atS) { strike(fault) } }
+    fun begin() = plan.faults.forEach { fault -> cluster.clock.after(fault.atS) { strike(fault) } }
 
     private fun strike(fault: Fault) {
         val hit = when (fault.kind) {
             FaultKind.KILL -> kill(fault)
             FaultKind.STATE_AWAY -> during(fault, {
-                site.state.outage = true
-            }) { site.state.outage = false }.let { listOf("state service") }
+                cluster.state.outage = true
+            }) { cluster.state.outage = false }.let { listOf("state service") }
             FaultKind.REPORTS_LOST -> zonesOf(fault.target).also { zones ->
                 during(fault, {
-                    site.transport.reportsLost.addAll(zones)
-                }) { site.transport.reportsLost.removeAll(zones) }
+                    cluster.transport.zonesLosingHeartbeats.addAll(zones)
+                }) { cluster.transport.zonesLosingHeartbeats.removeAll(zones) }
             }
             FaultKind.ANSWERS_LOST -> zonesOf(fault.target).also { zones ->
                 during(fault, {
-                    site.transport.answersLost.addAll(zones)
-                }) { site.transport.answersLost.removeAll(zones) }
+                    cluster.transport.zonesLosingAnswers.addAll(zones)
+                }) { cluster.transport.zonesLosingAnswers.removeAll(zones) }
             }
             FaultKind.PEERS_APART -> cutPeers(fault)
         }
-        awaitService(fault, hit, site.clock.now)
+        awaitService(fault, hit, cluster.clock.now)
     }
 
     private fun during(fault: Fault, begin: () -> Unit, end: () -> Unit) {
         begin()
-        site.clock.after(fault.forS, end)
+        cluster.clock.after(fault.forS, end)
     }
 
     private fun kill(fault: Fault): List<String> {
         val targets = nodesOf(fault.target)
         targets.forEach { controllers[it].kill() }
-        site.clock.after(fault.forS) { targets.forEach { controllers[it].start() } }
+        cluster.clock.after(fault.forS) { targets.forEach { controllers[it].start() } }
         return targets.map(plan::nodeName)
     }
 
@@ -67,7 +67,7 @@
 
     private fun nodesOf(target: String): List<Int> = when (target) {
         "all" -> controllers.indices.toList()
-        "leader" -> listOf(site.leader()).filter { it >= 0 }
+        "leader" -> listOf(cluster.leader()).filter { it >= 0 }
         else -> controllers.indices.filter { plan.nodeName(it) == target || plan.zoneOfNode(it) in zonesOf(target) }
     }
 
@@ -75,15 +75,15 @@
         val at = results.size
         results.add(FaultOutcome(fault, hit.toList(), null))
         fun look() {
-            if (site.transport.servedSince(from) >=
+            if (cluster.transport.servedSince(from) >=
                 SERVED_SHARE
             ) {
-                results[at] = results[at].copy(servedAgainS = site.clock.now - from)
+                results[at] = results[at].copy(servedAgainS = cluster.clock.now - from)
             } else {
-                site.clock.after(LOOK_EVERY_S) { look() }
+                cluster.clock.after(LOOK_EVERY_S) { look() }
             }
         }
-        site.clock.after(LOOK_EVERY_S) { look() }
+        cluster.clock.after(LOOK_EVERY_S) { look() }
     }
 
     companion object {
--- a/src/main/kotlin/plankwall/loadtest/LoadMeters.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadMeters.kt
@@ -4,7 +4,7 @@
 
 /** What went to one controller or came from it, counted by the stand-ins at the other end. */
 class NodeMeter {
-    var reports = 0L
+    var heartbeats = 0L
     var polls = 0L
     var submissions = 0L
     var cancellations = 0L
@@ -15,7 +15,7 @@
     var frameBytes = 0L
 
     fun copyOf() = NodeMeter().also {
-        it.reports = reports
+        it.heartbeats = heartbeats
         it.polls = polls
         it.submissions = submissions
         it.cancellations = cancellations
@@ -29,7 +29,7 @@
 
 /** Latencies of one phase, in milliseconds. */
 class Latencies {
-    val report = histogram()
+    val heartbeat = histogram()
     val submission = histogram()
     val cancellation = histogram()
     val arrayStart = histogram()
@@ -44,16 +44,16 @@
     }
 }
 
-fun Histogram.noteS(seconds: Double) = recordValue((seconds * 1000).toLong().coerceIn(0, Latencies.MAX_MS))
+fun Histogram.recordSeconds(seconds: Double) = recordValue((seconds * 1000).toLong().coerceIn(0, Latencies.MAX_MS))
 
 /** Everything that the stand-ins count. [latencies] is replaced at the start of each phase. */
 class LoadMeters(nodes: Int) {
     val nodes = List(nodes) { NodeMeter() }
     var latencies = Latencies()
     val refusals = HashMap<String, Long>()
-    var reportsServed = 0L
-    var reportsWithin1S = 0L
-    var reportsFailed = 0L
+    var heartbeatsServed = 0L
+    var heartbeatsWithin1S = 0L
+    var heartbeatsFailed = 0L
     var leasesExpired = 0L
     var starts = 0L
     private val startsBySecond = HashMap<Long, Int>()
--- a/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -86,16 +86,16 @@
         specs[spec.id] = spec
     }
 
-    override fun submitted(id: String): JobSpec? = specs[id]
+    override fun specOf(id: String): JobSpec? = specs[id]
 
-    override fun isMistaken(id: String): Boolean = false
+    override fun isFaulty(id: String): Boolean = false
 
-    override fun sendReport(
+    override fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
-        report: HeartbeatStatus,
+        heartbeat: HeartbeatStatus,
         then: (status: Int, body: JsonNode) -> Unit,
-    ) = transport.send(worker, node, report, then)
+    ) = transport.send(worker, node, heartbeat, then)
 
     override fun checkStored(id: String, task: Int) = Unit
 
--- a/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
@@ -12,7 +12,7 @@
     val cpuBusiestSecond: Double,
     val residentMb: Double,
     val sockets: Int,
-    val reports: Double,
+    val heartbeats: Double,
     val polls: Double,
     val submissions: Double,
     val stateRequests: Double,
@@ -44,9 +44,9 @@
     val startsPerS: Double,
     val startsBusiestSecond: Double,
     val startsBusiest10S: Double,
-    val reportsServed: Long,
-    val reportsWithin1S: Long,
-    val reportsFailed: Long,
+    val heartbeatsServed: Long,
+    val heartbeatsWithin1S: Long,
+    val heartbeatsFailed: Long,
     val leasesExpired: Long,
     val refusals: Map<String, Long>,
     val standInCpu: Double,
@@ -64,7 +64,7 @@
     val serviceTasksStarted: Int,
     val givenUp: Int,
     val endedByItself: Int,
-    val broken: List<String>,
+    val violations: List<String>,
 )
 
 /** Scale figures as JSON and as a table for people. */
@@ -85,7 +85,7 @@
         root.put("state_rps", f.plan.state.rps).put("state_write_rps", f.plan.state.writeRps)
         root.put("service_tasks", f.serviceTasks).put("service_tasks_started", f.serviceTasksStarted)
         root.put("given_up", f.givenUp).put("ended_by_itself", f.endedByItself)
-        root.putArray("broken").also { rows -> f.broken.forEach { rows.add(it) } }
+        root.putArray("broken").also { rows -> f.violations.forEach { rows.add(it) } }
         root.putArray("phases").also { rows -> f.phases.forEach { phase(rows.addObject(), it) } }
         root.putArray("faults").also { rows ->
             f.faults.forEach { o ->
@@ -112,8 +112,8 @@
         ).put("starts_busiest_second", p.startsBusiestSecond).put("starts_busiest_10_s", rounded(p.startsBusiest10S))
         row.put(
             "reports_served",
-            p.reportsServed,
-        ).put("reports_within_1_s", p.reportsWithin1S).put("reports_failed", p.reportsFailed)
+            p.heartbeatsServed,
+        ).put("reports_within_1_s", p.heartbeatsWithin1S).put("reports_failed", p.heartbeatsFailed)
         row.put(
             "leases_expired",
             p.leasesExpired,
@@ -138,7 +138,7 @@
         row.put(
             "resident_mb",
             rounded(n.residentMb),
-        ).put("sockets", n.sockets).put("reports_per_s", rounded(n.reports)).put("polls_per_s", rounded(n.polls))
+        ).put("sockets", n.sockets).put("reports_per_s", rounded(n.heartbeats)).put("polls_per_s", rounded(n.polls))
         row.put("submissions_per_s", rounded(n.submissions)).put("state_requests_per_s", rounded(n.stateRequests))
         row.put("state_refused_per_s", rounded(n.stateRefused)).put("puts_per_s", rounded(n.puts))
         row.put("frame_kb_per_s", rounded(n.frameKb))
@@ -154,7 +154,7 @@
                 p.startsBusiest10S,
             ),
         )
-        val total = p.reportsServed + p.reportsFailed
+        val total = p.heartbeatsServed + p.heartbeatsFailed
         appendLine(
             (
                 "  reports answered within 1 s %.4f of %d, leases lost %d; " +
@@ -165,7 +165,7 @@
                 ) {
                     1.0
                 } else {
-                    p.reportsWithin1S / total.toDouble()
+                    p.heartbeatsWithin1S / total.toDouble()
                 },
                 total,
                 p.leasesExpired,
@@ -192,7 +192,7 @@
             appendLine(
                 "  %-11s %8.2f %10.2f %4.0f %9d %10.1f %8.1f %8.1f %10.1f %7.1f %12.1f".format(
                     n.node + if (n.leads) "*" else "", n.cpuMean, n.cpuBusiestSecond, n.residentMb, n.sockets,
-                    n.reports, n.polls, n.stateRequests, n.stateRefused, n.puts, n.frameKb,
+                    n.heartbeats, n.polls, n.stateRequests, n.stateRefused, n.puts, n.frameKb,
                 ),
             )
         }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestRun.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestRun.kt
@@ -18,7 +18,7 @@
 
 /**
  * A scale run from start to end. [deploy]: the file whose `run` line starts a controller. [folder]: for settings and
- * logs. [tuning]: the operators' own settings. [tell]: takes lines of progress.
+ * logs. [tuning]: the operators' own settings. [onProgress]: takes lines of progress.
  */
 class LoadTestRun(
     private val plan: LoadTestPlan,
@@ -26,14 +26,14 @@
     private val folder: File,
     private val tuning: File?,
     private val logLevel: String,
-    private val tell: (String) -> Unit,
+    private val onProgress: (String) -> Unit,
 ) {
     private val settings = sharedSettings(plan)
     private val meters = LoadMeters(plan.controllers)
     private val thread = IoThread.singleThread("stand-ins")
     private val selectorThread = IoThread.singleThread("selector")
     private val scope = CoroutineScope(thread + SupervisorJob())
-    private val site = LoadTestCluster(plan, settings, scope, SelectorManager(selectorThread), meters)
+    private val cluster = LoadTestCluster(plan, settings, scope, SelectorManager(selectorThread), meters)
     private val controllers = ArrayList<ControllerProcess>()
     private val links = HashMap<Pair<Int, Int>, PeerProxy>()
     private val phases = ArrayList<PhaseFigures>()
@@ -49,20 +49,20 @@
             controllers.forEach { it.close() }
             Runtime.getRuntime().removeShutdownHook(ending)
             scope.cancel()
-            site.transport.close()
+            cluster.transport.close()
         }
     }
 
     private suspend fun run(): LoadTestFigures {
         prepare()
-        val sampler = ProcessSampler(site, controllers)
-        scope.launch { site.run() }
+        val sampler = ProcessSampler(cluster, controllers)
+        scope.launch { cluster.run() }
         scope.launch { sampler.run() }
         controllers.forEach { it.start() }
         awaitControllers()
-        site.addMachines()
-        val users = LoadTestUsers(site, controllers.map { it.front })
-        val faults = FaultTimeline(site, controllers, links)
+        cluster.addMachines()
+        val users = LoadTestUsers(cluster, controllers.map { it.apiAddress })
+        val faults = FaultTimeline(cluster, controllers, links)
         phases(sampler, users, faults)
         return LoadTestFigures(
             plan,
@@ -72,15 +72,15 @@
             users.serviceTasksStarted,
             users.givenUp,
             controllers.sumOf { it.endedByItself },
-            site.checker.broken.toList(),
+            cluster.checker.violations.toList(),
         )
     }
 
     private suspend fun phases(sampler: ProcessSampler, users: LoadTestUsers, faults: FaultTimeline) {
         val lengths = plan.phases
         phase("connect", sampler, lengths.connectS) {
-            site.transport.servedSince(0.0) >= 1.0 &&
-                site.cloud.workers.size == plan.workers
+            cluster.transport.servedSince(0.0) >= 1.0 &&
+                cluster.cloud.workers.size == plan.workers
         }
         phase("idle", sampler, lengths.idleS)
         users.submitServices(SUBMIT_SERVICES_S)
@@ -95,9 +95,9 @@
 
     /** Workers that come before the controllers listen would only knock in vain. */
     private suspend fun awaitControllers() {
-        val begun = site.clock.now
-        while (!controllers.all { FreePorts.isListening(it.front.port) }) {
-            if (site.clock.now - begun >
+        val startedAt = cluster.clock.now
+        while (!controllers.all { FreePorts.isListening(it.apiAddress.port) }) {
+            if (cluster.clock.now - startedAt >
                 START_S
             ) {
                 throw InvalidLoadTestPlanException(
@@ -111,35 +111,35 @@
     /** At most [seconds], or until [over]. */
     private suspend fun phase(name: String, sampler: ProcessSampler, seconds: Double, over: () -> Boolean = { false }) {
         if (seconds <= 0.0) return
-        tell("$name: at most %.0f s".format(seconds))
+        onProgress("$name: at most %.0f s".format(seconds))
         sampler.begin()
-        val begun = site.clock.now
-        while (site.clock.now - begun < seconds && !over()) delay(LOOK_MS)
+        val startedAt = cluster.clock.now
+        while (cluster.clock.now - startedAt < seconds && !over()) delay(LOOK_MS)
         val figures = sampler.end(name)
         phases.add(figures)
-        tell(LoadTestReport.text(figures))
+        onProgress(LoadTestReport.text(figures))
     }
 
     private suspend fun prepare() {
         folder.mkdirs()
-        val (fronts, internals) = FreePorts.take(plan.controllers * 2).map {
+        val (apiAddresses, peerAddresses) = FreePorts.take(plan.controllers * 2).map {
             Address(WorkerTransport.LOOPBACK, it)
         }.chunked(plan.controllers)
-        site.transport.open(plan.workers, fronts)
+        cluster.transport.open(plan.workers, apiAddresses)
         val tuningFile = File(folder, "tuning.yaml").also { ControllerFiles.writeTuning(it, tuning) }
         val cloudRate = SimulatedStore.Meter(settings.cloud.rps, burstS = CLOUD_BURST_S)
         for (i in 0 until plan.controllers) {
             val peers = (0 until plan.controllers).filter { it != i }.associate { to ->
-                val proxy = PeerProxy(site, internals[to], meters.nodes[i])
+                val proxy = PeerProxy(cluster, peerAddresses[to], meters.nodes[i])
                 links[i to to] = proxy
                 plan.nodeName(to) to proxy.open()
             }
-            val state = StoreEndpoint(site, meters.nodes[i])
-            val cloud = CloudEndpoint(site, meters.nodes[i], cloudRate)
+            val state = StoreEndpoint(cluster, meters.nodes[i])
+            val cloud = CloudEndpoint(cluster, meters.nodes[i], cloudRate)
             val addresses =
                 ControllerAddresses(
-                    fronts[i],
-                    internals[i],
+                    apiAddresses[i],
+                    peerAddresses[i],
                     serve {
                         state.handle(it)
                     },
@@ -152,7 +152,7 @@
                 ControllerProcess(
                     plan.nodeName(i),
                     plan.zoneOfNode(i),
-                    fronts[i],
+                    apiAddresses[i],
                     ControllerFiles.command(deploy, file, tuningFile),
                     folder,
                     logLevel,
@@ -163,7 +163,7 @@
 
     private suspend fun serve(handle: suspend (plankwall.io.HttpRequest) -> plankwall.io.HttpReply): Address =
         WorkerTransport.boundAddress(
-            HttpServer(scope, site.selector, MAX_CONNECTIONS, handle).start(Address(WorkerTransport.LOOPBACK, 0)),
+            HttpServer(scope, cluster.selector, MAX_CONNECTIONS, handle).start(Address(WorkerTransport.LOOPBACK, 0)),
         )
 
     companion object {
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -14,21 +14,21 @@
 import plankwall.wire.JobCodec
 
 /** Submits, polls and cancels as PROTOCOL has it, through a load balancer that passes over nodes that refuse. */
-class LoadTestUsers(private val site: LoadTestCluster, private val fronts: List<Address>) {
+class LoadTestUsers(private val cluster: LoadTestCluster, private val apiAddresses: List<Address>) {
     private class Open(val spec: JobSpec, val at: Double) {
         val started = HashSet<Int>()
         var over = false
     }
 
-    private val plan = site.plan
-    private val clients = fronts.map {
-        HttpClient(site.selector, it, maxConnections = CONNECTIONS, maxWaiting = MAX_WAITING)
+    private val plan = cluster.plan
+    private val clients = apiAddresses.map {
+        HttpClient(cluster.selector, it, maxConnections = CONNECTIONS, maxWaiting = MAX_WAITING)
     }
     private val open = HashMap<String, Open>()
     private var nextJob = 1
 
     /** When each node may be tried again: the load balancer passes over one that refused. */
-    private val avoidUntil = DoubleArray(fronts.size)
+    private val avoidUntil = DoubleArray(apiAddresses.size)
 
     /** Service tasks that were asked for, and those of them that have begun. */
     var serviceTasks = 0
@@ -44,7 +44,7 @@
     var arriving = false
 
     init {
-        site.onTaskStarted = ::taskStarted
+        cluster.onTaskStarted = ::taskStarted
     }
 
     private fun taskStarted(id: String, task: Int) {
@@ -52,14 +52,14 @@
         if (!job.started.add(task)) return
         if (job.spec.shape == Shape.SERVICE) serviceTasksStarted++
         if (job.started.size < job.spec.tasks) return
-        val latencies = site.meters.latencies
+        val latencies = cluster.meters.latencies
         val histogram = when {
             job.spec.shape == Shape.GANG -> latencies.gangStart
             job.spec.jobClass == URGENT -> latencies.urgentStart
             job.spec.shape == Shape.ARRAY -> latencies.arrayStart
             else -> return
         }
-        histogram.noteS(site.clock.now - job.at)
+        histogram.recordSeconds(cluster.clock.now - job.at)
     }
 
     private fun spec(kind: String, shape: Shape, tasks: Int, runS: Double, priority: Priority, gpus: Long): JobSpec {
@@ -80,7 +80,7 @@
         repeat(jobs) { n ->
             serviceTasks += plan.work.replicas
             val gpus = if (n % ACCELERATED_EVERY == 0) 1_000L else 0L
-            site.clock.after(overS * n / jobs) {
+            cluster.clock.after(overS * n / jobs) {
                 submit(spec(LIVE, Shape.SERVICE, plan.work.replicas, 0.0, Priority.PRODUCTION, gpus))
             }
         }
@@ -104,18 +104,18 @@
     private fun submitArray() {
         val spec = spec(BATCH, Shape.ARRAY, plan.work.arrayTasks, plan.work.arrayRunS, Priority.LOW, 0)
         submit(spec)
-        if (site.random.nextDouble() <
+        if (cluster.random.nextDouble() <
             plan.work.cancelShare
         ) {
-            site.clock.after(1.0 + site.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
+            cluster.clock.after(1.0 + cluster.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
         }
     }
 
     private fun every(rate: Double, action: () -> Unit) {
         if (rate <= 0) return
         // Arrivals are independent of each other: exponential gaps.
-        val gap = -Math.log(1.0 - site.random.nextDouble()) / rate
-        site.clock.after(gap) {
+        val gap = -Math.log(1.0 - cluster.random.nextDouble()) / rate
+        cluster.clock.after(gap) {
             if (!arriving) return@after
             action()
             every(rate, action)
@@ -123,25 +123,25 @@
     }
 
     private fun submit(spec: JobSpec) {
-        site.register(spec)
-        open[spec.id] = Open(spec, site.clock.now)
-        site.scope.launch { trySubmit(spec) }
+        cluster.register(spec)
+        open[spec.id] = Open(spec, cluster.clock.now)
+        cluster.scope.launch { trySubmit(spec) }
     }
 
     private suspend fun trySubmit(spec: JobSpec) {
-        val begun = site.clock.now
+        val startedAt = cluster.clock.now
         val body = JobCodec.description(spec)
-        while (site.clock.now - begun < GIVE_UP_S) {
-            val askedAt = site.clock.now
+        while (cluster.clock.now - startedAt < GIVE_UP_S) {
+            val askedAt = cluster.clock.now
             val node = pick() ?: continue
-            site.meters.nodes[node].submissions++
+            cluster.meters.nodes[node].submissions++
             val outcome = clients[node].call("POST", "/api/jobs", body, CHANGE_MS)
-            site.catchUp()
-            val status = noted("submission", node, outcome)
+            cluster.catchUp()
+            val status = recordOutcome("submission", node, outcome)
             val answer = outcome.json()
-            site.checker.submitted(spec, status, site.clock.now, answer?.get("stage")?.asText(), askedAt)
+            cluster.checker.submissionAnswered(spec, status, cluster.clock.now, answer?.get("stage")?.asText(), askedAt)
             if (status == 200 || status == 201) {
-                site.meters.latencies.submission.noteS(site.clock.now - begun)
+                cluster.meters.latencies.submission.recordSeconds(cluster.clock.now - startedAt)
                 poll(spec.id)
                 return
             }
@@ -152,37 +152,37 @@
     }
 
     /** Counts what was refused; the status, or 0 where there was no answer. */
-    private fun noted(what: String, node: Int, outcome: HttpOutcome): Int {
+    private fun recordOutcome(what: String, node: Int, outcome: HttpOutcome): Int {
         if (outcome is HttpOutcome.Answered) {
-            if (outcome.status >= 300) site.meters.refused("$what ${outcome.status}")
+            if (outcome.status >= 300) cluster.meters.refused("$what ${outcome.status}")
             return outcome.status
         }
-        site.meters.refused("$what without an answer")
-        avoidUntil[node] = site.clock.now + AVOID_S
+        cluster.meters.refused("$what without an answer")
+        avoidUntil[node] = cluster.clock.now + AVOID_S
         return 0
     }
 
     private suspend fun pick(): Int? {
-        val healthy = fronts.indices.filter { avoidUntil[it] <= site.clock.now }
-        if (healthy.isNotEmpty()) return healthy[site.random.nextInt(healthy.size)]
+        val healthy = apiAddresses.indices.filter { avoidUntil[it] <= cluster.clock.now }
+        if (healthy.isNotEmpty()) return healthy[cluster.random.nextInt(healthy.size)]
         delay(RETRY_MS)
         return null
     }
 
     private suspend fun poll(id: String) {
         val job = open.getValue(id)
-        delay((plan.work.pollEveryS * 1000 * site.random.nextDouble()).toLong())
+        delay((plan.work.pollEveryS * 1000 * cluster.random.nextDouble()).toLong())
         while (!job.over) {
             val node = pick() ?: continue
-            val askedAt = site.clock.now
-            site.meters.nodes[node].polls++
+            val askedAt = cluster.clock.now
+            cluster.meters.nodes[node].polls++
             val outcome = clients[node].call("GET", "/api/jobs/$id", null, LOOK_MS)
-            site.catchUp()
-            val status = noted("poll", node, outcome)
+            cluster.catchUp()
+            val status = recordOutcome("poll", node, outcome)
             val stage = if (status == 200) outcome.json()?.get("stage")?.asText() else null
-            site.checker.shown(id, status, stage, site.clock.now, askedAt)
-            site.checker.polled(id, status == 200 || status == 404, site.clock.now)
-            if (status == 200) site.meters.latencies.poll.noteS(site.clock.now - askedAt)
+            cluster.checker.statusAnswered(id, status, stage, cluster.clock.now, askedAt)
+            cluster.checker.pollEnded(id, status == 200 || status == 404, cluster.clock.now)
+            if (status == 200) cluster.meters.latencies.poll.recordSeconds(cluster.clock.now - askedAt)
             if (stage == "done" || stage == "withdrawn") end(job)
             delay((plan.work.pollEveryS * 1000).toLong())
         }
@@ -194,23 +194,23 @@
     }
 
     private fun cancel(id: String) {
-        site.checker.cancelRequested(id)
-        site.scope.launch { tryCancel(id) }
+        cluster.checker.cancelRequested(id)
+        cluster.scope.launch { tryCancel(id) }
     }
 
     private suspend fun tryCancel(id: String) {
-        val begun = site.clock.now
-        while (site.clock.now - begun < GIVE_UP_S) {
+        val startedAt = cluster.clock.now
+        while (cluster.clock.now - startedAt < GIVE_UP_S) {
             val node = pick() ?: continue
-            val askedAt = site.clock.now
-            site.meters.nodes[node].cancellations++
+            val askedAt = cluster.clock.now
+            cluster.meters.nodes[node].cancellations++
             val outcome = clients[node].call("POST", "/api/jobs/$id/withdraw", NO_BODY, CHANGE_MS)
-            site.catchUp()
-            val status = noted("cancellation", node, outcome)
+            cluster.catchUp()
+            val status = recordOutcome("cancellation", node, outcome)
             val stage = outcome.json()?.get("stage")?.asText()
             if (status == 200 && stage != null) {
-                site.checker.cancelAnswered(id, stage, site.clock.now, askedAt)
-                site.meters.latencies.cancellation.noteS(site.clock.now - begun)
+                cluster.checker.cancelAnswered(id, stage, cluster.clock.now, askedAt)
+                cluster.meters.latencies.cancellation.recordSeconds(cluster.clock.now - startedAt)
                 return
             }
             delay(RETRY_MS)
--- a/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
+++ b/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
@@ -13,19 +13,19 @@
 import plankwall.model.Address
 
 /** The link from one controller to another: counts what goes over it, and holds it back while [cut]. */
-class PeerProxy(private val site: LoadTestCluster, private val to: Address, private val sender: NodeMeter) {
+class PeerProxy(private val cluster: LoadTestCluster, private val to: Address, private val sender: NodeMeter) {
     @Volatile
     var cut = false
 
     suspend fun open(): Address {
-        val listener = aSocket(site.selector).tcp().bind(WorkerTransport.LOOPBACK, 0)
-        site.scope.launch { while (isActive) listener.accept().let { launch { carry(it) } } }
+        val listener = aSocket(cluster.selector).tcp().bind(WorkerTransport.LOOPBACK, 0)
+        cluster.scope.launch { while (isActive) listener.accept().let { launch { carry(it) } } }
         return WorkerTransport.boundAddress(listener)
     }
 
     private suspend fun carry(from: Socket) = try {
         from.use { source ->
-            aSocket(site.selector).tcp().connect(to.host, to.port) { noDelay = true }.use { copy(source, it) }
+            aSocket(cluster.selector).tcp().connect(to.host, to.port) { noDelay = true }.use { copy(source, it) }
         }
     } catch (_: java.io.IOException) {
         // The receiver is down: the sender's connection ends, as a refused one would.
--- a/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
@@ -5,7 +5,7 @@
 import plankwall.simulation.SimulatedWorker
 
 /** Samples the controllers once a second and sums up what happened since a phase began. */
-class ProcessSampler(private val site: LoadTestCluster, private val controllers: List<ControllerProcess>) {
+class ProcessSampler(private val cluster: LoadTestCluster, private val controllers: List<ControllerProcess>) {
     private class Node {
         var last: ProcessSample? = null
         var cpuS = 0.0
@@ -14,18 +14,18 @@
         var sockets = 0
     }
 
-    private val meters = site.meters
+    private val meters = cluster.meters
     private var nodes = controllers.map { Node() }
-    private var begunAt = 0.0
+    private var startedAt = 0.0
     private var base = Baseline()
     private var ownCpuAt = 0.0
     private var lastLeader = -1
 
     private inner class Baseline {
         val nodes = meters.nodes.map { it.copyOf() }
-        val served = meters.reportsServed
-        val within1S = meters.reportsWithin1S
-        val failed = meters.reportsFailed
+        val served = meters.heartbeatsServed
+        val within1S = meters.heartbeatsWithin1S
+        val failed = meters.heartbeatsFailed
         val leases = meters.leasesExpired
         val starts = meters.starts
         val refusals = HashMap(meters.refusals)
@@ -33,9 +33,9 @@
 
     suspend fun run() {
         var round = 0
-        while (site.scope.isActive) {
+        while (cluster.scope.isActive) {
             delay(SAMPLE_MS)
-            if (site.leader() >= 0) lastLeader = site.leader()
+            if (cluster.leader() >= 0) lastLeader = cluster.leader()
             controllers.forEach { it.restartIfEnded() }
             controllers.forEachIndexed { i, c -> note(nodes[i], c.sample(withSockets = round % SOCKETS_EVERY == 0)) }
             round++
@@ -58,24 +58,24 @@
         val before = nodes
         nodes = controllers.indices.map { i -> Node().also { it.last = before[i].last } }
         meters.latencies = Latencies()
-        site.lagUs.reset()
+        cluster.lagUs.reset()
         base = Baseline()
-        begunAt = site.clock.now
+        startedAt = cluster.clock.now
         ownCpuAt = ownCpuS()
     }
 
     private fun ownCpuS(): Double = ProcReader.read(ProcessHandle.current().pid(), withSockets = false)?.cpuS ?: 0.0
 
     fun end(phase: String): PhaseFigures {
-        val seconds = site.clock.now - begunAt
+        val seconds = cluster.clock.now - startedAt
         val latencies = meters.latencies
         return PhaseFigures(
-            phase, seconds, site.cloud.workers.size, site.cloud.workers.sumOf(SimulatedWorker::runningTasks),
+            phase, seconds, cluster.cloud.workers.size, cluster.cloud.workers.sumOf(SimulatedWorker::runningTasks),
             controllers.indices.map {
                 figures(it, seconds)
             },
             mapOf(
-                "report" to latencies.report,
+                "report" to latencies.heartbeat,
                 "submission" to latencies.submission,
                 "cancellation" to latencies.cancellation,
                 "poll" to latencies.poll,
@@ -84,12 +84,12 @@
                 "gang start" to latencies.gangStart,
             ).mapValues { LatencyFigures.of(it.value) },
             (meters.starts - base.starts) / seconds,
-            meters.busiest(begunAt, site.clock.now, 1), meters.busiest(begunAt, site.clock.now, 10),
-            meters.reportsServed - base.served, meters.reportsWithin1S - base.within1S,
-            meters.reportsFailed - base.failed,
+            meters.busiest(startedAt, cluster.clock.now, 1), meters.busiest(startedAt, cluster.clock.now, 10),
+            meters.heartbeatsServed - base.served, meters.heartbeatsWithin1S - base.within1S,
+            meters.heartbeatsFailed - base.failed,
             meters.leasesExpired - base.leases,
             meters.refusals.mapValues { (what, n) -> n - (base.refusals[what] ?: 0L) }.filterValues { it > 0 },
-            (ownCpuS() - ownCpuAt) / seconds, site.lagUs.getValueAtPercentile(99.0) / 1000.0,
+            (ownCpuS() - ownCpuAt) / seconds, cluster.lagUs.getValueAtPercentile(99.0) / 1000.0,
         )
     }
 
@@ -101,7 +101,7 @@
         return NodeFigures(
             controllers[i].name, lastLeader == i, node.cpuS / seconds, node.busiest, node.residentMb, node.sockets,
             rate {
-                it.reports
+                it.heartbeats
             },
             rate {
                 it.polls
--- a/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
@@ -11,25 +11,25 @@
 import plankwall.wire.StateServiceCodec
 
 /** The state service as one controller reaches it: each has a port of its own, so that requests can be told apart. */
-class StoreEndpoint(private val site: LoadTestCluster, private val meter: NodeMeter) {
+class StoreEndpoint(private val cluster: LoadTestCluster, private val meter: NodeMeter) {
     suspend fun handle(request: HttpRequest): HttpReply {
         val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
         meter.stateRequests++
         if (op is StateOp.Txn) meter.puts += op.writes.size
         val answer = CompletableDeferred<StateResult>()
-        site.enter { site.state.run(op) { answer.complete(it) } }
+        cluster.enter { cluster.state.run(op) { answer.complete(it) } }
         val result = answer.await()
         delay(lagMs())
         if (result == StateResult.Refused) meter.stateRefused++
         return HttpReply(statusOf(result), StateServiceCodec.write(bounded(result)))
     }
 
-    private fun lagMs(): Long = if (site.random.nextDouble() <
+    private fun lagMs(): Long = if (cluster.random.nextDouble() <
         SLOW_SHARE
     ) {
         SLOW_MS
     } else {
-        1L + site.random.nextInt(USUAL_MS)
+        1L + cluster.random.nextInt(USUAL_MS)
     }
 
     private fun read(r: HttpRequest): StateOp? {
@@ -86,7 +86,7 @@
         StateResult.NoLease -> 404
         StateResult.TooOld -> 410
         StateResult.Rejected -> 400
-        StateResult.Refused -> if (site.state.outage) 503 else 429
+        StateResult.Refused -> if (cluster.state.outage) 503 else 429
         else -> 200
     }
 
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -18,7 +18,7 @@
 import java.util.concurrent.ConcurrentHashMap
 
 /** The sockets of the hollow workers: one connection to a controller and one listener for commands each. */
-class WorkerTransport(private val site: LoadTestCluster) {
+class WorkerTransport(private val cluster: LoadTestCluster) {
     /** Used on the worker's lane alone. */
     private class Link(val node: Int, val client: HttpClient)
 
@@ -31,29 +31,29 @@
     private val slots = ArrayList<Address>()
     private val bySlot = HashMap<Int, SimulatedWorker>()
     private val links = ConcurrentHashMap<String, Link>()
-    private val lanes = List(LANES) { IoThread("workers-$it") }
+    private val ioThreads = List(IO_THREADS) { IoThread("workers-$it") }
     private val served = HashMap<String, Served>()
-    private var fronts: List<Address> = emptyList()
+    private var apiAddresses: List<Address> = emptyList()
 
     /** Zones whose workers' reports arrive nowhere. */
-    val reportsLost: MutableSet<String> = ConcurrentHashMap.newKeySet()
+    val zonesLosingHeartbeats: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
     /** Zones whose workers get neither answers nor commands. */
-    val answersLost: MutableSet<String> = ConcurrentHashMap.newKeySet()
+    val zonesLosingAnswers: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
-    /** Opens a listener for each of [count] workers. [fronts]: where the controllers serve workers. */
-    suspend fun open(count: Int, fronts: List<Address>) {
-        this.fronts = fronts
+    /** Opens a listener for each of [count] workers. [apiAddresses]: where the controllers serve workers. */
+    suspend fun open(count: Int, apiAddresses: List<Address>) {
+        this.apiAddresses = apiAddresses
         repeat(count) { slot ->
-            val lane = laneOf(slot)
-            val server = HttpServer(lane.scope, lane.selector, MAX_COMMAND_CONNECTIONS) { handle(slot, it) }
+            val ioThread = ioThreadOf(slot)
+            val server = HttpServer(ioThread.scope, ioThread.selector, MAX_COMMAND_CONNECTIONS) { handle(slot, it) }
             slots.add(boundAddress(server.start(Address(LOOPBACK, 0))))
         }
     }
 
-    fun close() = lanes.forEach { it.close() }
+    fun close() = ioThreads.forEach { it.close() }
 
-    private fun laneOf(slot: Int): IoThread = lanes[slot % lanes.size]
+    private fun ioThreadOf(slot: Int): IoThread = ioThreads[slot % ioThreads.size]
 
     /** Where the machine [id] is reached; machines that come later take over the slots of those before. */
     fun addressOf(id: String): String = slots[slotOf(id)].toString()
@@ -67,7 +67,7 @@
 
     /** The share of the machines at work whose worker had a report answered that was sent after [time]. */
     fun servedSince(time: Double): Double {
-        val workers = site.cloud.workers
+        val workers = cluster.cloud.workers
         return if (workers.isEmpty()) {
             0.0
         } else {
@@ -76,19 +76,24 @@
         }
     }
 
-    fun send(worker: SimulatedWorker, node: Int, report: HeartbeatStatus, then: (status: Int, body: JsonNode) -> Unit) {
-        val sentAt = site.clock.now
-        val body = WorkerCodec.writeReport(report)
-        site.meters.nodes[node].reports++
-        val lane = laneOf(slotOf(worker.id))
-        lane.scope.launch {
-            if (worker.group.zone in reportsLost) return@launch
+    fun send(
+        worker: SimulatedWorker,
+        node: Int,
+        heartbeat: HeartbeatStatus,
+        then: (status: Int, body: JsonNode) -> Unit,
+    ) {
+        val sentAt = cluster.clock.now
+        val body = WorkerCodec.writeReport(heartbeat)
+        cluster.meters.nodes[node].heartbeats++
+        val ioThread = ioThreadOf(slotOf(worker.id))
+        ioThread.scope.launch {
+            if (worker.group.zone in zonesLosingHeartbeats) return@launch
             val outcome = linkTo(
                 worker,
                 node,
-                lane,
-            ).call("POST", "/checkin", body, (SimulatedWorker.PATIENCE_S * 1000).toLong())
-            if (worker.group.zone in answersLost) return@launch
+                ioThread,
+            ).call("POST", "/checkin", body, (SimulatedWorker.ANSWER_TIMEOUT_S * 1000).toLong())
+            if (worker.group.zone in zonesLosingAnswers) return@launch
             val answer = if (outcome is HttpOutcome.Answered) {
                 SimulatedWorker.json.readTree(
                     outcome.body,
@@ -96,15 +101,15 @@
             } else {
                 JsonNodeFactory.instance.nullNode()
             }
-            site.onThread { answered(worker, node, outcome, sentAt, answer, then) }
+            cluster.onThread { answered(worker, node, outcome, sentAt, answer, then) }
         }
     }
 
-    private fun linkTo(worker: SimulatedWorker, node: Int, lane: IoThread): HttpClient {
+    private fun linkTo(worker: SimulatedWorker, node: Int, ioThread: IoThread): HttpClient {
         val known = links[worker.id]
         if (known != null && known.node == node) return known.client
         known?.client?.closeIdle()
-        val client = HttpClient(lane.selector, fronts[node], maxConnections = 1, maxWaiting = 2)
+        val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxWaiting = 2)
         links[worker.id] = Link(node, client)
         return client
     }
@@ -118,14 +123,14 @@
         then: (Int, JsonNode) -> Unit,
     ) {
         if (outcome !is HttpOutcome.Answered) {
-            site.meters.reportsFailed++
+            cluster.meters.heartbeatsFailed++
             return then(NO_ANSWER, answer)
         }
-        val tookS = site.clock.now - sentAt
-        site.meters.latencies.report.noteS(tookS)
+        val tookS = cluster.clock.now - sentAt
+        cluster.meters.latencies.heartbeat.recordSeconds(tookS)
         if (outcome.status == 200) {
-            site.meters.reportsServed++
-            if (tookS <= 1.0) site.meters.reportsWithin1S++
+            cluster.meters.heartbeatsServed++
+            if (tookS <= 1.0) cluster.meters.heartbeatsWithin1S++
             served[worker.id]?.sentAt = sentAt
         }
         then(outcome.status, answer)
@@ -133,9 +138,9 @@
 
     private suspend fun handle(slot: Int, request: HttpRequest): HttpReply {
         val command = if (request.path == "/status") null else SimulatedWorker.json.readTree(request.body)
-        val answer = site.onThread {
-            val worker = bySlot[slot]?.takeIf { it.group.zone !in answersLost }
-            if (command == null) worker?.let { 200 to it.report() } else worker?.command(command)
+        val answer = cluster.onThread {
+            val worker = bySlot[slot]?.takeIf { it.group.zone !in zonesLosingAnswers }
+            if (command == null) worker?.let { 200 to it.heartbeat() } else worker?.command(command)
         } ?: awaitCancellation()
         return HttpReply(answer.first, WorkerCodec.writeReport(answer.second))
     }
@@ -143,7 +148,7 @@
     companion object {
         const val LOOPBACK = "127.0.0.1"
         private const val ID_PREFIX = 2
-        private const val LANES = 3
+        private const val IO_THREADS = 3
         private const val MAX_COMMAND_CONNECTIONS = 8
 
         /** Stands for a connection that failed: to a worker, any status but 200 and 421 is the same. */
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -10,15 +10,15 @@
  * all.
  */
 class FaultCombinationScenario(private val seed: Long, private val nodes: Int) {
-    /** [unserved]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
+    /** [unfinishedJobs]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
     class Result(
         val seed: Long,
         val nodes: Int,
-        val troubles: List<String>,
-        val broken: List<String>,
-        val unserved: List<String>,
+        val faults: List<String>,
+        val violations: List<String>,
+        val unfinishedJobs: List<String>,
         val cancelled: Int,
-        val felt: Map<String, Int>,
+        val faultCounts: Map<String, Int>,
     )
 
     private enum class Kind {
@@ -47,18 +47,18 @@
     }
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-    private val world = SimulatedCluster(seed, nodes)
-    private val troubles = ArrayList<String>()
+    private val cluster = SimulatedCluster(seed, nodes)
+    private val faults = ArrayList<String>()
     private val kept = ArrayList<String>()
     private val calledOff = HashSet<String>()
     private var cancelled = 0
-    private var calmFrom = 0.0
+    private var faultsOverAt = 0.0
 
     fun play(endS: Double = 460.0): Result {
-        world.cloud.capacity = 40
+        cluster.cloud.capacity = 40
         for (n in 1..4) {
-            world.clock.after(1.0 + n * 0.1) {
-                world.submit(
+            cluster.clock.after(1.0 + n * 0.1) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         Shape.SERVICE,
@@ -76,10 +76,22 @@
             val first = begin(Kind.entries[random.nextInt(Kind.entries.size)], at)
             begin(Kind.entries[random.nextInt(Kind.entries.size)], at + random.nextDouble() * minOf(first, 8.0))
         }
-        world.checker.calmFrom = calmFrom + CALM_S
-        world.clock.runUntil(endS)
-        val unserved = kept.filter { it !in calledOff && it !in world.cancelledAtEnd && world.stageOf(it) != "done" }
-        return Result(seed, nodes, troubles, world.checker.broken.toList(), unserved, cancelled, world.felt)
+        cluster.checker.faultsOverAt = faultsOverAt + CALM_S
+        cluster.clock.runUntil(endS)
+        val unfinishedJobs = kept.filter {
+            it !in calledOff &&
+                it !in cluster.cancelledAtCompletion &&
+                cluster.stageOf(it) != "done"
+        }
+        return Result(
+            seed,
+            nodes,
+            faults,
+            cluster.checker.violations.toList(),
+            unfinishedJobs,
+            cancelled,
+            cluster.faultCounts,
+        )
     }
 
     /** Two or three tasks each; every second is withdrawn, some while it waits, some long after its start. */
@@ -105,11 +117,11 @@
             team = if (n % 5 == 0) "red" else "blue",
         )
         if (n % 2 == 0) cancelled++ else kept.add(spec.id)
-        world.clock.after(at) { world.submit(spec, if (n % 2 == 0) 4.0 + random.nextDouble() * 60.0 else null) }
+        cluster.clock.after(at) { cluster.submit(spec, if (n % 2 == 0) 4.0 + random.nextDouble() * 60.0 else null) }
     }
 
     private fun leader(): SimulatedController =
-        world.nodes.firstOrNull { it.leading } ?: world.nodes[random.nextInt(nodes)]
+        cluster.nodes.firstOrNull { it.leading } ?: cluster.nodes[random.nextInt(nodes)]
 
     /** For how long it lasts. */
     private fun begin(kind: Kind, at: Double): Double {
@@ -118,9 +130,9 @@
             Kind.OUTAGE -> 10.0 + random.nextDouble() * 45.0
             else -> 8.0 + random.nextDouble() * 37.0
         }
-        troubles.add("%s at %.1f s for %.1f s".format(kind, at, forS))
-        calmFrom = maxOf(calmFrom, at + forS)
-        world.clock.after(at) { start(kind, forS) }
+        faults.add("%s at %.1f s for %.1f s".format(kind, at, forS))
+        faultsOverAt = maxOf(faultsOverAt, at + forS)
+        cluster.clock.after(at) { start(kind, forS) }
         return forS
     }
 
@@ -128,45 +140,57 @@
         when (kind) {
             Kind.LEADER_REFUSED -> cut(forS, "${leader().name}-state")
             Kind.LEADER_ALONE -> leader().name.let { cut(forS, "$it-state", "$it-peers") }
-            Kind.PEERS_APART -> cut(forS, *world.nodes.map { "${it.name}-peers" }.toTypedArray())
-            Kind.OUTAGE -> during(forS, { world.state.outage = true }) { world.state.outage = false }
-            Kind.LATE_WRITES -> during(forS, { world.lateWrites = 0.3 }) { world.lateWrites = 0.0 }
-            Kind.LATE_REPORTS -> during(forS, { world.lateReports = 0.5 }) { world.lateReports = 0.0 }
-            Kind.SLOW_STORE -> during(forS, { world.loss = 0.2 }) { world.loss = 0.0 }
-            Kind.CUT_ZONE -> during(forS, { world.cutZones.add("a") }) { world.cutZones.remove("a") }
-            Kind.DEAF -> half().let { ids -> during(forS, { world.deaf.addAll(ids) }) { world.deaf.removeAll(ids) } }
-            Kind.MUTE -> half().let { ids -> during(forS, { world.mute.addAll(ids) }) { world.mute.removeAll(ids) } }
-            Kind.HANG -> world.cloud.workers.filter { random.nextInt(3) == 0 }.forEach { it.hang(forS * 0.6) }
-            Kind.LOST_ANSWERS -> during(forS, { world.lostAnswers = 0.3 }) { world.lostAnswers = 0.0 }
-            Kind.COPIES_FOR_NEXT -> during(forS, { world.copiesForNext = 0.5 }) {
-                world.copiesForNext = 0.0
+            Kind.PEERS_APART -> cut(forS, *cluster.nodes.map { "${it.name}-peers" }.toTypedArray())
+            Kind.OUTAGE -> during(forS, { cluster.state.outage = true }) { cluster.state.outage = false }
+            Kind.LATE_WRITES -> during(forS, { cluster.lateWrites = 0.3 }) { cluster.lateWrites = 0.0 }
+            Kind.LATE_REPORTS -> during(forS, {
+                cluster.lateHeartbeatCopies = 0.5
+            }) { cluster.lateHeartbeatCopies = 0.0 }
+            Kind.SLOW_STORE -> during(forS, { cluster.answerLoss = 0.2 }) { cluster.answerLoss = 0.0 }
+            Kind.CUT_ZONE -> during(forS, { cluster.cutZones.add("a") }) { cluster.cutZones.remove("a") }
+            Kind.DEAF -> half().let { ids ->
+                during(forS, { cluster.inboundBlocked.addAll(ids) }) { cluster.inboundBlocked.removeAll(ids) }
+            }
+            Kind.MUTE -> half().let { ids ->
+                during(forS, { cluster.outboundBlocked.addAll(ids) }) { cluster.outboundBlocked.removeAll(ids) }
+            }
+            Kind.HANG -> cluster.cloud.workers.filter { random.nextInt(3) == 0 }.forEach { it.hang(forS * 0.6) }
+            Kind.LOST_ANSWERS -> during(forS, { cluster.lostCommitAnswers = 0.3 }) { cluster.lostCommitAnswers = 0.0 }
+            Kind.COPIES_FOR_NEXT -> during(forS, { cluster.copiesForNextLeader = 0.5 }) {
+                cluster.copiesForNextLeader = 0.0
                 leader().let { if (it.up) it.crash(1.0) }
             }
-            Kind.CLOSE_LOOKS -> during(forS, { world.closeLooks = true }) { world.closeLooks = false }
-            Kind.ODD_REQUESTS -> repeat(forS.toInt()) { second -> world.clock.after(second.toDouble()) { beOdd() } }
-            Kind.INSTANT -> during(forS, { world.cloud.bootFactor = 0.1 }) { world.cloud.bootFactor = 1.0 }
+            Kind.CLOSE_LOOKS -> during(forS, {
+                cluster.concurrentRequests = true
+            }) { cluster.concurrentRequests = false }
+            Kind.ODD_REQUESTS -> repeat(forS.toInt()) { second ->
+                cluster.clock.after(second.toDouble()) { sendInvalidRequests() }
+            }
+            Kind.INSTANT -> during(forS, { cluster.cloud.bootFactor = 0.1 }) { cluster.cloud.bootFactor = 1.0 }
             Kind.TEN_LEADERS -> repeat(10) { n ->
-                world.clock.after(n * forS / 10) { leader().let { if (it.up) it.crash(1.0) } }
+                cluster.clock.after(n * forS / 10) { leader().let { if (it.up) it.crash(1.0) } }
             }
             Kind.CANCEL_NOW -> cancelNow(forS)
-            Kind.CANCEL_AT_END -> during(forS, { world.cancelAtEnd = 0.5 }) { world.cancelAtEnd = 0.0 }
+            Kind.CANCEL_AT_END -> during(forS, {
+                cluster.cancelAtCompletion = 0.5
+            }) { cluster.cancelAtCompletion = 0.0 }
             Kind.FROZEN -> leader().freeze(forS)
             Kind.CRASH -> leader().let { if (it.up) it.crash(forS) }
-            Kind.ALL_CRASH -> world.nodes.forEach { if (it.up) it.crash(forS + random.nextDouble()) }
+            Kind.ALL_CRASH -> cluster.nodes.forEach { if (it.up) it.crash(forS + random.nextDouble()) }
         }
     }
 
-    private fun half(): Set<String> = world.cloud.workers.filter { random.nextInt(2) == 0 }.map { it.id }.toSet()
+    private fun half(): Set<String> = cluster.cloud.workers.filter { random.nextInt(2) == 0 }.map { it.id }.toSet()
 
     private fun unfinished(): List<String> = kept.filter {
         it !in calledOff &&
-            world.checker.isAccepted(it) &&
-            !world.checker.isDone(it)
+            cluster.checker.isAccepted(it) &&
+            !cluster.checker.isDone(it)
     }
 
-    private fun beOdd() = world.users.beOdd(
+    private fun sendInvalidRequests() = cluster.users.sendInvalidRequests(
         kept.filter {
-            world.checker.stageTold(it) == "done"
+            cluster.checker.finalStageOf(it) == "done"
         }.take(2),
         unfinished().take(2),
     )
@@ -175,18 +199,18 @@
     private fun cancelNow(hangS: Double) {
         unfinished().take(6).forEach { id ->
             calledOff.add(id)
-            world.clock.after(random.nextDouble() * 0.2) { world.cancel(id) }
+            cluster.clock.after(random.nextDouble() * 0.2) { cluster.cancel(id) }
         }
-        world.cloud.workers.filter { random.nextInt(4) == 0 }.take(8).forEach { it.hang(hangS) }
+        cluster.cloud.workers.filter { random.nextInt(4) == 0 }.take(8).forEach { it.hang(hangS) }
     }
 
     private fun cut(forS: Double, vararg links: String) = during(forS, {
-        world.cuts.addAll(links)
-    }) { world.cuts.removeAll(links.toSet()) }
+        cluster.cuts.addAll(links)
+    }) { cluster.cuts.removeAll(links.toSet()) }
 
     private fun during(forS: Double, begin: () -> Unit, end: () -> Unit) {
         begin()
-        world.clock.after(forS, end)
+        cluster.clock.after(forS, end)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -12,18 +12,18 @@
  */
 class LinkFaultScenario(private val seed: Long, private val nodes: Int, private val machines: Int) {
     /**
-     * [leaseDeaths]: tasks killed by their worker as its lease ran out; [avoidable]: of these, where the worker did
+     * [tasksKilledByLease]: tasks killed by their worker as its lease ran out; [avoidableKills]: of these, where the worker did
      * reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
      * the start of each trouble to the next answer that each worker took.
      */
     class Result(
         val seed: Long,
         val nodes: Int,
-        val troubles: List<LinkFaults>,
-        val broken: List<String>,
-        val leaseDeaths: Int,
-        val avoidable: Int,
-        val leads: Int,
+        val faults: List<LinkFaults>,
+        val violations: List<String>,
+        val tasksKilledByLease: Int,
+        val avoidableKills: Int,
+        val leaderChanges: Int,
         val starts: Int,
         val servedMs: Histogram,
     )
@@ -32,28 +32,28 @@
     private val couldServe = HashMap<String, Double>()
     private val served = Histogram(HIGHEST_MS, 3)
     private val lastServed = HashMap<String, Double>()
-    private var avoidable = 0
-    private var leads = 0
+    private var avoidableKills = 0
+    private var leaderChanges = 0
 
     fun play(endS: Double = 260.0): Result {
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-        val world = SimulatedCluster(seed, nodes)
-        world.cloud.capacity = machines + machines / 5
+        val cluster = SimulatedCluster(seed, nodes)
+        cluster.cloud.capacity = machines + machines / 5
         val drawn = LinkFaults.draw(random, nodes, endS - 30.0)
-        work(world)
-        drawn.forEach { it.schedule(world) }
-        drawn.forEach { t -> world.clock.after(t.at) { since(world, world.clock.now) } }
-        world.onServed = { worker, _ -> heard(worker.id, world.clock.now) }
-        world.onReached =
-            { worker, node -> if (couldServe(world, worker, node)) couldServe[worker.id] = world.clock.now }
-        world.onLeaseDeath = { worker, tasks ->
+        work(cluster)
+        drawn.forEach { it.schedule(cluster) }
+        drawn.forEach { t -> cluster.clock.after(t.at) { since(cluster, cluster.clock.now) } }
+        cluster.onHeartbeatServed = { worker, _ -> heard(worker.id, cluster.clock.now) }
+        cluster.onHeartbeatReceived =
+            { worker, node -> if (couldServe(cluster, worker, node)) couldServe[worker.id] = cluster.clock.now }
+        cluster.onTasksKilledByLease = { worker, tasks ->
             val could = couldServe[worker.id] ?: Double.NEGATIVE_INFINITY
-            val since = maxOf(lastServed[worker.id] ?: 0.0, world.clock.now - world.settings.workers.leaseS)
+            val since = maxOf(lastServed[worker.id] ?: 0.0, cluster.clock.now - cluster.settings.workers.leaseS)
             if (could > since) {
-                avoidable += tasks
+                avoidableKills += tasks
                 log.info(
                     "at {} s {} tasks of {} are killed though a node could have served it at {} s, last served at {} s",
-                    world.clock.now,
+                    cluster.clock.now,
                     tasks,
                     worker.id,
                     could,
@@ -62,23 +62,23 @@
             }
         }
         var leader: SimulatedController? = null
-        world.clock.every(0.1) {
-            val now = world.nodes.firstOrNull { it.leading }
-            if (now != null && now !== leader) leads++
+        cluster.clock.every(0.1) {
+            val now = cluster.nodes.firstOrNull { it.leading }
+            if (now != null && now !== leader) leaderChanges++
             if (now != null) leader = now
         }
-        world.clock.runUntil(endS)
+        cluster.clock.runUntil(endS)
         return Result(
-            seed, nodes, drawn, world.checker.broken.toList(), world.leaseDeaths, avoidable, leads,
-            world.checker.starts, served,
+            seed, nodes, drawn, cluster.checker.violations.toList(), cluster.tasksKilledByLease, avoidableKills, leaderChanges,
+            cluster.checker.starts, served,
         )
     }
 
-    private fun work(world: SimulatedCluster) {
+    private fun work(cluster: SimulatedCluster) {
         val replicas = machines * TASKS_ON_MACHINE
         for (n in 1..replicas / SERVICE) {
-            world.clock.after(1.0 + n * 0.05) {
-                world.submit(
+            cluster.clock.after(1.0 + n * 0.05) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         Shape.SERVICE,
@@ -91,8 +91,8 @@
             }
         }
         for (n in 0 until 20) {
-            world.clock.after(40.0 + 9 * n) {
-                world.submit(
+            cluster.clock.after(40.0 + 9 * n) {
+                cluster.submit(
                     SimulatedCluster.job(
                         FIRST_JOB + n,
                         if (n % 3 ==
@@ -113,8 +113,8 @@
 
     private val waitingSince = ArrayList<Pair<Double, HashSet<String>>>()
 
-    private fun since(world: SimulatedCluster, now: Double) {
-        waitingSince.add(now to world.cloud.workers.map { it.id }.toHashSet())
+    private fun since(cluster: SimulatedCluster, now: Double) {
+        waitingSince.add(now to cluster.cloud.workers.map { it.id }.toHashSet())
     }
 
     private fun heard(worker: String, now: Double) {
@@ -131,13 +131,13 @@
         lastServed[worker] = now
     }
 
-    private fun couldServe(world: SimulatedCluster, worker: SimulatedWorker, node: SimulatedController): Boolean =
+    private fun couldServe(cluster: SimulatedCluster, worker: SimulatedWorker, node: SimulatedController): Boolean =
         !node.frozen &&
-            world.wiring.isOpen(node.name, worker.id, worker.group.zone) &&
-            world.nodes.any { it.leading && !it.frozen && (it === node || open(world, node.name, it.name)) }
+            cluster.network.isOpen(node.name, worker.id, worker.group.zone) &&
+            cluster.nodes.any { it.leading && !it.frozen && (it === node || open(cluster, node.name, it.name)) }
 
-    private fun open(world: SimulatedCluster, a: String, b: String) =
-        world.wiring.isOpen(a, b) && world.wiring.isOpen(b, a)
+    private fun open(cluster: SimulatedCluster, a: String, b: String) =
+        cluster.network.isOpen(a, b) && cluster.network.isOpen(b, a)
 
     private companion object {
         const val TASKS_ON_MACHINE = 4
--- a/src/main/kotlin/plankwall/simulation/LinkFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaults.kt
@@ -11,9 +11,9 @@
     private val begin: SimulatedCluster.() -> Unit,
     private val end: SimulatedCluster.() -> Unit,
 ) {
-    fun schedule(world: SimulatedCluster) {
-        world.clock.after(at) { world.begin() }
-        world.clock.after(at + forS) { world.end() }
+    fun schedule(cluster: SimulatedCluster) {
+        cluster.clock.after(at) { cluster.begin() }
+        cluster.clock.after(at + forS) { cluster.end() }
     }
 
     override fun toString(): String = "$name at %.1f s for %.1f s".format(at, forS)
@@ -83,8 +83,8 @@
             var cut = emptyList<Pair<String, String>>()
             return LinkFaults(name, at, forS, {
                 cut = which()
-                cut.forEach { (a, b) -> wiring.cutBoth(a, b, how) }
-            }, { cut.forEach { (a, b) -> wiring.healBoth(a, b) } })
+                cut.forEach { (a, b) -> network.cutBoth(a, b, how) }
+            }, { cut.forEach { (a, b) -> network.healBoth(a, b) } })
         }
 
         private fun oneWay(
@@ -97,8 +97,8 @@
             var cut = emptyList<Pair<String, String>>()
             return LinkFaults("one way ${if (out) "out" else "in"}, $how", at, forS, {
                 cut = which().map { (a, b) -> if (out) a to b else b to a }
-                cut.forEach { (a, b) -> wiring.cut(a, b, how) }
-            }, { cut.forEach { (a, b) -> wiring.heal(a, b) } })
+                cut.forEach { (a, b) -> network.cut(a, b, how) }
+            }, { cut.forEach { (a, b) -> network.heal(a, b) } })
         }
 
         private fun flapping(
@@ -111,10 +111,10 @@
             return LinkFaults("up and down, $how", at, forS, {
                 cut = which()
                 generateSequence(0.0) { it + 10.0 }.takeWhile { it < forS }.forEach { t ->
-                    clock.after(t) { cut.forEach { (a, b) -> wiring.cutBoth(a, b, how) } }
-                    clock.after(t + 5.0) { cut.forEach { (a, b) -> wiring.healBoth(a, b) } }
+                    clock.after(t) { cut.forEach { (a, b) -> network.cutBoth(a, b, how) } }
+                    clock.after(t + 5.0) { cut.forEach { (a, b) -> network.healBoth(a, b) } }
                 }
-            }, { clock.after(5.0) { cut.forEach { (a, b) -> wiring.healBoth(a, b) } } })
+            }, { clock.after(5.0) { cut.forEach { (a, b) -> network.healBoth(a, b) } } })
         }
 
         /** Each link of each node by itself, in a way and a direction of its own. */
@@ -126,9 +126,9 @@
                         LinkCut.entries[random.nextInt(LinkCut.entries.size)]
                 }
             return LinkFaults("matrix of ${cut.size}", at, forS, {
-                cut.forEach { (l, how) -> wiring.cut(l.first, l.second, how) }
+                cut.forEach { (l, how) -> network.cut(l.first, l.second, how) }
             }) {
-                cut.forEach { (l, _) -> wiring.heal(l.first, l.second) }
+                cut.forEach { (l, _) -> network.heal(l.first, l.second) }
             }
         }
 
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -14,22 +14,22 @@
  */
 class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
     /**
-     * [unserved]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and
+     * [unfinishedJobs]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and
      * probes included.
      */
     class Result(
         val seed: Long,
         val nodes: Int,
-        val troubles: List<String>,
-        val broken: List<String>,
-        val unserved: List<String>,
-        val most: Int,
+        val faults: List<String>,
+        val violations: List<String>,
+        val unfinishedJobs: List<String>,
+        val maxInstances: Int,
         val starts: Int,
     )
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-    private val troubles = ArrayList<String>()
-    private val world =
+    private val faults = ArrayList<String>()
+    private val cluster =
         SimulatedCluster(
             seed,
             nodes,
@@ -40,28 +40,28 @@
     private val sound = ArrayList<String>()
 
     fun play(endS: Double = 420.0): Result {
-        world.cloud.capacity = CAPACITY
+        cluster.cloud.capacity = CAPACITY
         work()
-        listOf(::lateBoots, ::silence, ::silence, ::storm, ::bestEffort, ::faults).forEach { it() }
+        listOf(::lateBoots, ::silence, ::silence, ::storm, ::bestEffort, ::failingTasks).forEach { it() }
         if (random.nextInt(3) == 0) outage()
-        world.clock.runUntil(endS)
+        cluster.clock.runUntil(endS)
         // The last look is at a quiet site.
-        val unserved = sound.filter { id -> world.stageOf(id) != "done" }
+        val unfinishedJobs = sound.filter { id -> cluster.stageOf(id) != "done" }
         return Result(
             seed,
             nodes,
-            troubles,
-            world.checker.broken.toList(),
-            unserved,
-            world.cloud.most,
-            world.checker.starts,
+            faults,
+            cluster.checker.violations.toList(),
+            unfinishedJobs,
+            cluster.cloud.maxInstances,
+            cluster.checker.starts,
         )
     }
 
     private fun at(from: Double = EARLIEST_S, to: Double = LATEST_S): Double = from + random.nextDouble() * (to - from)
 
     private fun submit(spec: JobSpec, at: Double, cancelAfter: Double? = null) {
-        world.clock.after(at) { world.submit(spec, cancelAfter) }
+        cluster.clock.after(at) { cluster.submit(spec, cancelAfter) }
         if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE) sound.add(spec.id)
     }
 
@@ -110,13 +110,13 @@
         val fail = random.nextDouble() * 0.4
         val factor = 2.0 + random.nextDouble() * 6.0
         note("boots %.1f times as long, %.2f never".format(factor, fail), at)
-        world.clock.after(at) {
-            world.cloud.bootFails = fail
-            world.cloud.bootFactor = factor
+        cluster.clock.after(at) {
+            cluster.cloud.bootFailureShare = fail
+            cluster.cloud.bootFactor = factor
         }
-        world.clock.after(at + 80.0) {
-            world.cloud.bootFails = 0.0
-            world.cloud.bootFactor = 1.0
+        cluster.clock.after(at + 80.0) {
+            cluster.cloud.bootFailureShare = 0.0
+            cluster.cloud.bootFactor = 1.0
         }
     }
 
@@ -127,8 +127,8 @@
         val kind = random.nextInt(5)
         val count = 1 + random.nextInt(2)
         note("$count silent for %.0f s, kind $kind".format(forS), at)
-        world.clock.after(at) {
-            val chosen = (world.nodes.filter { it.leading } + world.nodes).distinct().take(count)
+        cluster.clock.after(at) {
+            val chosen = (cluster.nodes.filter { it.leading } + cluster.nodes).distinct().take(count)
             for (node in chosen) {
                 when (kind) {
                     0 -> if (node.up) node.crash(forS)
@@ -137,8 +137,8 @@
                         val links = listOf("state", "workers", "state workers peers")[kind - 2].split(' ').map {
                             "${node.name}-$it"
                         }
-                        world.cuts.addAll(links)
-                        world.clock.after(forS) { world.cuts.removeAll(links.toSet()) }
+                        cluster.cuts.addAll(links)
+                        cluster.clock.after(forS) { cluster.cuts.removeAll(links.toSet()) }
                     }
                 }
             }
@@ -148,8 +148,8 @@
     private fun storm() {
         val at = at()
         note("polls eight times as often", at)
-        world.clock.after(at) { world.pollFactor = 8.0 }
-        world.clock.after(at + 60.0) { world.pollFactor = 1.0 }
+        cluster.clock.after(at) { cluster.pollFactor = 8.0 }
+        cluster.clock.after(at + 60.0) { cluster.pollFactor = 1.0 }
     }
 
     private fun bestEffort() {
@@ -186,10 +186,10 @@
         }
     }
 
-    private fun faults() {
+    private fun failingTasks() {
         val at = at()
-        val sick = random.nextInt(4)
-        note("$sick machines fail everything, jobs with a mistake", at)
+        val failsEveryTask = random.nextInt(4)
+        note("$failsEveryTask machines fail everything, jobs with a mistake", at)
         for (n in 600..605) {
             val spec = SimulatedCluster.job(
                 n,
@@ -204,22 +204,22 @@
                 runS = 20.0,
                 priority = Priority.HIGH,
             )
-            world.mistaken.add(spec.id)
+            cluster.faultyJobs.add(spec.id)
             submit(spec, at(at - 20.0, at + 60.0), cancelAfter = 50.0)
         }
-        world.clock.after(at) { world.cloud.workers.take(sick).forEach { it.sick = true } }
-        world.clock.after(at + 90.0) { world.cloud.workers.forEach { it.sick = false } }
+        cluster.clock.after(at) { cluster.cloud.workers.take(failsEveryTask).forEach { it.failsEveryTask = true } }
+        cluster.clock.after(at + 90.0) { cluster.cloud.workers.forEach { it.failsEveryTask = false } }
     }
 
     private fun outage() {
         val at = at()
         note("the state service away", at)
-        world.clock.after(at) { world.state.outage = true }
-        world.clock.after(at + 10.0) { world.state.outage = false }
+        cluster.clock.after(at) { cluster.state.outage = true }
+        cluster.clock.after(at + 10.0) { cluster.state.outage = false }
     }
 
     private fun note(what: String, at: Double) {
-        troubles.add("$what at %.0f s".format(at))
+        faults.add("$what at %.0f s".format(at))
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -5,20 +5,24 @@
 import plankwall.model.Shape
 
 /** Users who ask everywhere at once, repeat themselves, and send what nobody can run. */
-class RetryingUsers(private val world: SimulatedCluster) {
-    private var odd = 900_000
+class RetryingUsers(private val cluster: SimulatedCluster) {
+    private var lastJobNumber = 900_000
 
     /**
      * At all nodes within milliseconds: a question, the submission again and, where it is [cancelled], the cancellation
      * again.
      */
-    fun look(id: String, cancelled: Boolean = false) {
-        world.felt.merge("close looks", 1, Int::plus)
-        val spec = world.submitted(id) ?: return
-        for (node in world.nodes.filter { it.up }) {
-            world.clock.after(world.random.nextDouble() * LOOK_S) { world.show(id, node) }
-            world.clock.after(world.random.nextDouble() * LOOK_S) { world.submitOnce(spec, node) }
-            if (cancelled) world.clock.after(world.random.nextDouble() * LOOK_S) { world.cancelOnce(id, node) }
+    fun requestAtAllNodes(id: String, cancelled: Boolean = false) {
+        cluster.faultCounts.merge("close looks", 1, Int::plus)
+        val spec = cluster.specOf(id) ?: return
+        for (node in cluster.nodes.filter { it.up }) {
+            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.queryStatus(id, node) }
+            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.submitOnce(spec, node) }
+            if (cancelled) {
+                cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) {
+                    cluster.cancelOnce(id, node)
+                }
+            }
         }
     }
 
@@ -26,8 +30,8 @@
      * What can never run: it fits no machine, is of nobody's team, needs more than its team may have, or has to lie in
      * two zones and in one.
      */
-    private fun impossible(): List<JobSpec> {
-        fun next() = SimulatedCluster.job(++odd)
+    private fun unsatisfiableJobs(): List<JobSpec> {
+        fun next() = SimulatedCluster.job(++lastJobNumber)
         return listOf(
             next().copy(need = Resources(2_000, 1_000_000, 8_000)),
             next().copy(team = "nobody"),
@@ -40,23 +44,23 @@
     }
 
     /** A round of them, and for each of [done] its cancellation, for each of [unfinished] its submission once more. */
-    fun beOdd(done: List<String>, unfinished: List<String>) {
-        val node = world.nodes.filter { it.up }.ifEmpty { return }.let { it[world.random.nextInt(it.size)] }
-        for (spec in impossible()) {
-            world.felt.merge("odd requests", 1, Int::plus)
-            world.submitOnce(spec, node) {
+    fun sendInvalidRequests(done: List<String>, unfinished: List<String>) {
+        val node = cluster.nodes.filter { it.up }.ifEmpty { return }.let { it[cluster.random.nextInt(it.size)] }
+        for (spec in unsatisfiableJobs()) {
+            cluster.faultCounts.merge("odd requests", 1, Int::plus)
+            cluster.submitOnce(spec, node) {
                 if (it <
                     400
                 ) {
-                    world.checker.broken.add("impossible: ${spec.id} was accepted")
+                    cluster.checker.violations.add("impossible: ${spec.id} was accepted")
                 }
             }
         }
-        done.forEach { world.cancelOnce(it, node) }
-        unfinished.forEach { id -> world.submitted(id)?.let { world.submitOnce(it, node) } }
+        done.forEach { cluster.cancelOnce(it, node) }
+        unfinished.forEach { id -> cluster.specOf(id)?.let { cluster.submitOnce(it, node) } }
     }
 
     private companion object {
-        const val LOOK_S = 0.01
+        const val REQUEST_SPREAD_S = 0.01
     }
 }
--- a/src/main/kotlin/plankwall/simulation/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/simulation/RuleChecker.kt
@@ -8,7 +8,7 @@
 
 /** Watches a simulated day from outside and notes every broken rule of PROTOCOL that it can see. */
 class RuleChecker(private val settings: Settings) {
-    val broken = ArrayList<String>()
+    val violations = ArrayList<String>()
     private class Place(val spec: JobSpec, val worker: SimulatedWorker)
 
     private val on = HashMap<String, Place>()
@@ -41,15 +41,17 @@
     var starts = 0
         private set
 
-    fun on(task: String, spec: JobSpec, worker: SimulatedWorker, now: Double) {
+    fun taskStarted(task: String, spec: JobSpec, worker: SimulatedWorker, now: Double) {
         starts++
         val there = on[task]
         if (there != null &&
             there.worker !== worker
         ) {
-            broken.add("ran_twice: $task on ${there.worker.id} and ${worker.id} at $now")
+            violations.add("ran_twice: $task on ${there.worker.id} and ${worker.id} at $now")
         }
-        spec.dependencies.filter { !isDone(it) }.forEach { broken.add("too_early: $task before $it is done at $now") }
+        spec.dependencies.filter {
+            !isDone(it)
+        }.forEach { violations.add("too_early: $task before $it is done at $now") }
         val group = worker.group
         val zones = byJob[spec.id].orEmpty().filterKeys { it != task }.values.map { it.worker.group.zone }
         if (spec.types != null &&
@@ -59,17 +61,17 @@
             group.spot &&
             !spec.spot
         ) {
-            broken.add("wrong_place: $task on $group")
+            violations.add("wrong_place: $task on $group")
         }
         if (spec.oneZone &&
             zones.any { it != group.zone }
         ) {
-            broken.add("wrong_place: $task not in the zone of its mates")
+            violations.add("wrong_place: $task not in the zone of its mates")
         }
         if (spec.spread &&
             zones.count { it == group.zone } + 1 > (spec.tasks + 1) / 2
         ) {
-            broken.add("wrong_place: $task not spread")
+            violations.add("wrong_place: $task not spread")
         }
         remove(task)
         put(task, Place(spec, worker))
@@ -79,7 +81,7 @@
             Resources(maxOf(a.cpus, b.cpus), maxOf(a.gpus, b.gpus), maxOf(a.memory, b.memory))
         }
         if (team.gpusMax > 0 && usedNow.gpus > team.gpusMax || team.cpusMax > 0 && usedNow.cpus > team.cpusMax) {
-            broken.add("quota: ${spec.team} at $now")
+            violations.add("quota: ${spec.team} at $now")
         }
         checkCancelled(now)
     }
@@ -106,16 +108,16 @@
     }
 
     /** A worker took the command to start a task of [id]. */
-    fun commanded(id: String, now: Double) {
+    fun startCommanded(id: String, now: Double) {
         if (cancelled[id]?.let { it < now } == true) startsAfterCancel++
     }
 
-    fun off(task: String, worker: SimulatedWorker, now: Double) {
+    fun taskStopped(task: String, worker: SimulatedWorker, now: Double) {
         if (on[task]?.worker === worker) remove(task)
         checkCancelled(now)
     }
 
-    fun completed(task: String) {
+    fun taskCompleted(task: String) {
         done.add(task)
     }
 
@@ -123,7 +125,7 @@
         cancelledOn.removeIf { it !in byJob }
         for (id in cancelledOn) {
             if (now <= cancelled.getValue(id) + settings.workers.cancelS) continue
-            byJob.getValue(id).keys.forEach { broken.add("ran_cancelled: $it at $now") }
+            byJob.getValue(id).keys.forEach { violations.add("ran_cancelled: $it at $now") }
         }
     }
 
@@ -132,7 +134,7 @@
     fun isAccepted(id: String): Boolean = id in accepted
 
     /** `done` or `cancelled` once a user was told so. */
-    fun stageTold(id: String): String? = told[id]
+    fun finalStageOf(id: String): String? = told[id]
 
     /** The most that tasks of a team have used at one time. */
     val mostUsed = HashMap<String, Resources>()
@@ -153,7 +155,13 @@
      * [stage] is what the answer called the job, [askedAt] when it was asked for: what another node tells meanwhile
      * makes it no older answer.
      */
-    fun submitted(spec: JobSpec, status: Int, now: Double = 0.0, stage: String? = null, askedAt: Double = now) {
+    fun submissionAnswered(
+        spec: JobSpec,
+        status: Int,
+        now: Double = 0.0,
+        stage: String? = null,
+        askedAt: Double = now,
+    ) {
         if (status == 422 && spec.dependencies.all { it in accepted }) refused.add(spec.id)
         if (status == 200 || status == 201) {
             accepted[spec.id] = spec
@@ -165,7 +173,7 @@
             status == 404 &&
             isKnownBy(spec.id, askedAt)
         ) {
-            broken.add("forgotten: ${spec.id} got $status")
+            violations.add("forgotten: ${spec.id} got $status")
         }
     }
 
@@ -180,18 +188,18 @@
             before != stage &&
             (over || askedAt >= toldAt.getValue(id))
         ) {
-            broken.add("went_back: $id from $before to $stage")
+            violations.add("went_back: $id from $before to $stage")
         }
         if (stage == "withdrawn" &&
             id !in asked &&
             needed(id).none { it in asked }
         ) {
-            broken.add("went_back: $id called withdrawn by nobody's wish")
+            violations.add("went_back: $id called withdrawn by nobody's wish")
         }
         if (stage == "done" &&
             accepted[id]?.let { s -> (0 until s.tasks).any { "$id/$it" !in done } } == true
         ) {
-            broken.add("not_done: $id")
+            violations.add("not_done: $id")
         }
         if (stage == "withdrawn") {
             cancelled.putIfAbsent(id, now)
@@ -203,12 +211,12 @@
         }
     }
 
-    fun shown(id: String, status: Int, stage: String?, now: Double, askedAt: Double = now) {
+    fun statusAnswered(id: String, status: Int, stage: String?, now: Double, askedAt: Double = now) {
         val spec = accepted[id]
-        if (status == 404 && isKnownBy(id, askedAt)) broken.add("forgotten: $id")
+        if (status == 404 && isKnownBy(id, askedAt)) violations.add("forgotten: $id")
         if (status != 200) return
         if (spec == null) {
-            broken.add("invented: $id")
+            violations.add("invented: $id")
             return
         }
         if (stage != null) noteStage(id, stage, now, askedAt)
@@ -218,7 +226,7 @@
                 if (now >
                     maxOf(since, acceptedAt[id] ?: now) + settings.workers.cancelS
                 ) {
-                    broken.add("orphaned: $id is $stage after $name was withdrawn")
+                    violations.add("orphaned: $id is $stage after $name was withdrawn")
                 }
             }
         }
@@ -232,7 +240,7 @@
      * [machines]: those that are sound and reached, with what each has.
      */
     fun checkStalled(machines: Map<SimulatedWorker, Resources>, now: Double) {
-        if (now < calmFrom) return
+        if (now < faultsOverAt) return
         val taken = HashMap<SimulatedWorker, Resources>()
         on.values.forEach { p -> taken.merge(p.worker, p.spec.need, Resources::plus) }
         for ((id, spec) in accepted) {
@@ -266,7 +274,7 @@
             if (!fits) {
                 stallingSince.remove(id)
             } else if (now - stallingSince.getOrPut(id) { now } > STALLED_S) {
-                broken.add("stalled: $id has waited from ${stallingSince[id]} to $now beside room for it")
+                violations.add("stalled: $id has waited from ${stallingSince[id]} to $now beside room for it")
                 stallingSince[id] = now
             }
         }
@@ -281,20 +289,22 @@
     private val unheardSince = HashMap<String, Double>()
 
     /** From when on all troubles are over: each job by itself has to be told of then, however others fare. */
-    var calmFrom = Double.POSITIVE_INFINITY
+    var faultsOverAt = Double.POSITIVE_INFINITY
 
     /** A user has asked for [id] and was told, or was not in time; while nobody is told anything, that is an outage. */
-    fun polled(id: String, told: Boolean, now: Double) {
+    fun pollEnded(id: String, told: Boolean, now: Double) {
         if (told) {
             anyTold = now
             unheardSince.remove(id)
-        } else if (now - maxOf(unheardSince.getOrPut(id) { now }, calmFrom) > FORGOTTEN_IN_CALM_S) {
-            broken.add("forgotten: no question about $id was answered from ${unheardSince[id]} to $now, troubles over")
+        } else if (now - maxOf(unheardSince.getOrPut(id) { now }, faultsOverAt) > FORGOTTEN_IN_CALM_S) {
+            violations.add(
+                "forgotten: no question about $id was answered from ${unheardSince[id]} to $now, troubles over",
+            )
             unheardSince[id] = now
-        } else if (now - anyTold > OUTAGE_S && calmFrom > now) {
+        } else if (now - anyTold > OUTAGE_S && faultsOverAt > now) {
             unheardSince.clear()
         } else if (now - unheardSince.getOrPut(id) { now } > FORGOTTEN_S) {
-            broken.add("forgotten: no poll for $id was answered from ${unheardSince[id]} to $now")
+            violations.add("forgotten: no poll for $id was answered from ${unheardSince[id]} to $now")
             unheardSince[id] = now
         }
     }
--- a/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -27,19 +27,19 @@
     private var lists = ArrayDeque<Pair<Double, List<ListedMachine>>>()
     private var next = 0
     var outage = false
-    var bootFails = 0.0
+    var bootFailureShare = 0.0
 
     /** How many times as long as usual machines take to boot. */
     var bootFactor = 1.0
     var capacity = 100
-    var rentals = 0
+    var instancesCreated = 0
         private set
 
     /** The most machines that were rented at one time. */
-    var most = 0
+    var maxInstances = 0
         private set
 
-    val alive: Collection<Rented> get() = machines.values
+    val instances: Collection<Rented> get() = machines.values
     val workers: List<SimulatedWorker> get() = machines.values.mapNotNull { it.worker }
 
     init {
@@ -85,13 +85,13 @@
         if (machines.size >= capacity) return CloudResult.NoCapacity
         val names = List(minOf(op.count, capacity - machines.size)) { "i-%06d".format(next++) }
         requests[op.request] = names
-        rentals += names.size
-        most = maxOf(most, machines.size + names.size)
+        instancesCreated += names.size
+        maxInstances = maxOf(maxInstances, machines.size + names.size)
         names.forEach { id ->
             val rented = Rented(id, op.group, clock.now)
             machines[id] = rented
             val boot = (catalog[op.group.type]?.bootS ?: 10.0) * (0.6 + random.nextDouble()) * bootFactor
-            if (random.nextDouble() >= bootFails) clock.after(boot) { boot(rented) }
+            if (random.nextDouble() >= bootFailureShare) clock.after(boot) { boot(rented) }
         }
         return CloudResult.Rented(names)
     }
@@ -100,7 +100,7 @@
     fun addRunning(group: GroupKey, count: Int, bootS: () -> Double) = repeat(count) {
         val rented = Rented("i-%06d".format(next++), group, clock.now)
         machines[rented.id] = rented
-        most = maxOf(most, machines.size)
+        maxInstances = maxOf(maxInstances, machines.size)
         clock.after(bootS()) { boot(rented) }
     }
 
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -32,7 +32,7 @@
     nodeCount: Int = 3,
     internal val tuning: Tuning = Tuning(),
     private val stateNext: StateLimits? = null,
-    internal val gate: ((node: String) -> GatewaySettings?)? = null,
+    internal val gatewaySettings: ((node: String) -> GatewaySettings?)? = null,
     objectives: List<Objective> = emptyList(),
     times: WorkerTimes? = null,
 ) : WorkerHost {
@@ -63,77 +63,77 @@
     private val specs = HashMap<String, JobSpec>()
 
     /** Share of messages whose answer is lost, and of transactions that are applied late. */
-    var loss = 0.0
+    var answerLoss = 0.0
     var lateWrites = 0.0
 
     /** Links by pair and direction, for whatever [cuts] can't say. */
-    val wiring = SimulatedNetwork(clock)
+    val network = SimulatedNetwork(clock)
 
     /**
      * Nodes of the version before links were told of: they send no such words, and end a link that carries unknown
      * frames.
      */
-    val older = HashSet<String>()
+    val previousVersionNodes = HashSet<String>()
 
     /** Tasks that workers killed as their lease ran out. */
-    var leaseDeaths = 0
+    var tasksKilledByLease = 0
 
-    var onLeaseDeath: (worker: SimulatedWorker, tasks: Int) -> Unit = { _, _ -> }
+    var onTasksKilledByLease: (worker: SimulatedWorker, tasks: Int) -> Unit = { _, _ -> }
 
     /** Called when a worker's report arrives at a node that is up, while the worker still waits for an answer. */
-    var onReached: (worker: SimulatedWorker, node: SimulatedController) -> Unit = { _, _ -> }
+    var onHeartbeatReceived: (worker: SimulatedWorker, node: SimulatedController) -> Unit = { _, _ -> }
 
     /** Called when a node answers a worker's report with 200. */
-    var onServed: (worker: SimulatedWorker, node: SimulatedController) -> Unit = { _, _ -> }
+    var onHeartbeatServed: (worker: SimulatedWorker, node: SimulatedController) -> Unit = { _, _ -> }
 
     /** Jobs submitted with a mistake: they fail wherever they run. */
-    val mistaken = HashSet<String>()
+    val faultyJobs = HashSet<String>()
 
     /** How many times as often as usual users ask for their jobs. */
     var pollFactor = 1.0
 
     /** Machines whose reports arrive, while answers and direct commands to them are lost. */
-    val deaf = HashSet<String>()
+    val inboundBlocked = HashSet<String>()
 
     /** Machines that reach no node, while direct commands reach them. */
-    val mute = HashSet<String>()
+    val outboundBlocked = HashSet<String>()
 
     /** Share of the workers' reports of which a copy arrives again, up to two leases later. */
-    var lateReports = 0.0
+    var lateHeartbeatCopies = 0.0
 
     /**
      * Share of the workers' reports of which a copy is kept and reaches every node as the next leader begins, and again
      * a little later.
      */
-    var copiesForNext = 0.0
+    var copiesForNextLeader = 0.0
     private val copies = ArrayList<Pair<SimulatedWorker, HeartbeatStatus>>()
 
     /** Share of transactions that are carried out at once and whose answer is lost. */
-    var lostAnswers = 0.0
+    var lostCommitAnswers = 0.0
 
     /** Share of the frames between controllers that are lost, and of which a copy arrives again some seconds later. */
     var frameLoss = 0.0
-    var lateFrames = 0.0
+    var lateFrameCopies = 0.0
 
     internal fun carryFrame(from: SimulatedController, to: SimulatedController, bytes: ByteArray) {
-        if (frameLoss > 0 && random.nextDouble() < frameLoss) return feel("frames lost")
-        wiring.carry(from.name, to.name) { if (to.up) to.frame(bytes) }
-        if (lateFrames == 0.0 || random.nextDouble() >= lateFrames) return
+        if (frameLoss > 0 && random.nextDouble() < frameLoss) return countFault("frames lost")
+        network.carry(from.name, to.name) { if (to.up) to.onFrame(bytes) }
+        if (lateFrameCopies == 0.0 || random.nextDouble() >= lateFrameCopies) return
         clock.after(random.nextDouble() * LATEST_FRAME_S) {
-            feel("late frames")
-            if (to.up) to.frame(bytes)
+            countFault("late frames")
+            if (to.up) to.onFrame(bytes)
         }
     }
 
     /** How often each trouble took hold: a test of a meeting says nothing where it did not. */
-    val felt = HashMap<String, Int>()
+    val faultCounts = HashMap<String, Int>()
 
-    internal fun feel(what: String) {
-        felt.merge(what, 1, Int::plus)
+    internal fun countFault(what: String) {
+        faultCounts.merge(what, 1, Int::plus)
     }
 
     /** How many times a node has begun to lead. */
-    var wins = 0
+    var elections = 0
         private set
 
     val users = RetryingUsers(this)
@@ -142,22 +142,26 @@
      * Users ask at all nodes within milliseconds, and repeat what they asked for, right after a job was accepted, ended
      * or cancelled.
      */
-    var closeLooks = false
+    var concurrentRequests = false
 
     /** Share of the jobs that end which are cancelled at that moment. */
-    var cancelAtEnd = 0.0
-    val cancelledAtEnd = HashSet<String>()
+    var cancelAtCompletion = 0.0
+    val cancelledAtCompletion = HashSet<String>()
     private val completed = HashMap<String, Int>()
 
     /** A task of [id] has come to its end; to be told of each once. */
     override fun onCompleted(id: String) {
         if (completed.merge(id, 1, Int::plus) != specs[id]?.tasks) return
-        if (cancelAtEnd > 0 && random.nextDouble() < cancelAtEnd) {
-            feel("cancelled at its end")
-            cancelledAtEnd.add(id)
+        if (cancelAtCompletion > 0 && random.nextDouble() < cancelAtCompletion) {
+            countFault("cancelled at its end")
+            cancelledAtCompletion.add(id)
             clock.after(random.nextDouble() * 0.6) { cancel(id) }
         }
-        if (closeLooks) listOf(0.0, 0.05, 0.3, 0.6, 1.2).forEach { clock.after(it) { users.look(id) } }
+        if (concurrentRequests) {
+            listOf(0.0, 0.05, 0.3, 0.6, 1.2).forEach {
+                clock.after(it) { users.requestAtAllNodes(id) }
+            }
+        }
     }
 
     internal fun kindOf(write: Write): String = when (write) {
@@ -165,22 +169,22 @@
         is Write.Remove -> write.key
     }.substringBefore('/')
 
-    internal fun won(node: SimulatedController) {
-        wins++
+    internal fun onElected(node: SimulatedController) {
+        elections++
         val now = copies.toList()
         copies.clear()
-        now.forEachIndexed { i, (worker, report) ->
+        now.forEachIndexed { i, (worker, heartbeat) ->
             // At once, as it begins, or once it has acted; by then the worker may be gone.
             listOf(0.01, if (i % 2 == 0) 0.3 else 4.0).forEach { delay ->
                 clock.after(delay) {
-                    feel("copies for the next")
+                    countFault("copies for the next")
                     nodes.filter { it.up }.forEach { n ->
-                        n.ask({ Input.Heartbeat(it, report) }) { status, _ ->
+                        n.sendRequest({ Input.Heartbeat(it, heartbeat) }) { status, _ ->
                             if (n ===
                                 node &&
                                 status == 200
                             ) {
-                                feel("copies taken of ${worker.id}")
+                                countFault("copies taken of ${worker.id}")
                             }
                         }
                     }
@@ -208,53 +212,53 @@
 
     override val nodeNames: List<String> by lazy { nodes.map { it.name } }
 
-    override fun isMistaken(id: String): Boolean = id in mistaken
+    override fun isFaulty(id: String): Boolean = id in faultyJobs
 
     override fun onStarted(id: String, task: Int) = Unit
 
     override fun onLeaseExpired(worker: SimulatedWorker, tasks: Int) {
-        leaseDeaths += tasks
-        if (tasks > 0) onLeaseDeath(worker, tasks)
+        tasksKilledByLease += tasks
+        if (tasks > 0) onTasksKilledByLease(worker, tasks)
     }
 
-    override fun sendReport(
+    override fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
-        report: HeartbeatStatus,
+        heartbeat: HeartbeatStatus,
         then: (status: Int, body: JsonNode) -> Unit,
-    ) = onHeartbeat(worker, nodes[node], report, then)
+    ) = onHeartbeat(worker, nodes[node], heartbeat, then)
 
     fun onHeartbeat(
         worker: SimulatedWorker,
         node: SimulatedController,
-        report: HeartbeatStatus,
+        heartbeat: HeartbeatStatus,
         then: (Int, JsonNode) -> Unit,
     ) {
         if (!node.up || "${node.name}-workers" in cuts || worker.group.zone in cutZones) return
-        check(worker.id == report.machine)
-        if (worker.id in mute) return feel("reports lost")
-        if (copiesForNext > 0 &&
+        check(worker.id == heartbeat.machine)
+        if (worker.id in outboundBlocked) return countFault("reports lost")
+        if (copiesForNextLeader > 0 &&
             copies.size < MAX_COPIES &&
-            random.nextDouble() < copiesForNext
+            random.nextDouble() < copiesForNextLeader
         ) {
-            copies.add(worker to report)
+            copies.add(worker to heartbeat)
         }
         val sentAt = clock.now
         val zone = worker.group.zone
-        if (lateReports > 0 && random.nextDouble() < lateReports) {
+        if (lateHeartbeatCopies > 0 && random.nextDouble() < lateHeartbeatCopies) {
             clock.after(2.0 + random.nextDouble() * settings.workers.leaseS * 2) {
-                feel("late reports")
-                if (node.up) node.ask({ Input.Heartbeat(it, report) }) { _, _ -> }
+                countFault("late reports")
+                if (node.up) node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> }
             }
         }
-        wiring.carry(worker.id, node.name, zone, refused = { then(503, SimulatedWorker.json.nullNode()) }) {
-            if (node.up && clock.now - sentAt < SimulatedWorker.PATIENCE_S) onReached(worker, node)
+        network.carry(worker.id, node.name, zone, refused = { then(503, SimulatedWorker.json.nullNode()) }) {
+            if (node.up && clock.now - sentAt < SimulatedWorker.ANSWER_TIMEOUT_S) onHeartbeatReceived(worker, node)
             if (node.up) {
-                node.ask({ Input.Heartbeat(it, report) }) { status, body ->
-                    if (random.nextDouble() < loss) return@ask
-                    if (worker.id in deaf) return@ask feel("answers lost")
-                    if (status == 200) onServed(worker, node)
-                    wiring.carry(node.name, worker.id, zone, refused = {
+                node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { status, body ->
+                    if (random.nextDouble() < answerLoss) return@sendRequest
+                    if (worker.id in inboundBlocked) return@sendRequest countFault("answers lost")
+                    if (status == 200) onHeartbeatServed(worker, node)
+                    network.carry(node.name, worker.id, zone, refused = {
                         then(503, SimulatedWorker.json.nullNode())
                     }) { then(status, SimulatedWorker.json.readTree(body)) }
                 }
@@ -263,10 +267,16 @@
     }
 
     private fun sound(): Map<SimulatedWorker, Resources> = cloud.workers
-        .filter { !it.hung && !it.sick && it.id !in deaf && it.id !in mute && it.group.zone !in cutZones }
+        .filter {
+            !it.hung &&
+                !it.failsEveryTask &&
+                it.id !in inboundBlocked &&
+                it.id !in outboundBlocked &&
+                it.group.zone !in cutZones
+        }
         .associateWith { cloud.catalog[it.group.type]?.capacity ?: Resources.NONE }
 
-    override fun submitted(id: String): JobSpec? = specs[id]
+    override fun specOf(id: String): JobSpec? = specs[id]
 
     /** A worker forgets that a task of [id] is done. If nobody has stored it, the next leader runs the task again. */
     override fun checkStored(id: String, task: Int) {
@@ -276,7 +286,7 @@
                 it is PageRecord && it.done[task]
             }
         ) {
-            checker.broken.add("lost_end: $id/$task was cleared and is not stored")
+            checker.violations.add("lost_end: $id/$task was cleared and is not stored")
         }
     }
 
@@ -294,7 +304,7 @@
     /** A job that another version accepted: its users poll it as any other. */
     fun assumeAccepted(spec: JobSpec) {
         specs[spec.id] = spec
-        checker.submitted(spec, 201, clock.now)
+        checker.submissionAnswered(spec, 201, clock.now)
         clock.after(1.0) { poll(spec.id) }
     }
 
@@ -309,11 +319,15 @@
         val node = nodes.indices.map { nodes[(first + it) % nodes.size] }.firstOrNull { it.up } ?: nodes[first]
         var answered = false
         val askedAt = clock.now
-        node.ask({ Input.Submit(it, spec) }) { status, body ->
+        node.sendRequest({ Input.Submit(it, spec) }) { status, body ->
             answered = true
-            checker.submitted(spec, status, clock.now, stageIn(status, body), askedAt)
+            checker.submissionAnswered(spec, status, clock.now, stageIn(status, body), askedAt)
             if (status == 200 || status == 201) {
-                if (closeLooks) listOf(0.0, 0.002, 0.03).forEach { clock.after(it) { users.look(spec.id) } }
+                if (concurrentRequests) {
+                    listOf(0.0, 0.002, 0.03).forEach {
+                        clock.after(it) { users.requestAtAllNodes(spec.id) }
+                    }
+                }
                 clock.after(1.0) { poll(spec.id) }
                 if (cancelAfter != null) clock.after(cancelAfter) { cancel(spec.id) }
             } else if (status >= 429) {
@@ -332,10 +346,10 @@
     }
 
     /** Asks [node] for a job once; whether it answered is for [then]. */
-    fun show(id: String, node: SimulatedController, then: (answered: Boolean) -> Unit = {}) {
+    fun queryStatus(id: String, node: SimulatedController, then: (answered: Boolean) -> Unit = {}) {
         val askedAt = clock.now
-        node.ask({ Input.Show(it, id) }) { status, body ->
-            checker.shown(id, status, stageIn(status, body), clock.now, askedAt)
+        node.sendRequest({ Input.Show(it, id) }) { status, body ->
+            checker.statusAnswered(id, status, stageIn(status, body), clock.now, askedAt)
             then(status == 200 || status == 404)
         }
     }
@@ -343,8 +357,8 @@
     /** Submits once, and again whatever came of it. */
     fun submitOnce(spec: JobSpec, node: SimulatedController, then: (status: Int) -> Unit = {}) {
         val askedAt = clock.now
-        node.ask({ Input.Submit(it, spec) }) { status, body ->
-            checker.submitted(spec, status, clock.now, stageIn(status, body), askedAt)
+        node.sendRequest({ Input.Submit(it, spec) }) { status, body ->
+            checker.submissionAnswered(spec, status, clock.now, stageIn(status, body), askedAt)
             then(status)
         }
     }
@@ -352,15 +366,17 @@
     fun cancelOnce(id: String, node: SimulatedController, then: (status: Int) -> Unit = {}) {
         val askedAt = clock.now
         checker.cancelRequested(id)
-        node.ask({ Input.Cancel(it, id) }) { status, body ->
+        node.sendRequest({ Input.Cancel(it, id) }) { status, body ->
             stageIn(status, body)?.let {
-                val first = checker.stageTold(id) == null
+                val first = checker.finalStageOf(id) == null
                 checker.cancelAnswered(id, it, clock.now, askedAt)
-                if (closeLooks &&
+                if (concurrentRequests &&
                     first &&
                     it == "withdrawn"
                 ) {
-                    listOf(0.0, 0.002, 0.03).forEach { s -> clock.after(s) { users.look(id, cancelled = true) } }
+                    listOf(0.0, 0.002, 0.03).forEach { s ->
+                        clock.after(s) { users.requestAtAllNodes(id, cancelled = true) }
+                    }
                 }
             }
             then(status)
@@ -369,8 +385,8 @@
 
     fun poll(id: String) {
         var answered = false
-        show(id, nodes[random.nextInt(nodes.size)]) { answered = it }
-        clock.after(POLL_PATIENCE_S) { checker.polled(id, answered, clock.now) }
+        queryStatus(id, nodes[random.nextInt(nodes.size)]) { answered = it }
+        clock.after(POLL_TIMEOUT_S) { checker.pollEnded(id, answered, clock.now) }
         clock.after(POLL_EVERY_S / pollFactor) { poll(id) }
     }
 
@@ -382,7 +398,7 @@
 
     fun stageOf(id: String): String? {
         var found: String? = null
-        nodes.first { it.up }.ask({ Input.Show(it, id) }) { status, body ->
+        nodes.first { it.up }.sendRequest({ Input.Show(it, id) }) { status, body ->
             found = if (status == 200) SimulatedWorker.json.readTree(body).get("stage").asText() else "status $status"
         }
         clock.runUntil(clock.now + 0.2)
@@ -392,7 +408,7 @@
     companion object {
         private const val POLL_EVERY_S = 5.0
         private const val LATEST_FRAME_S = 8.0
-        private const val POLL_PATIENCE_S = 2.0
+        private const val POLL_TIMEOUT_S = 2.0
         private const val MAX_COPIES = 60
         private val BIG = Resources(16_000, 4_000, 64_000)
         val CATALOG = Catalog(listOf(MachineType("box", BIG, 100.0, 1.0, 10.0, 3.0, 10.0, listOf("a", "b"))))
--- a/src/main/kotlin/plankwall/simulation/SimulatedController.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedController.kt
@@ -19,10 +19,10 @@
  * One controller of a [SimulatedCluster]: the real core with virtual clocks; its calls go to the stand-ins over links that may
  * fail.
  */
-class SimulatedController(private val world: SimulatedCluster, val name: String, private val own: Settings) {
-    private val clock = world.clock
-    private val state = world.state
-    private val wiring: SimulatedNetwork get() = world.wiring
+class SimulatedController(private val cluster: SimulatedCluster, val name: String, private val own: Settings) {
+    private val clock = cluster.clock
+    private val state = cluster.state
+    private val network: SimulatedNetwork get() = cluster.network
     private var core: Controller? = null
     private var life = 0
     private var nextRequest = 1L
@@ -32,9 +32,9 @@
     private val backlog = ArrayList<Pair<Int, Input>>()
 
     /** The gate of the present life, where there are gates. */
-    var house: AccessGateway? = null
+    var accessGateway: AccessGateway? = null
         private set
-    private val skew = 1.0 + (world.random.nextDouble() - 0.5) * 0.0009
+    private val skew = 1.0 + (cluster.random.nextDouble() - 0.5) * 0.0009
 
     val up: Boolean get() = core != null
     val leading: Boolean get() = core?.leading == true
@@ -42,18 +42,18 @@
 
     fun start() {
         life++
-        val guarded = world.gate?.invoke(name)
+        val guarded = cluster.gatewaySettings?.invoke(name)
         val incarnation = life.toLong() * 1_000_000 + name.hashCode() % 1000
         core =
             Controller(
                 own,
-                world.tuning,
+                cluster.tuning,
                 incarnation,
-                world.random.nextLong(),
+                cluster.random.nextLong(),
                 guarded?.let { g ->
                     { ctx ->
                         AccessGateway(ctx, g).also {
-                            house =
+                            accessGateway =
                                 it
                         }
                     }
@@ -70,10 +70,10 @@
         val mine = life
         fun tick() {
             if (life != mine || core == null) return
-            feed(Input.Tick)
+            onInput(Input.Tick)
             clock.after(0.1) { tick() }
         }
-        clock.after(world.random.nextDouble() * 0.1) { tick() }
+        clock.after(cluster.random.nextDouble() * 0.1) { tick() }
     }
 
     fun crash(backAfter: Double) {
@@ -89,19 +89,19 @@
         clock.after(forS) {
             val late = backlog.toList()
             backlog.clear()
-            late.forEach { (l, input) -> if (l == life) feed(input) }
+            late.forEach { (l, input) -> if (l == life) onInput(input) }
         }
     }
 
-    fun feed(input: Input) {
+    fun onInput(input: Input) {
         val c = core ?: return
         if (clock.now < frozenUntil) {
             if (input != Input.Tick) backlog.add(life to input)
             return
         }
         val led = c.leading
-        val effects = c.step(clock.now * skew + 1000, world.wallMs(), input)
-        if (c.leading && !led) world.won(this)
+        val effects = c.step(clock.now * skew + 1000, cluster.wallMs(), input)
+        if (c.leading && !led) cluster.onElected(this)
         for (effect in effects) {
             perform(effect)
             // The rest of what it wanted done is lost with the process.
@@ -110,49 +110,49 @@
     }
 
     /** Bytes as they come over a link between controllers, from whomever. */
-    fun frame(bytes: ByteArray) {
+    fun onFrame(bytes: ByteArray) {
         val d = door
-        val sent = if (d == null) PeerCodec.read(bytes) else d.open(bytes, world.wallMs())
-        val message = if (name in world.older &&
+        val sent = if (d == null) PeerCodec.read(bytes) else d.open(bytes, cluster.wallMs())
+        val message = if (name in cluster.previousVersionNodes &&
             sent is PeerStatus
         ) {
             sent.copy(links = null, cancellations = null, sessions = null)
         } else {
             sent
         }
-        check(name !in world.older || (message is PeerStatus || message is ProgressUpdate)) {
+        check(name !in cluster.previousVersionNodes || (message is PeerStatus || message is ProgressUpdate)) {
             "a frame that $name can't read"
         }
-        if (message != null) feed(Input.PeerMessageReceived(message))
+        if (message != null) onInput(Input.PeerMessageReceived(message))
     }
 
-    fun ask(input: (RequestId) -> Input, then: (Int, ByteArray) -> Unit) {
+    fun sendRequest(input: (RequestId) -> Input, then: (Int, ByteArray) -> Unit) {
         if (core == null) return
         val request = RequestId(nextRequest++)
         answers[request] = then
-        feed(input(request))
+        onInput(input(request))
     }
 
     private fun later(mine: Int, delay: Double, input: () -> Input) = clock.after(delay) {
         if (life ==
             mine
         ) {
-            feed(input())
+            onInput(input())
         }
     }
 
     private fun perform(e: Effect) {
         val mine = life
-        world.onEffect(this, e)
+        cluster.onEffect(this, e)
         if (life != mine) return
         when (e) {
             is Effect.Answer -> answers.remove(e.request)?.invoke(e.status, e.body)
             is Effect.StateCall -> stateCall(e, mine)
             is Effect.CloudCall -> cloudCall(e, mine)
-            is Effect.WorkerPost -> if ("$name-workers" !in world.cuts) command(e, mine)
-            is Effect.PeerSend -> if ("$name-peers" !in world.cuts) {
+            is Effect.WorkerPost -> if ("$name-workers" !in cluster.cuts) command(e, mine)
+            is Effect.PeerSend -> if ("$name-peers" !in cluster.cuts) {
                 val plain = PeerCodec.write(
-                    if (name in world.older &&
+                    if (name in cluster.previousVersionNodes &&
                         e.message is PeerStatus
                     ) {
                         e.message.copy(links = null, cancellations = null, sessions = null)
@@ -160,32 +160,32 @@
                         e.message
                     },
                 )
-                val bytes = door?.seal(plain, world.wallMs()) ?: plain
-                world.nodes.filter {
+                val bytes = door?.seal(plain, cluster.wallMs()) ?: plain
+                cluster.nodes.filter {
                     it !== this &&
-                        "${it.name}-peers" !in world.cuts &&
+                        "${it.name}-peers" !in cluster.cuts &&
                         (e.to == null || e.to == it.name)
                 }
-                    .forEach { peer -> world.carryFrame(this, peer, bytes) }
+                    .forEach { peer -> cluster.carryFrame(this, peer, bytes) }
             }
         }
     }
 
     private fun command(e: Effect.WorkerPost, mine: Int) {
-        val worker = world.cloud.worker(e.address)?.takeIf { it.group.zone !in world.cutZones } ?: return
-        if (worker.id in world.deaf) return world.feel("commands lost")
+        val worker = cluster.cloud.worker(e.address)?.takeIf { it.group.zone !in cluster.cutZones } ?: return
+        if (worker.id in cluster.inboundBlocked) return cluster.countFault("commands lost")
         val zone = worker.group.zone
         val sentAt = clock.now
-        wiring.carry(name, worker.id, zone, delayS = 0.01) {
-            if (worker.hung) world.feel("commands to the hung")
-            worker.whenAwake {
+        network.carry(name, worker.id, zone, delayS = 0.01) {
+            if (worker.hung) cluster.countFault("commands to the hung")
+            worker.whenResumed {
                 val answer = worker.command(SimulatedWorker.json.readTree(e.body))
-                if (answer != null && clock.now - sentAt < COMMAND_PATIENCE_S) {
-                    wiring.carry(worker.id, name, zone, delayS = 0.01) {
+                if (answer != null && clock.now - sentAt < COMMAND_TIMEOUT_S) {
+                    network.carry(worker.id, name, zone, delayS = 0.01) {
                         if (life ==
                             mine
                         ) {
-                            feed(Input.WorkerReply(e.machine, answer.second))
+                            onInput(Input.WorkerReply(e.machine, answer.second))
                         }
                     }
                 }
@@ -196,22 +196,24 @@
     private fun stateCall(e: Effect.StateCall, mine: Int) {
         val answer = { result: StateResult -> later(mine, 0.005) { Input.StateReply(e.call, result) } }
         when {
-            "$name-state" in world.cuts && e.op is StateOp.Watch -> clock.after(8.0) { answer(StateResult.Unknown) }
-            "$name-state" in world.cuts -> answer(StateResult.Refused)
-            e.op is StateOp.Txn && world.random.nextDouble() < world.lateWrites -> {
+            "$name-state" in cluster.cuts && e.op is StateOp.Watch -> clock.after(8.0) { answer(StateResult.Unknown) }
+            "$name-state" in cluster.cuts -> answer(StateResult.Refused)
+            e.op is StateOp.Txn && cluster.random.nextDouble() < cluster.lateWrites -> {
                 // The caller gives up; the store executes it long after.
-                world.feel("late writes")
+                cluster.countFault("late writes")
                 later(mine, 1.5) { Input.StateReply(e.call, StateResult.Unknown) }
-                clock.after(world.random.nextDouble() * 30) { state.run(e.op) {} }
+                clock.after(cluster.random.nextDouble() * 30) { state.run(e.op) {} }
             }
-            e.op is StateOp.Txn && world.lostAnswers > 0 && world.random.nextDouble() < world.lostAnswers -> {
-                world.feel("lost answers")
+            e.op is StateOp.Txn &&
+                cluster.lostCommitAnswers > 0 &&
+                cluster.random.nextDouble() < cluster.lostCommitAnswers -> {
+                cluster.countFault("lost answers")
                 later(mine, 1.5) { Input.StateReply(e.call, StateResult.Unknown) }
                 clock.after(0.005) {
                     state.run(e.op) {
                         if (it is StateResult.Committed) {
                             e.op.writes.forEach { w ->
-                                world.feel("lost answer: ${world.kindOf(w)}")
+                                cluster.countFault("lost answer: ${cluster.kindOf(w)}")
                             }
                         }
                     }
@@ -223,12 +225,12 @@
 
     private fun cloudCall(e: Effect.CloudCall, mine: Int) {
         val answer = once<CloudResult>(mine) { Input.CloudReply(e.call, it) }
-        if (wiring.cuts > 0) clock.after(CLOUD_PATIENCE_S) { answer(CloudResult.Trouble) }
-        wiring.carry(name, "cloud", delayS = 0.2, refused = { answer(CloudResult.Trouble) }) {
-            val result = world.cloud.run(e.op)
+        if (network.cutCount > 0) clock.after(CLOUD_TIMEOUT_S) { answer(CloudResult.Trouble) }
+        network.carry(name, "cloud", delayS = 0.2, refused = { answer(CloudResult.Trouble) }) {
+            val result = cluster.cloud.run(e.op)
             // Executed, but the answer is lost now and then.
-            val told = if (world.random.nextDouble() < world.loss) CloudResult.Trouble else result
-            wiring.carry("cloud", name, delayS = 0.1, refused = { answer(CloudResult.Trouble) }) { answer(told) }
+            val told = if (cluster.random.nextDouble() < cluster.answerLoss) CloudResult.Trouble else result
+            network.carry("cloud", name, delayS = 0.1, refused = { answer(CloudResult.Trouble) }) { answer(told) }
         }
     }
 
@@ -238,14 +240,14 @@
         return { result ->
             if (open && life == mine) {
                 open = false
-                feed(input(result))
+                onInput(input(result))
             }
         }
     }
 
     private fun overWire(e: Effect.StateCall, mine: Int) {
         val answer = once<StateResult>(mine) { Input.StateReply(e.call, it) }
-        if (wiring.cuts >
+        if (network.cutCount >
             0
         ) {
             clock.after(
@@ -254,17 +256,17 @@
                 } ?: 1.5,
             ) { answer(StateResult.Unknown) }
         }
-        wiring.carry(name, "state", refused = { answer(StateResult.Refused) }) {
+        network.carry(name, "state", refused = { answer(StateResult.Refused) }) {
             state.run(e.op) { result ->
                 whenServed(e.op) {
                     val told = if (e.op !is StateOp.Watch &&
-                        world.random.nextDouble() < world.loss
+                        cluster.random.nextDouble() < cluster.answerLoss
                     ) {
                         StateResult.Unknown
                     } else {
                         result
                     }
-                    wiring.carry("state", name, refused = { answer(StateResult.Unknown) }) { answer(told) }
+                    network.carry("state", name, refused = { answer(StateResult.Unknown) }) { answer(told) }
                 }
             }
         }
@@ -273,7 +275,7 @@
     /** The open watches of a node that is refused wait as they do in an outage. */
     private fun whenServed(op: StateOp, then: () -> Unit) {
         if (op is StateOp.Watch &&
-            ("$name-state" in world.cuts || state.outage)
+            ("$name-state" in cluster.cuts || state.outage)
         ) {
             clock.after(0.1) { whenServed(op, then) }
         } else {
@@ -282,7 +284,7 @@
     }
 
     private companion object {
-        const val CLOUD_PATIENCE_S = 5.0
-        const val COMMAND_PATIENCE_S = 3.0
+        const val CLOUD_TIMEOUT_S = 5.0
+        const val COMMAND_TIMEOUT_S = 3.0
     }
 }
--- a/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
@@ -24,7 +24,7 @@
     private val links = LinkedHashMap<Pair<String, String>, Link>()
 
     /** How many links are cut, each direction counted. */
-    val cuts: Int get() = links.size
+    val cutCount: Int get() = links.size
 
     fun cut(from: String, to: String, how: LinkCut) {
         heal(from, to)
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -58,7 +58,7 @@
     fun values(prefix: String): List<Stored> = entries.subMap(prefix, prefix + Char.MAX_VALUE).values.map { it.value }
 
     /** The revision that first wrote [key] and the one that did last; 0: none. */
-    fun born(key: String): Long = history.firstOrNull { it.key == key }?.version ?: 0L
+    fun firstVersion(key: String): Long = history.firstOrNull { it.key == key }?.version ?: 0L
 
     fun version(key: String): Long = entries[key]?.version ?: 0L
 
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -43,12 +43,12 @@
     }
 
     /** At once, or when it goes on: what came meanwhile is worked off then, in order, after the lease was looked at. */
-    fun whenAwake(action: () -> Unit) {
-        if (hung) clock.after(hungUntil - clock.now + 0.001) { whenAwake(action) } else action()
+    fun whenResumed(action: () -> Unit) {
+        if (hung) clock.after(hungUntil - clock.now + 0.001) { whenResumed(action) } else action()
     }
 
     /** Fails every task that it starts; those that run go on. */
-    var sick = false
+    var failsEveryTask = false
 
     val runningTasks: Int get() = tasks.values.count { it.stage == TaskStage.RUNNING }
 
@@ -59,7 +59,7 @@
 
     fun die() {
         alive = false
-        tasks.keys.toList().forEach { host.checker.off(it, this, clock.now) }
+        tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
         tasks.clear()
     }
 
@@ -67,7 +67,7 @@
         if (clock.now - leaseFrom <= host.settings.workers.leaseS) return
         val killed = tasks.values.count { it.stage != TaskStage.EXITED }
         host.onLeaseExpired(this, killed)
-        tasks.keys.toList().forEach { host.checker.off(it, this, clock.now) }
+        tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
         tasks.clear()
         session++
         leaseFrom = clock.now
@@ -97,20 +97,20 @@
             target = (target + 1) % host.nodeNames.size
             clock.after(1.0) { send() }
         }
-        clock.after(PATIENCE_S) { whenAwake { failed() } }
-        host.sendReport(this, target, report()) { status, body ->
-            whenAwake {
-                if (settled || !alive || clock.now - sentAt > PATIENCE_S) return@whenAwake
-                if (status != 200 && status != 421) return@whenAwake failed()
+        clock.after(ANSWER_TIMEOUT_S) { whenResumed { failed() } }
+        host.sendHeartbeat(this, target, heartbeat()) { status, body ->
+            whenResumed {
+                if (settled || !alive || clock.now - sentAt > ANSWER_TIMEOUT_S) return@whenResumed
+                if (status != 200 && status != 421) return@whenResumed failed()
                 if (status == 421) {
                     val leader = body.get("foreman")?.asText()
                     val node = host.nodeNames.indexOf(leader)
-                    if (node < 0 || node == target) return@whenAwake failed()
+                    if (node < 0 || node == target) return@whenResumed failed()
                     target = node
                     settled = true
                     waiting = false
                     clock.after(0.2) { send() }
-                    return@whenAwake
+                    return@whenResumed
                 }
                 settled = true
                 waiting = false
@@ -134,13 +134,13 @@
     fun command(body: JsonNode): Pair<Int, HeartbeatStatus>? {
         if (!alive) return null
         expire()
-        if (body.get("baton").asLong() < token || body.get("watch").asLong() != session) return 409 to report()
+        if (body.get("baton").asLong() < token || body.get("watch").asLong() != session) return 409 to heartbeat()
         if (body.get("baton").asLong() > token) {
             token = body.get("baton").asLong()
             changed()
         }
         execute(body)
-        return 200 to report()
+        return 200 to heartbeat()
     }
 
     private fun execute(body: JsonNode) {
@@ -165,29 +165,29 @@
     }
 
     private fun start(name: String, attempt: Long) {
-        val spec = host.submitted(name.substringBefore('/')) ?: return
-        host.checker.commanded(spec.id, clock.now)
+        val spec = host.specOf(name.substringBefore('/')) ?: return
+        host.checker.startCommanded(spec.id, clock.now)
         val task = Task(spec, name.substringAfter('/').toInt(), attempt)
         tasks[name] = task
         changed()
         clock.after(0.5 + host.random.nextDouble()) {
-            whenAwake {
+            whenResumed {
                 expire()
-                if (!alive || tasks[name] !== task || task.stage == TaskStage.EXITED) return@whenAwake
+                if (!alive || tasks[name] !== task || task.stage == TaskStage.EXITED) return@whenResumed
                 task.stage = TaskStage.RUNNING
-                if (sick || host.isMistaken(spec.id)) {
+                if (failsEveryTask || host.isFaulty(spec.id)) {
                     end(name, task, ExitCause.ERROR)
-                    return@whenAwake
+                    return@whenResumed
                 }
-                host.checker.on(name, spec, this, clock.now)
+                host.checker.taskStarted(name, spec, this, clock.now)
                 host.onStarted(spec.id, task.task)
                 changed()
                 if (spec.shape != Shape.SERVICE) {
                     clock.after(spec.estimateS) {
-                        whenAwake {
+                        whenResumed {
                             expire()
                             if (alive && tasks[name] === task && task.stage == TaskStage.RUNNING) {
-                                host.checker.completed(name)
+                                host.checker.taskCompleted(name)
                                 host.onCompleted(spec.id)
                                 end(name, task, ExitCause.DONE)
                             }
@@ -199,13 +199,13 @@
     }
 
     private fun end(name: String, task: Task, cause: ExitCause) {
-        if (task.stage == TaskStage.RUNNING) host.checker.off(name, this, clock.now)
+        if (task.stage == TaskStage.RUNNING) host.checker.taskStopped(name, this, clock.now)
         task.stage = TaskStage.EXITED
         task.cause = cause
         changed()
     }
 
-    fun report(): HeartbeatStatus = HeartbeatStatus(
+    fun heartbeat(): HeartbeatStatus = HeartbeatStatus(
         id, address, group.type, group.zone, group.spot, session, ++seq, token, null,
         tasks.map { (_, t) -> TaskStatus(t.spec.id, t.task, t.attempt, t.stage, t.cause, false) },
     )
@@ -217,6 +217,6 @@
         fun addressOf(id: String): String = "addr:${id.substring(2).toInt() + 1}"
 
         /** How long a worker waits for an answer. */
-        const val PATIENCE_S = 4.0
+        const val ANSWER_TIMEOUT_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -20,16 +20,16 @@
     val nodeNames: List<String>
 
     /** The description of a job that was submitted, or null. */
-    fun submitted(id: String): JobSpec?
+    fun specOf(id: String): JobSpec?
 
     /** Whether the job was submitted with a mistake and fails wherever it runs. */
-    fun isMistaken(id: String): Boolean
+    fun isFaulty(id: String): Boolean
 
-    /** Carries [report] to the controller at index [node]; [then] gets the answer, if there is one. */
-    fun sendReport(
+    /** Carries [heartbeat] to the controller at index [node]; [then] gets the answer, if there is one. */
+    fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
-        report: HeartbeatStatus,
+        heartbeat: HeartbeatStatus,
         then: (status: Int, body: JsonNode) -> Unit,
     )
 
--- a/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
@@ -63,14 +63,17 @@
         val world = SimulatedCluster(31)
         world.cloud.capacity = 400
         world.cloud.bootFactor = 8.0
-        world.cloud.bootFails = 0.3
+        world.cloud.bootFailureShare = 0.3
         for (n in 1..10) world.clock.after(2.0) { world.submit(SimulatedCluster.job(n, tasks = 16, runS = 30.0)) }
         world.clock.after(45.0) { world.nodes.first { it.leading }.crash(60.0) }
         world.clock.runUntil(110.0)
-        assertTrue(world.cloud.rentals <= 80, "${world.cloud.rentals} machines rented for the work of 40")
-        world.cloud.bootFails = 0.0
+        assertTrue(
+            world.cloud.instancesCreated <= 80,
+            "${world.cloud.instancesCreated} machines rented for the work of 40",
+        )
+        world.cloud.bootFailureShare = 0.0
         world.clock.runUntil(330.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), world.checker.violations)
         assertEquals(List(10) { "done" }, (1..10).map { world.stageOf("job-%06d".format(it)) })
     }
 }
--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -22,7 +22,7 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class AuditLogReplayTest {
     private val world =
-        SimulatedCluster(2026, 7, gate = { Callers.settings(it, Callers.rights(red = RED), sealS = 15.0) })
+        SimulatedCluster(2026, 7, gatewaySettings = { Callers.settings(it, Callers.rights(red = RED), sealS = 15.0) })
     private val callers = Callers(world)
 
     init {
@@ -33,8 +33,8 @@
             world.clock.after(from) { world.state.outage = true }
             world.clock.after(to) { world.state.outage = false }
         }
-        world.clock.after(60.0) { world.loss = 0.05 }
-        world.clock.after(100.0) { world.loss = 0.0 }
+        world.clock.after(60.0) { world.answerLoss = 0.05 }
+        world.clock.after(100.0) { world.answerLoss = 0.0 }
         world.clock.after(70.0) { world.lateWrites = 0.05 }
         world.clock.after(160.0) { world.lateWrites = 0.0 }
         for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.up }?.crash(4.0) }
@@ -106,7 +106,7 @@
             assertTrue((told[status] ?: 0) > 100, "status $status was met: $told")
         }
         assertEquals(REQUESTS + 2, callers.asked.size)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), world.checker.violations)
     }
 
     @Test
--- a/src/test/kotlin/plankwall/gateway/Callers.kt
+++ b/src/test/kotlin/plankwall/gateway/Callers.kt
@@ -44,7 +44,7 @@
     )
 
     /** Asks [node], or any, as [who]; [credentials] may be spoilt by [spoil]. */
-    fun ask(
+    fun sendRequest(
         who: String,
         action: String,
         subject: String,
@@ -61,7 +61,7 @@
         val to = node ?: world.nodes[world.random.nextInt(world.nodes.size)]
         val credentials = spoil(Credentials(method, path, body, authorization(who, method, path, body, id), address))
         record.authorization = credentials.authorization
-        to.ask({ input(it, credentials) }) { status, answer ->
+        to.sendRequest({ input(it, credentials) }) { status, answer ->
             record.status = status
             record.body = answer.decodeToString()
         }
@@ -77,7 +77,16 @@
         },
     ): Asked {
         world.expect(spec)
-        return ask(who, "submit", spec.id, "POST", "/api/jobs", spec.id.encodeToByteArray(), node, spoil = spoil) {
+        return sendRequest(
+            who,
+            "submit",
+            spec.id,
+            "POST",
+            "/api/jobs",
+            spec.id.encodeToByteArray(),
+            node,
+            spoil = spoil,
+        ) {
                 r,
                 p,
             ->
@@ -92,8 +101,9 @@
         spoil: (Credentials) -> Credentials = {
             it
         },
-    ): Asked =
-        ask(who, "show", job, "GET", "/api/jobs/$job", node = node, spoil = spoil) { r, p -> Input.Show(r, job, p) }
+    ): Asked = sendRequest(who, "show", job, "GET", "/api/jobs/$job", node = node, spoil = spoil) { r, p ->
+        Input.Show(r, job, p)
+    }
 
     fun cancel(
         who: String,
@@ -102,7 +112,10 @@
         spoil: (Credentials) -> Credentials = {
             it
         },
-    ): Asked = ask(who, "withdraw", job, "POST", "/api/jobs/$job/withdraw", node = node, spoil = spoil) { r, p ->
+    ): Asked = sendRequest(who, "withdraw", job, "POST", "/api/jobs/$job/withdraw", node = node, spoil = spoil) {
+            r,
+            p,
+        ->
         Input.Cancel(r, job, p)
     }
 
@@ -124,7 +137,7 @@
         path: String,
         body: ByteArray = ByteArray(0),
         node: SimulatedController? = null,
-    ): Asked = ask(who, action, "", method, path, body, node) { r, p -> Input.Admin(r, wanted, p) }
+    ): Asked = sendRequest(who, action, "", method, path, body, node) { r, p -> Input.Admin(r, wanted, p) }
 
     companion object {
         const val AUDIENCE = "test-site"
--- a/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
@@ -29,7 +29,7 @@
 
     @Test
     fun `a flood of denials is turned away unjudged, costs few changes, is counted, and hurts nobody else`() {
-        val world = SimulatedCluster(11, 3, gate = { limited(it) })
+        val world = SimulatedCluster(11, 3, gatewaySettings = { limited(it) })
         val callers = Callers(world)
         world.clock.runUntil(5.0)
         val before = world.state.changes
@@ -69,7 +69,7 @@
 
     @Test
     fun `proofs that prove nothing are limited by their network, and others' go on`() {
-        val world = SimulatedCluster(12, 1, gate = { limited(it) })
+        val world = SimulatedCluster(12, 1, gatewaySettings = { limited(it) })
         val callers = Callers(world)
         world.clock.runUntil(5.0)
         fun look(from: String, header: String?) = callers.show("root", "job-000001", world.nodes[0]) {
@@ -117,15 +117,22 @@
         listed: String,
         heard: Boolean,
     ) {
-        val world = SimulatedCluster(13, 1, gate = { limited(it, """workers network "10.1.0.0/16";""", listed = true) })
+        val world =
+            SimulatedCluster(13, 1, gatewaySettings = {
+                limited(it, """workers network "10.1.0.0/16";""", listed = true)
+            })
         world.clock.runUntil(3.0)
-        assertEquals(heard, world.nodes[0].house?.heartbeatRefusal(from, claimed, listed.ifEmpty { null }) == null)
+        assertEquals(
+            heard,
+            world.nodes[0].accessGateway?.heartbeatRefusal(from, claimed, listed.ifEmpty { null }) == null,
+        )
     }
 
     @Test
     fun `rights longer than a value, trail and seals keep within small limits`() {
         val smaller = StateLimits(250.0, 70.0, 2.0, 10)
-        val world = SimulatedCluster(14, 3, stateNext = smaller, gate = { Callers.settings(it, sealS = 5.0) })
+        val world =
+            SimulatedCluster(14, 3, stateNext = smaller, gatewaySettings = { Callers.settings(it, sealS = 5.0) })
         val callers = Callers(world)
         world.clock.runUntil(5.0)
         world.state.limits = smaller
@@ -141,7 +148,7 @@
             }
         }
         world.clock.runUntil(60.0)
-        assertEquals(listOf(2L, 2L, 2L), world.nodes.map { it.house?.version })
+        assertEquals(listOf(2L, 2L, 2L), world.nodes.map { it.accessGateway?.version })
         assertEquals(emptyMap<String, Int>(), world.state.rejected)
         assertEquals(emptyList<String>(), AuditLogChecker.of(world.state).check(callers.asked))
     }
@@ -161,7 +168,7 @@
 
     @Test
     fun `two who publish at once do not mix, and who would lock himself out is told`() {
-        val world = SimulatedCluster(15, 3, gate = { Callers.settings(it) })
+        val world = SimulatedCluster(15, 3, gatewaySettings = { Callers.settings(it) })
         val callers = Callers(world)
         world.clock.runUntil(5.0)
         val one = Callers.rights(more = "# one\n" + "# filling\n".repeat(900))
@@ -173,7 +180,7 @@
         val late = callers.publish("root", 1, one, world.nodes[2]).also { world.clock.runUntil(9.0) }
         val out = callers.publish(
             "root",
-            world.nodes[0].house?.version ?: 0,
+            world.nodes[0].accessGateway?.version ?: 0,
             Callers.rights().replace("grant keeper to root;", ""),
         ).also {
             world.clock.runUntil(11.0)
--- a/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
@@ -23,9 +23,23 @@
         small: Boolean = false,
     ): Pair<SimulatedCluster, Callers> {
         val world =
-            SimulatedCluster(seed, nodes, stateNext = if (small) StateLimits(250.0, 70.0, 2.0, 10) else null, gate = {
-                Callers.settings(it, rights)
-            })
+            SimulatedCluster(
+                seed,
+                nodes,
+                stateNext = if (small) {
+                    StateLimits(
+                        250.0,
+                        70.0,
+                        2.0,
+                        10,
+                    )
+                } else {
+                    null
+                },
+                gatewaySettings = {
+                    Callers.settings(it, rights)
+                },
+            )
         world.clock.runUntil(3.0)
         return world to Callers(world)
     }
@@ -37,7 +51,7 @@
             plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(checker.copy)
         assertEquals(emptyList<String>(), verified.broken.map { it.toString() })
-        assertEquals(emptyList<String>(), this.checker.broken)
+        assertEquals(emptyList<String>(), this.checker.violations)
     }
 
     private fun SimulatedCluster.until(asked: Callers.Asked): Int {
@@ -250,7 +264,7 @@
             ) {
                 assertEquals("withdrawn", callers.show("root", spec.id).also { world.until(it) }.stage, "crash $n")
             }
-            if (step == "publish") assertEquals(2L, world.nodes[0].house?.version, "crash $n")
+            if (step == "publish") assertEquals(2L, world.nodes[0].accessGateway?.version, "crash $n")
             world.clock.runUntil(world.clock.now + 45.0)
             world.assertSound(callers)
             if (!crashed) break
@@ -279,7 +293,7 @@
             val published = world.state.version("access/head")
             for (a in asked.flatten()) {
                 outcomes.add(a.status)
-                val stored = world.state.born("j/${a.subject}")
+                val stored = world.state.firstVersion("j/${a.subject}")
                 assertEquals(a.status == 201, stored > 0, "${a.subject} of run $n")
                 assertTrue(stored < published, "${a.subject} of run $n was stored by rights that were replaced")
             }
@@ -292,7 +306,7 @@
     @Test
     fun `beside a node of an older version, which knows no owners, nothing is lost and nothing is let through`() {
         var old = setOf("n0")
-        val world = SimulatedCluster(31, 3, gate = { if (it in old) null else Callers.settings(it) })
+        val world = SimulatedCluster(31, 3, gatewaySettings = { if (it in old) null else Callers.settings(it) })
         val callers = Callers(world)
         world.clock.runUntil(3.0)
         // The older one leads, so it ends jobs without saying whose they were.
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -29,7 +29,9 @@
     private fun status(node: String, epoch: Long, leading: Boolean = false) =
         PeerStatus(node, 1, epoch, leading, 0, true, 0, PeerCodec.LEVEL)
 
-    private fun world(keys: List<PeerKey>) = SimulatedCluster(7, 3, gate = { Callers.settings(it, peerKeys = keys) })
+    private fun world(keys: List<PeerKey>) = SimulatedCluster(7, 3, gatewaySettings = {
+        Callers.settings(it, peerKeys = keys)
+    })
 
     @ParameterizedTest(name = "signed links: {0}")
     @CsvSource("false", "true")
@@ -39,7 +41,7 @@
         val world = world(if (signed) listOf(key) else emptyList())
         world.clock.runUntil(10.0)
         val leader = world.nodes.single { it.leading }
-        leader.frame(PeerCodec.write(status("n9", 1L shl 50)))
+        leader.onFrame(PeerCodec.write(status("n9", 1L shl 50)))
         assertEquals(signed, leader.leading, "the frame is believed by nobody but a node without keys")
     }
 
@@ -88,15 +90,15 @@
 
     @Test
     fun `what is not believed`() {
-        val frame = PeerCodec.write(status("n1", 5))
+        val onFrame = PeerCodec.write(status("n1", 5))
         fun open(bytes: ByteArray, at: Long = now, door: PeerAuthenticator = PeerAuthenticator(seal("n0")) { null }) =
             door.open(bytes, at)
-        val good = seal().seal(frame, now)
+        val good = seal().seal(onFrame, now)
         assertNotNull(open(good))
-        assertNull(open(frame), "not signed")
-        assertNull(open(seal(keys = listOf(newKey)).seal(frame, now)), "signed by a key that is not known")
-        assertNull(open(seal("n0").seal(frame, now)), "sent back to its sender")
-        assertNull(open(seal("n2").seal(frame, now)), "one peer in another's name")
+        assertNull(open(onFrame), "not signed")
+        assertNull(open(seal(keys = listOf(newKey)).seal(onFrame, now)), "signed by a key that is not known")
+        assertNull(open(seal("n0").seal(onFrame, now)), "sent back to its sender")
+        assertNull(open(seal("n2").seal(onFrame, now)), "one peer in another's name")
         val answer = PeerCodec.write(RelayedAnswer("n1", 7, 200, byteArrayOf(1)))
         assertNull(open(seal("n2").seal(answer, now)), "an answer to a worker in the leader's name")
         assertNotNull(open(seal().seal(answer, now)))
@@ -117,31 +119,31 @@
 
     @Test
     fun `a frame counts once, in order, also across a restart of its sender`() {
-        val frame = PeerCodec.write(status("n1", 5))
+        val onFrame = PeerCodec.write(status("n1", 5))
         val door = PeerAuthenticator(seal("n0")) { null }
         val first = seal(life = 5)
-        val frames = List(3) { first.seal(frame, now + it) }
+        val frames = List(3) { first.seal(onFrame, now + it) }
         assertNotNull(door.open(frames[1], now))
         assertNull(door.open(frames[1], now), "again")
         assertNull(door.open(frames[0], now), "an earlier one")
         assertNotNull(door.open(frames[2], now))
         // A clock that was set back gives the new life a lower number; it must not be shut out for that.
-        assertNotNull(door.open(seal(life = 3).seal(frame, now + 50), now + 60))
-        assertNull(door.open(first.seal(frame, now + 40), now + 60), "the old life is over")
+        assertNotNull(door.open(seal(life = 3).seal(onFrame, now + 50), now + 60))
+        assertNull(door.open(first.seal(onFrame, now + 40), now + 60), "the old life is over")
     }
 
     @Test
     fun `keys are replaced without a gap`() {
-        val frame = PeerCodec.write(status("n1", 5))
+        val onFrame = PeerCodec.write(status("n1", 5))
         val steps = listOf(listOf(key), listOf(key, newKey), listOf(newKey, key), listOf(newKey))
         // At any time two nodes may be one step apart.
         for ((a, b) in steps.zipWithNext() + steps.zipWithNext { x, y -> y to x }) {
-            assertNotNull(PeerAuthenticator(seal("n0", keys = b)) { null }.open(seal(keys = a).seal(frame, now), now))
+            assertNotNull(PeerAuthenticator(seal("n0", keys = b)) { null }.open(seal(keys = a).seal(onFrame, now), now))
         }
         assertNull(
             PeerAuthenticator(seal("n0", keys = steps[3])) {
                 null
-            }.open(seal(keys = steps[0]).seal(frame, now), now),
+            }.open(seal(keys = steps[0]).seal(onFrame, now), now),
         )
     }
 
@@ -166,6 +168,6 @@
         world.nodes.single { it.leading }.crash(5.0)
         world.clock.runUntil(80.0)
         assertEquals("done", callers.show("ada", "job-000001").also { world.clock.runUntil(81.0) }.stage)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), world.checker.violations)
     }
 }
--- a/src/test/kotlin/plankwall/load/RevocationReach.kt
+++ b/src/test/kotlin/plankwall/load/RevocationReach.kt
@@ -10,17 +10,21 @@
     fun main(args: Array<String>) {
         val reach = Histogram(60_000, 3)
         for (seed in 0L until 20) {
-            val world = SimulatedCluster(seed, 7, gate = { Callers.settings(it) })
-            val callers = Callers(world)
-            world.clock.runUntil(5.0)
+            val cluster = SimulatedCluster(seed, 7, gatewaySettings = { Callers.settings(it) })
+            val callers = Callers(cluster)
+            cluster.clock.runUntil(5.0)
             for (n in 1L..25) {
-                world.clock.runUntil(world.clock.now + world.random.nextDouble())
+                cluster.clock.runUntil(cluster.clock.now + cluster.random.nextDouble())
                 val asked = callers.publish("root", n, Callers.rights(more = "# $n"))
-                while (asked.status == 0) world.clock.runUntil(world.clock.now + 0.001)
+                while (asked.status == 0) cluster.clock.runUntil(cluster.clock.now + 0.001)
                 check(asked.status == 200) { asked.body }
-                val told = world.clock.now
-                while (world.nodes.any { it.house?.version != n + 1 }) world.clock.runUntil(world.clock.now + 0.001)
-                reach.recordValue(((world.clock.now - told) * 1000).toLong())
+                val told = cluster.clock.now
+                while (cluster.nodes.any { it.accessGateway?.version != n + 1 }) {
+                    cluster.clock.runUntil(
+                        cluster.clock.now + 0.001,
+                    )
+                }
+                reach.recordValue(((cluster.clock.now - told) * 1000).toLong())
             }
         }
         println(
--- a/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -55,11 +55,11 @@
     private fun SimulatedCluster.stages(ids: IntRange): List<String?> = ids.map { stageOf("job-%06d".format(it)) }
 
     private fun SimulatedCluster.assertSound() {
-        assertEquals(emptyList<String>(), checker.broken)
+        assertEquals(emptyList<String>(), checker.violations)
         assertEquals(emptyList<String>(), checker.refused)
     }
 
-    private val troubles: Map<String, SimulatedCluster.(Double) -> Unit> = mapOf(
+    private val faults: Map<String, SimulatedCluster.(Double) -> Unit> = mapOf(
         "none" to {},
         "leader crash" to { at -> clock.after(at) { nodes.first { it.leading }.crash(6.0) } },
         "all crash" to { at -> clock.after(at) { nodes.forEach { it.crash(8.0) } } },
@@ -72,8 +72,8 @@
             clock.after(at + 20.0) { lateWrites = 0.0 }
         },
         "lost answers" to { at ->
-            clock.after(at - 10.0) { loss = 0.15 }
-            clock.after(at + 20.0) { loss = 0.0 }
+            clock.after(at - 10.0) { answerLoss = 0.15 }
+            clock.after(at + 20.0) { answerLoss = 0.0 }
         },
     )
 
@@ -83,15 +83,15 @@
         "outage, 20", "outage, 26",
         "late writes, 25", "lost answers, 25",
     )
-    fun `stages run in order whatever fails`(trouble: String, at: Double) {
-        val world = SimulatedCluster(at.toLong())
-        world.pipeline(2.0)
-        world.pipeline(4.0, first = 11, lateLast = 70.0)
-        troubles.getValue(trouble)(world, at)
-        world.clock.runUntil(200.0)
-        assertEquals(List(4) { "done" }, world.stages(1..4))
-        assertEquals(List(4) { "done" }, world.stages(11..14), "the last was submitted when the others were over")
-        world.assertSound()
+    fun `stages run in order whatever fails`(fault: String, at: Double) {
+        val cluster = SimulatedCluster(at.toLong())
+        cluster.pipeline(2.0)
+        cluster.pipeline(4.0, first = 11, lateLast = 70.0)
+        faults.getValue(fault)(cluster, at)
+        cluster.clock.runUntil(200.0)
+        assertEquals(List(4) { "done" }, cluster.stages(1..4))
+        assertEquals(List(4) { "done" }, cluster.stages(11..14), "the last was submitted when the others were over")
+        cluster.assertSound()
     }
 
     @ParameterizedTest(name = "{0} withdrawn at {1}, {2}")
@@ -100,16 +100,16 @@
         "2, 28, leader crash", "2, 28, outage",
         "3, 8, all crash", "4, 30, none", "4, 30, leader crash", "1, 20, late writes", "2, 25, lost answers",
     )
-    fun `what is cancelled takes with it all that needs it, and nothing else`(stage: Int, at: Double, trouble: String) {
-        val world = SimulatedCluster(stage * 100L + at.toLong())
-        world.pipeline(2.0)
-        world.clock.after(at) { world.cancel("job-%06d".format(stage)) }
-        troubles.getValue(trouble)(world, at + 0.05)
+    fun `what is cancelled takes with it all that needs it, and nothing else`(stage: Int, at: Double, fault: String) {
+        val cluster = SimulatedCluster(stage * 100L + at.toLong())
+        cluster.pipeline(2.0)
+        cluster.clock.after(at) { cluster.cancel("job-%06d".format(stage)) }
+        faults.getValue(fault)(cluster, at + 0.05)
         // In that very moment, and long after.
-        world.clock.after(at) { world.submit(SimulatedCluster.job(5, tasks = 1, after = listOf(stage))) }
-        world.clock.after(at + 60.0) { world.submit(SimulatedCluster.job(6, tasks = 1, after = listOf(5))) }
-        world.clock.runUntil(at + 130.0)
-        val told = world.stages(1..6)
+        cluster.clock.after(at) { cluster.submit(SimulatedCluster.job(5, tasks = 1, after = listOf(stage))) }
+        cluster.clock.after(at + 60.0) { cluster.submit(SimulatedCluster.job(6, tasks = 1, after = listOf(5))) }
+        cluster.clock.runUntil(at + 130.0)
+        val told = cluster.stages(1..6)
         val needs = mapOf(
             1 to emptyList(),
             2 to listOf(1),
@@ -128,43 +128,43 @@
             }
             assertEquals(expected, told[job - 1], "job $job of $told")
         }
-        world.assertSound()
+        cluster.assertSound()
     }
 
     @Test
     fun `whether a stage was done or cancelled in the same moment is decided once, for its dependents too`() {
         val outcomes = HashSet<String?>()
         for (step in 0 until 24) {
-            val world = SimulatedCluster(500L + step, nodeCount = 1)
-            world.clock.after(2.0) {
-                world.submit(SimulatedCluster.job(1, tasks = 1, runS = 8.0))
-                world.submit(SimulatedCluster.job(2, tasks = 1, runS = 2.0, after = listOf(1)))
+            val cluster = SimulatedCluster(500L + step, nodeCount = 1)
+            cluster.clock.after(2.0) {
+                cluster.submit(SimulatedCluster.job(1, tasks = 1, runS = 8.0))
+                cluster.submit(SimulatedCluster.job(2, tasks = 1, runS = 2.0, after = listOf(1)))
             }
-            while (world.checker.starts == 0) world.clock.runUntil(world.clock.now + 0.01)
-            world.clock.after(7.8 + 0.05 * step) { world.cancel("job-000001") }
-            world.clock.runUntil(world.clock.now + 60.0)
-            val (first, second) = world.stages(1..2)
+            while (cluster.checker.starts == 0) cluster.clock.runUntil(cluster.clock.now + 0.01)
+            cluster.clock.after(7.8 + 0.05 * step) { cluster.cancel("job-000001") }
+            cluster.clock.runUntil(cluster.clock.now + 60.0)
+            val (first, second) = cluster.stages(1..2)
             assertEquals(first, second)
             outcomes.add(first)
-            world.assertSound()
+            cluster.assertSound()
         }
         assertEquals(setOf<String?>("done", "withdrawn"), outcomes, "both sides of the race were met")
     }
 
     @Test
     fun `a new leader reads how dependencies ended before it starts anything that needs them`() {
-        val world = SimulatedCluster(31)
-        world.clock.after(2.0) {
-            world.submit(SimulatedCluster.job(1, tasks = 1, runS = 5.0))
-            world.submit(SimulatedCluster.job(2, tasks = 1, runS = 60.0))
-            world.submit(SimulatedCluster.job(3, tasks = 2, runS = 5.0, after = listOf(1, 2)))
+        val cluster = SimulatedCluster(31)
+        cluster.clock.after(2.0) {
+            cluster.submit(SimulatedCluster.job(1, tasks = 1, runS = 5.0))
+            cluster.submit(SimulatedCluster.job(2, tasks = 1, runS = 60.0))
+            cluster.submit(SimulatedCluster.job(3, tasks = 2, runS = 5.0, after = listOf(1, 2)))
         }
-        world.clock.runUntil(40.0)
-        assertEquals(listOf("done", "running", "pending"), world.stages(1..3))
-        world.nodes.forEach { it.crash(5.0) }
-        world.clock.runUntil(140.0)
-        assertEquals(List(3) { "done" }, world.stages(1..3))
-        world.assertSound()
+        cluster.clock.runUntil(40.0)
+        assertEquals(listOf("done", "running", "pending"), cluster.stages(1..3))
+        cluster.nodes.forEach { it.crash(5.0) }
+        cluster.clock.runUntil(140.0)
+        assertEquals(List(3) { "done" }, cluster.stages(1..3))
+        cluster.assertSound()
     }
 
     @ParameterizedTest(name = "named job {0}: {1}")
@@ -178,9 +178,9 @@
         "never accepted but known itself, 200",
     )
     fun `what a submission may name`(standing: String, expected: Int) {
-        val world = SimulatedCluster(41)
-        world.clock.after(2.0) {
-            world.submit(
+        val cluster = SimulatedCluster(41)
+        cluster.clock.after(2.0) {
+            cluster.submit(
                 SimulatedCluster.job(
                     1,
                     tasks = 1,
@@ -194,8 +194,8 @@
                 ),
             )
         }
-        if (standing == "withdrawn") world.clock.after(8.0) { world.cancel("job-000001") }
-        world.clock.runUntil(60.0)
+        if (standing == "withdrawn") cluster.clock.after(8.0) { cluster.cancel("job-000001") }
+        cluster.clock.runUntil(60.0)
         val spec = when (standing) {
             "never accepted" -> SimulatedCluster.job(9, after = listOf(1, 77))
             "never accepted but known itself" -> SimulatedCluster.job(1, after = listOf(77))
@@ -204,60 +204,62 @@
             else -> SimulatedCluster.job(9, after = listOf(1))
         }
         val statuses = ArrayList<Int>()
-        val ask = { world.nodes[1].ask({ Input.Submit(it, spec) }) { status, _ -> statuses.add(status) } }
-        if (standing == "unreadable") world.state.outage = true
+        val sendRequest = {
+            cluster.nodes[1].sendRequest({ Input.Submit(it, spec) }) { status, _ -> statuses.add(status) }
+        }
+        if (standing == "unreadable") cluster.state.outage = true
         if (standing.startsWith("accepted by another")) {
-            world.nodes[0].ask({ Input.Submit(it, SimulatedCluster.job(8, runS = 300.0)) }) { status, _ ->
+            cluster.nodes[0].sendRequest({ Input.Submit(it, SimulatedCluster.job(8, runS = 300.0)) }) { status, _ ->
                 if (status ==
                     201
                 ) {
-                    ask()
+                    sendRequest()
                 }
             }
         } else {
-            ask()
+            sendRequest()
         }
-        world.clock.runUntil(62.0)
+        cluster.clock.runUntil(62.0)
         assertEquals(listOf(expected), statuses)
     }
 
     @Test
     fun `a long chain and a crowd of dependents end with the one they all need`() {
-        val world = SimulatedCluster(51, stateNext = smaller)
-        world.clock.after(1.0) { world.submit(SimulatedCluster.job(1, tasks = 1, runS = 500.0)) }
+        val cluster = SimulatedCluster(51, stateNext = smaller)
+        cluster.clock.after(1.0) { cluster.submit(SimulatedCluster.job(1, tasks = 1, runS = 500.0)) }
         for (n in 2..120) {
-            world.clock.after(1.0 + n * 0.02) {
-                world.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(n - 1)))
+            cluster.clock.after(1.0 + n * 0.02) {
+                cluster.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(n - 1)))
             }
         }
         for (n in 201..320) {
-            world.clock.after(1.0 + (n - 200) * 0.02) {
-                world.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(1)))
+            cluster.clock.after(1.0 + (n - 200) * 0.02) {
+                cluster.submit(SimulatedCluster.job(n, tasks = 1, after = listOf(1)))
             }
         }
-        world.clock.after(60.0) { world.cancel("job-000001") }
-        world.clock.after(60.3) { world.nodes.first { it.leading }.crash(8.0) }
-        world.clock.runUntil(60.0 + world.settings.workers.cancelS)
+        cluster.clock.after(60.0) { cluster.cancel("job-000001") }
+        cluster.clock.after(60.3) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.runUntil(60.0 + cluster.settings.workers.cancelS)
         assertTrue(
-            world.state.keys.none {
+            cluster.state.keys.none {
                 it.startsWith("j/")
             },
-            "still live: ${world.state.keys.filter { it.startsWith("j/") }}",
+            "still live: ${cluster.state.keys.filter { it.startsWith("j/") }}",
         )
-        assertEquals(List(3) { "withdrawn" }, listOf(1, 120, 320).map { world.stageOf("job-%06d".format(it)) })
-        assertEquals(1, world.checker.starts)
-        world.assertSound()
+        assertEquals(List(3) { "withdrawn" }, listOf(1, 120, 320).map { cluster.stageOf("job-%06d".format(it)) })
+        assertEquals(1, cluster.checker.starts)
+        cluster.assertSound()
     }
 
     @Test
     fun `a job that waits holds nothing back`() {
-        val world = SimulatedCluster(61)
+        val cluster = SimulatedCluster(61)
         // Team red may use 16 accelerators; what waits for job 1 must neither count nor take their place.
-        world.clock.after(1.0) {
-            world.submit(SimulatedCluster.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red"))
+        cluster.clock.after(1.0) {
+            cluster.submit(SimulatedCluster.job(1, Shape.GANG, tasks = 4, gpus = 1, runS = 60.0, team = "red"))
         }
-        world.clock.after(2.0) {
-            world.submit(
+        cluster.clock.after(2.0) {
+            cluster.submit(
                 SimulatedCluster.job(
                     2,
                     Shape.GANG,
@@ -270,33 +272,33 @@
                 ),
             )
         }
-        world.clock.after(3.0) {
-            world.submit(
+        cluster.clock.after(3.0) {
+            cluster.submit(
                 SimulatedCluster.job(3, tasks = 12, gpus = 1, runS = 20.0, team = "red", priority = Priority.LOW),
             )
         }
-        world.clock.runUntil(60.0)
-        assertEquals(listOf("running", "pending", "done"), world.stages(1..3))
-        assertEquals(4, world.cloud.rentals, "rented for what may start, and no more")
-        world.clock.runUntil(140.0)
-        assertEquals("done", world.stageOf("job-000002"))
-        world.assertSound()
+        cluster.clock.runUntil(60.0)
+        assertEquals(listOf("running", "pending", "done"), cluster.stages(1..3))
+        assertEquals(4, cluster.cloud.instancesCreated, "rented for what may start, and no more")
+        cluster.clock.runUntil(140.0)
+        assertEquals("done", cluster.stageOf("job-000002"))
+        cluster.assertSound()
     }
 
     @Test
     fun `a stage has the priority of the job that its user waits for`() {
-        val world = SimulatedCluster(71)
-        world.cloud.capacity = 1
+        val cluster = SimulatedCluster(71)
+        cluster.cloud.capacity = 1
         fun short(n: Int, priority: Priority, after: List<Int> = emptyList()): JobSpec =
             SimulatedCluster.job(n, tasks = 4, runS = 10.0, priority = priority, after = after)
-        world.clock.after(1.0) { world.submit(short(1, Priority.HIGH)) }
-        world.clock.after(2.0) { world.submit(short(2, Priority.NORMAL)) }
-        world.clock.after(3.0) { world.submit(short(3, Priority.LOW)) }
-        world.clock.after(4.0) { world.submit(short(4, Priority.LOW, after = listOf(3))) }
-        world.clock.after(5.0) { world.submit(short(5, Priority.HIGH, after = listOf(4))) }
-        while (world.stageOf("job-000003") != "done") world.clock.runUntil(world.clock.now + 0.5)
-        assertEquals("pending", world.stageOf("job-000002"), "of lower priority than what needs job 3")
-        world.assertSound()
+        cluster.clock.after(1.0) { cluster.submit(short(1, Priority.HIGH)) }
+        cluster.clock.after(2.0) { cluster.submit(short(2, Priority.NORMAL)) }
+        cluster.clock.after(3.0) { cluster.submit(short(3, Priority.LOW)) }
+        cluster.clock.after(4.0) { cluster.submit(short(4, Priority.LOW, after = listOf(3))) }
+        cluster.clock.after(5.0) { cluster.submit(short(5, Priority.HIGH, after = listOf(4))) }
+        while (cluster.stageOf("job-000003") != "done") cluster.clock.runUntil(cluster.clock.now + 0.5)
+        assertEquals("pending", cluster.stageOf("job-000002"), "of lower priority than what needs job 3")
+        cluster.assertSound()
     }
 
     @Test
@@ -323,10 +325,10 @@
     @ParameterizedTest
     @ValueSource(longs = [81, 82, 83])
     fun `a site is rolled node by node under load while limits shrink`(seed: Long) {
-        val world = SimulatedCluster(seed, stateNext = smaller)
+        val cluster = SimulatedCluster(seed, stateNext = smaller)
         for (n in 100..140) {
-            world.clock.after(1.0 + (n - 100)) {
-                world.submit(
+            cluster.clock.after(1.0 + (n - 100)) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         tasks = 4,
@@ -337,16 +339,16 @@
                 )
             }
         }
-        world.pipeline(20.0)
-        world.pipeline(40.0, first = 11)
-        world.pipeline(62.0, first = 21)
-        for (n in 0..2) world.clock.after(30.0 + 15.0 * n) { world.nodes[n].crash(6.0) }
-        world.clock.after(65.0) { world.state.limits = smaller }
-        world.clock.after(80.0) { world.cancel("job-000022") }
-        world.clock.runUntil(260.0)
-        assertEquals(List(4) { "done" }, world.stages(1..4))
-        assertEquals(listOf("done", "withdrawn", "done", "withdrawn"), world.stages(21..24))
-        assertEquals(emptyMap<String, Int>(), world.state.rejected, "nothing beyond the announced limits was tried")
-        world.assertSound()
+        cluster.pipeline(20.0)
+        cluster.pipeline(40.0, first = 11)
+        cluster.pipeline(62.0, first = 21)
+        for (n in 0..2) cluster.clock.after(30.0 + 15.0 * n) { cluster.nodes[n].crash(6.0) }
+        cluster.clock.after(65.0) { cluster.state.limits = smaller }
+        cluster.clock.after(80.0) { cluster.cancel("job-000022") }
+        cluster.clock.runUntil(260.0)
+        assertEquals(List(4) { "done" }, cluster.stages(1..4))
+        assertEquals(listOf("done", "withdrawn", "done", "withdrawn"), cluster.stages(21..24))
+        assertEquals(emptyMap<String, Int>(), cluster.state.rejected, "nothing beyond the announced limits was tried")
+        cluster.assertSound()
     }
 }
--- a/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
+++ b/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
@@ -10,33 +10,36 @@
 class LargeSiteTest {
     @Test
     fun `rents hundreds of machines in few calls and stays within the state service's rates`() {
-        val world = SimulatedCluster(21)
-        world.cloud.capacity = 1000
+        val cluster = SimulatedCluster(21)
+        cluster.cloud.capacity = 1000
         for (n in 1..90) {
-            world.clock.after(2.0 + n * 0.02) {
-                world.submit(SimulatedCluster.job(n, tasks = 25, runS = 60.0))
+            cluster.clock.after(2.0 + n * 0.02) {
+                cluster.submit(SimulatedCluster.job(n, tasks = 25, runS = 60.0))
             }
         }
-        world.clock.runUntil(25.0)
+        cluster.clock.runUntil(25.0)
         // More than a page of the cloud's list holds.
-        assertTrue(world.cloud.rentals in 563..580, "${world.cloud.rentals} machines for 2250 tasks, four on each")
-        world.clock.after(5.0) { world.nodes.first { it.leading }.crash(8.0) }
-        world.clock.runUntil(150.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(2250, world.checker.starts)
-        assertEquals("done", world.stageOf("job-000090"))
-        assertEquals(0, world.state.writes.beyond, "writes beyond the rate")
-        assertEquals(0, world.state.calls.beyond, "calls beyond the rate")
+        assertTrue(
+            cluster.cloud.instancesCreated in 563..580,
+            "${cluster.cloud.instancesCreated} machines for 2250 tasks, four on each",
+        )
+        cluster.clock.after(5.0) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.runUntil(150.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(2250, cluster.checker.starts)
+        assertEquals("done", cluster.stageOf("job-000090"))
+        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
+        assertEquals(0, cluster.state.calls.beyond, "calls beyond the rate")
     }
 
     @Test
     fun `a gang of whole machines starts amid small tasks that would take every machine piece by piece`() {
-        val world = SimulatedCluster(104)
-        world.cloud.capacity = 4
+        val cluster = SimulatedCluster(104)
+        cluster.cloud.capacity = 4
         // Small tasks of various lengths keep the four machines, all there is, half used for ever.
         for (n in 10..70) {
-            world.clock.after(1.0 + 1.6 * (n - 10)) {
-                world.submit(
+            cluster.clock.after(1.0 + 1.6 * (n - 10)) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         tasks = 1,
@@ -46,8 +49,8 @@
                 )
             }
         }
-        world.clock.after(60.0) {
-            world.submit(
+        cluster.clock.after(60.0) {
+            cluster.submit(
                 SimulatedCluster.job(
                     1,
                     Shape.GANG,
@@ -59,20 +62,20 @@
                 ),
             )
         }
-        world.clock.runUntil(125.0)
-        assertEquals("done", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.clock.runUntil(125.0)
+        assertEquals("done", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
     fun `more important gangs get room by preemption`() {
-        val world = SimulatedCluster(23)
-        world.cloud.capacity = 4
-        world.clock.after(1.0) {
-            world.submit(SimulatedCluster.job(2, tasks = 16, runS = 500.0, priority = Priority.LOW).copy(zone = "a"))
+        val cluster = SimulatedCluster(23)
+        cluster.cloud.capacity = 4
+        cluster.clock.after(1.0) {
+            cluster.submit(SimulatedCluster.job(2, tasks = 16, runS = 500.0, priority = Priority.LOW).copy(zone = "a"))
         }
-        world.clock.after(60.0) {
-            world.submit(
+        cluster.clock.after(60.0) {
+            cluster.submit(
                 SimulatedCluster.job(
                     1,
                     Shape.GANG,
@@ -84,35 +87,35 @@
                 ),
             )
         }
-        world.clock.runUntil(90.0)
-        assertEquals("done", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.clock.runUntil(90.0)
+        assertEquals("done", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
     fun `a job of the largest size runs as far as there is room, and is gone when withdrawn`() {
-        val world = SimulatedCluster(24)
-        world.cloud.capacity = 20
-        world.clock.after(1.0) {
-            world.submit(SimulatedCluster.job(1, tasks = 100_000, runS = 15.0), cancelAfter = 60.0)
+        val cluster = SimulatedCluster(24)
+        cluster.cloud.capacity = 20
+        cluster.clock.after(1.0) {
+            cluster.submit(SimulatedCluster.job(1, tasks = 100_000, runS = 15.0), cancelAfter = 60.0)
         }
-        world.clock.runUntil(55.0)
-        assertEquals("running", world.stageOf("job-000001"))
-        assertTrue(world.checker.starts >= 120, "only ${world.checker.starts} starts")
-        world.clock.runUntil(110.0)
-        assertEquals("withdrawn", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(0, world.state.writes.beyond, "writes beyond the rate")
+        cluster.clock.runUntil(55.0)
+        assertEquals("running", cluster.stageOf("job-000001"))
+        assertTrue(cluster.checker.starts >= 120, "only ${cluster.checker.starts} starts")
+        cluster.clock.runUntil(110.0)
+        assertEquals("withdrawn", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
     }
 
     @Test
     fun `a guarantee beyond what can be rented is served as far as it goes`() {
-        val world = SimulatedCluster(25)
-        world.cloud.capacity = 1
-        world.clock.after(1.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 8, team = "red")) }
-        world.clock.runUntil(120.0)
-        assertEquals("running", world.stageOf("job-000001"))
-        assertEquals(4, world.checker.starts)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        val cluster = SimulatedCluster(25)
+        cluster.cloud.capacity = 1
+        cluster.clock.after(1.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 8, team = "red")) }
+        cluster.clock.runUntil(120.0)
+        assertEquals("running", cluster.stageOf("job-000001"))
+        assertEquals(4, cluster.checker.starts)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/RuleCheckerTest.kt
+++ b/src/test/kotlin/plankwall/simulation/RuleCheckerTest.kt
@@ -9,13 +9,13 @@
 
 /** A checker that can't fail proves nothing: each rule is broken once on purpose. */
 class RuleCheckerTest {
-    private val world = SimulatedCluster(1)
-    private val a = SimulatedWorker(world, "i-000001", GroupKey("box", "a", false))
-    private val b = SimulatedWorker(world, "i-000002", GroupKey("box", "b", false))
-    private val spotWorker = SimulatedWorker(world, "i-000003", GroupKey("box", "a", true))
+    private val cluster = SimulatedCluster(1)
+    private val a = SimulatedWorker(cluster, "i-000001", GroupKey("box", "a", false))
+    private val b = SimulatedWorker(cluster, "i-000002", GroupKey("box", "b", false))
+    private val spotWorker = SimulatedWorker(cluster, "i-000003", GroupKey("box", "a", true))
 
     private fun RuleChecker.start(spec: JobSpec, task: Int, worker: SimulatedWorker) =
-        on("${spec.id}/$task", spec, worker, 10.0)
+        taskStarted("${spec.id}/$task", spec, worker, 10.0)
 
     private val plants: Map<String, RuleChecker.() -> Unit> = mapOf(
         "ran_twice" to {
@@ -30,86 +30,86 @@
             start(SimulatedCluster.job(1), 0, a)
             cancelRequested("job-000001")
             cancelAnswered("job-000001", "withdrawn", 10.0)
-            checkCancelled(10.1 + world.settings.workers.cancelS)
+            checkCancelled(10.1 + cluster.settings.workers.cancelS)
         },
         "forgotten" to {
-            submitted(SimulatedCluster.job(1), 201)
-            shown("job-000001", 404, null, 20.0)
+            submissionAnswered(SimulatedCluster.job(1), 201)
+            statusAnswered("job-000001", 404, null, 20.0)
         },
-        "invented" to { shown("job-000009", 200, "pending", 20.0) },
+        "invented" to { statusAnswered("job-000009", 200, "pending", 20.0) },
         "not_done" to
             {
-                submitted(SimulatedCluster.job(1), 201)
-                completed("job-000001/0")
-                shown("job-000001", 200, "done", 20.0)
+                submissionAnswered(SimulatedCluster.job(1), 201)
+                taskCompleted("job-000001/0")
+                statusAnswered("job-000001", 200, "done", 20.0)
             },
         "went_back" to {
-            submitted(SimulatedCluster.job(1, tasks = 1), 201)
-            completed("job-000001/0")
-            shown("job-000001", 200, "done", 20.0)
-            shown("job-000001", 200, "running", 25.0)
+            submissionAnswered(SimulatedCluster.job(1, tasks = 1), 201)
+            taskCompleted("job-000001/0")
+            statusAnswered("job-000001", 200, "done", 20.0)
+            statusAnswered("job-000001", 200, "running", 25.0)
         },
         "too_early" to {
-            submitted(SimulatedCluster.job(1, tasks = 2), 201)
-            completed("job-000001/0")
+            submissionAnswered(SimulatedCluster.job(1, tasks = 2), 201)
+            taskCompleted("job-000001/0")
             start(SimulatedCluster.job(2, after = listOf(1)), 0, a)
         },
         "forgotten in calm" to {
-            submitted(SimulatedCluster.job(1), 201)
-            calmFrom = 50.0
+            submissionAnswered(SimulatedCluster.job(1), 201)
+            faultsOverAt = 50.0
             // However others fare: nobody is told anything.
-            (0..26).forEach { polled("job-000001", false, 20.0 + it * 4.0) }
-            check(broken.isEmpty())
-            polled("job-000001", false, 130.0)
+            (0..26).forEach { pollEnded("job-000001", false, 20.0 + it * 4.0) }
+            check(violations.isEmpty())
+            pollEnded("job-000001", false, 130.0)
         },
         "forgotten on repeating" to {
-            submitted(SimulatedCluster.job(1), 201, 5.0)
-            submitted(SimulatedCluster.job(1), 404, 9.0, null, 8.0)
+            submissionAnswered(SimulatedCluster.job(1), 201, 5.0)
+            submissionAnswered(SimulatedCluster.job(1), 404, 9.0, null, 8.0)
         },
         "forgotten as invalid" to {
-            submitted(SimulatedCluster.job(1), 201, 5.0)
-            submitted(SimulatedCluster.job(1), 400, 9.0, null, 8.0)
+            submissionAnswered(SimulatedCluster.job(1), 201, 5.0)
+            submissionAnswered(SimulatedCluster.job(1), 400, 9.0, null, 8.0)
         },
         "went_back on repeating" to {
-            submitted(SimulatedCluster.job(1, tasks = 1), 201, 5.0, "pending")
-            completed("job-000001/0")
-            shown("job-000001", 200, "done", 20.0)
+            submissionAnswered(SimulatedCluster.job(1, tasks = 1), 201, 5.0, "pending")
+            taskCompleted("job-000001/0")
+            statusAnswered("job-000001", 200, "done", 20.0)
             // Asked before anybody was told, that is no older answer.
-            submitted(SimulatedCluster.job(1, tasks = 1), 200, 20.01, "pending", 19.99)
-            check(broken.isEmpty())
-            submitted(SimulatedCluster.job(1, tasks = 1), 200, 20.02, "pending", 20.01)
+            submissionAnswered(SimulatedCluster.job(1, tasks = 1), 200, 20.01, "pending", 19.99)
+            check(violations.isEmpty())
+            submissionAnswered(SimulatedCluster.job(1, tasks = 1), 200, 20.02, "pending", 20.01)
         },
         "went_back on cancelling" to {
-            submitted(SimulatedCluster.job(1, tasks = 1), 201, 5.0)
-            completed("job-000001/0")
-            shown("job-000001", 200, "done", 20.0)
+            submissionAnswered(SimulatedCluster.job(1, tasks = 1), 201, 5.0)
+            taskCompleted("job-000001/0")
+            statusAnswered("job-000001", 200, "done", 20.0)
             cancelRequested("job-000001")
             cancelAnswered("job-000001", "withdrawn", 21.0, 19.0)
         },
         "stalled" to {
-            submitted(SimulatedCluster.job(1), 201)
-            submitted(SimulatedCluster.job(2, tasks = 4), 201)
-            calmFrom = 10.0
+            submissionAnswered(SimulatedCluster.job(1), 201)
+            submissionAnswered(SimulatedCluster.job(2, tasks = 4), 201)
+            faultsOverAt = 10.0
             // Beside a full machine a job may wait; and one that runs whole does not wait.
             repeat(4) { start(SimulatedCluster.job(2, tasks = 4), it, a) }
             (0..20).forEach {
                 checkStalled(mapOf(a to SimulatedCluster.CATALOG.types.first().capacity), 20.0 + it * 5.0)
             }
-            check(broken.isEmpty())
-            off("job-000002/0", a, 121.0)
-            completed("job-000002/0")
+            check(violations.isEmpty())
+            taskStopped("job-000002/0", a, 121.0)
+            taskCompleted("job-000002/0")
             (0..19).forEach {
                 checkStalled(mapOf(a to SimulatedCluster.CATALOG.types.first().capacity), 125.0 + it * 5.0)
             }
         },
         "orphaned" to {
-            submitted(SimulatedCluster.job(1), 201)
-            submitted(SimulatedCluster.job(2, after = listOf(1)), 201)
-            submitted(SimulatedCluster.job(3, after = listOf(2)), 201)
+            submissionAnswered(SimulatedCluster.job(1), 201)
+            submissionAnswered(SimulatedCluster.job(2, after = listOf(1)), 201)
+            submissionAnswered(SimulatedCluster.job(3, after = listOf(2)), 201)
             cancelRequested("job-000001")
             cancelAnswered("job-000001", "withdrawn", 10.0)
-            shown("job-000003", 200, "pending", 9.9 + world.settings.workers.cancelS)
-            shown("job-000003", 200, "pending", 10.1 + world.settings.workers.cancelS)
+            statusAnswered("job-000003", 200, "pending", 9.9 + cluster.settings.workers.cancelS)
+            statusAnswered("job-000003", 200, "pending", 10.1 + cluster.settings.workers.cancelS)
         },
     )
 
@@ -123,28 +123,28 @@
         ],
     )
     fun `sees a planted violation`(rule: String) {
-        val checker = RuleChecker(world.settings)
+        val checker = RuleChecker(cluster.settings)
         plants.getValue(rule)(checker)
-        assertEquals(listOf(rule.substringBefore(' ')), checker.broken.map { it.substringBefore(':') }.distinct())
+        assertEquals(listOf(rule.substringBefore(' ')), checker.violations.map { it.substringBefore(':') }.distinct())
     }
 
     @Test
     fun `counts commands to start after a confirmed cancellation`() {
-        val checker = RuleChecker(world.settings)
+        val checker = RuleChecker(cluster.settings)
         checker.cancelRequested("job-000001")
-        checker.commanded("job-000001", 9.0)
+        checker.startCommanded("job-000001", 9.0)
         checker.cancelAnswered("job-000001", "withdrawn", 10.0)
-        checker.commanded("job-000001", 10.5)
+        checker.startCommanded("job-000001", 10.5)
         assertEquals(1, checker.startsAfterCancel)
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["zone", "spread"])
     fun `sees tasks apart or together against their job`(kind: String) {
-        val checker = RuleChecker(world.settings)
+        val checker = RuleChecker(cluster.settings)
         val spec = SimulatedCluster.job(1, tasks = 2, oneZone = kind == "zone", spread = kind == "spread")
         checker.start(spec, 0, a)
         checker.start(spec, 1, if (kind == "zone") b else a)
-        assertEquals(listOf("wrong_place"), checker.broken.map { it.substringBefore(':') })
+        assertEquals(listOf("wrong_place"), checker.violations.map { it.substringBefore(':') })
     }
 }
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -45,19 +45,19 @@
         "700, 0.8, true", "240, -1, false", "700, 0.5, false",
     )
     fun `large pages that are stored already go on changing`(tasks: Int, crashAfter: Double, announced: Boolean) {
-        val world = SimulatedCluster(tasks + (crashAfter * 10).toLong(), stateNext = smaller.takeIf { announced })
-        world.cloud.capacity = 200
-        world.clock.after(2.0) { world.submitLaidOutLarge(1, tasks, runS = 40.0) }
-        world.clock.runUntil(40.0)
-        val before = world.state.value(Keys.page("job-000001", 0))?.let { StateCodec.sizeOf(it) } ?: 0
+        val cluster = SimulatedCluster(tasks + (crashAfter * 10).toLong(), stateNext = smaller.takeIf { announced })
+        cluster.cloud.capacity = 200
+        cluster.clock.after(2.0) { cluster.submitLaidOutLarge(1, tasks, runS = 40.0) }
+        cluster.clock.runUntil(40.0)
+        val before = cluster.state.value(Keys.page("job-000001", 0))?.let { StateCodec.sizeOf(it) } ?: 0
         assertTrue(announced || before > 2048, "only $before bytes")
-        world.state.limits = smaller
-        if (crashAfter > 0) world.clock.after(crashAfter) { world.nodes.first { it.leading }.crash(8.0) }
-        world.clock.runUntil(260.0)
-        assertEquals("done", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertTrue(world.state.rejected.values.all { it <= 2 }, "repeated unchanged: ${world.state.rejected}")
-        assertTrue(world.state.keys.none { it.startsWith(Keys.PAGES) }, "pages left behind")
+        cluster.state.limits = smaller
+        if (crashAfter > 0) cluster.clock.after(crashAfter) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.runUntil(260.0)
+        assertEquals("done", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertTrue(cluster.state.rejected.values.all { it <= 2 }, "repeated unchanged: ${cluster.state.rejected}")
+        assertTrue(cluster.state.keys.none { it.startsWith(Keys.PAGES) }, "pages left behind")
     }
 
     @ParameterizedTest
@@ -65,28 +65,28 @@
     fun `a leader that ends in the middle of dividing a page leaves it whole`(crashAfter: Double) {
         // Twelve tasks a part and four changes a transaction: a page of 252 takes several steps.
         val tiny = StateLimits(250.0, 70.0, 1.0, 4)
-        val world = SimulatedCluster(7)
-        world.cloud.capacity = 100
-        world.clock.after(2.0) { world.submitLaidOutLarge(1, 250, runS = 60.0) }
-        world.clock.runUntil(25.0)
-        world.state.limits = tiny
-        while (world.state.keys.count { it.startsWith("${Keys.PAGES}job-000001/") } < 2 &&
-            world.clock.now < 120
+        val cluster = SimulatedCluster(7)
+        cluster.cloud.capacity = 100
+        cluster.clock.after(2.0) { cluster.submitLaidOutLarge(1, 250, runS = 60.0) }
+        cluster.clock.runUntil(25.0)
+        cluster.state.limits = tiny
+        while (cluster.state.keys.count { it.startsWith("${Keys.PAGES}job-000001/") } < 2 &&
+            cluster.clock.now < 120
         ) {
-            world.clock.runUntil(world.clock.now + 0.01)
+            cluster.clock.runUntil(cluster.clock.now + 0.01)
         }
-        assertTrue(world.clock.now < 120, "never divided")
-        world.clock.after(crashAfter) { world.nodes.first { it.leading }.crash(8.0) }
-        world.clock.runUntil(400.0)
-        assertEquals("done", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertTrue(cluster.clock.now < 120, "never divided")
+        cluster.clock.after(crashAfter) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.runUntil(400.0)
+        assertEquals("done", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
     fun `a long description that is stored already can still be withdrawn`() {
-        val world = SimulatedCluster(8, stateNext = smaller)
-        world.clock.after(2.0) {
-            world.submitLaidOutLarge(
+        val cluster = SimulatedCluster(8, stateNext = smaller)
+        cluster.clock.after(2.0) {
+            cluster.submitLaidOutLarge(
                 1,
                 4,
                 runS = 300.0,
@@ -94,13 +94,13 @@
                 listOf("box") + List(200) { "type-of-a-long-name-$it" },
             )
         }
-        world.clock.runUntil(40.0)
-        assertEquals("running", world.stageOf("job-000001"))
-        world.state.limits = smaller
-        world.cancel("job-000001")
-        world.clock.runUntil(60.0)
-        assertEquals("withdrawn", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.clock.runUntil(40.0)
+        assertEquals("running", cluster.stageOf("job-000001"))
+        cluster.state.limits = smaller
+        cluster.cancel("job-000001")
+        cluster.clock.runUntil(60.0)
+        assertEquals("withdrawn", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     private fun items(key: String, pieces: List<Stored>) = pieces.mapIndexed { i, p ->
@@ -117,10 +117,10 @@
         )
     }
 
-    private fun fleet(rentals: Int, arrivals: Int, returning: Int): FleetRecord {
+    private fun fleet(instancesCreated: Int, arrivals: Int, returning: Int): FleetRecord {
         val group = GroupKey("gotthard-box", "bern-keller", false)
         return FleetRecord(
-            (0 until rentals).map { StoredScaleOut("r-123456-$it", group, 50) },
+            (0 until instancesCreated).map { StoredScaleOut("r-123456-$it", group, 50) },
             (0 until arrivals).map {
                 StoredBootingMachine("i-%06d".format(it * 2), group, 1_700_000_000_000 + it / 50)
             },
@@ -131,11 +131,11 @@
     @ParameterizedTest(name = "{0} rentals, {1} arrivals, {2} returns")
     @CsvSource("0, 0, 0", "3, 20, 5", "20, 10, 10", "20, 300, 300", "0, 800, 0", "20, 0, 700")
     fun `the whole record of the fleet is kept within small values and one transaction`(
-        rentals: Int,
+        instancesCreated: Int,
         arrivals: Int,
         returning: Int,
     ) {
-        val whole = fleet(rentals, arrivals, returning)
+        val whole = fleet(instancesCreated, arrivals, returning)
         val pieces = checkNotNull(ChunkedValue.fleet(whole, smaller.txnOps, 2048))
         assertTrue(pieces.all { StateCodec.sizeOf(it) <= 2048 })
         assertTrue(ChunkedValue.writes(Keys.FLEET, pieces, smaller.txnOps - 1).size <= smaller.txnOps)
@@ -185,12 +185,12 @@
     @Test
     fun `machines arriving and returning survive a take-over under the smaller limits`() {
         val tiny = smaller.copy(valueKb = 1.0)
-        val world = SimulatedCluster(9, stateNext = tiny)
-        world.cloud.capacity = 2000
+        val cluster = SimulatedCluster(9, stateNext = tiny)
+        cluster.cloud.capacity = 2000
         // Rented little by little and with names taken turn about, so that few share an entry of the record.
         for (n in 1..160) {
-            world.clock.after(2.0 + n * 0.05) {
-                world.submit(
+            cluster.clock.after(2.0 + n * 0.05) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         tasks = 16,
@@ -201,17 +201,20 @@
                 )
             }
         }
-        world.state.limits = tiny
-        world.clock.runUntil(12.0)
-        val rented = world.cloud.rentals
+        cluster.state.limits = tiny
+        cluster.clock.runUntil(12.0)
+        val rented = cluster.cloud.instancesCreated
         assertTrue(rented >= 500, "$rented")
-        assertTrue(world.state.keys.any { it.startsWith("${Keys.FLEET}/") }, "the record was never divided")
-        world.nodes.first { it.leading }.crash(6.0)
-        world.clock.runUntil(19.0)
-        assertTrue(world.cloud.rentals <= rented * 1.05, "rented twice: $rented, then ${world.cloud.rentals}")
-        world.clock.runUntil(200.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(emptyMap<String, Int>(), world.state.rejected)
-        assertEquals("done", world.stageOf("job-000160"))
+        assertTrue(cluster.state.keys.any { it.startsWith("${Keys.FLEET}/") }, "the record was never divided")
+        cluster.nodes.first { it.leading }.crash(6.0)
+        cluster.clock.runUntil(19.0)
+        assertTrue(
+            cluster.cloud.instancesCreated <= rented * 1.05,
+            "rented twice: $rented, then ${cluster.cloud.instancesCreated}",
+        )
+        cluster.clock.runUntil(200.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(emptyMap<String, Int>(), cluster.state.rejected)
+        assertEquals("done", cluster.stageOf("job-000160"))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -186,10 +186,10 @@
 
     @Test
     fun `a class without an aim is served in the end, however little else there is to do`() {
-        val world = SimulatedCluster(61, objectives = listOf(Objective("finished", "class", 100.0, 0.9)))
+        val cluster = SimulatedCluster(61, objectives = listOf(Objective("finished", "class", 100.0, 0.9)))
         for (n in 1..6) {
-            world.clock.after(2.0) {
-                world.submit(
+            cluster.clock.after(2.0) {
+                cluster.submit(
                     SimulatedCluster.job(
                         n,
                         tasks = 8,
@@ -199,9 +199,9 @@
                 )
             }
         }
-        world.clock.after(10.0) { world.submit(SimulatedCluster.job(9, runS = 20.0)) }
-        world.clock.runUntil(200.0)
-        assertEquals(List(6) { "done" }, (1..6).map { world.stageOf("job-%06d".format(it)) })
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.clock.after(10.0) { cluster.submit(SimulatedCluster.job(9, runS = 20.0)) }
+        cluster.clock.runUntil(200.0)
+        assertEquals(List(6) { "done" }, (1..6).map { cluster.stageOf("job-%06d".format(it)) })
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 }
