--- a/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -20,50 +20,60 @@
  * than `cancel_s`, while workers report to the old leader. The checker says `ran_cancelled` by the user's clock.
  */
 class CancellationGapTest {
-    private lateinit var world: SimulatedCluster
+    private lateinit var cluster: SimulatedCluster
     private lateinit var first: SimulatedController
-    private val others get() = world.nodes.filter { it !== first }
+    private val others get() = cluster.nodes.filter { it !== first }
 
     private fun begin(times: WorkerTimes = SimulatedCluster.settings("n0", 5).workers) {
-        world = SimulatedCluster(7, nodeCount = 5, times = times)
-        world.clock.after(2.0) { (1..6).forEach { world.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) } }
-        world.clock.runUntil(60.0)
-        assertEquals(60, world.checker.starts)
-        first = world.nodes.first { it.leading }
+        cluster = SimulatedCluster(7, nodeCount = 5, times = times)
+        cluster.clock.after(2.0) {
+            (1..6).forEach { cluster.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) }
+        }
+        cluster.clock.runUntil(60.0)
+        assertEquals(60, cluster.checker.starts)
+        first = cluster.nodes.first { it.leading }
     }
 
     private fun refuse(node: SimulatedController, forS: Double) {
-        world.cuts.add("${node.name}-state")
-        world.clock.after(forS) { world.cuts.remove("${node.name}-state") }
+        cluster.cuts.add("${node.name}-state")
+        cluster.clock.after(forS) { cluster.cuts.remove("${node.name}-state") }
     }
 
     private fun outage(forS: Double) {
-        world.state.outage = true
-        world.clock.after(forS) { world.state.outage = false }
+        cluster.state.outage = true
+        cluster.clock.after(forS) { cluster.state.outage = false }
     }
 
     private var told = 0
 
     private fun cancel(node: SimulatedController, job: Int, then: () -> Unit = {}) {
         val id = "job-%06d".format(job)
-        world.checker.cancelRequested(id)
-        node.ask({ Input.Cancel(it, id) }) { status, body ->
-            if (status != 200) return@ask
+        cluster.checker.cancelRequested(id)
+        node.sendRequest({ Input.Cancel(it, id) }) { status, body ->
+            if (status != 200) return@sendRequest
             told++
-            world.checker.cancelAnswered(id, SimulatedWorker.json.readTree(body).get("stage").asText(), world.clock.now)
+            cluster.checker.cancelAnswered(
+                id,
+                SimulatedWorker.json.readTree(body).get("stage").asText(),
+                cluster.clock.now,
+            )
             then()
         }
     }
 
     /** [killed]: whether a bound has to end the work since no word came; null: either will do. */
     private fun ends(cancellations: Int, killed: Boolean?) {
-        world.clock.runUntil(world.clock.now + 200.0)
+        cluster.clock.runUntil(cluster.clock.now + 200.0)
         assertEquals(cancellations, told, "withdrawals confirmed")
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
         if (killed !=
             null
         ) {
-            assertEquals(killed, world.leaseDeaths > 0, "${world.leaseDeaths} tasks killed by their lease")
+            assertEquals(
+                killed,
+                cluster.tasksKilledByLease > 0,
+                "${cluster.tasksKilledByLease} tasks killed by their lease",
+            )
         }
         // Whatever was killed meanwhile runs again: all but the withdrawn jobs, and nothing waits for ever.
         (1..6).forEach {
@@ -75,7 +85,7 @@
                 } else {
                     "running"
                 },
-                world.stageOf("job-%06d".format(it)),
+                cluster.stageOf("job-%06d".format(it)),
             )
         }
     }
@@ -101,8 +111,8 @@
         val by = others.first()
         var cancellations = 1
         if (how == "whoever confirmed is of an older version") {
-            world.older.add(by.name)
-            world.clock.runUntil(70.0)
+            cluster.previousVersionNodes.add(by.name)
+            cluster.clock.runUntil(70.0)
         }
         refuse(first, 14.0)
         when (how) {
@@ -112,10 +122,10 @@
                     Keys.PAGES
             }
             "the old leader goes on beside the new one" -> {
-                world.cuts.add("${first.name}-peers")
-                world.clock.after(10.0) { gap(by) }
+                cluster.cuts.add("${first.name}-peers")
+                cluster.clock.after(10.0) { gap(by) }
             }
-            else -> world.clock.after(
+            else -> cluster.clock.after(
                 if (how ==
                     "at the very moment"
                 ) {
@@ -128,7 +138,7 @@
         if (!how.startsWith("a leader") &&
             !how.startsWith("the old leader")
         ) {
-            world.clock.after(
+            cluster.clock.after(
                 if (how ==
                     "at the very moment"
                 ) {
@@ -138,17 +148,17 @@
                 },
             ) { outage(60.0 - 8.0) }
         }
-        if (how == "the peers can't be heard either") world.cuts.add("${first.name}-peers")
+        if (how == "the peers can't be heard either") cluster.cuts.add("${first.name}-peers")
         if (how == "twice in a row") {
             cancellations = 2
-            world.clock.after(100.0) {
-                first = world.nodes.first { it.leading }
+            cluster.clock.after(100.0) {
+                first = cluster.nodes.first { it.leading }
                 refuse(first, 14.0)
-                world.clock.after(0.5) { cancel(others.last(), 2) }
-                world.clock.after(1.5) { outage(50.0) }
+                cluster.clock.after(0.5) { cancel(others.last(), 2) }
+                cluster.clock.after(1.5) { outage(50.0) }
             }
         }
-        world.clock.after(100.0) { world.cuts.clear() }
+        cluster.clock.after(100.0) { cluster.cuts.clear() }
         ends(cancellations, killed)
     }
 
@@ -163,20 +173,20 @@
     }
 
     private fun apart(node: SimulatedController, how: LinkCut) {
-        world.wiring.cutBoth(node.name, first.name, how)
-        world.clock.after(70.0) { world.wiring.healBoth(node.name, first.name) }
+        cluster.network.cutBoth(node.name, first.name, how)
+        cluster.clock.after(70.0) { cluster.network.healBoth(node.name, first.name) }
     }
 
     /** The confirmation, and the outage for all right after it. */
     private fun gap(by: SimulatedController) {
-        world.clock.after(0.001) { cancel(by, 1) }
-        world.clock.after(0.03) { outage(60.0) }
+        cluster.clock.after(0.001) { cancel(by, 1) }
+        cluster.clock.after(0.03) { outage(60.0) }
     }
 
     /** The gap, once, as soon as a second leader does what [moment] waits for. */
     private fun onSecond(by: SimulatedController, moment: (Effect) -> Boolean) {
         var over = false
-        world.onEffect = { node, effect ->
+        cluster.onEffect = { node, effect ->
             if (!over && node !== first && node.leading && moment(effect)) {
                 over = true
                 gap(by)
@@ -195,10 +205,10 @@
             told = 0
             begin(WorkerTimes(reportS, leaseS, 45.0, 5.0, cancelS))
             refuse(first, 14.0)
-            if (!heard) world.cuts.add("${first.name}-peers")
-            world.clock.after(0.5) { cancel(others.first(), 1) }
-            world.clock.after(1.5) { outage(cancelS + 12.0) }
-            world.clock.after(100.0) { world.cuts.clear() }
+            if (!heard) cluster.cuts.add("${first.name}-peers")
+            cluster.clock.after(0.5) { cancel(others.first(), 1) }
+            cluster.clock.after(1.5) { outage(cancelS + 12.0) }
+            cluster.clock.after(100.0) { cluster.cuts.clear() }
             ends(1, killed = !heard)
         }
     }
@@ -207,10 +217,10 @@
     fun `a plain outage stops nothing that could run`() {
         begin()
         outage(52.0)
-        world.clock.runUntil(world.clock.now + 100.0)
-        assertEquals(0, world.leaseDeaths)
-        assertEquals(60, world.checker.starts)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertTrue(world.nodes.count { it.leading } == 1)
+        cluster.clock.runUntil(cluster.clock.now + 100.0)
+        assertEquals(0, cluster.tasksKilledByLease)
+        assertEquals(60, cluster.checker.starts)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertTrue(cluster.nodes.count { it.leading } == 1)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
@@ -13,17 +13,17 @@
  * Days on which many machines fall silent together: what is left alone, and what is rented before anything is proven.
  */
 class FailureDetectorScenarioTest {
-    private val world = SimulatedCluster(5)
+    private val cluster = SimulatedCluster(5)
 
     /** A site at work with [tasks] replicas, four to a machine; returns the leader. */
     private fun atWork(tasks: Int): SimulatedController {
-        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = tasks)) }
-        world.clock.runUntil(45.0)
-        assertEquals(tasks / 4, world.cloud.alive.size)
-        return world.nodes.first { it.leading }
+        cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = tasks)) }
+        cluster.clock.runUntil(45.0)
+        assertEquals(tasks / 4, cluster.cloud.instances.size)
+        return cluster.nodes.first { it.leading }
     }
 
-    private fun rented(): Set<String> = world.cloud.alive.map { it.id }.toSet()
+    private fun rented(): Set<String> = cluster.cloud.instances.map { it.id }.toSet()
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
@@ -35,14 +35,14 @@
         val first = atWork(24)
         val before = rented()
         first.crash(200.0)
-        if (zoneOnly) world.cutZones.add("b") else world.nodes.forEach { world.cuts.add("${it.name}-workers") }
-        world.clock.runUntil(45.0 + forS)
+        if (zoneOnly) cluster.cutZones.add("b") else cluster.nodes.forEach { cluster.cuts.add("${it.name}-workers") }
+        cluster.clock.runUntil(45.0 + forS)
         assertTrue(rented().containsAll(before), "$name: gone are ${before - rented()}")
-        world.cutZones.clear()
-        world.cuts.clear()
-        world.clock.runUntil(200.0)
-        assertEquals("running", world.stageOf("job-000001"))
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.cutZones.clear()
+        cluster.cuts.clear()
+        cluster.clock.runUntil(200.0)
+        assertEquals("running", cluster.stageOf("job-000001"))
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @ParameterizedTest(name = "{0}")
@@ -62,25 +62,25 @@
         val first = atWork(24)
         if (leaderToo) first.crash(8.0)
         // Some of each zone: one that is silent as a whole would count as cut off.
-        world.cloud.workers.groupBy { it.group.zone }.values.flatMap { it.take(2) }.take(die).forEach { it.die() }
-        world.clock.runUntil(45.0 + withinS)
-        assertEquals(6 + die, world.cloud.rentals, name)
-        world.clock.runUntil(160.0)
-        assertEquals("running", world.stageOf("job-000001"))
-        assertEquals(24 + 4 * die, world.checker.starts, "$name: each lost replica started once more")
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.cloud.workers.groupBy { it.group.zone }.values.flatMap { it.take(2) }.take(die).forEach { it.die() }
+        cluster.clock.runUntil(45.0 + withinS)
+        assertEquals(6 + die, cluster.cloud.instancesCreated, name)
+        cluster.clock.runUntil(160.0)
+        assertEquals("running", cluster.stageOf("job-000001"))
+        assertEquals(24 + 4 * die, cluster.checker.starts, "$name: each lost replica started once more")
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
     fun `what waits is rented for as soon as the first workers are back, whoever else is still on the way`() {
         val first = atWork(24)
         first.crash(8.0)
-        world.cloud.workers.first().die()
-        world.clock.after(0.5) { world.submit(SimulatedCluster.job(2, tasks = 4)) }
-        while (world.nodes.none { it.leading && it !== first }) world.clock.runUntil(world.clock.now + 0.1)
-        world.clock.runUntil(world.clock.now + 7.0)
-        assertEquals(7, world.cloud.rentals)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.cloud.workers.first().die()
+        cluster.clock.after(0.5) { cluster.submit(SimulatedCluster.job(2, tasks = 4)) }
+        while (cluster.nodes.none { it.leading && it !== first }) cluster.clock.runUntil(cluster.clock.now + 0.1)
+        cluster.clock.runUntil(cluster.clock.now + 7.0)
+        assertEquals(7, cluster.cloud.instancesCreated)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @ParameterizedTest(name = "{0}")
@@ -94,13 +94,13 @@
         shape: Shape,
         deleted: Boolean,
     ) {
-        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, shape, tasks = 24, runS = 500.0)) }
-        world.clock.runUntil(45.0)
-        val silent = world.cloud.workers.first().also { it.die() }.id
-        world.clock.runUntil(45.0 + 13.0)
+        cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, shape, tasks = 24, runS = 500.0)) }
+        cluster.clock.runUntil(45.0)
+        val silent = cluster.cloud.workers.first().also { it.die() }.id
+        cluster.clock.runUntil(45.0 + 13.0)
         assertEquals(deleted, silent !in rented(), name)
-        world.clock.runUntil(100.0)
-        assertEquals(28, world.checker.starts, name)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        cluster.clock.runUntil(100.0)
+        assertEquals(28, cluster.checker.starts, name)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -28,42 +28,48 @@
                 },
             ).play()
         }.toList()
-        val bad = days.filter { it.broken.isNotEmpty() || it.unserved.isNotEmpty() }
+        val bad = days.filter { it.violations.isNotEmpty() || it.unfinishedJobs.isNotEmpty() }
         assertEquals(
             emptyList<String>(),
             bad.map {
-                "day ${it.seed}: ${it.broken.take(3)} unserved ${it.unserved}; ${it.troubles}"
+                "day ${it.seed}: ${it.violations.take(3)} unserved ${it.unfinishedJobs}; ${it.faults}"
             },
         )
         assertTrue(days.all { it.cancelled >= 20 })
-        assertTrue(days.sumOf { it.felt.size } >= days.size, "troubles took hold")
+        assertTrue(days.sumOf { it.faultCounts.size } >= days.size, "troubles took hold")
     }
 
     /**
-     * The leader crashes [crashAfterS] after [deaf] machines stopped hearing answers; what ran there starts again
+     * The leader crashes [crashAfterS] after [inboundBlocked] machines stopped hearing answers; what ran there starts again
      * elsewhere.
      */
-    private fun startsWithDeaf(deaf: Int, crashAfterS: Double): Int {
-        val world = SimulatedCluster(3, nodeCount = 3)
-        world.clock.after(2.0) { (1..3).forEach { world.submit(SimulatedCluster.job(it, tasks = 4, runS = 400.0)) } }
-        world.clock.runUntil(50.0)
-        assertEquals(12, world.checker.starts)
-        world.deaf.addAll(world.cloud.workers.take(deaf).map { it.id })
-        world.clock.after(crashAfterS) { world.nodes.first { it.leading }.crash(8.0) }
+    private fun startsWithDeaf(inboundBlocked: Int, crashAfterS: Double): Int {
+        val cluster = SimulatedCluster(3, nodeCount = 3)
+        cluster.clock.after(2.0) {
+            (1..3).forEach { cluster.submit(SimulatedCluster.job(it, tasks = 4, runS = 400.0)) }
+        }
+        cluster.clock.runUntil(50.0)
+        assertEquals(12, cluster.checker.starts)
+        cluster.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
+        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
         // Reports go on for all this time, and those of the deaf never show the new leader's token.
-        world.clock.runUntil(50.0 + crashAfterS + 2 * world.settings.workers.leaseS + 40.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        return world.checker.starts
+        cluster.clock.runUntil(50.0 + crashAfterS + 2 * cluster.settings.workers.leaseS + 40.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        return cluster.checker.starts
     }
 
     @ParameterizedTest(name = "{0} deaf, {1} s before the leader ends")
     @CsvSource("1, 1, 16", "1, 8, 16", "0, 1, 12")
-    fun `a machine that hears no new leader keeps nothing for ever`(deaf: Int, crashAfterS: Double, starts: Int) {
-        assertEquals(starts, startsWithDeaf(deaf, crashAfterS))
+    fun `a machine that hears no new leader keeps nothing for ever`(
+        inboundBlocked: Int,
+        crashAfterS: Double,
+        starts: Int,
+    ) {
+        assertEquals(starts, startsWithDeaf(inboundBlocked, crashAfterS))
     }
 
     @Test
     fun `most machines deaf move no lead to and fro, and their work starts elsewhere`() {
-        assertEquals(24, startsWithDeaf(deaf = 3, crashAfterS = 1.0))
+        assertEquals(24, startsWithDeaf(inboundBlocked = 3, crashAfterS = 1.0))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
@@ -10,45 +10,48 @@
 
 /** Whole days in virtual time, each with its troubles and several seeds: no rule may break, and the work gets done. */
 class FaultScenarioTest {
-    private class Trouble(val at: Double, val act: SimulatedCluster.() -> Unit)
+    private class ScheduledFault(val at: Double, val act: SimulatedCluster.() -> Unit)
 
-    private val days: Map<String, List<Trouble>> = mapOf(
+    private val days: Map<String, List<ScheduledFault>> = mapOf(
         "quiet" to emptyList(),
-        "one crash" to listOf(Trouble(60.0) { nodes.first { it.leading }.crash(8.0) }),
-        "all crash" to listOf(Trouble(60.0) { nodes.forEach { it.crash(8.0) } }),
-        "rolling" to (0..2).map { n -> Trouble(50.0 + 20 * n) { nodes[n].crash(6.0) } },
-        "outage" to listOf(Trouble(50.0) { state.outage = true }, Trouble(65.0) { state.outage = false }),
-        "long outage" to listOf(Trouble(50.0) { state.outage = true }, Trouble(130.0) { state.outage = false }),
+        "one crash" to listOf(ScheduledFault(60.0) { nodes.first { it.leading }.crash(8.0) }),
+        "all crash" to listOf(ScheduledFault(60.0) { nodes.forEach { it.crash(8.0) } }),
+        "rolling" to (0..2).map { n -> ScheduledFault(50.0 + 20 * n) { nodes[n].crash(6.0) } },
+        "outage" to listOf(ScheduledFault(50.0) { state.outage = true }, ScheduledFault(65.0) { state.outage = false }),
+        "long outage" to
+            listOf(ScheduledFault(50.0) { state.outage = true }, ScheduledFault(130.0) { state.outage = false }),
         "leader cut from state" to listOf(
-            Trouble(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-state") } },
-            Trouble(110.0) { cuts.clear() },
+            ScheduledFault(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-state") } },
+            ScheduledFault(110.0) { cuts.clear() },
         ),
         "leader cut from workers" to listOf(
-            Trouble(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-workers") } },
-            Trouble(110.0) { cuts.clear() },
+            ScheduledFault(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-workers") } },
+            ScheduledFault(110.0) { cuts.clear() },
         ),
         "leader cut from state and peers" to listOf(
-            Trouble(50.0) {
+            ScheduledFault(50.0) {
                 nodes.first { it.leading }.let { cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
             },
-            Trouble(120.0) { cuts.clear() },
+            ScheduledFault(120.0) { cuts.clear() },
         ),
-        "machines fail" to listOf(Trouble(60.0) { cloud.alive.take(2).map { it.id }.forEach { cloud.fail(it) } }),
-        "late writes" to listOf(Trouble(30.0) { lateWrites = 0.1 }, Trouble(150.0) { lateWrites = 0.0 }),
-        "lost answers" to listOf(Trouble(20.0) { loss = 0.1 }, Trouble(150.0) { loss = 0.0 }),
+        "machines fail" to
+            listOf(ScheduledFault(60.0) { cloud.instances.take(2).map { it.id }.forEach { cloud.fail(it) } }),
+        "late writes" to listOf(ScheduledFault(30.0) { lateWrites = 0.1 }, ScheduledFault(150.0) { lateWrites = 0.0 }),
+        "lost answers" to listOf(ScheduledFault(20.0) { answerLoss = 0.1 }, ScheduledFault(150.0) { answerLoss = 0.0 }),
         "everything" to listOf(
-            Trouble(25.0) { loss = 0.05 },
-            Trouble(30.0) { lateWrites = 0.05 },
-            Trouble(55.0) { nodes.first { it.up }.crash(8.0) },
-            Trouble(75.0) { cloud.alive.take(1).map { it.id }.forEach { cloud.fail(it) } },
-            Trouble(90.0) { nodes.forEach { it.crash(10.0) } },
-            Trouble(105.0) { state.outage = true },
-            Trouble(120.0) { state.outage = false },
-            Trouble(160.0) { lateWrites = 0.0 },
-            Trouble(160.0) { loss = 0.0 },
+            ScheduledFault(25.0) { answerLoss = 0.05 },
+            ScheduledFault(30.0) { lateWrites = 0.05 },
+            ScheduledFault(55.0) { nodes.first { it.up }.crash(8.0) },
+            ScheduledFault(75.0) { cloud.instances.take(1).map { it.id }.forEach { cloud.fail(it) } },
+            ScheduledFault(90.0) { nodes.forEach { it.crash(10.0) } },
+            ScheduledFault(105.0) { state.outage = true },
+            ScheduledFault(120.0) { state.outage = false },
+            ScheduledFault(160.0) { lateWrites = 0.0 },
+            ScheduledFault(160.0) { answerLoss = 0.0 },
         ),
-        "machines never come" to listOf(Trouble(0.1) { cloud.bootFails = 0.3 }),
-        "cloud outage" to listOf(Trouble(25.0) { cloud.outage = true }, Trouble(80.0) { cloud.outage = false }),
+        "machines never come" to listOf(ScheduledFault(0.1) { cloud.bootFailureShare = 0.3 }),
+        "cloud outage" to
+            listOf(ScheduledFault(25.0) { cloud.outage = true }, ScheduledFault(80.0) { cloud.outage = false }),
     )
 
     @ParameterizedTest(name = "{0}, seed {1}")
@@ -60,11 +63,11 @@
         "late writes,18",
     )
     fun `keeps the rules and finishes`(day: String, seed: Long) {
-        val world = SimulatedCluster(seed)
-        days.getValue(day).forEach { t -> world.clock.after(t.at) { t.act(world) } }
+        val cluster = SimulatedCluster(seed)
+        days.getValue(day).forEach { t -> cluster.clock.after(t.at) { t.act(cluster) } }
         val finishing = ArrayList<String>()
         fun at(s: Double, number: Int, spec: plankwall.model.JobSpec, cancelAfter: Double? = null) {
-            world.clock.after(s) { world.submit(spec, cancelAfter) }
+            cluster.clock.after(s) { cluster.submit(spec, cancelAfter) }
             if (cancelAfter == null && spec.shape != Shape.SERVICE) finishing.add("job-%06d".format(number))
         }
         at(3.0, 1, SimulatedCluster.job(1, Shape.SERVICE, tasks = 2, spread = true, priority = Priority.PRODUCTION))
@@ -90,11 +93,11 @@
                 ),
             )
         }
-        world.clock.runUntil(420.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertTrue(world.checker.starts >= 100, "only ${world.checker.starts} starts")
-        val unfinished = finishing.associateWith { world.stageOf(it) }.filterValues { it != "done" }
+        cluster.clock.runUntil(420.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertTrue(cluster.checker.starts >= 100, "only ${cluster.checker.starts} starts")
+        val unfinished = finishing.associateWith { cluster.stageOf(it) }.filterValues { it != "done" }
         assertEquals(emptyMap<String, String?>(), unfinished)
-        assertEquals("withdrawn", world.stageOf("job-000005"))
+        assertEquals("withdrawn", cluster.stageOf("job-000005"))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
@@ -18,8 +18,8 @@
     @CsvSource("3, 1 2 3 4", "5, 5 6 7 8", "7, 9 10 11 12")
     fun `nights with all troubles drawn by seed`(nodes: Int, seeds: String) {
         val nights = seeds.split(' ').map { MixedFaultScenario(it.toLong(), nodes).play() }
-        assertEquals(emptyList<String>(), nights.flatMap { it.broken })
-        assertEquals(emptyList<String>(), nights.flatMap { n -> n.unserved.map { "${n.seed}: $it not done" } })
+        assertEquals(emptyList<String>(), nights.flatMap { it.violations })
+        assertEquals(emptyList<String>(), nights.flatMap { n -> n.unfinishedJobs.map { "${n.seed}: $it not done" } })
     }
 
     /**
@@ -28,10 +28,10 @@
      */
     @Test
     fun `a sweep amid a storm of polls survives two leaders`() {
-        val world = SimulatedCluster(77)
-        world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION))
-        world.clock.after(20.0) {
-            world.submit(
+        val cluster = SimulatedCluster(77)
+        cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 8, priority = Priority.PRODUCTION))
+        cluster.clock.after(20.0) {
+            cluster.submit(
                 SimulatedCluster.job(
                     2,
                     tasks = 4_000,
@@ -39,16 +39,16 @@
                     priority = Priority.LOW,
                 ).copy(need = Resources(250, 0, 500)),
             )
-            world.pollFactor = 10.0
+            cluster.pollFactor = 10.0
         }
-        world.clock.after(28.0) { world.nodes.first { it.leading }.crash(8.0) }
-        world.clock.after(36.0) { world.nodes.firstOrNull { it.leading }?.freeze(60.0) }
-        world.clock.runUntil(160.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals("done", world.stageOf("job-000002"))
-        assertEquals(8 + 4_000, world.checker.starts, "something was started twice")
-        assertEquals(0, world.state.writes.beyond, "writes beyond the rate")
-        assertEquals(0, world.state.calls.beyond, "calls beyond the rate")
+        cluster.clock.after(28.0) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(36.0) { cluster.nodes.firstOrNull { it.leading }?.freeze(60.0) }
+        cluster.clock.runUntil(160.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals("done", cluster.stageOf("job-000002"))
+        assertEquals(8 + 4_000, cluster.checker.starts, "something was started twice")
+        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
+        assertEquals(0, cluster.state.calls.beyond, "calls beyond the rate")
     }
 
     /**
@@ -57,13 +57,13 @@
      */
     @Test
     fun `a leader without the store stops answering when its grace is over`() {
-        val world = SimulatedCluster(78, nodeCount = 1)
-        world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION))
+        val cluster = SimulatedCluster(78, nodeCount = 1)
+        cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION))
         var lastServed = 0.0
-        world.onServed = { _, _ -> lastServed = world.clock.now }
-        world.clock.after(40.0) { world.cuts.add("n0-state") }
-        world.clock.runUntil(200.0)
-        val lease = world.settings.workers.leaseS
+        cluster.onHeartbeatServed = { _, _ -> lastServed = cluster.clock.now }
+        cluster.clock.after(40.0) { cluster.cuts.add("n0-state") }
+        cluster.clock.runUntil(200.0)
+        val lease = cluster.settings.workers.leaseS
         assertTrue(lastServed > 40.0 + lease, "workers are kept for the grace at least, until $lastServed s")
         assertTrue(lastServed < 40.0 + lease * (Tuning().outageGraceLeases + 1), "answered until $lastServed s")
     }
--- a/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -14,36 +14,36 @@
 
 /** Links cut in part: whoever can reach a leader through anybody keeps its work. Leases are 15 s here. */
 class PartialPartitionTest {
-    private val world = SimulatedCluster(11, nodeCount = 5)
+    private val cluster = SimulatedCluster(11, nodeCount = 5)
     private val first: SimulatedController
 
     init {
-        world.clock.after(2.0) { world.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
-        world.clock.runUntil(45.0)
-        assertEquals(20, world.cloud.alive.size)
-        first = world.nodes.first { it.leading }
+        cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
+        cluster.clock.runUntil(45.0)
+        assertEquals(20, cluster.cloud.instances.size)
+        first = cluster.nodes.first { it.leading }
     }
 
-    private val others get() = world.nodes.filter { it !== first }
+    private val others get() = cluster.nodes.filter { it !== first }
 
     private fun cut(nodes: List<SimulatedController>, what: String, how: LinkCut) = nodes.forEach {
-        world.wiring.cutBoth(it.name, what, how)
+        cluster.network.cutBoth(it.name, what, how)
     }
 
-    private fun peersApart(how: LinkCut) = world.nodes.forEach { a ->
-        world.nodes.filter { it !== a }.forEach { world.wiring.cut(a.name, it.name, how) }
+    private fun peersApart(how: LinkCut) = cluster.nodes.forEach { a ->
+        cluster.nodes.filter { it !== a }.forEach { cluster.network.cut(a.name, it.name, how) }
     }
 
     /** Goes on for [forS], heals, and looks for what was lost. */
     private fun survives(forS: Double = 40.0) {
-        world.clock.runUntil(world.clock.now + forS)
-        assertEquals(0, world.leaseDeaths, "tasks killed by their lease")
-        world.wiring.healAll()
-        world.clock.runUntil(world.clock.now + 40.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(0, world.leaseDeaths, "tasks killed by their lease after the cut")
-        assertEquals(80, world.checker.starts, "replicas were started anew")
-        assertEquals("running", world.stageOf("job-000001"))
+        cluster.clock.runUntil(cluster.clock.now + forS)
+        assertEquals(0, cluster.tasksKilledByLease, "tasks killed by their lease")
+        cluster.network.healAll()
+        cluster.clock.runUntil(cluster.clock.now + 40.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(0, cluster.tasksKilledByLease, "tasks killed by their lease after the cut")
+        assertEquals(80, cluster.checker.starts, "replicas were started anew")
+        assertEquals("running", cluster.stageOf("job-000001"))
     }
 
     @ParameterizedTest
@@ -59,7 +59,8 @@
     fun `a leader that workers can't reach from the start serves them through its peers`(how: LinkCut) {
         // Whoever wins is out of reach; the others are not.
         first.crash(200.0)
-        world.onEffect = { node, _ -> if (node.leading && world.wiring.cuts == 0) cut(listOf(node), "workers", how) }
+        cluster.onEffect =
+            { node, _ -> if (node.leading && cluster.network.cutCount == 0) cut(listOf(node), "workers", how) }
         survives(60.0)
     }
 
@@ -93,28 +94,30 @@
     fun `a leader cut from its workers in the midst of something else`(what: String) {
         when (what) {
             "during an outage for all" -> {
-                world.state.outage = true
-                world.clock.after(20.0) { world.state.outage = false }
+                cluster.state.outage = true
+                cluster.clock.after(20.0) { cluster.state.outage = false }
             }
             "during a take-over" -> first.crash(8.0)
-            "while renewals go unanswered" -> world.loss = 0.1
+            "while renewals go unanswered" -> cluster.answerLoss = 0.1
             else -> first.freeze(9.0)
         }
-        world.clock.after(2.0) {
-            cut(listOf(world.nodes.firstOrNull { it.leading } ?: first), "workers", LinkCut.REFUSE)
+        cluster.clock.after(2.0) {
+            cut(listOf(cluster.nodes.firstOrNull { it.leading } ?: first), "workers", LinkCut.REFUSE)
         }
-        world.clock.after(25.0) { world.loss = 0.0 }
+        cluster.clock.after(25.0) { cluster.answerLoss = 0.0 }
         survives()
     }
 
     @Test
     fun `two leaders gone within one lease, each at once out of reach`() {
         cut(listOf(first), "workers", LinkCut.REFUSE)
-        world.clock.after(1.0) { first.crash(30.0) }
-        world.clock.after(6.0) {
-            world.nodes.filter { it.leading }.forEach { cut(listOf(it), "workers", LinkCut.REFUSE) }
+        cluster.clock.after(1.0) { first.crash(30.0) }
+        cluster.clock.after(6.0) {
+            cluster.nodes.filter { it.leading }.forEach { cut(listOf(it), "workers", LinkCut.REFUSE) }
+        }
+        cluster.clock.after(7.0) {
+            cluster.nodes.filter { it.leading }.forEach { cut(listOf(it), "state", LinkCut.HOLD) }
         }
-        world.clock.after(7.0) { world.nodes.filter { it.leading }.forEach { cut(listOf(it), "state", LinkCut.HOLD) } }
         survives()
     }
 
@@ -123,9 +126,9 @@
         var leads = 0
         repeat(8) {
             cut(listOf(first), "workers", LinkCut.HOLD)
-            world.clock.runUntil(world.clock.now + 5.0)
-            world.wiring.healAll()
-            world.clock.runUntil(world.clock.now + 5.0)
+            cluster.clock.runUntil(cluster.clock.now + 5.0)
+            cluster.network.healAll()
+            cluster.clock.runUntil(cluster.clock.now + 5.0)
             if (!first.leading) leads++
         }
         assertEquals(0, leads)
@@ -138,9 +141,9 @@
         cut(listOf(first), "workers", LinkCut.REFUSE)
         val peer = others.first()
         cut(others.drop(1), "workers", LinkCut.REFUSE)
-        world.clock.runUntil(world.clock.now + 25.0)
+        cluster.clock.runUntil(cluster.clock.now + 25.0)
         assertTrue(first.leading, "handed over for a passing cut")
-        world.clock.runUntil(world.clock.now + 25.0)
+        cluster.clock.runUntil(cluster.clock.now + 25.0)
         assertTrue(peer.leading, "the one that all workers reach does not lead")
         survives(1.0)
     }
@@ -149,43 +152,43 @@
     fun `peers apart and the leader without store - nobody takes silence for proof`() {
         peersApart(LinkCut.HOLD)
         cut(listOf(first), "state", LinkCut.HOLD)
-        world.clock.runUntil(world.clock.now + 60.0)
-        world.wiring.healAll()
-        world.clock.runUntil(world.clock.now + 60.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals("running", world.stageOf("job-000001"))
+        cluster.clock.runUntil(cluster.clock.now + 60.0)
+        cluster.network.healAll()
+        cluster.clock.runUntil(cluster.clock.now + 60.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals("running", cluster.stageOf("job-000001"))
     }
 
     @Test
     fun `nodes of the older version are sent no frame that they can't read, and hand over as they did`() {
-        others.forEach { world.older.add(it.name) }
-        world.clock.runUntil(world.clock.now + 3.0)
+        others.forEach { cluster.previousVersionNodes.add(it.name) }
+        cluster.clock.runUntil(cluster.clock.now + 3.0)
         cut(listOf(first), "workers", LinkCut.REFUSE)
-        world.clock.runUntil(world.clock.now + 12.0)
+        cluster.clock.runUntil(cluster.clock.now + 12.0)
         assertTrue(
             !first.leading &&
-                world.nodes.any {
+                cluster.nodes.any {
                     it.leading
                 },
             "the older ones can't pass reports on, so one of them must lead",
         )
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
     fun `the last report of a machine that was given back, held by a cut, does not make the leader yield`() {
         // Its worker was shown a token beyond the epoch, as every machine that is poked is.
-        world.submit(SimulatedCluster.job(2, tasks = 8, runS = 5.0))
-        world.clock.runUntil(world.clock.now + 12.0)
-        val leaver = world.cloud.workers.last()
-        world.wiring.cut(leaver.id, first.name, LinkCut.HOLD)
-        world.clock.runUntil(world.clock.now + 4.0)
-        val report = leaver.report().copy(token = world.state.version("fleet").coerceAtLeast(2))
-        world.clock.runUntil(world.clock.now + 60.0)
+        cluster.submit(SimulatedCluster.job(2, tasks = 8, runS = 5.0))
+        cluster.clock.runUntil(cluster.clock.now + 12.0)
+        val leaver = cluster.cloud.workers.last()
+        cluster.network.cut(leaver.id, first.name, LinkCut.HOLD)
+        cluster.clock.runUntil(cluster.clock.now + 4.0)
+        val heartbeat = leaver.heartbeat().copy(token = cluster.state.version("fleet").coerceAtLeast(2))
+        cluster.clock.runUntil(cluster.clock.now + 60.0)
         var answered = 0
-        world.onHeartbeat(leaver, first, report.copy(machine = leaver.id)) { status, _ -> answered = status }
-        world.wiring.healAll()
-        world.clock.runUntil(world.clock.now + 3.0)
+        cluster.onHeartbeat(leaver, first, heartbeat.copy(machine = leaver.id)) { status, _ -> answered = status }
+        cluster.network.healAll()
+        cluster.clock.runUntil(cluster.clock.now + 3.0)
         assertTrue(first.leading, "yielded for a token of its own")
         assertTrue(answered != 0)
     }
@@ -194,14 +197,14 @@
     @CsvSource("3, 1 4 7", "5, 2 5 8", "7, 3 6 9")
     fun `days of links cut at random, at 300 machines`(nodes: Int, seeds: String) {
         val days = seeds.split(' ').map { LinkFaultScenario(it.toLong(), nodes, machines = 300).play() }
-        assertEquals(emptyList<String>(), days.flatMap { it.broken })
+        assertEquals(emptyList<String>(), days.flatMap { it.violations })
         assertTrue(days.all { it.starts >= 1200 })
         // Several cuts on top of one another can strand some for a moment; whom somebody could have served must be few.
-        val avoidable = days.sumOf { it.avoidable }
+        val avoidableKills = days.sumOf { it.avoidableKills }
         assertTrue(
-            avoidable <= MAX_AVOIDABLE,
-            "$avoidable of ${days.sumOf {
-                it.leaseDeaths
+            avoidableKills <= MAX_AVOIDABLE,
+            "$avoidableKills of ${days.sumOf {
+                it.tasksKilledByLease
             }} killed could have been served",
         )
     }
--- a/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
@@ -45,39 +45,39 @@
         capacity: Int,
         everyS: Double,
         team: String,
-        trouble: String,
+        fault: String,
         least: Double,
     ) {
-        val world = SimulatedCluster(31, objectives = objectives)
-        world.cloud.capacity = capacity
+        val cluster = SimulatedCluster(31, objectives = objectives)
+        cluster.cloud.capacity = capacity
         val jobs = LinkedHashMap<String, Double>()
         val count = (240 / everyS).toInt()
         for (n in 1..count) {
             val at = 5.0 + n * everyS
             val spec = SimulatedCluster.job(n, tasks = 1 + n % 7, runS = 15.0 + n % 11, team = team)
             jobs[spec.id] = at
-            world.clock.after(at) { world.submit(spec) }
+            cluster.clock.after(at) { cluster.submit(spec) }
         }
-        world.watch(jobs)
-        world.clock.after(120.0) { world.strike(trouble) }
-        world.clock.after(140.0) {
-            world.state.outage = false
-            world.cutZones.clear()
+        cluster.watch(jobs)
+        cluster.clock.after(120.0) { cluster.strike(fault) }
+        cluster.clock.after(140.0) {
+            cluster.state.outage = false
+            cluster.cutZones.clear()
         }
-        world.clock.runUntil(260.0)
+        cluster.clock.runUntil(260.0)
         assertTrue(inTime(jobs) >= least, "in time ${inTime(jobs)}")
         // What a limit holds back rents nothing: 16 accelerators are four machines, and a few more while they come and
         // go.
-        if (team == "red") assertTrue(world.cloud.most <= 8, "${world.cloud.most} machines")
+        if (team == "red") assertTrue(cluster.cloud.maxInstances <= 8, "${cluster.cloud.maxInstances} machines")
         // What was given up is caught up with.
-        world.clock.runUntil(900.0 + 4 * count)
+        cluster.clock.runUntil(900.0 + 4 * count)
         assertEquals(emptyList<String>(), jobs.keys.filter { it !in doneAt }, "never done")
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(0, world.state.writes.beyond, "writes beyond the rate")
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
     }
 
-    private fun SimulatedCluster.strike(trouble: String) {
-        when (trouble) {
+    private fun SimulatedCluster.strike(fault: String) {
+        when (fault) {
             "crash" -> nodes.first { it.leading }.crash(8.0)
             "outage" -> state.outage = true
             "zone" -> cutZones.add("b")
@@ -87,12 +87,12 @@
     /** A higher class takes all room for minutes: nothing of the lower one was in time. */
     @Test
     fun `a class of low priority keeps its half beside a burst`() {
-        val world = SimulatedCluster(
+        val cluster = SimulatedCluster(
             32,
             objectives =
             objectives + listOf(Objective("wait", "high", 40.0, 0.9), Objective("finished", "high", 80.0, 0.9)),
         )
-        world.cloud.capacity = 12
+        cluster.cloud.capacity = 12
         val low = LinkedHashMap<String, Double>()
         val high = LinkedHashMap<String, Double>()
         for (n in 1..200) {
@@ -105,13 +105,13 @@
                 priority = if (isLow) Priority.LOW else Priority.HIGH,
             ).copy(jobClass = if (isLow) "class" else "high")
             (if (isLow) low else high)[spec.id] = at
-            world.clock.after(at) { world.submit(spec) }
+            cluster.clock.after(at) { cluster.submit(spec) }
         }
-        world.watch(low + high)
-        world.clock.runUntil(900.0)
+        cluster.watch(low + high)
+        cluster.clock.runUntil(900.0)
         assertTrue(inTime(low) >= 0.3, "low: ${inTime(low)}, high: ${inTime(high)}")
         assertTrue(inTime(high) >= 0.6, "low: ${inTime(low)}, high: ${inTime(high)}")
         assertEquals(emptyList<String>(), (low + high).keys.filter { it !in doneAt }, "never done")
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -23,32 +23,33 @@
  * Workers' sessions on every node, with five nodes and three hundred workers in virtual time, and what can fail there.
  */
 class SpreadSessionsTest {
-    private val world = SimulatedCluster(71, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.2, unneededS = 7200.0))
+    private val cluster =
+        SimulatedCluster(71, nodeCount = 5, tuning = Tuning(spreadSessionsAt = 0.2, unneededS = 7200.0))
     private val servedBy = HashMap<String, SimulatedController>()
     private val servedAt = HashMap<String, Double>()
     private var served = 0
 
     init {
-        world.cloud.capacity = MACHINES
+        cluster.cloud.capacity = MACHINES
         listOf("a", "b").forEach { zone ->
-            world.cloud.addRunning(GroupKey("box", zone, false), MACHINES / 2) {
-                world.random.nextDouble() *
+            cluster.cloud.addRunning(GroupKey("box", zone, false), MACHINES / 2) {
+                cluster.random.nextDouble() *
                     3
             }
         }
-        world.onServed = { worker, node ->
+        cluster.onHeartbeatServed = { worker, node ->
             servedBy[worker.id] = node
-            servedAt[worker.id] = world.clock.now
+            servedAt[worker.id] = cluster.clock.now
             served++
         }
         for (n in 1..40) {
-            world.clock.after(8.0 + n * 0.1) {
-                world.submit(SimulatedCluster.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true))
+            cluster.clock.after(8.0 + n * 0.1) {
+                cluster.submit(SimulatedCluster.job(n, Shape.SERVICE, tasks = 10, gpus = 0, spread = true))
             }
         }
         for (n in 41..100) {
-            world.clock.after(20.0 + n * 1.2) {
-                world.submit(
+            cluster.clock.after(20.0 + n * 1.2) {
+                cluster.submit(
                     SimulatedCluster.job(n, tasks = 6, gpus = 0, runS = 8.0),
                     cancelAfter = if (n %
                         7 ==
@@ -63,9 +64,9 @@
         }
     }
 
-    private fun leader(): SimulatedController = world.nodes.first { it.leading }
+    private fun leader(): SimulatedController = cluster.nodes.first { it.leading }
 
-    private fun followers(): List<SimulatedController> = world.nodes.filter { !it.leading && it.up }
+    private fun followers(): List<SimulatedController> = cluster.nodes.filter { !it.leading && it.up }
 
     private fun servedHere(node: SimulatedController): Int = servedBy.values.count { it === node }
 
@@ -76,23 +77,23 @@
     }
 
     private fun assertServed(withinS: Double = 9.0, lost: Int = 0) {
-        val alive = world.cloud.workers.map { it.id }
-        val late = alive.filter { world.clock.now - (servedAt[it] ?: 0.0) > withinS }
+        val alive = cluster.cloud.workers.map { it.id }
+        val late = alive.filter { cluster.clock.now - (servedAt[it] ?: 0.0) > withinS }
         assertEquals(0, late.size, "not served lately: ${late.take(5)}")
         assertTrue(alive.size >= MACHINES - lost, "${alive.size} machines left")
     }
 
     @Test
     fun `beyond the leader's part the others serve the workers, and few reports go to each`() {
-        world.clock.runUntil(60.0)
+        cluster.clock.runUntil(60.0)
         assertSpread()
         val before = served
-        world.clock.runUntil(90.0)
+        cluster.clock.runUntil(90.0)
         // Every worker's report is answered at the first node it asks: none is sent on.
         assertTrue(served - before >= MACHINES * 9, "${served - before} answers in 30 s")
         assertServed()
-        assertEquals(0, world.leaseDeaths)
-        assertEquals(emptyList<String>(), world.checker.broken)
+        assertEquals(0, cluster.tasksKilledByLease)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
@@ -101,7 +102,7 @@
         val at = HashSet<SimulatedController>()
         small.cloud.capacity = MACHINES
         small.cloud.addRunning(GroupKey("box", "a", false), MACHINES) { 1.0 }
-        small.clock.after(30.0) { small.onServed = { _, node -> at.add(node) } }
+        small.clock.after(30.0) { small.onHeartbeatServed = { _, node -> at.add(node) } }
         small.clock.runUntil(45.0)
         assertEquals(setOf(small.nodes.first { it.leading }), at)
     }
@@ -118,34 +119,42 @@
             "it is cut from the store" -> cut(home.name, "state", 20.0)
             "the leader ends" -> leading.crash(8.0)
             "the leader and a session's node end" -> listOf(leading, home).forEach { it.crash(6.0) }
-            "all controllers end" -> world.nodes.forEach { it.crash(2.0) }
-            "frames are lost" -> during(20.0, { world.frameLoss = 0.05 }) { world.frameLoss = 0.0 }
-            "frames come twice and late" -> during(30.0, { world.lateFrames = 0.5 }) { world.lateFrames = 0.0 }
-            "reports come twice and late" -> during(30.0, { world.lateReports = 0.3 }) { world.lateReports = 0.0 }
-            "machines restart" -> world.cloud.workers.take(30).forEach { it.hang(16.0) }
+            "all controllers end" -> cluster.nodes.forEach { it.crash(2.0) }
+            "frames are lost" -> during(20.0, { cluster.frameLoss = 0.05 }) { cluster.frameLoss = 0.0 }
+            "frames come twice and late" -> during(30.0, { cluster.lateFrameCopies = 0.5 }) {
+                cluster.lateFrameCopies =
+                    0.0
+            }
+            "reports come twice and late" -> during(30.0, { cluster.lateHeartbeatCopies = 0.3 }) {
+                cluster.lateHeartbeatCopies =
+                    0.0
+            }
+            "machines restart" -> cluster.cloud.workers.take(30).forEach { it.hang(16.0) }
             "a worker reports to two at once" -> everywhere()
             "the leader and the store's answers" -> during(20.0, {
-                world.lostAnswers = 0.3
-            }) { world.lostAnswers = 0.0 }.also { leading.crash(3.0) }
+                cluster.lostCommitAnswers = 0.3
+            }) { cluster.lostCommitAnswers = 0.0 }.also { leading.crash(3.0) }
             else -> error(what)
         }
         return home
     }
 
     private fun cut(a: String, b: String, forS: Double, how: LinkCut = LinkCut.DROP) {
-        world.wiring.cutBoth(a, b, how)
-        world.clock.after(forS) { world.wiring.healBoth(a, b) }
+        cluster.network.cutBoth(a, b, how)
+        cluster.clock.after(forS) { cluster.network.healBoth(a, b) }
     }
 
     private fun during(forS: Double, begin: () -> Unit, end: () -> Unit) {
         begin()
-        world.clock.after(forS, end)
+        cluster.clock.after(forS, end)
     }
 
     /** Copies of one report at every node within milliseconds, none of them waited for. */
-    private fun everywhere() = world.cloud.workers.take(60).forEach { worker ->
-        val report = worker.report()
-        world.nodes.filter { it.up }.forEach { node -> node.ask({ Input.Heartbeat(it, report) }) { _, _ -> } }
+    private fun everywhere() = cluster.cloud.workers.take(60).forEach { worker ->
+        val heartbeat = worker.heartbeat()
+        cluster.nodes.filter {
+            it.up
+        }.forEach { node -> node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> } }
     }
 
     @ParameterizedTest(name = "{0}")
@@ -160,20 +169,20 @@
         "'machines restart', 90", "'a worker reports to two at once', 0", "'the leader and the store''s answers', 0",
     )
     fun `no rule breaks and no lease is lost`(what: String, killed: Int) {
-        world.clock.runUntil(50.0)
+        cluster.clock.runUntil(50.0)
         assertSpread()
         val home = strike(what)
-        world.clock.runUntil(51.0)
-        if (what.endsWith("ends") || what.endsWith("end")) assertTrue(world.nodes.any { !it.up }, "nobody ended")
-        if (what.startsWith("it is cut")) assertTrue(world.wiring.cuts > 0 && home.up)
-        world.clock.runUntil(130.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertTrue(world.leaseDeaths <= killed, "${world.leaseDeaths} tasks killed")
+        cluster.clock.runUntil(51.0)
+        if (what.endsWith("ends") || what.endsWith("end")) assertTrue(cluster.nodes.any { !it.up }, "nobody ended")
+        if (what.startsWith("it is cut")) assertTrue(cluster.network.cutCount > 0 && home.up)
+        cluster.clock.runUntil(130.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertTrue(cluster.tasksKilledByLease <= killed, "${cluster.tasksKilledByLease} tasks killed")
         assertServed(lost = if (killed > 0) 30 else 0)
         assertSpread()
         if (what.startsWith("frames")) {
             assertTrue(
-                world.felt.getOrDefault(
+                cluster.faultCounts.getOrDefault(
                     if (what ==
                         "frames are lost"
                     ) {
@@ -183,7 +192,7 @@
                     },
                     0,
                 ) >= 20,
-                "${world.felt}",
+                "${cluster.faultCounts}",
             )
         }
     }
@@ -191,12 +200,12 @@
     @ParameterizedTest(name = "{0}")
     @CsvSource("'its own epoch', 0, true", "'an earlier epoch', -1, false", "'a later epoch', 1, false")
     fun `a leader reads batches of its own epoch alone`(name: String, offset: Long, read: Boolean) {
-        world.clock.runUntil(50.0)
+        cluster.clock.runUntil(50.0)
         val leading = leader()
         var seq = 0L
         var epoch = 0L
         var answered = 0
-        world.onEffect = { node, e ->
+        cluster.onEffect = { node, e ->
             val message = (e as? Effect.PeerSend)?.message
             if (node === leading && message is PeerStatus) {
                 seq = message.links!!.seq
@@ -204,15 +213,15 @@
             }
             if (node === leading && message is AnswerBatch) answered += message.answers.count { it.id == FORGED }
         }
-        world.clock.runUntil(52.0)
-        val report = world.cloud.workers.first().report()
-        leading.frame(
+        cluster.clock.runUntil(52.0)
+        val heartbeat = cluster.cloud.workers.first().heartbeat()
+        leading.onFrame(
             PeerCodec.write(
                 HeartbeatBatch(
                     followers().first().name,
                     epoch + offset,
                     seq,
-                    listOf(FullHeartbeat(FORGED, "", report)),
+                    listOf(FullHeartbeat(FORGED, "", heartbeat)),
                 ),
             ),
         )
@@ -221,13 +230,13 @@
 
     @ParameterizedTest(name = "{0} older nodes")
     @CsvSource("1", "4")
-    fun `beside older nodes the others serve what they can`(older: Int) {
+    fun `beside older nodes the others serve what they can`(previousVersionNodes: Int) {
         // Older ones send no word of sessions, so they are given none; where only they are left, all come to the
         // leader.
-        world.nodes.drop(1).take(older).forEach { world.older.add(it.name) }
-        world.clock.runUntil(100.0)
-        assertEquals(emptyList<String>(), world.checker.broken)
-        assertEquals(0, world.leaseDeaths)
+        cluster.nodes.drop(1).take(previousVersionNodes).forEach { cluster.previousVersionNodes.add(it.name) }
+        cluster.clock.runUntil(100.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(0, cluster.tasksKilledByLease)
         assertServed()
     }
 
