--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -80,7 +80,7 @@
         cluster.clock.runUntil(endS)
         val unfinishedJobs = kept.filter {
             it !in calledOff &&
-                it !in cluster.cancelledAtCompletion &&
+                it !in cluster.faults.cancelledAtCompletion &&
                 cluster.stageOf(it) != "done"
         }
         return Result(
@@ -90,7 +90,7 @@
             cluster.checker.violations.toList(),
             unfinishedJobs,
             cancelled,
-            cluster.faultCounts,
+            cluster.faults.counts,
         )
     }
 
@@ -142,27 +142,34 @@
             Kind.LEADER_ALONE -> leader().name.let { cut(forS, "$it-state", "$it-peers") }
             Kind.PEERS_APART -> cut(forS, *cluster.nodes.map { "${it.name}-peers" }.toTypedArray())
             Kind.OUTAGE -> during(forS, { cluster.state.outage = true }) { cluster.state.outage = false }
-            Kind.LATE_WRITES -> during(forS, { cluster.lateWrites = 0.3 }) { cluster.lateWrites = 0.0 }
+            Kind.LATE_WRITES -> during(forS, { cluster.faults.lateWrites = 0.3 }) { cluster.faults.lateWrites = 0.0 }
             Kind.LATE_REPORTS -> during(forS, {
-                cluster.lateHeartbeatCopies = 0.5
-            }) { cluster.lateHeartbeatCopies = 0.0 }
-            Kind.SLOW_STORE -> during(forS, { cluster.answerLoss = 0.2 }) { cluster.answerLoss = 0.0 }
-            Kind.CUT_ZONE -> during(forS, { cluster.cutZones.add("a") }) { cluster.cutZones.remove("a") }
+                cluster.faults.lateHeartbeatCopies = 0.5
+            }) { cluster.faults.lateHeartbeatCopies = 0.0 }
+            Kind.SLOW_STORE -> during(forS, { cluster.faults.answerLoss = 0.2 }) { cluster.faults.answerLoss = 0.0 }
+            Kind.CUT_ZONE -> during(forS, { cluster.faults.cutZones.add("a") }) { cluster.faults.cutZones.remove("a") }
             Kind.DEAF -> half().let { ids ->
-                during(forS, { cluster.inboundBlocked.addAll(ids) }) { cluster.inboundBlocked.removeAll(ids) }
+                during(forS, {
+                    cluster.faults.inboundBlocked.addAll(ids)
+                }) { cluster.faults.inboundBlocked.removeAll(ids) }
             }
             Kind.MUTE -> half().let { ids ->
-                during(forS, { cluster.outboundBlocked.addAll(ids) }) { cluster.outboundBlocked.removeAll(ids) }
+                during(forS, {
+                    cluster.faults.outboundBlocked.addAll(ids)
+                }) { cluster.faults.outboundBlocked.removeAll(ids) }
             }
             Kind.HANG -> cluster.cloud.workers.filter { random.nextInt(3) == 0 }.forEach { it.hang(forS * 0.6) }
-            Kind.LOST_ANSWERS -> during(forS, { cluster.lostCommitAnswers = 0.3 }) { cluster.lostCommitAnswers = 0.0 }
-            Kind.COPIES_FOR_NEXT -> during(forS, { cluster.copiesForNextLeader = 0.5 }) {
-                cluster.copiesForNextLeader = 0.0
+            Kind.LOST_ANSWERS -> during(forS, { cluster.faults.lostCommitAnswers = 0.3 }) {
+                cluster.faults.lostCommitAnswers =
+                    0.0
+            }
+            Kind.COPIES_FOR_NEXT -> during(forS, { cluster.faults.copiesForNextLeader = 0.5 }) {
+                cluster.faults.copiesForNextLeader = 0.0
                 leader().let { if (it.up) it.crash(1.0) }
             }
             Kind.CLOSE_LOOKS -> during(forS, {
-                cluster.concurrentRequests = true
-            }) { cluster.concurrentRequests = false }
+                cluster.faults.concurrentRequests = true
+            }) { cluster.faults.concurrentRequests = false }
             Kind.ODD_REQUESTS -> repeat(forS.toInt()) { second ->
                 cluster.clock.after(second.toDouble()) { sendInvalidRequests() }
             }
@@ -172,8 +179,8 @@
             }
             Kind.CANCEL_NOW -> cancelNow(forS)
             Kind.CANCEL_AT_END -> during(forS, {
-                cluster.cancelAtCompletion = 0.5
-            }) { cluster.cancelAtCompletion = 0.0 }
+                cluster.faults.cancelAtCompletion = 0.5
+            }) { cluster.faults.cancelAtCompletion = 0.0 }
             Kind.FROZEN -> leader().freeze(forS)
             Kind.CRASH -> leader().let { if (it.up) it.crash(forS) }
             Kind.ALL_CRASH -> cluster.nodes.forEach { if (it.up) it.crash(forS + random.nextDouble()) }
@@ -188,7 +195,7 @@
             !cluster.checker.isDone(it)
     }
 
-    private fun sendInvalidRequests() = cluster.users.sendInvalidRequests(
+    private fun sendInvalidRequests() = cluster.retryingUsers.sendInvalidRequests(
         kept.filter {
             cluster.checker.finalStageOf(it) == "done"
         }.take(2),
@@ -205,8 +212,8 @@
     }
 
     private fun cut(forS: Double, vararg links: String) = during(forS, {
-        cluster.cuts.addAll(links)
-    }) { cluster.cuts.removeAll(links.toSet()) }
+        cluster.faults.cuts.addAll(links)
+    }) { cluster.faults.cuts.removeAll(links.toSet()) }
 
     private fun during(forS: Double, begin: () -> Unit, end: () -> Unit) {
         begin()
--- a/src/main/kotlin/plankwall/simulation/LinkFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaults.kt
@@ -139,7 +139,7 @@
                     nodes.filter { it.leading }.forEach { it.freeze(forS / 2) }
                 }, {})
                 2 -> LinkFaults("an outage", at, forS / 2, { state.outage = true }, { state.outage = false })
-                else -> LinkFaults("late writes", at, forS, { lateWrites = 0.1 }, { lateWrites = 0.0 })
+                else -> LinkFaults("late writes", at, forS, { faults.lateWrites = 0.1 }, { faults.lateWrites = 0.0 })
             }
     }
 }
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -137,8 +137,8 @@
                         val links = listOf("state", "workers", "state workers peers")[kind - 2].split(' ').map {
                             "${node.name}-$it"
                         }
-                        cluster.cuts.addAll(links)
-                        cluster.clock.after(forS) { cluster.cuts.removeAll(links.toSet()) }
+                        cluster.faults.cuts.addAll(links)
+                        cluster.clock.after(forS) { cluster.faults.cuts.removeAll(links.toSet()) }
                     }
                 }
             }
@@ -148,8 +148,8 @@
     private fun storm() {
         val at = at()
         note("polls eight times as often", at)
-        cluster.clock.after(at) { cluster.pollFactor = 8.0 }
-        cluster.clock.after(at + 60.0) { cluster.pollFactor = 1.0 }
+        cluster.clock.after(at) { cluster.faults.pollFactor = 8.0 }
+        cluster.clock.after(at + 60.0) { cluster.faults.pollFactor = 1.0 }
     }
 
     private fun bestEffort() {
@@ -204,7 +204,7 @@
                 runS = 20.0,
                 priority = Priority.HIGH,
             )
-            cluster.faultyJobs.add(spec.id)
+            cluster.faults.faultyJobs.add(spec.id)
             submit(spec, at(at - 20.0, at + 60.0), cancelAfter = 50.0)
         }
         cluster.clock.after(at) { cluster.cloud.workers.take(failsEveryTask).forEach { it.failsEveryTask = true } }
--- a/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -13,14 +13,14 @@
      * again.
      */
     fun requestAtAllNodes(id: String, cancelled: Boolean = false) {
-        cluster.faultCounts.merge("close looks", 1, Int::plus)
+        cluster.faults.count("close looks")
         val spec = cluster.specOf(id) ?: return
         for (node in cluster.nodes.filter { it.up }) {
-            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.queryStatus(id, node) }
-            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.submitOnce(spec, node) }
+            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.users.queryStatus(id, node) }
+            cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.users.submitOnce(spec, node) }
             if (cancelled) {
                 cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) {
-                    cluster.cancelOnce(id, node)
+                    cluster.users.cancelOnce(id, node)
                 }
             }
         }
@@ -47,8 +47,8 @@
     fun sendInvalidRequests(done: List<String>, unfinished: List<String>) {
         val node = cluster.nodes.filter { it.up }.ifEmpty { return }.let { it[cluster.random.nextInt(it.size)] }
         for (spec in unsatisfiableJobs()) {
-            cluster.faultCounts.merge("odd requests", 1, Int::plus)
-            cluster.submitOnce(spec, node) {
+            cluster.faults.count("odd requests")
+            cluster.users.submitOnce(spec, node) {
                 if (it <
                     400
                 ) {
@@ -56,8 +56,8 @@
                 }
             }
         }
-        done.forEach { cluster.cancelOnce(it, node) }
-        unfinished.forEach { id -> cluster.specOf(id)?.let { cluster.submitOnce(it, node) } }
+        done.forEach { cluster.users.cancelOnce(it, node) }
+        unfinished.forEach { id -> cluster.specOf(id)?.let { cluster.users.submitOnce(it, node) } }
     }
 
     private companion object {
--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -33,10 +33,10 @@
             world.clock.after(from) { world.state.outage = true }
             world.clock.after(to) { world.state.outage = false }
         }
-        world.clock.after(60.0) { world.answerLoss = 0.05 }
-        world.clock.after(100.0) { world.answerLoss = 0.0 }
-        world.clock.after(70.0) { world.lateWrites = 0.05 }
-        world.clock.after(160.0) { world.lateWrites = 0.0 }
+        world.clock.after(60.0) { world.faults.answerLoss = 0.05 }
+        world.clock.after(100.0) { world.faults.answerLoss = 0.0 }
+        world.clock.after(70.0) { world.faults.lateWrites = 0.05 }
+        world.clock.after(160.0) { world.faults.lateWrites = 0.0 }
         for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.up }?.crash(4.0) }
         world.clock.after(110.0) { world.nodes.filter { it.up }.forEach { it.crash(6.0) } }
         world.clock.after(150.0) {
--- a/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
@@ -65,10 +65,10 @@
         cluster.clock.runUntil(40.0)
         val before = cluster.cloud.instancesCreated to cluster.cloud.instances.map { it.id }
         assertEquals(4, cluster.cloud.instances.size)
-        cluster.nodes.forEach { cluster.cuts.add("${it.name}-workers") }
+        cluster.nodes.forEach { cluster.faults.cuts.add("${it.name}-workers") }
         cluster.clock.runUntil(70.0)
         assertEquals(before, cluster.cloud.instancesCreated to cluster.cloud.instances.map { it.id })
-        cluster.cuts.clear()
+        cluster.faults.cuts.clear()
         cluster.clock.runUntil(160.0)
         assertEquals("running", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
@@ -124,7 +124,7 @@
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 12)) }
         cluster.clock.runUntil(45.0)
         val first = cluster.nodes.first { it.leading }
-        cut.split(' ').forEach { cluster.cuts.add("${first.name}-$it") }
+        cut.split(' ').forEach { cluster.faults.cuts.add("${first.name}-$it") }
         cluster.clock.runUntil(75.0)
         assertEquals(stays, first.leading)
         assertTrue(cluster.nodes.any { it.leading }, "nobody leads")
--- a/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -68,12 +68,12 @@
             clock.after(at + 12.0) { state.outage = false }
         },
         "late writes" to { at ->
-            clock.after(at - 10.0) { lateWrites = 0.2 }
-            clock.after(at + 20.0) { lateWrites = 0.0 }
+            clock.after(at - 10.0) { faults.lateWrites = 0.2 }
+            clock.after(at + 20.0) { faults.lateWrites = 0.0 }
         },
         "lost answers" to { at ->
-            clock.after(at - 10.0) { answerLoss = 0.15 }
-            clock.after(at + 20.0) { answerLoss = 0.0 }
+            clock.after(at - 10.0) { faults.answerLoss = 0.15 }
+            clock.after(at + 20.0) { faults.answerLoss = 0.0 }
         },
     )
 
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -34,7 +34,7 @@
         types: List<String>? = null,
     ) {
         val spec = SimulatedCluster.job(number, tasks = tasks, runS = runS).copy(types = types)
-        assumeAccepted(spec)
+        users.assumeAccepted(spec)
         state.put(Keys.job(spec.id), JobRecord(spec, (clock.now * 1000).toLong() + 1_700_000_000_000, 0, pageSize))
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -35,8 +35,8 @@
     }
 
     private fun refuse(node: SimulatedController, forS: Double) {
-        cluster.cuts.add("${node.name}-state")
-        cluster.clock.after(forS) { cluster.cuts.remove("${node.name}-state") }
+        cluster.faults.cuts.add("${node.name}-state")
+        cluster.clock.after(forS) { cluster.faults.cuts.remove("${node.name}-state") }
     }
 
     private fun outage(forS: Double) {
@@ -111,7 +111,7 @@
         val by = others.first()
         var cancellations = 1
         if (how == "whoever confirmed is of an older version") {
-            cluster.previousVersionNodes.add(by.name)
+            cluster.faults.previousVersionNodes.add(by.name)
             cluster.clock.runUntil(70.0)
         }
         refuse(first, 14.0)
@@ -122,7 +122,7 @@
                     Keys.PAGES
             }
             "the old leader goes on beside the new one" -> {
-                cluster.cuts.add("${first.name}-peers")
+                cluster.faults.cuts.add("${first.name}-peers")
                 cluster.clock.after(10.0) { gap(by) }
             }
             else -> cluster.clock.after(
@@ -148,7 +148,7 @@
                 },
             ) { outage(60.0 - 8.0) }
         }
-        if (how == "the peers can't be heard either") cluster.cuts.add("${first.name}-peers")
+        if (how == "the peers can't be heard either") cluster.faults.cuts.add("${first.name}-peers")
         if (how == "twice in a row") {
             cancellations = 2
             cluster.clock.after(100.0) {
@@ -158,7 +158,7 @@
                 cluster.clock.after(1.5) { outage(50.0) }
             }
         }
-        cluster.clock.after(100.0) { cluster.cuts.clear() }
+        cluster.clock.after(100.0) { cluster.faults.cuts.clear() }
         ends(cancellations, killed)
     }
 
@@ -205,10 +205,10 @@
             told = 0
             begin(WorkerTimes(reportS, leaseS, 45.0, 5.0, cancelS))
             refuse(first, 14.0)
-            if (!heard) cluster.cuts.add("${first.name}-peers")
+            if (!heard) cluster.faults.cuts.add("${first.name}-peers")
             cluster.clock.after(0.5) { cancel(others.first(), 1) }
             cluster.clock.after(1.5) { outage(cancelS + 12.0) }
-            cluster.clock.after(100.0) { cluster.cuts.clear() }
+            cluster.clock.after(100.0) { cluster.faults.cuts.clear() }
             ends(1, killed = !heard)
         }
     }
--- a/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
@@ -35,11 +35,17 @@
         val first = atWork(24)
         val before = rented()
         first.crash(200.0)
-        if (zoneOnly) cluster.cutZones.add("b") else cluster.nodes.forEach { cluster.cuts.add("${it.name}-workers") }
+        if (zoneOnly) {
+            cluster.faults.cutZones.add("b")
+        } else {
+            cluster.nodes.forEach {
+                cluster.faults.cuts.add("${it.name}-workers")
+            }
+        }
         cluster.clock.runUntil(45.0 + forS)
         assertTrue(rented().containsAll(before), "$name: gone are ${before - rented()}")
-        cluster.cutZones.clear()
-        cluster.cuts.clear()
+        cluster.faults.cutZones.clear()
+        cluster.faults.cuts.clear()
         cluster.clock.runUntil(200.0)
         assertEquals("running", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -43,14 +43,14 @@
      * The leader crashes [crashAfterS] after [inboundBlocked] machines stopped hearing answers; what ran there starts again
      * elsewhere.
      */
-    private fun startsWithDeaf(inboundBlocked: Int, crashAfterS: Double): Int {
+    private fun startsWithBlockedMachines(inboundBlocked: Int, crashAfterS: Double): Int {
         val cluster = SimulatedCluster(3, nodeCount = 3)
         cluster.clock.after(2.0) {
             (1..3).forEach { cluster.submit(SimulatedCluster.job(it, tasks = 4, runS = 400.0)) }
         }
         cluster.clock.runUntil(50.0)
         assertEquals(12, cluster.checker.starts)
-        cluster.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
+        cluster.faults.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
         cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
         // Reports go on for all this time, and those of the deaf never show the new leader's token.
         cluster.clock.runUntil(50.0 + crashAfterS + 2 * cluster.settings.workers.leaseS + 40.0)
@@ -65,11 +65,11 @@
         crashAfterS: Double,
         starts: Int,
     ) {
-        assertEquals(starts, startsWithDeaf(inboundBlocked, crashAfterS))
+        assertEquals(starts, startsWithBlockedMachines(inboundBlocked, crashAfterS))
     }
 
     @Test
     fun `most machines deaf move no lead to and fro, and their work starts elsewhere`() {
-        assertEquals(24, startsWithDeaf(inboundBlocked = 3, crashAfterS = 1.0))
+        assertEquals(24, startsWithBlockedMachines(inboundBlocked = 3, crashAfterS = 1.0))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationsTest.kt
@@ -45,8 +45,8 @@
         at(forS) { cluster.state.outage = false }
     }
 
-    private fun faultCounts(vararg what: String) = what.forEach {
-        assertTrue((cluster.faultCounts[it] ?: 0) > 0, "$it did not happen: ${cluster.faultCounts}")
+    private fun assertFaultsOccurred(vararg what: String) = what.forEach {
+        assertTrue((cluster.faults.counts[it] ?: 0) > 0, "$it did not happen: ${cluster.faults.counts}")
     }
 
     /** No rule broken; the jobs that were not cancelled are [stage]. */
@@ -61,10 +61,10 @@
         begin(nodes)
         val before = cluster.elections
         val ids = cluster.cloud.workers.map { it.id }
-        cluster.inboundBlocked.addAll(ids.take((ids.size * share).toInt()))
+        cluster.faults.inboundBlocked.addAll(ids.take((ids.size * share).toInt()))
         if (leaderEnds) at(1.0) { leader.crash(5.0) }
         go(100.0)
-        faultCounts("answers lost", "commands lost")
+        assertFaultsOccurred("answers lost", "commands lost")
         assertTrue(cluster.tasksKilledByLease >= 60 * share - 10, "${cluster.tasksKilledByLease} tasks killed")
         assertEquals(if (leaderEnds) 1 else 0, cluster.elections - before, "leaders since")
         unbroken()
@@ -79,12 +79,12 @@
         begin()
         val before = cluster.elections
         val ids = cluster.cloud.workers.map { it.id }
-        cluster.outboundBlocked.addAll(ids.take((ids.size * share).toInt()))
+        cluster.faults.outboundBlocked.addAll(ids.take((ids.size * share).toInt()))
         if (leaderEnds) at(1.0) { leader.crash(5.0) }
         at(6.0) { cancel(1) }
-        at(40.0) { cluster.outboundBlocked.clear() }
+        at(40.0) { cluster.faults.outboundBlocked.clear() }
         go(110.0)
-        faultCounts("reports lost")
+        assertFaultsOccurred("reports lost")
         assertTrue(cluster.tasksKilledByLease > 0)
         assertEquals(if (leaderEnds) 1 else 0, cluster.elections - before, "leaders since")
         unbroken()
@@ -99,8 +99,8 @@
     )
     fun `users ask at all nodes and repeat themselves as jobs are accepted, end and are cancelled`(fault: String) {
         cluster = SimulatedCluster(9, nodeCount = 5)
-        cluster.concurrentRequests = true
-        cluster.cancelAtCompletion = 0.3
+        cluster.faults.concurrentRequests = true
+        cluster.faults.cancelAtCompletion = 0.3
         for (n in 1..60) {
             at(2.0 + n) {
                 cluster.submit(
@@ -127,22 +127,22 @@
                     "a node stands still" -> cluster.nodes.first { !it.leading }.freeze(9.0)
                     "a node has just started" -> cluster.nodes.first { !it.leading }.crash(0.1)
                     "a node is cut from the store" -> cluster.nodes.first { !it.leading }.name.let { n ->
-                        cluster.cuts.add("$n-state")
-                        at(10.0) { cluster.cuts.remove("$n-state") }
+                        cluster.faults.cuts.add("$n-state")
+                        at(10.0) { cluster.faults.cuts.remove("$n-state") }
                     }
                     "late writes" -> {
-                        cluster.lateWrites = 0.2
-                        at(15.0) { cluster.lateWrites = 0.0 }
+                        cluster.faults.lateWrites = 0.2
+                        at(15.0) { cluster.faults.lateWrites = 0.0 }
                     }
                     "lost answers" -> {
-                        cluster.lostCommitAnswers = 0.2
-                        at(15.0) { cluster.lostCommitAnswers = 0.0 }
+                        cluster.faults.lostCommitAnswers = 0.2
+                        at(15.0) { cluster.faults.lostCommitAnswers = 0.0 }
                     }
                 }
             }
         }
         go(200.0)
-        faultCounts("close looks", "cancelled at its end")
+        assertFaultsOccurred("close looks", "cancelled at its end")
         assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
         (1..60).forEach {
             assertTrue(cluster.stageOf(id(it)) in setOf("done", "withdrawn"), "${id(it)} is ${cluster.stageOf(id(it))}")
@@ -154,7 +154,7 @@
         begin(nodes = 5, runS = 40.0)
         repeat(60) { s ->
             at(s.toDouble()) {
-                cluster.users.sendInvalidRequests(
+                cluster.retryingUsers.sendInvalidRequests(
                     (1..6).map(::id).filter {
                         cluster.checker.finalStageOf(it) ==
                             "done"
@@ -165,14 +165,14 @@
         }
         at(10.0) { leader.crash(3.0) }
         go(120.0)
-        faultCounts("odd requests")
+        assertFaultsOccurred("odd requests")
         unbroken(stage = "done")
     }
 
     @Test
     fun `an answer that is lost is no refusal, whatever was written`() {
         cluster = SimulatedCluster(5, nodeCount = 3)
-        cluster.lostCommitAnswers = 0.4
+        cluster.faults.lostCommitAnswers = 0.4
         for (n in 1..40) {
             at(2.0 + n) {
                 cluster.submit(
@@ -188,9 +188,9 @@
             }
         }
         listOf(15.0, 30.0).forEach { at(it) { leader.crash(4.0) } }
-        at(90.0) { cluster.lostCommitAnswers = 0.0 }
+        at(90.0) { cluster.faults.lostCommitAnswers = 0.0 }
         go(180.0)
-        faultCounts(
+        assertFaultsOccurred(
             "lost answer: j",
             "lost answer: t",
             "lost answer: f",
@@ -222,17 +222,17 @@
         val machines = cluster.cloud.workers
         when (how) {
             "cut off" -> {
-                cluster.cutZones.addAll(listOf("a", "b"))
-                at(25.0) { cluster.cutZones.clear() }
+                cluster.faults.cutZones.addAll(listOf("a", "b"))
+                at(25.0) { cluster.faults.cutZones.clear() }
             }
             "hang" -> machines.forEach { it.hang(leaseS * 0.9) }
             "deaf" -> {
-                cluster.inboundBlocked.addAll(machines.map { it.id })
-                at(40.0) { cluster.inboundBlocked.clear() }
+                cluster.faults.inboundBlocked.addAll(machines.map { it.id })
+                at(40.0) { cluster.faults.inboundBlocked.clear() }
             }
             else -> {
-                cluster.outboundBlocked.addAll(machines.map { it.id })
-                at(40.0) { cluster.outboundBlocked.clear() }
+                cluster.faults.outboundBlocked.addAll(machines.map { it.id })
+                at(40.0) { cluster.faults.outboundBlocked.clear() }
             }
         }
         at(0.5) { (1..2).forEach { cancel(it) } }
@@ -260,8 +260,8 @@
             when (how) {
                 "crash" -> leader.crash(6.0)
                 "yield" -> leader.name.let { l ->
-                    cluster.cuts.add("$l-state")
-                    at(8.0) { cluster.cuts.remove("$l-state") }
+                    cluster.faults.cuts.add("$l-state")
+                    at(8.0) { cluster.faults.cuts.remove("$l-state") }
                 }
                 "freeze" -> leader.freeze(7.0)
                 else -> cluster.nodes.forEachIndexed { i, node -> at(i * 2.0) { node.crash(1.0) } }
@@ -280,12 +280,12 @@
         cluster = SimulatedCluster(7, nodeCount = 3)
         cluster.cloud.bootFactor = 0.1
         go(5.0)
-        cluster.lateWrites = 0.3
-        at(30.0) { cluster.lateWrites = 0.0 }
+        cluster.faults.lateWrites = 0.3
+        at(30.0) { cluster.faults.lateWrites = 0.0 }
         (1..6).forEach { cluster.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) }
         at(endsAfterS) { leader.crash(3.0) }
         go(110.0)
-        faultCounts("late writes")
+        assertFaultsOccurred("late writes")
         unbroken()
         assertTrue(
             cluster.cloud.instances.size in 15..25,
@@ -303,9 +303,9 @@
     fun `old reports reach every node as a new leader begins`(how: String) {
         begin(nodes = 5)
         val before = cluster.elections
-        cluster.copiesForNextLeader = 0.5
+        cluster.faults.copiesForNextLeader = 0.5
         go(10.0)
-        cluster.copiesForNextLeader = 0.0
+        cluster.faults.copiesForNextLeader = 0.0
         val lost = cluster.cloud.workers.filterIndexed { i, _ -> i % 2 == 0 }
         when (how) {
             // Everybody is away until the leases are over; the copies are of the session before.
@@ -330,9 +330,9 @@
                 26.0
             },
         )
-        faultCounts("copies for the next")
+        assertFaultsOccurred("copies for the next")
         assertTrue(
-            cluster.faultCounts.keys.any {
+            cluster.faults.counts.keys.any {
                 it.startsWith("copies taken")
             },
             "a leader took a copy for the first word",
@@ -390,7 +390,7 @@
         at(0.5) { (1..3).forEach { cancel(it) } }
         at(1.0) { (7..8).forEach { cluster.submit(SimulatedCluster.job(it, tasks = 10, runS = 900.0)) } }
         go(90.0)
-        faultCounts("commands to the hung")
+        assertFaultsOccurred("commands to the hung")
         unbroken(1..8)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
@@ -21,33 +21,35 @@
         "long outage" to
             listOf(ScheduledFault(50.0) { state.outage = true }, ScheduledFault(130.0) { state.outage = false }),
         "leader cut from state" to listOf(
-            ScheduledFault(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-state") } },
-            ScheduledFault(110.0) { cuts.clear() },
+            ScheduledFault(50.0) { nodes.first { it.leading }.let { faults.cuts.add("${it.name}-state") } },
+            ScheduledFault(110.0) { faults.cuts.clear() },
         ),
         "leader cut from workers" to listOf(
-            ScheduledFault(50.0) { nodes.first { it.leading }.let { cuts.add("${it.name}-workers") } },
-            ScheduledFault(110.0) { cuts.clear() },
+            ScheduledFault(50.0) { nodes.first { it.leading }.let { faults.cuts.add("${it.name}-workers") } },
+            ScheduledFault(110.0) { faults.cuts.clear() },
         ),
         "leader cut from state and peers" to listOf(
             ScheduledFault(50.0) {
-                nodes.first { it.leading }.let { cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
+                nodes.first { it.leading }.let { faults.cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
             },
-            ScheduledFault(120.0) { cuts.clear() },
+            ScheduledFault(120.0) { faults.cuts.clear() },
         ),
         "machines fail" to
             listOf(ScheduledFault(60.0) { cloud.instances.take(2).map { it.id }.forEach { cloud.fail(it) } }),
-        "late writes" to listOf(ScheduledFault(30.0) { lateWrites = 0.1 }, ScheduledFault(150.0) { lateWrites = 0.0 }),
-        "lost answers" to listOf(ScheduledFault(20.0) { answerLoss = 0.1 }, ScheduledFault(150.0) { answerLoss = 0.0 }),
+        "late writes" to
+            listOf(ScheduledFault(30.0) { faults.lateWrites = 0.1 }, ScheduledFault(150.0) { faults.lateWrites = 0.0 }),
+        "lost answers" to
+            listOf(ScheduledFault(20.0) { faults.answerLoss = 0.1 }, ScheduledFault(150.0) { faults.answerLoss = 0.0 }),
         "everything" to listOf(
-            ScheduledFault(25.0) { answerLoss = 0.05 },
-            ScheduledFault(30.0) { lateWrites = 0.05 },
+            ScheduledFault(25.0) { faults.answerLoss = 0.05 },
+            ScheduledFault(30.0) { faults.lateWrites = 0.05 },
             ScheduledFault(55.0) { nodes.first { it.up }.crash(8.0) },
             ScheduledFault(75.0) { cloud.instances.take(1).map { it.id }.forEach { cloud.fail(it) } },
             ScheduledFault(90.0) { nodes.forEach { it.crash(10.0) } },
             ScheduledFault(105.0) { state.outage = true },
             ScheduledFault(120.0) { state.outage = false },
-            ScheduledFault(160.0) { lateWrites = 0.0 },
-            ScheduledFault(160.0) { answerLoss = 0.0 },
+            ScheduledFault(160.0) { faults.lateWrites = 0.0 },
+            ScheduledFault(160.0) { faults.answerLoss = 0.0 },
         ),
         "machines never come" to listOf(ScheduledFault(0.1) { cloud.bootFailureShare = 0.3 }),
         "cloud outage" to
--- a/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
@@ -39,7 +39,7 @@
                     priority = Priority.LOW,
                 ).copy(need = Resources(250, 0, 500)),
             )
-            cluster.pollFactor = 10.0
+            cluster.faults.pollFactor = 10.0
         }
         cluster.clock.after(28.0) { cluster.nodes.first { it.leading }.crash(8.0) }
         cluster.clock.after(36.0) { cluster.nodes.firstOrNull { it.leading }?.freeze(60.0) }
@@ -61,7 +61,7 @@
         cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 4, priority = Priority.PRODUCTION))
         var lastServed = 0.0
         cluster.onHeartbeatServed = { _, _ -> lastServed = cluster.clock.now }
-        cluster.clock.after(40.0) { cluster.cuts.add("n0-state") }
+        cluster.clock.after(40.0) { cluster.faults.cuts.add("n0-state") }
         cluster.clock.runUntil(200.0)
         val lease = cluster.settings.workers.leaseS
         assertTrue(lastServed > 40.0 + lease, "workers are kept for the grace at least, until $lastServed s")
--- a/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -98,13 +98,13 @@
                 cluster.clock.after(20.0) { cluster.state.outage = false }
             }
             "during a take-over" -> first.crash(8.0)
-            "while renewals go unanswered" -> cluster.answerLoss = 0.1
+            "while renewals go unanswered" -> cluster.faults.answerLoss = 0.1
             else -> first.freeze(9.0)
         }
         cluster.clock.after(2.0) {
             cut(listOf(cluster.nodes.firstOrNull { it.leading } ?: first), "workers", LinkCut.REFUSE)
         }
-        cluster.clock.after(25.0) { cluster.answerLoss = 0.0 }
+        cluster.clock.after(25.0) { cluster.faults.answerLoss = 0.0 }
         survives()
     }
 
@@ -161,7 +161,7 @@
 
     @Test
     fun `nodes of the older version are sent no frame that they can't read, and hand over as they did`() {
-        others.forEach { cluster.previousVersionNodes.add(it.name) }
+        others.forEach { cluster.faults.previousVersionNodes.add(it.name) }
         cluster.clock.runUntil(cluster.clock.now + 3.0)
         cut(listOf(first), "workers", LinkCut.REFUSE)
         cluster.clock.runUntil(cluster.clock.now + 12.0)
@@ -186,7 +186,7 @@
         val heartbeat = leaver.heartbeat().copy(token = cluster.state.version("fleet").coerceAtLeast(2))
         cluster.clock.runUntil(cluster.clock.now + 60.0)
         var answered = 0
-        cluster.onHeartbeat(leaver, first, heartbeat.copy(machine = leaver.id)) { status, _ -> answered = status }
+        cluster.sendHeartbeat(leaver, cluster.nodes.indexOf(first), heartbeat.copy(machine = leaver.id)) { status, _ -> answered = status }
         cluster.network.healAll()
         cluster.clock.runUntil(cluster.clock.now + 3.0)
         assertTrue(first.leading, "yielded for a token of its own")
--- a/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
@@ -62,7 +62,7 @@
         cluster.clock.after(120.0) { cluster.strike(fault) }
         cluster.clock.after(140.0) {
             cluster.state.outage = false
-            cluster.cutZones.clear()
+            cluster.faults.cutZones.clear()
         }
         cluster.clock.runUntil(260.0)
         assertTrue(inTime(jobs) >= least, "in time ${inTime(jobs)}")
@@ -80,7 +80,7 @@
         when (fault) {
             "crash" -> nodes.first { it.leading }.crash(8.0)
             "outage" -> state.outage = true
-            "zone" -> cutZones.add("b")
+            "zone" -> faults.cutZones.add("b")
         }
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -120,20 +120,20 @@
             "the leader ends" -> leading.crash(8.0)
             "the leader and a session's node end" -> listOf(leading, home).forEach { it.crash(6.0) }
             "all controllers end" -> cluster.nodes.forEach { it.crash(2.0) }
-            "frames are lost" -> during(20.0, { cluster.frameLoss = 0.05 }) { cluster.frameLoss = 0.0 }
-            "frames come twice and late" -> during(30.0, { cluster.lateFrameCopies = 0.5 }) {
-                cluster.lateFrameCopies =
+            "frames are lost" -> during(20.0, { cluster.faults.frameLoss = 0.05 }) { cluster.faults.frameLoss = 0.0 }
+            "frames come twice and late" -> during(30.0, { cluster.faults.lateFrameCopies = 0.5 }) {
+                cluster.faults.lateFrameCopies =
                     0.0
             }
-            "reports come twice and late" -> during(30.0, { cluster.lateHeartbeatCopies = 0.3 }) {
-                cluster.lateHeartbeatCopies =
+            "reports come twice and late" -> during(30.0, { cluster.faults.lateHeartbeatCopies = 0.3 }) {
+                cluster.faults.lateHeartbeatCopies =
                     0.0
             }
             "machines restart" -> cluster.cloud.workers.take(30).forEach { it.hang(16.0) }
             "a worker reports to two at once" -> everywhere()
             "the leader and the store's answers" -> during(20.0, {
-                cluster.lostCommitAnswers = 0.3
-            }) { cluster.lostCommitAnswers = 0.0 }.also { leading.crash(3.0) }
+                cluster.faults.lostCommitAnswers = 0.3
+            }) { cluster.faults.lostCommitAnswers = 0.0 }.also { leading.crash(3.0) }
             else -> error(what)
         }
         return home
@@ -182,7 +182,7 @@
         assertSpread()
         if (what.startsWith("frames")) {
             assertTrue(
-                cluster.faultCounts.getOrDefault(
+                cluster.faults.counts.getOrDefault(
                     if (what ==
                         "frames are lost"
                     ) {
@@ -192,7 +192,7 @@
                     },
                     0,
                 ) >= 20,
-                "${cluster.faultCounts}",
+                "${cluster.faults.counts}",
             )
         }
     }
@@ -233,7 +233,7 @@
     fun `beside older nodes the others serve what they can`(previousVersionNodes: Int) {
         // Older ones send no word of sessions, so they are given none; where only they are left, all come to the
         // leader.
-        cluster.nodes.drop(1).take(previousVersionNodes).forEach { cluster.previousVersionNodes.add(it.name) }
+        cluster.nodes.drop(1).take(previousVersionNodes).forEach { cluster.faults.previousVersionNodes.add(it.name) }
         cluster.clock.runUntil(100.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertEquals(0, cluster.tasksKilledByLease)
