--- /dev/null
+++ b/src/test/kotlin/plankwall/simulation/faults/RequestCombinationsTest.kt
@@ -0,0 +1,227 @@
+package plankwall.simulation.faults
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import org.junit.jupiter.params.ParameterizedTest
+import org.junit.jupiter.params.provider.ValueSource
+import plankwall.fixtures.FaultCombinationFixture
+import plankwall.model.Priority
+import plankwall.simulation.LinkCut
+import plankwall.simulation.SimulatedCluster
+
+/** Users' requests, repeated, invalid and many, combined with other faults. */
+class RequestCombinationsTest : FaultCombinationFixture() {
+    @ParameterizedTest
+    @ValueSource(
+        strings = [
+            "no other trouble", "the leader ends", "a node stands still", "a node has just started", "late writes",
+            "lost answers", "a node is cut from the store",
+        ],
+    )
+    fun `users send and repeat requests at all controllers as jobs are accepted, end and are cancelled`(fault: String) {
+        cluster = SimulatedCluster(9, nodeCount = 5)
+        cluster.faults.concurrentRequests = true
+        cluster.faults.cancelAtCompletion = 0.3
+        for (n in 1..60) {
+            after(2.0 + n) {
+                cluster.submit(
+                    SimulatedCluster.job(
+                        n,
+                        tasks = 1 + n % 3,
+                        runS = 8.0,
+                        after = if (n % 10 ==
+                            0
+                        ) {
+                            listOf(n - 1)
+                        } else {
+                            emptyList()
+                        },
+                    ),
+                    if (n % 4 == 0) n % 3 * 5.0 else null,
+                )
+            }
+        }
+        for (s in listOf(20.0, 40.0)) {
+            after(s) {
+                when (fault) {
+                    "the leader ends" -> leader.crash(3.0)
+                    "a node stands still" -> cluster.nodes.first { !it.leading }.freeze(9.0)
+                    "a node has just started" -> cluster.nodes.first { !it.leading }.crash(0.1)
+                    "a node is cut from the store" -> cluster.nodes.first { !it.leading }.name.let { n ->
+                        cluster.faults.cuts.add("$n-state")
+                        after(10.0) { cluster.faults.cuts.remove("$n-state") }
+                    }
+                    "late writes" -> {
+                        cluster.faults.lateWrites = 0.2
+                        after(15.0) { cluster.faults.lateWrites = 0.0 }
+                    }
+                    "lost answers" -> {
+                        cluster.faults.lostCommitAnswers = 0.2
+                        after(15.0) { cluster.faults.lostCommitAnswers = 0.0 }
+                    }
+                }
+            }
+        }
+        runFor(200.0)
+        assertFaultsOccurred("close looks", "cancelled at its end")
+        assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
+        (1..60).forEach {
+            assertTrue(
+                cluster.stageOf(jobId(it)) in setOf("done", "withdrawn"),
+                "${jobId(it)} is ${cluster.stageOf(jobId(it))}",
+            )
+        }
+    }
+
+    @Test
+    fun `invalid requests are refused with their reason, and repeats of accepted ones never`() {
+        startJobs(nodes = 5, runS = 40.0)
+        repeat(60) { s ->
+            after(s.toDouble()) {
+                cluster.retryingUsers.sendInvalidRequests(
+                    (1..6).map(::jobId).filter {
+                        cluster.checker.finalStageOf(it) ==
+                            "done"
+                    },
+                    (1..6).map(::jobId).filter { cluster.checker.finalStageOf(it) == null },
+                )
+            }
+        }
+        after(10.0) { leader.crash(3.0) }
+        runFor(120.0)
+        assertFaultsOccurred("odd requests")
+        assertNoViolations(stage = "done")
+    }
+
+    @Test
+    fun `a lost commit answer is no refusal, whatever was written`() {
+        cluster = SimulatedCluster(5, nodeCount = 3)
+        cluster.faults.lostCommitAnswers = 0.4
+        for (n in 1..40) {
+            after(2.0 + n) {
+                cluster.submit(
+                    SimulatedCluster.job(n, tasks = 3, runS = 12.0),
+                    if (n % 4 ==
+                        0
+                    ) {
+                        6.0
+                    } else {
+                        null
+                    },
+                )
+            }
+        }
+        listOf(15.0, 30.0).forEach { after(it) { leader.crash(4.0) } }
+        after(90.0) { cluster.faults.lostCommitAnswers = 0.0 }
+        runFor(180.0)
+        assertFaultsOccurred(
+            "lost answer: j",
+            "lost answer: t",
+            "lost answer: f",
+            "lost answer: fleet",
+            "lost answer: leader",
+            "lost answer: catalog",
+        )
+        assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
+        (1..40).forEach {
+            assertEquals(
+                if (it % 4 ==
+                    0
+                ) {
+                    "withdrawn"
+                } else {
+                    "done"
+                },
+                cluster.stageOf(jobId(it)),
+                jobId(it),
+            )
+        }
+    }
+
+    @Test
+    fun `one-task jobs four a second, a quarter cancelled`() {
+        cluster = SimulatedCluster(3, nodeCount = 3)
+        var asked = 0
+        for (n in 1..720) {
+            after(5.0 + n * 0.25) {
+                cluster.submit(
+                    SimulatedCluster.job(n, tasks = 1, runS = 6.0),
+                    if (n % 4 ==
+                        0
+                    ) {
+                        cluster.random.nextDouble() * 8.0
+                    } else {
+                        null
+                    },
+                )
+                asked++
+            }
+        }
+        runFor(185.0)
+        val changes = cluster.state.changes
+        runFor(60.0)
+        assertEquals(720, asked)
+        assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
+        (1..720).forEach {
+            assertTrue(
+                cluster.stageOf(jobId(it)) == "done" || it % 4 == 0 && cluster.stageOf(jobId(it)) == "withdrawn",
+                "${jobId(it)} is ${cluster.stageOf(jobId(it))}",
+            )
+        }
+        assertTrue(changes / 180.0 < cluster.settings.state.writeRps * 0.75, "${changes / 180.0} changes a second")
+        assertTrue(
+            cluster.state.calls.beyond == 0 && cluster.state.writes.beyond == 0,
+            "beyond the settings: ${cluster.state.calls.beyond} calls, ${cluster.state.writes.beyond} changes",
+        )
+    }
+
+    @Test
+    fun `more work than capacity, urgent and not, over slow links`() {
+        cluster = SimulatedCluster(7, nodeCount = 3)
+        cluster.cloud.capacity = 5
+        for (n in 1..24) {
+            after(2.0 + n) {
+                cluster.submit(
+                    SimulatedCluster.job(
+                        n,
+                        tasks = 4,
+                        runS = 15.0,
+                        priority = if (n % 3 ==
+                            0
+                        ) {
+                            Priority.HIGH
+                        } else {
+                            Priority.LOW
+                        },
+                    ),
+                    if (n % 8 == 0) 10.0 else null,
+                )
+            }
+        }
+        // Every ten seconds all that the nodes send each other, the store and the workers takes three seconds.
+        for (s in 1..10) {
+            after(s * 10.0) {
+                cluster.nodes.forEach { n ->
+                    listOf("state", "workers").forEach { cluster.network.cutBoth(n.name, it, LinkCut.HOLD) }
+                }
+                after(3.0) { cluster.network.healAll() }
+            }
+        }
+        runFor(330.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
+        assertEquals(5, cluster.cloud.maxInstances)
+        (1..24).forEach {
+            assertTrue(
+                cluster.stageOf(jobId(it)) in if (it % 8 ==
+                    0
+                ) {
+                    setOf("done", "withdrawn")
+                } else {
+                    setOf("done")
+                },
+                "${jobId(it)} is ${cluster.stageOf(jobId(it))}",
+            )
+        }
+    }
+}
