--- a/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
@@ -90,9 +90,7 @@
         val stat = File("/proc/$pid/stat").readText().substringAfterLast(") ").split(' ')
         val ticks = stat[USER_TIME].toLong() + stat[SYSTEM_TIME].toLong()
         val resident = residentMb(pid)
-        if (resident ==
-            null
-        ) {
+        if (resident == null) {
             null
         } else {
             ProcessSample(ticks / TICKS_PER_S, resident, if (withSockets) sockets(pid) else -1)
--- a/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
@@ -75,9 +75,7 @@
         val at = results.size
         results.add(FaultOutcome(fault, hit.toList(), null))
         fun look() {
-            if (cluster.transport.servedSince(from) >=
-                SERVED_SHARE
-            ) {
+            if (cluster.transport.servedSince(from) >= SERVED_SHARE) {
                 results[at] = results[at].copy(servedAgainS = cluster.clock.now - from)
             } else {
                 cluster.clock.after(LOOK_EVERY_S) { look() }
--- a/src/main/kotlin/plankwall/loadtest/FreePorts.kt
+++ b/src/main/kotlin/plankwall/loadtest/FreePorts.kt
@@ -18,9 +18,7 @@
         val ports = (0 until all).asSequence().map {
             FIRST + (begin + it) % all
         }.filterNot(::isTaken).take(count).toList()
-        if (ports.size <
-            count
-        ) {
+        if (ports.size < count) {
             throw InvalidLoadTestPlanException("needs $count free ports from $FIRST on, found ${ports.size}")
         }
         return ports
--- a/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -119,9 +119,7 @@
             listOf(GroupKey(PLAIN, zone, false), GroupKey(PLAIN, zone, false), GroupKey(ACCELERATED, zone, false))
         }
         val counts = IntArray(groups.size) {
-            plan.workers / groups.size + if (it <
-                plan.workers % groups.size
-            ) {
+            plan.workers / groups.size + if (it < plan.workers % groups.size) {
                 1
             } else {
                 0
--- a/src/main/kotlin/plankwall/loadtest/LoadTestLimits.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestLimits.kt
@@ -9,24 +9,18 @@
         memoryMb: Long = ProcReader.totalMemoryMb(),
     ) {
         val files = filesFor(plan)
-        if (files >
-            openFiles
-        ) {
+        if (files > openFiles) {
             throw InvalidLoadTestPlanException(
                 "needs $files open files, this process may have $openFiles: fewer workers or controllers",
             )
         }
-        if (plan.maxConnections >
-            openFiles
-        ) {
+        if (plan.maxConnections > openFiles) {
             throw InvalidLoadTestPlanException(
                 "max_connections ${plan.maxConnections}: a process may have $openFiles open files",
             )
         }
         val needMb = plan.controllers * plan.memoryMb + STAND_INS_MB + plan.workers * WORKER_MB
-        if (needMb >
-            memoryMb / 2
-        ) {
+        if (needMb > memoryMb / 2) {
             throw InvalidLoadTestPlanException(
                 "needs %.0f MB, half of this machine's memory is %d MB: fewer workers or controllers".format(
                     needMb,
@@ -34,9 +28,7 @@
                 ),
             )
         }
-        if (plan.controllers >
-            MAX_PROCESSES
-        ) {
+        if (plan.controllers > MAX_PROCESSES) {
             throw InvalidLoadTestPlanException("${plan.controllers} controllers: at most $MAX_PROCESSES processes")
         }
     }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestPlanFile.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestPlanFile.kt
@@ -115,9 +115,7 @@
 
         fun number(key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
             val found = find(key) ?: return default
-            if (!found.isNumber ||
-                found.asDouble() !in range
-            ) {
+            if (!found.isNumber || found.asDouble() !in range) {
                 throw InvalidLoadTestPlanException(
                     "$prefix$key: ${found.asText()} must be a number in ${range.start}..${range.endInclusive}",
                 )
@@ -127,9 +125,7 @@
 
         fun whole(key: String, default: Int, range: IntRange): Int {
             val found = find(key) ?: return default
-            if (!found.isInt ||
-                found.asInt() !in range
-            ) {
+            if (!found.isInt || found.asInt() !in range) {
                 throw InvalidLoadTestPlanException("$prefix$key: ${found.asText()} must be a whole number in $range")
             }
             return found.asInt()
--- a/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
@@ -160,13 +160,7 @@
                 "  reports answered within 1 s %.4f of %d, leases lost %d; " +
                     "stand-ins use %.2f of a core, late p99 %.0f ms"
                 ).format(
-                if (total ==
-                    0L
-                ) {
-                    1.0
-                } else {
-                    p.heartbeatsWithin1S / total.toDouble()
-                },
+                if (total == 0L) 1.0 else p.heartbeatsWithin1S / total.toDouble(),
                 total,
                 p.leasesExpired,
                 p.standInCpu,
--- a/src/main/kotlin/plankwall/loadtest/LoadTestRun.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestRun.kt
@@ -65,14 +65,14 @@
         val faults = FaultTimeline(cluster, controllers, links)
         phases(sampler, users, faults)
         return LoadTestFigures(
-            plan,
-            phases,
-            faults.outcomes,
-            users.serviceTasks,
-            users.serviceTasksStarted,
-            users.givenUp,
-            controllers.sumOf { it.endedByItself },
-            cluster.checker.violations.toList(),
+            plan = plan,
+            phases = phases,
+            faults = faults.outcomes,
+            serviceTasks = users.serviceTasks,
+            serviceTasksStarted = users.serviceTasksStarted,
+            givenUp = users.givenUp,
+            endedByItself = controllers.sumOf { it.endedByItself },
+            violations = cluster.checker.violations.toList(),
         )
     }
 
@@ -97,9 +97,7 @@
     private suspend fun awaitControllers() {
         val startedAt = cluster.clock.now
         while (!controllers.all { FreePorts.isListening(it.apiAddress.port) }) {
-            if (cluster.clock.now - startedAt >
-                START_S
-            ) {
+            if (cluster.clock.now - startedAt > START_S) {
                 throw InvalidLoadTestPlanException(
                     "a controller does not listen within %.0f s: see ${folder.path}".format(START_S),
                 )
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -92,9 +92,7 @@
         val work = plan.work
         every(work.startsPerS / work.arrayTasks) { submitArray() }
         every(work.urgentPerS) { submit(spec(URGENT, Shape.ARRAY, 1, work.arrayRunS, Priority.HIGH, 0)) }
-        if (work.gangTasks >
-            0
-        ) {
+        if (work.gangTasks > 0) {
             every(work.gangsPerMin / SECONDS_A_MINUTE) {
                 submit(spec(GANG, Shape.GANG, work.gangTasks, work.arrayRunS, Priority.HIGH, 0))
             }
@@ -104,9 +102,7 @@
     private fun submitArray() {
         val spec = spec(BATCH, Shape.ARRAY, plan.work.arrayTasks, plan.work.arrayRunS, Priority.LOW, 0)
         submit(spec)
-        if (cluster.random.nextDouble() <
-            plan.work.cancelShare
-        ) {
+        if (cluster.random.nextDouble() < plan.work.cancelShare) {
             cluster.clock.after(1.0 + cluster.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
         }
     }
--- a/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
@@ -70,11 +70,12 @@
         val seconds = cluster.clock.now - startedAt
         val latencies = meters.latencies
         return PhaseFigures(
-            phase, seconds, cluster.cloud.workers.size, cluster.cloud.workers.sumOf(SimulatedWorker::runningTasks),
-            controllers.indices.map {
-                figures(it, seconds)
-            },
-            mapOf(
+            phase = phase,
+            seconds = seconds,
+            workers = cluster.cloud.workers.size,
+            running = cluster.cloud.workers.sumOf(SimulatedWorker::runningTasks),
+            nodes = controllers.indices.map { figures(it, seconds) },
+            latencies = mapOf(
                 "report" to latencies.heartbeat,
                 "submission" to latencies.submission,
                 "cancellation" to latencies.cancellation,
@@ -83,13 +84,17 @@
                 "urgent start" to latencies.urgentStart,
                 "gang start" to latencies.gangStart,
             ).mapValues { LatencyFigures.of(it.value) },
-            (meters.starts - base.starts) / seconds,
-            meters.busiest(startedAt, cluster.clock.now, 1), meters.busiest(startedAt, cluster.clock.now, 10),
-            meters.heartbeatsServed - base.served, meters.heartbeatsWithin1S - base.within1S,
-            meters.heartbeatsFailed - base.failed,
-            meters.leasesExpired - base.leases,
-            meters.refusals.mapValues { (what, n) -> n - (base.refusals[what] ?: 0L) }.filterValues { it > 0 },
-            (ownCpuS() - ownCpuAt) / seconds, cluster.lagUs.getValueAtPercentile(99.0) / 1000.0,
+            startsPerS = (meters.starts - base.starts) / seconds,
+            startsBusiestSecond = meters.busiest(startedAt, cluster.clock.now, 1),
+            startsBusiest10S = meters.busiest(startedAt, cluster.clock.now, 10),
+            heartbeatsServed = meters.heartbeatsServed - base.served,
+            heartbeatsWithin1S = meters.heartbeatsWithin1S - base.within1S,
+            heartbeatsFailed = meters.heartbeatsFailed - base.failed,
+            leasesExpired = meters.leasesExpired - base.leases,
+            refusals = meters.refusals.mapValues { (what, n) -> n - (base.refusals[what] ?: 0L) }
+                .filterValues { it > 0 },
+            standInCpu = (ownCpuS() - ownCpuAt) / seconds,
+            standInLagP99Ms = cluster.lagUs.getValueAtPercentile(99.0) / 1000.0,
         )
     }
 
@@ -99,15 +104,19 @@
         val then = base.nodes[i]
         fun rate(of: (NodeMeter) -> Long) = (of(now) - of(then)) / seconds
         return NodeFigures(
-            controllers[i].name, lastLeader == i, node.cpuS / seconds, node.busiest, node.residentMb, node.sockets,
-            rate {
-                it.heartbeats
-            },
-            rate {
-                it.polls
-            },
-            rate { it.submissions }, rate { it.stateRequests }, rate { it.stateRefused }, rate { it.puts },
-            rate { it.frameBytes } / 1024,
+            node = controllers[i].name,
+            leads = lastLeader == i,
+            cpuMean = node.cpuS / seconds,
+            cpuBusiestSecond = node.busiest,
+            residentMb = node.residentMb,
+            sockets = node.sockets,
+            heartbeats = rate { it.heartbeats },
+            polls = rate { it.polls },
+            submissions = rate { it.submissions },
+            stateRequests = rate { it.stateRequests },
+            stateRefused = rate { it.stateRefused },
+            puts = rate { it.puts },
+            frameKb = rate { it.frameBytes } / 1024,
         )
     }
 
--- a/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
@@ -24,9 +24,7 @@
         return HttpReply(statusOf(result), StateServiceCodec.write(bounded(result)))
     }
 
-    private fun lagMs(): Long = if (cluster.random.nextDouble() <
-        SLOW_SHARE
-    ) {
+    private fun lagMs(): Long = if (cluster.random.nextDouble() < SLOW_SHARE) {
         SLOW_MS
     } else {
         1L + cluster.random.nextInt(USUAL_MS)
@@ -60,9 +58,7 @@
         val prefix = query["prefix"].orEmpty()
         val from = query["from"]?.toLongOrNull() ?: 0L
         val blockMs = query["block_ms"]?.toLongOrNull() ?: 0L
-        return if (blockMs ==
-            0L
-        ) {
+        return if (blockMs == 0L) {
             StateOp.Changes(prefix, from)
         } else {
             StateOp.Watch(prefix, from, blockMs.coerceAtMost(MAX_BLOCK_MS))
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -64,8 +64,7 @@
                         Shape.SERVICE,
                         tasks = 8,
                         priority = Priority.PRODUCTION,
-                        spread =
-                        n % 2 == 0,
+                        spread = n % 2 == 0,
                     ),
                 )
             }
@@ -98,21 +97,9 @@
     private fun job(n: Int, at: Double) {
         val spec = SimulatedCluster.job(
             n,
-            if (n % 3 ==
-                0
-            ) {
-                Shape.GANG
-            } else {
-                Shape.ARRAY
-            },
+            if (n % 3 == 0) Shape.GANG else Shape.ARRAY,
             tasks = 2 + n % 2,
-            runS = if (n % 4 <
-                2
-            ) {
-                120.0
-            } else {
-                20.0
-            },
+            runS = if (n % 4 < 2) 120.0 else 20.0,
             oneZone = n % 6 == 0,
             team = if (n % 5 == 0) "red" else "blue",
         )
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -84,8 +84,7 @@
                         Shape.SERVICE,
                         tasks = SERVICE,
                         priority = Priority.PRODUCTION,
-                        spread =
-                        n % 2 == 0,
+                        spread = n % 2 == 0,
                     ),
                 )
             }
@@ -95,13 +94,7 @@
                 cluster.submit(
                     SimulatedCluster.job(
                         FIRST_JOB + n,
-                        if (n % 3 ==
-                            0
-                        ) {
-                            Shape.GANG
-                        } else {
-                            Shape.ARRAY
-                        },
+                        if (n % 3 == 0) Shape.GANG else Shape.ARRAY,
                         tasks = 4,
                         runS = 25.0,
                     ),
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -73,8 +73,7 @@
                     Shape.SERVICE,
                     tasks = 4,
                     priority = Priority.PRODUCTION,
-                    spread =
-                    n % 2 == 0,
+                    spread = n % 2 == 0,
                     team = if (n == 1) "red" else "blue",
                 ),
                 1.0 + n * 0.1,
@@ -84,13 +83,7 @@
             submit(
                 SimulatedCluster.job(
                     n,
-                    if (n % 4 ==
-                        0
-                    ) {
-                        Shape.GANG
-                    } else {
-                        Shape.ARRAY
-                    },
+                    if (n % 4 == 0) Shape.GANG else Shape.ARRAY,
                     tasks = 1 + n % 5,
                     runS = 15.0 + n % 20,
                     oneZone = n % 8 == 0,
@@ -193,13 +186,7 @@
         for (n in 600..605) {
             val spec = SimulatedCluster.job(
                 n,
-                if (n % 2 ==
-                    0
-                ) {
-                    Shape.GANG
-                } else {
-                    Shape.ARRAY
-                },
+                if (n % 2 == 0) Shape.GANG else Shape.ARRAY,
                 tasks = 1 + n % 6,
                 runS = 20.0,
                 priority = Priority.HIGH,
--- a/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -49,9 +49,7 @@
         for (spec in unsatisfiableJobs()) {
             cluster.faults.count("odd requests")
             cluster.users.submitOnce(spec, node) {
-                if (it <
-                    400
-                ) {
+                if (it < 400) {
                     cluster.checker.violations.add("impossible: ${spec.id} was accepted")
                 }
             }
--- a/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -52,9 +52,7 @@
     private fun snapshot() = machines.values.map {
         val state = if (it.failed) {
             ListedState.FAILED
-        } else if (it.worker ==
-            null
-        ) {
+        } else if (it.worker == null) {
             ListedState.BOOTING
         } else {
             ListedState.RUNNING
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -156,10 +156,7 @@
         large.forEach { rejected.merge(it.key, 1, Int::plus) }
         if (op.writes.size > limits.txnOps) rejected.merge("${op.writes.size} changes", 1, Int::plus)
         if (op.guards.size > limits.txnOps * 4) rejected.merge("${op.guards.size} guards", 1, Int::plus)
-        if (large.isNotEmpty() ||
-            op.writes.size > limits.txnOps ||
-            op.guards.size > limits.txnOps * 4
-        ) {
+        if (large.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) {
             return StateResult.Rejected
         }
         if (clock.now.toLong() != second) changesInSecond = 0
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -150,10 +150,7 @@
             val there = tasks[name]
             when (order.get("verb").asText()) {
                 "run" -> if (there == null) start(name, attempt)
-                "stop" -> if (there != null &&
-                    there.attempt == attempt &&
-                    there.stage != TaskStage.EXITED
-                ) {
+                "stop" -> if (there != null && there.attempt == attempt && there.stage != TaskStage.EXITED) {
                     end(name, there, ExitCause.STOPPED)
                 }
                 "clear" -> if (there != null && there.attempt == attempt && there.stage == TaskStage.EXITED) {
--- a/src/test/kotlin/plankwall/load/LoopbackServices.kt
+++ b/src/test/kotlin/plankwall/load/LoopbackServices.kt
@@ -181,9 +181,7 @@
             if (news.isNotEmpty() || left <= 0) {
                 val told = news.joinToString(",") { n ->
                     val key = json.writeValueAsString(n.key)
-                    if (n.data ==
-                        null
-                    ) {
+                    if (n.data == null) {
                         """{"remove":$key,"stamp":${n.stamp}}"""
                     } else {
                         """{"set":$key,"data":${n.data},"stamp":${n.stamp}}"""
--- a/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
@@ -51,9 +51,7 @@
             6 to listOf(5),
         )
         for ((job, names) in needs) {
-            val expected = if (names.any { told[it - 1] == "withdrawn" } ||
-                (job == stage && told[job - 1] != "done")
-            ) {
+            val expected = if (names.any { told[it - 1] == "withdrawn" } || (job == stage && told[job - 1] != "done")) {
                 "withdrawn"
             } else {
                 "done"
@@ -110,8 +108,7 @@
                         n,
                         tasks = 4,
                         runS = 25.0,
-                        spot =
-                        n % 2 == 0,
+                        spot = n % 2 == 0,
                     ),
                 )
             }
--- a/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -32,13 +32,7 @@
                 SimulatedCluster.job(
                     1,
                     tasks = 1,
-                    runS = if (standing ==
-                        "done"
-                    ) {
-                        3.0
-                    } else {
-                        300.0
-                    },
+                    runS = if (standing == "done") 3.0 else 300.0,
                 ),
             )
         }
@@ -58,9 +52,7 @@
         if (standing == "unreadable") cluster.state.outage = true
         if (standing.startsWith("accepted by another")) {
             cluster.nodes[0].sendRequest({ Input.Submit(it, SimulatedCluster.job(8, runS = 300.0)) }) { status, _ ->
-                if (status ==
-                    201
-                ) {
+                if (status == 201) {
                     sendRequest()
                 }
             }
--- a/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
+++ b/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
@@ -43,8 +43,7 @@
                     SimulatedCluster.job(
                         n,
                         tasks = 1,
-                        runS =
-                        20.0 + n % 7,
+                        runS = 20.0 + n % 7,
                     ).copy(zone = "a"),
                 )
             }
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -105,13 +105,7 @@
 
     private fun items(key: String, pieces: List<Stored>) = pieces.mapIndexed { i, p ->
         StateItem(
-            if (i ==
-                0
-            ) {
-                key
-            } else {
-                Keys.more(key, i)
-            },
+            if (i == 0) key else Keys.more(key, i),
             p,
             5,
         )
@@ -195,8 +189,7 @@
                         n,
                         tasks = 16,
                         runS = 30.0,
-                        spot =
-                        n % 2 == 0,
+                        spot = n % 2 == 0,
                     ),
                 )
             }
--- a/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -66,9 +66,7 @@
         cluster.clock.runUntil(cluster.clock.now + 200.0)
         assertEquals(cancellations, told, "withdrawals confirmed")
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        if (killed !=
-            null
-        ) {
+        if (killed != null) {
             assertEquals(
                 killed,
                 cluster.tasksKilledByLease > 0,
@@ -78,13 +76,7 @@
         // Whatever was killed meanwhile runs again: all but the withdrawn jobs, and nothing waits for ever.
         (1..6).forEach {
             assertEquals(
-                if (it <=
-                    cancellations
-                ) {
-                    "withdrawn"
-                } else {
-                    "running"
-                },
+                if (it <= cancellations) "withdrawn" else "running",
                 cluster.stageOf("job-%06d".format(it)),
             )
         }
@@ -126,26 +118,12 @@
                 cluster.clock.after(10.0) { gap(by) }
             }
             else -> cluster.clock.after(
-                if (how ==
-                    "at the very moment"
-                ) {
-                    0.0
-                } else {
-                    0.5
-                },
+                if (how == "at the very moment") 0.0 else 0.5,
             ) { cancel(by, 1) { after(how, by) } }
         }
-        if (!how.startsWith("a leader") &&
-            !how.startsWith("the old leader")
-        ) {
+        if (!how.startsWith("a leader") && !how.startsWith("the old leader")) {
             cluster.clock.after(
-                if (how ==
-                    "at the very moment"
-                ) {
-                    1.0
-                } else {
-                    1.5
-                },
+                if (how == "at the very moment") 1.0 else 1.5,
             ) { outage(60.0 - 8.0) }
         }
         if (how == "the peers can't be heard either") cluster.faults.cuts.add("${first.name}-peers")
--- a/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
@@ -90,8 +90,7 @@
                     n,
                     tasks = 3,
                     priority = Priority.entries[n % 4],
-                    spot =
-                    n % 2 == 0,
+                    spot = n % 2 == 0,
                 ),
             )
         }
--- a/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -186,7 +186,10 @@
         val heartbeat = leaver.heartbeat().copy(token = cluster.state.version("fleet").coerceAtLeast(2))
         cluster.clock.runUntil(cluster.clock.now + 60.0)
         var answered = 0
-        cluster.sendHeartbeat(leaver, cluster.nodes.indexOf(first), heartbeat.copy(machine = leaver.id)) { status, _ -> answered = status }
+        cluster.sendHeartbeat(leaver, cluster.nodes.indexOf(first), heartbeat.copy(machine = leaver.id)) { status, _ ->
+            answered =
+                status
+        }
         cluster.network.healAll()
         cluster.clock.runUntil(cluster.clock.now + 3.0)
         assertTrue(first.leading, "yielded for a token of its own")
--- a/src/test/kotlin/plankwall/simulation/faults/RequestCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/RequestCombinationsTest.kt
@@ -30,13 +30,7 @@
                         n,
                         tasks = 1 + n % 3,
                         runS = 8.0,
-                        after = if (n % 10 ==
-                            0
-                        ) {
-                            listOf(n - 1)
-                        } else {
-                            emptyList()
-                        },
+                        after = if (n % 10 == 0) listOf(n - 1) else emptyList(),
                     ),
                     if (n % 4 == 0) n % 3 * 5.0 else null,
                 )
@@ -102,13 +96,7 @@
             after(2.0 + n) {
                 cluster.submit(
                     SimulatedCluster.job(n, tasks = 3, runS = 12.0),
-                    if (n % 4 ==
-                        0
-                    ) {
-                        6.0
-                    } else {
-                        null
-                    },
+                    if (n % 4 == 0) 6.0 else null,
                 )
             }
         }
@@ -126,13 +114,7 @@
         assertEquals(emptyList<String>(), cluster.checker.violations.take(5))
         (1..40).forEach {
             assertEquals(
-                if (it % 4 ==
-                    0
-                ) {
-                    "withdrawn"
-                } else {
-                    "done"
-                },
+                if (it % 4 == 0) "withdrawn" else "done",
                 cluster.stageOf(jobId(it)),
                 jobId(it),
             )
@@ -147,13 +129,7 @@
             after(5.0 + n * 0.25) {
                 cluster.submit(
                     SimulatedCluster.job(n, tasks = 1, runS = 6.0),
-                    if (n % 4 ==
-                        0
-                    ) {
-                        cluster.random.nextDouble() * 8.0
-                    } else {
-                        null
-                    },
+                    if (n % 4 == 0) cluster.random.nextDouble() * 8.0 else null,
                 )
                 asked++
             }
@@ -187,13 +163,7 @@
                         n,
                         tasks = 4,
                         runS = 15.0,
-                        priority = if (n % 3 ==
-                            0
-                        ) {
-                            Priority.HIGH
-                        } else {
-                            Priority.LOW
-                        },
+                        priority = if (n % 3 == 0) Priority.HIGH else Priority.LOW,
                     ),
                     if (n % 8 == 0) 10.0 else null,
                 )
@@ -213,9 +183,7 @@
         assertEquals(5, cluster.cloud.maxInstances)
         (1..24).forEach {
             assertTrue(
-                cluster.stageOf(jobId(it)) in if (it % 8 ==
-                    0
-                ) {
+                cluster.stageOf(jobId(it)) in if (it % 8 == 0) {
                     setOf("done", "withdrawn")
                 } else {
                     setOf("done")
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -183,13 +183,7 @@
         if (what.startsWith("frames")) {
             assertTrue(
                 cluster.faults.counts.getOrDefault(
-                    if (what ==
-                        "frames are lost"
-                    ) {
-                        "frames lost"
-                    } else {
-                        "late frames"
-                    },
+                    if (what == "frames are lost") "frames lost" else "late frames",
                     0,
                 ) >= 20,
                 "${cluster.faults.counts}",
