--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -58,7 +58,7 @@
     fun values(prefix: String): List<Stored> = entries.subMap(prefix, prefix + Char.MAX_VALUE).values.map { it.value }
 
     /** The revision that first wrote [key] and the one that did last; 0: none. */
-    fun born(key: String): Long = history.firstOrNull { it.key == key }?.version ?: 0L
+    fun firstVersion(key: String): Long = history.firstOrNull { it.key == key }?.version ?: 0L
 
     fun version(key: String): Long = entries[key]?.version ?: 0L
 
@@ -156,10 +156,7 @@
         large.forEach { rejected.merge(it.key, 1, Int::plus) }
         if (op.writes.size > limits.txnOps) rejected.merge("${op.writes.size} changes", 1, Int::plus)
         if (op.guards.size > limits.txnOps * 4) rejected.merge("${op.guards.size} guards", 1, Int::plus)
-        if (large.isNotEmpty() ||
-            op.writes.size > limits.txnOps ||
-            op.guards.size > limits.txnOps * 4
-        ) {
+        if (large.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) {
             return StateResult.Rejected
         }
         if (clock.now.toLong() != second) changesInSecond = 0
