--- a/src/main/kotlin/plankwall/core/api/JobApi.kt
+++ b/src/main/kotlin/plankwall/core/api/JobApi.kt
@@ -77,7 +77,7 @@
         timeoutS: Double = PendingRequest.CHANGE_S,
     ): PendingRequest? {
         val visit = begin(request, caller, timeoutS)
-        if (open > MAX_OPEN || !calls.take(stateCalls)) {
+        if (open > MAX_OPEN || !calls.tryTake(stateCalls)) {
             log.info(
                 "request refused: {} open, {} calls of the state service left",
                 open - 1,
@@ -166,7 +166,7 @@
             val names = finder.unheardOf(spec.dependencies)
             when {
                 !fresh -> visit.unread()
-                !calls.takeOrBorrow(names.size) -> visit.tooMany()
+                !calls.tryTakeOrBorrow(names.size) -> visit.tooMany()
                 else -> finder.readEnds(names) { without ->
                     if (without == null) visit.unread() else ifVisible(visit, allowed, spec, without, then)
                 }
@@ -367,7 +367,7 @@
      */
     private fun settle(visit: PendingRequest, id: String, then: (cancelled: Boolean) -> Unit) {
         val names = finder.unsettled(id)
-        if (names.isNotEmpty() && !calls.takeOrBorrow(names.size)) {
+        if (names.isNotEmpty() && !calls.tryTakeOrBorrow(names.size)) {
             visit.tooMany()
             return
         }
@@ -386,7 +386,7 @@
         val known = finder.ended(id)
         when {
             known != null -> showFinal(visit, id, known)
-            !calls.take(1) -> visit.tooMany()
+            !calls.tryTake(1) -> visit.tooMany()
             else -> finder.readFinal(id) { found ->
                 when (found) {
                     is JobLookupResult.Final -> showFinal(visit, id, found.record)
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -90,7 +90,7 @@
     private fun tryUnserved() {
         for ((machine, seen) in workers) {
             if (!isUnserved(seen) || seen.address.isEmpty() || ctx.now - seen.triedAt < UNSERVED_S) continue
-            if (!tries.take(1)) return
+            if (!tries.tryTake(1)) return
             seen.triedAt = ctx.now
             seen.reached = false
             ctx.out.add(Effect.WorkerPost(machine, seen.address, WorkerCodec.commands(0, seen.session, emptyList())))
--- /dev/null
+++ b/src/main/kotlin/plankwall/core/statemachine/Identifiers.kt
@@ -0,0 +1,9 @@
+package plankwall.core.statemachine
+
+/** Identifies a request that the controller has to answer. */
+@JvmInline
+value class RequestId(val value: Long)
+
+/** Identifies a call that the controller makes, to match its reply. */
+@JvmInline
+value class CallId(val value: Long)
