--- a/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
@@ -4,9 +4,9 @@
 import plankwall.wire.PeerStatus
 
 /**
- * Who should take a lead that is free, by who can do what: the store is a must, since nothing can be stored without it;
- * among those that have it, whoever workers reach goes first. A node that workers don't reach leads all the same if it
- * is the only one: their reports come through the others.
+ * Which node should acquire leadership when it is free. A candidate must reach the store, since nothing can be stored
+ * without it; among those that do, nodes that workers reach come first. A node that workers don't reach leads all the
+ * same if it is the only candidate: their heartbeats are relayed by the others.
  */
 class CandidatePriority(
     private val ctx: Context,
@@ -14,59 +14,63 @@
     private val recentWorkers: () -> Int,
 ) {
     private var freeSince = Double.NaN
-    private var lostWorkersAt = Double.NEGATIVE_INFINITY
-    private var namedAt = Double.NEGATIVE_INFINITY
-    private var named: String? = null
+    private var workersLostAt = Double.NEGATIVE_INFINITY
+    private var successor: String? = null
+    private var successorNamedAt = Double.NEGATIVE_INFINITY
 
-    /** The lead was given up here since the workers could not come: until they are seen, others go first. */
+    /** This node resigned because workers did not reach it: until one does, others come first. */
     fun onWorkersLost() {
-        lostWorkersAt = ctx.now
+        workersLostAt = ctx.now
     }
 
-    /** A leader that gives up names whom it would have lead. True if that is this node, which should not lose time. */
+    /**
+     * Takes note of the successor that a resigning leader names. Returns whether it is this node, which should then
+     * acquire leadership without delay.
+     */
     fun onStatus(status: PeerStatus): Boolean {
-        val successor = status.links?.successor ?: return false
-        named = successor
-        namedAt = ctx.now
-        return successor == ctx.settings.node
+        val named = status.links?.successor ?: return false
+        successor = named
+        successorNamedAt = ctx.now
+        return named == ctx.settings.node
     }
 
-    /** To be asked whenever the lead is found free: whether this node should stand for it now. */
+    /** Whether this node should try to acquire leadership now; to be called each time that it is found free. */
     fun mayAcquire(): Boolean {
-        if (freeSince.isNaN() || ctx.now - freeSince > FORGET_S) freeSince = ctx.now
-        return ctx.now - freeSince >= waitS()
+        if (freeSince.isNaN() || ctx.now - freeSince > VACANCY_EXPIRES_S) freeSince = ctx.now
+        return ctx.now - freeSince >= delayS()
     }
 
+    /** Leadership is held by some node. */
     fun onLeaderSeen() {
         freeSince = Double.NaN
     }
 
-    /** Waits are short, and always bounded: a lead that nobody takes costs more than one that the second best takes. */
-    private fun waitS(): Double {
-        val able = reachability.freshPeers().filter { it.stateReachable }
-        val mine = recentWorkers()
-        val chosen = named?.takeIf { ctx.now - namedAt < FORGET_S }
+    /** Short and always bounded: a time without a leader costs more than a leader that is the second best. */
+    private fun delayS(): Double {
+        val candidates = reachability.freshPeers().filter { it.stateReachable }
+        val workersHere = recentWorkers()
+        val named = successor?.takeIf { ctx.now - successorNamedAt < VACANCY_EXPIRES_S }
         return when {
-            able.isEmpty() || chosen == ctx.settings.node -> 0.0
-            chosen != null && able.any { it.node == chosen } -> STAND_BACK_S
-            mine == 0 && ctx.now - lostWorkersAt < ctx.settings.workers.leaseS -> STAND_BACK_S
-            mine == 0 && able.any { it.recentWorkers > 0 } -> STAND_BACK_S / 2
+            candidates.isEmpty() || named == ctx.settings.node -> 0.0
+            named != null && candidates.any { it.node == named } -> MAX_DELAY_S
+            workersHere == 0 && ctx.now - workersLostAt < ctx.settings.workers.leaseS -> MAX_DELAY_S
+            workersHere == 0 && candidates.any { it.recentWorkers > 0 } -> MAX_DELAY_S / 2
             else -> 0.0
         }
     }
 
-    /** Whom to name when this node gives up the lead: it has the store, and most workers turn up there. */
-    fun preferredSuccessor(): PeerStatus? = reachability.freshPeers().filter {
-        it.stateReachable && it.recentWorkers > 0
-    }.maxByOrNull { it.recentWorkers }
+    /** The node to name as successor when this one resigns: it reaches the store, and most workers reach it. */
+    fun preferredSuccessor(): PeerStatus? =
+        reachability.freshPeers().filter { it.stateReachable && it.recentWorkers > 0 }.maxByOrNull { it.recentWorkers }
 
     private companion object {
         /** Two polls of the leader's key by a node that does not wait. */
-        const val STAND_BACK_S = 1.3
+        const val MAX_DELAY_S = 1.3
 
         /**
-         * Longer than a lease of the leader's key and a stand-back together: an older choice was for another vacancy.
+         * Longer than a lease of the leader's key and the longest delay together: what is older concerned another
+         * vacancy.
          */
-        const val FORGET_S = 5.0
+        const val VACANCY_EXPIRES_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
@@ -1,18 +1,12 @@
 package plankwall.core.connectivity
 
 import plankwall.core.statemachine.Context
-import plankwall.wire.LeaderSighting
 import plankwall.wire.PeerStatus
 
-/** That [node] led as [epoch] at [at] or later, in seconds of our clock. */
-data class LeadershipClaim(val node: String, val epoch: Long, val at: Double) {
-    fun word(now: Double) = LeaderSighting(node, epoch, ((now - at) * 1000).toInt().coerceAtLeast(0))
-}
-
 /**
- * Who leads, by the freshest proof: the store's record, a leader's own frame, or what a peer knows by one of the two.
- * The highest epoch counts. A node that knows of a higher epoch than any claim names nobody: so wherever a worker is
- * sent, the epochs only rise, and it can't go in circles.
+ * Who leads, by the freshest evidence: the leader's key in the store, a status frame of the leader's own, or what a
+ * peer knows by one of the two. The highest epoch counts. A node that knows of a higher epoch than any claim names no
+ * leader; so the epochs that a worker is redirected to only rise, and it can't go in circles.
  */
 class LeaderRouting(
     private val ctx: Context,
@@ -21,61 +15,60 @@
 ) {
     private var stored: LeadershipClaim? = null
 
-    /** The highest epoch heard of from anybody. */
+    /** The highest epoch known of, from whatever source. */
     var epochSeen = 0L
         private set
 
+    /** Takes note that [epoch] exists. */
     fun onEpoch(epoch: Long) {
         epochSeen = maxOf(epochSeen, epoch)
     }
 
-    /** What a read of the leader's key showed that began at [askedAt]; null: nobody holds it. */
+    /** A read of the leader's key that began at [askedAt] found [node] and [epoch]; null: the key is not held. */
     fun onLeaderKeyRead(node: String?, epoch: Long, askedAt: Double) {
         stored = node?.let { LeadershipClaim(it, epoch, askedAt) }
         onEpoch(epoch)
     }
 
-    /** Proof that this node has itself, as its peers may be told. */
-    fun provenLeader(): LeadershipClaim? = (
-        reachability.freshPeers().filter {
-            it.leading
-        }.map { LeadershipClaim(it.node, it.epochSeen, reachability.provenAt(it.node)) } +
-            listOfNotNull(freshStored())
-        )
-        .filter { isInOffice(it) }.maxByOrNull { it.epoch }
+    /** The claim for which this node has evidence of its own, as it may be passed on to peers. */
+    fun provenLeader(): LeadershipClaim? {
+        val leadingPeers = reachability.freshPeers().filter { it.leading }
+        val claims =
+            leadingPeers.map { LeadershipClaim(it.node, it.epochSeen, reachability.provenAt(it.node)) } +
+                listOfNotNull(freshStored())
+        return claims.filter { isCurrent(it) }.maxByOrNull { it.epoch }
+    }
 
-    /** The leader in office, or null if that is not known; never this node. */
+    /** The current leader, or null if it is not known or is this node. */
     fun leader(): LeadershipClaim? {
-        val best =
-            (listOfNotNull(provenLeader()) + reachability.freshPeers().mapNotNull(::told)).maxByOrNull { it.epoch }
-                ?: return null
-        return best.takeIf { it.node != ctx.settings.node && isInOffice(it) }
+        val claims = listOfNotNull(provenLeader()) + reachability.freshPeers().mapNotNull(::claimFrom)
+        val newest = claims.maxByOrNull { it.epoch } ?: return null
+        return newest.takeIf { it.node != ctx.settings.node && isCurrent(it) }
     }
 
     /**
-     * A record read long ago is believed only by a node that hears nobody: where peers are heard, one of them would
-     * know. A leader that lost the store goes on answering for the outage grace, so that long its record may still
-     * hold.
+     * The claim by the leader's key. A read from long ago counts only if no peer is connected; otherwise one of them
+     * would know. A leader that lost the store goes on answering for the outage grace, so its key may be valid for as
+     * long.
      */
-    private fun freshStored(): LeadershipClaim? = stored?.takeIf {
-        ctx.now - it.at <
-            if (reachability.livePeers().isEmpty()) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
+    private fun freshStored(): LeadershipClaim? {
+        val isIsolated = reachability.livePeers().isEmpty()
+        val maxAgeS = if (isIsolated) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
+        return stored?.takeIf { ctx.now - it.at < maxAgeS }
     }
 
-    private fun told(peer: PeerStatus): LeadershipClaim? {
-        val word = peer.links?.leader ?: return null
-        val at = reachability.provenAt(peer.node) - word.ageMs / 1000.0
-        return LeadershipClaim(word.node, word.epoch, at).takeIf {
-            ctx.now - at <
-                leaseS + ReachabilityMatrix.FRESH_S * 2
-        }
+    private fun claimFrom(peer: PeerStatus): LeadershipClaim? {
+        val sighting = peer.links?.leader ?: return null
+        val at = reachability.provenAt(peer.node) - sighting.ageMs / 1000.0
+        val isFresh = ctx.now - at < leaseS + ReachabilityMatrix.FRESH_S * 2
+        return if (isFresh) LeadershipClaim(sighting.node, sighting.epoch, at) else null
     }
 
-    private fun isInOffice(claim: LeadershipClaim): Boolean {
+    private fun isCurrent(claim: LeadershipClaim): Boolean {
         if (claim.epoch < epochSeen) return false
-        val word = reachability.statusOf(claim.node) ?: return true
-        // Exact, however late the word comes: an epoch that was resigned is over, and whoever knows of it without
-        // leading does not lead.
-        return word.resignedEpoch < claim.epoch && (word.leading || word.epochSeen < claim.epoch)
+        val status = reachability.statusOf(claim.node) ?: return true
+        // Exact, however old the status is: an epoch that was resigned is over, and a node that knows of the epoch
+        // without leading does not lead in it.
+        return status.resignedEpoch < claim.epoch && (status.leading || status.epochSeen < claim.epoch)
     }
 }
