--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -10,122 +10,126 @@
 import plankwall.wire.UnchangedHeartbeat
 
 /**
- * Collects the reports of the workers whose sessions this node serves into few frames for the leader, and says of a
- * report that only repeats what the leader has from here already just that.
+ * Collects the heartbeats of the workers whose sessions this node serves into few frames for the leader. A heartbeat
+ * that only repeats one that the leader has received from this node is sent as a reference to that.
  */
 class HeartbeatBatcher(private val ctx: Context, private val reachability: ReachabilityMatrix) {
-    /** A whole report that the leader of [epoch] has answered, so it has it. */
-    private class Base(val id: Long, val epoch: Long, val report: HeartbeatStatus)
+    /** A full heartbeat that the leader of [epoch] has answered, so that it has it. */
+    private class Baseline(val id: Long, val epoch: Long, val heartbeat: HeartbeatStatus)
 
-    private class Open(val leader: LeadershipClaim, val echo: Long, val since: Double) {
-        val reports = ArrayList<BatchedHeartbeat>()
+    private class OpenBatch(val leader: LeadershipClaim, val echo: Long, val openedAt: Double) {
+        val heartbeats = ArrayList<BatchedHeartbeat>()
         var bytes = 0
-        var changed = false
+        var hasChanges = false
     }
 
-    private val bases = LinkedHashMap<String, Base>()
-    private var open: Open? = null
+    private val baselines = LinkedHashMap<String, Baseline>()
+    private var openBatch: OpenBatch? = null
 
-    /** Whole reports and marks sent so far. */
-    var wholes = 0L
+    /** Heartbeats sent in full so far. */
+    var fullSent = 0L
         private set
-    var marks = 0L
+
+    /** Heartbeats sent as references so far. */
+    var unchangedSent = 0L
         private set
 
     /**
-     * Takes [report] under the number [id] for [leader]; what was collected for another leader goes nowhere. True if it
-     * goes whole: its answer shows that the leader has it.
+     * Adds [heartbeat] under the number [id] to the batch for [leader]; what was collected for another leader is
+     * dropped. [inFull]: not as a reference. Returns whether it goes in full: its answer then proves that the leader
+     * has it.
      */
     fun add(
         id: Long,
         leader: LeadershipClaim,
         address: String,
-        report: HeartbeatStatus,
-        whole: Boolean = false,
+        heartbeat: HeartbeatStatus,
+        inFull: Boolean = false,
     ): Boolean {
-        val batch =
-            open?.takeIf { it.leader.epoch == leader.epoch }
-                ?: Open(leader, reachability.lastSeqFrom(leader.node), ctx.now).also { open = it }
-        val base = if (whole) {
-            null
-        } else {
-            bases[report.machine]?.takeIf {
-                it.epoch == leader.epoch &&
-                    saysTheSame(it.report, report)
-            }
-        }
-        if (base == null) {
-            batch.reports.add(FullHeartbeat(id, address, report))
-            batch.changed = true
+        val batch = openBatch?.takeIf { it.leader.epoch == leader.epoch }
+            ?: OpenBatch(leader, reachability.lastSeqFrom(leader.node), ctx.now).also { openBatch = it }
+        val baseline = if (inFull) null else baselineFor(leader, heartbeat)
+        val entry = if (baseline == null) {
+            batch.hasChanges = true
+            FullHeartbeat(id, address, heartbeat)
         } else {
-            batch.reports.add(UnchangedHeartbeat(id, address, report.machine, base.id, report.seq, report.token))
+            UnchangedHeartbeat(id, address, heartbeat.machine, baseline.id, heartbeat.seq, heartbeat.token)
         }
-        batch.bytes += sizeOf(batch.reports.last())
-        return base == null
+        batch.heartbeats.add(entry)
+        batch.bytes += estimatedBytes(entry)
+        return baseline == null
     }
 
+    private fun baselineFor(leader: LeadershipClaim, heartbeat: HeartbeatStatus): Baseline? =
+        baselines[heartbeat.machine]?.takeIf {
+            it.epoch == leader.epoch && isRepeat(it.heartbeat, heartbeat)
+        }
+
     /**
-     * All but the number and the highest token. A notice runs down by itself, so a report with one is never the same.
+     * Whether all but the sequence number and the token is the same. A termination notice counts down, so a heartbeat
+     * with one never is.
      */
-    private fun saysTheSame(base: HeartbeatStatus, report: HeartbeatStatus): Boolean =
-        report.noticeS == null && base == report.copy(seq = base.seq, token = base.token)
+    private fun isRepeat(baseline: HeartbeatStatus, heartbeat: HeartbeatStatus): Boolean =
+        heartbeat.noticeS == null && baseline == heartbeat.copy(seq = baseline.seq, token = baseline.token)
 
-    /** The leader of [epoch] has answered the whole report [id]. */
-    fun answered(id: Long, epoch: Long, report: HeartbeatStatus) {
-        val known = bases[report.machine]
+    /** The leader of [epoch] has answered [heartbeat], which was sent in full as [id]. */
+    fun onAnswered(id: Long, epoch: Long, heartbeat: HeartbeatStatus) {
+        val known = baselines[heartbeat.machine]
         if (known != null && known.epoch == epoch && known.id >= id) return
-        bases.remove(report.machine)
-        bases[report.machine] = Base(id, epoch, report)
-        if (bases.size > MAX_BASES) bases.remove(bases.keys.first())
+        baselines.remove(heartbeat.machine)
+        baselines[heartbeat.machine] = Baseline(id, epoch, heartbeat)
+        if (baselines.size > MAX_BASELINES) baselines.remove(baselines.keys.first())
     }
 
     /**
-     * The frames for the leader of [epoch] that are due: at once where something changed, else after a while. What was
-     * collected for another leader goes nowhere: its workers ask again. [isAwaited]: whether a report is still waited
-     * for.
+     * Takes out the frames for the leader of [epoch] that are due: at once if something changed, otherwise after a
+     * while. What was collected for another leader is not sent, since its workers retry. [isAwaited]: whether the
+     * answer to a heartbeat is still waited for.
      */
-    fun due(epoch: Long, isAwaited: (id: Long) -> Boolean): List<HeartbeatBatch> {
-        val batch = open?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
-        if (!batch.changed && batch.bytes < MAX_BYTES && ctx.now - batch.since < UNCHANGED_WAIT_S) return emptyList()
-        open = null
-        val reports = batch.reports.filter { isAwaited(it.id) }
-        reports.forEach { if (it is FullHeartbeat) wholes++ else marks++ }
-        return frames(reports).map { HeartbeatBatch(ctx.settings.node, batch.leader.epoch, batch.echo, it) }
+    fun takeDue(epoch: Long, isAwaited: (id: Long) -> Boolean): List<HeartbeatBatch> {
+        val batch = openBatch?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
+        val isDue =
+            batch.hasChanges || batch.bytes >= MAX_FRAME_BYTES || ctx.now - batch.openedAt >= UNCHANGED_DELAY_S
+        if (!isDue) return emptyList()
+        openBatch = null
+        val awaited = batch.heartbeats.filter { isAwaited(it.id) }
+        awaited.forEach { if (it is FullHeartbeat) fullSent++ else unchangedSent++ }
+        return splitIntoFrames(awaited).map { HeartbeatBatch(ctx.settings.node, batch.leader.epoch, batch.echo, it) }
     }
 
-    private fun sizeOf(sent: BatchedHeartbeat): Int =
-        if (sent is FullHeartbeat) WHOLE_BYTES + sent.report.tasks.size * TASK_BYTES else MARK_BYTES
+    private fun estimatedBytes(entry: BatchedHeartbeat): Int =
+        if (entry is FullHeartbeat) FULL_BYTES + entry.report.tasks.size * TASK_BYTES else UNCHANGED_BYTES
 
-    private fun frames(reports: List<BatchedHeartbeat>): List<List<BatchedHeartbeat>> {
+    private fun splitIntoFrames(entries: List<BatchedHeartbeat>): List<List<BatchedHeartbeat>> {
         val frames = ArrayList<ArrayList<BatchedHeartbeat>>()
-        var bytes = MAX_BYTES
-        for (r in reports) {
-            val size = sizeOf(r)
-            if (bytes + size > MAX_BYTES) {
+        var bytes = MAX_FRAME_BYTES
+        for (entry in entries) {
+            val size = estimatedBytes(entry)
+            if (bytes + size > MAX_FRAME_BYTES) {
                 frames.add(ArrayList())
                 bytes = 0
             }
-            frames.last().add(r)
+            frames.last().add(entry)
             bytes += size
         }
         return frames
     }
 
-    /** This node leads itself: nothing that was collected or known counts any more. */
+    /** Drops what was collected and the baselines, since this node leads itself now. */
     fun clear() {
-        open = null
-        bases.clear()
+        openBatch = null
+        baselines.clear()
     }
 
     private companion object {
         /** Rough sizes in a frame, rounded up. */
-        const val WHOLE_BYTES = 200
+        const val FULL_BYTES = 200
         const val TASK_BYTES = 60
-        const val MARK_BYTES = 90
+        const val UNCHANGED_BYTES = 90
 
-        /** Below the largest frame, with room for what the rough sizes miss. */
-        const val MAX_BYTES = 40_000
-        const val UNCHANGED_WAIT_S = 0.2
-        const val MAX_BASES = 4_000
+        /** Below the largest frame, with a margin for what the rough sizes miss. */
+        const val MAX_FRAME_BYTES = 40_000
+        const val UNCHANGED_DELAY_S = 0.2
+        const val MAX_BASELINES = 4_000
     }
 }
--- a/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
@@ -6,11 +6,11 @@
 import kotlin.math.ln
 
 /**
- * Which node serves a worker's session: rendezvous hashing, weighted. Every node works out the same from the same plan,
+ * Assigns workers' sessions to nodes by weighted rendezvous hashing. Each node computes the same from the same plan,
  * and a node that joins or leaves moves only the workers that it gets or had.
  */
 object SessionAssignment {
-    /** Null where [plan] says nothing of [zone]: the worker comes to the leader. */
+    /** The node that serves the session of [machine]; null if [plan] has no entry for [zone], so that the leader does. */
     fun nodeFor(plan: SessionPlan, machine: String, zone: String): String? =
         plan.zones[zone]?.maxByOrNull { score(it, machine) }?.node
 
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -11,11 +11,12 @@
 import kotlin.math.abs
 
 /**
- * The leader's choice of who serves which worker's session. Where all fit on the leader, they come to it. From
- * [plankwall.model.Tuning.spreadSessionsAt] of its room on, the other nodes serve them, and the leader only what those
- * have no room for: its own processor is what all share.
+ * The leader's plan of which node serves which workers' sessions. While they fit on the leader, all workers come to it.
+ * From [plankwall.model.Tuning.spreadSessionsAt] of its capacity on, the other nodes serve them, and the leader only
+ * what exceeds their capacity, since its own processor is what all nodes depend on.
  *
- * [inherited]: the plan of the leader before, kept until this one knows its machines, so that a take-over moves nobody.
+ * @param inherited the previous leader's plan, kept until this one knows its machines, so that a failover moves no
+ *   worker
  */
 class SessionPlanner(
     private val ctx: Context,
@@ -28,61 +29,60 @@
     private val startedAt = ctx.now
     private val ownCapacity = ctx.settings.sessionCapacity
     private val enabled = ctx.tuning.spreadSessionsAt > 0
-    private val before = inherited?.takeIf { enabled }
-    private var spread = before != null
-    private val nodesSeen = HashMap<String, Seen>()
-    private val homes = HashMap<String, String?>()
-    private var madeFor = Basis(emptySet(), emptyMap(), false)
-    private var nextLook = ctx.now
-
-    /** Another node, from when on it was fresh without a break, and when it was last. */
-    private class Seen(val since: Double) {
-        var last = since
+    private val previousPlan = inherited?.takeIf { enabled }
+    private var spread = previousPlan != null
+    private val knownNodes = HashMap<String, KnownNode>()
+    private val assignedNodes = HashMap<String, String?>()
+    private var plannedFor = PlanBasis(emptySet(), emptyMap(), false)
+    private var nextCheckAt = ctx.now
+
+    /** Another node that has been fresh without a break [since] a moment, until [lastFreshAt]. */
+    private class KnownNode(val since: Double) {
+        var lastFreshAt = since
         var capacity = 0
     }
 
-    /** What a plan was worked out from. */
-    private class Basis(val nodes: Set<String>, val demand: Map<String, Int>, val inherited: Boolean)
+    /** What a plan was made from: the nodes, the workers by zone, and whether shares were taken from [previousPlan]. */
+    private class PlanBasis(val nodes: Set<String>, val demand: Map<String, Int>, val inherited: Boolean)
 
-    /** Null: all workers come to the leader. */
+    /** The plan in force; null if all workers come to the leader. */
     var plan: SessionPlan? = null
         private set(value) {
             field = value
-            homes.clear()
+            assignedNodes.clear()
         }
 
-    /** The other node that serves the session of [machine], or null if it comes to the leader. */
+    /** The other node that serves the session of [machine], or null if the leader does. */
     fun assignedNode(machine: String, zone: String): String? {
         val current = plan ?: return null
-        return homes.getOrPut(machine) {
-            SessionAssignment.nodeFor(current, machine, zone)?.takeIf {
-                it !=
-                    ctx.settings.node
-            }
+        return assignedNodes.getOrPut(machine) {
+            SessionAssignment.nodeFor(current, machine, zone)?.takeIf { it != ctx.settings.node }
         }
     }
 
-    fun assignedNode(m: Machine): String? = m.group?.let { assignedNode(m.id, it.zone) }
+    /** The other node that serves the session of [machine], or null if the leader does or its zone is not known. */
+    fun assignedNode(machine: Machine): String? = machine.group?.let { assignedNode(machine.id, it.zone) }
 
+    /** Adapts the plan to the nodes and workers there are; to be called regularly. */
     fun tick() {
-        if (!enabled || ctx.now < nextLook) return
-        nextLook = ctx.now + LOOK_EVERY_S
-        val nodes = nodesIn()
-        val demand = demand()
-        decide(demand.values.sum(), nodes)
-        val basis = Basis(nodes.map { it.name }.toSet(), demand, isInheriting())
+        if (!enabled || ctx.now < nextCheckAt) return
+        nextCheckAt = ctx.now + CHECK_INTERVAL_S
+        val nodes = availableNodes()
+        val demand = demandByZone()
+        updateSpread(demand.values.sum(), nodes)
+        val basis = PlanBasis(nodes.map { it.name }.toSet(), demand, isInheriting())
         when {
             !spread -> if (plan != null) gather()
             plan != null && !differs(basis) -> Unit
-            else -> make(basis, nodes)
+            else -> makePlan(basis, nodes)
         }
     }
 
     /**
-     * Spread beyond the part that the settings name, gathered again well below it: a few machines more or less move
-     * nobody.
+     * Sessions are spread above the part of the capacity that the settings name, and gathered again well below it, so
+     * that a few machines more or less move no worker.
      */
-    private fun decide(machines: Int, nodes: List<SessionNode>) {
+    private fun updateSpread(machines: Int, nodes: List<SessionNode>) {
         val limit = ownCapacity * ctx.tuning.spreadSessionsAt
         spread = when {
             nodes.isEmpty() -> false
@@ -92,97 +92,92 @@
         }
     }
 
-    private fun isInheriting(): Boolean = before != null && ctx.now < startedAt + ctx.settings.workers.leaseS
+    private fun isInheriting(): Boolean = previousPlan != null && ctx.now < startedAt + ctx.settings.workers.leaseS
 
     /**
-     * Other nodes that hear this one and are heard, serve sessions, and have done so for a while. One that is not heard
-     * stays for half a lease: its workers find another way by themselves, and where this node itself stood still for a
-     * moment, all would be moved for nothing.
+     * Other nodes that are connected in both directions, serve sessions, and have done so for a while. A node that is
+     * silent stays for half a lease: its workers find another path by themselves, and if this node itself was paused
+     * for a moment, all workers would be moved for nothing.
      */
-    private fun nodesIn(): List<SessionNode> {
+    private fun availableNodes(): List<SessionNode> {
         for (status in reachability.freshPeers()) {
             val capacity = status.sessions?.capacity ?: 0
             if (capacity <= 0) continue
-            val seen = nodesSeen.getOrPut(status.node) { Seen(ctx.now) }
-            seen.last = ctx.now
-            seen.capacity = capacity
+            val node = knownNodes.getOrPut(status.node) { KnownNode(ctx.now) }
+            node.lastFreshAt = ctx.now
+            node.capacity = capacity
         }
-        nodesSeen.values.removeIf { ctx.now - it.last > ctx.settings.workers.leaseS * LEAVE_LEASES }
-        val waitS = if (ctx.now < startedAt + JOIN_S) 0.0 else JOIN_S
+        val removeAfterS = ctx.settings.workers.leaseS * REMOVE_AFTER_LEASES
+        knownNodes.values.removeIf { ctx.now - it.lastFreshAt > removeAfterS }
+        val stableForS = if (ctx.now < startedAt + JOIN_AFTER_S) 0.0 else JOIN_AFTER_S
         return ctx.settings.peers.mapNotNull { peer ->
-            nodesSeen[peer.node]?.takeIf {
-                ctx.now - it.since >= waitS
-            }?.let { SessionNode(peer.node, peer.zone, it.capacity) }
+            knownNodes[peer.node]
+                ?.takeIf { ctx.now - it.since >= stableForS }
+                ?.let { SessionNode(peer.node, peer.zone, it.capacity) }
         }.sortedBy { it.name }
     }
 
-    private fun demand(): Map<String, Int> {
-        val byZone = HashMap<String, Int>()
-        for (m in fleet.machines) {
-            val zone = m.group?.zone ?: continue
-            // A machine that is up and not here yet will be, wherever its worker goes first.
-            if (!m.returning &&
-                (m.registered || m.listed == ListedState.RUNNING || m.placements.isNotEmpty())
-            ) {
-                byZone.merge(zone, 1, Int::plus)
-            }
+    private fun demandByZone(): Map<String, Int> {
+        val demand = HashMap<String, Int>()
+        for (machine in fleet.machines) {
+            val zone = machine.group?.zone ?: continue
+            // A machine that is up and has not come yet will, whichever node its worker tries first.
+            val isUp =
+                machine.registered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
+            if (isUp && !machine.returning) demand.merge(zone, 1, Int::plus)
         }
-        return byZone
+        return demand
     }
 
-    private fun differs(basis: Basis): Boolean = when {
-        basis.nodes != madeFor.nodes || basis.inherited != madeFor.inherited -> true
+    private fun differs(basis: PlanBasis): Boolean = when {
+        basis.nodes != plannedFor.nodes || basis.inherited != plannedFor.inherited -> true
         basis.inherited -> false
-        else -> (basis.demand.keys + madeFor.demand.keys).any { zone ->
-            isFar(
-                basis.demand[zone] ?: 0,
-                madeFor.demand[zone] ?: 0,
-            )
+        else -> (basis.demand.keys + plannedFor.demand.keys).any { zone ->
+            hasDrifted(now = basis.demand[zone] ?: 0, planned = plannedFor.demand[zone] ?: 0)
         }
     }
 
-    private fun isFar(now: Int, then: Int): Boolean = abs(now - then) > maxOf(then * DEMAND_DRIFT, SMALL_ZONE)
+    private fun hasDrifted(now: Int, planned: Int): Boolean =
+        abs(now - planned) > maxOf(planned * MAX_DRIFT_PART, MAX_DRIFT_WORKERS)
 
-    private fun make(basis: Basis, nodes: List<SessionNode>) {
-        madeFor = basis
+    private fun makePlan(basis: PlanBasis, nodes: List<SessionNode>) {
+        plannedFor = basis
         val zones = if (basis.inherited) {
-            inheritedZones(nodes)
+            inheritedShares(nodes)
         } else {
-            SessionShares.of(
-                everyZone(basis.demand),
-                nodes + ownPart(basis.demand, nodes),
-            )
+            SessionShares.of(withAllZones(basis.demand), nodes + ownShare(basis.demand, nodes))
         }
         plan = SessionPlan(epoch, zones)
         log.info(
-            "epoch {}: sessions of {} workers spread over {} nodes{}: {}",
+            "sessions spread epoch={} workers={} nodes={} inherited={} shares={}",
             epoch,
             basis.demand.values.sum(),
             nodes.size,
-            if (basis.inherited) ", as the leader before had it" else "",
+            basis.inherited,
             describe(zones),
         )
     }
 
     /** Workers may come from any zone of the site at any time. */
-    private fun everyZone(demand: Map<String, Int>): Map<String, Int> = ctx.settings.zones.associateWith { 0 } + demand
-
-    /** This node serves what the others have no room for. */
-    private fun ownPart(demand: Map<String, Int>, nodes: List<SessionNode>): List<SessionNode> {
-        val beyond = demand.values.sum() / SessionShares.PLANNED_PART - nodes.sumOf { it.capacity }
-        if (beyond <= 0) return emptyList()
-        return listOf(SessionNode(ctx.settings.node, ctx.settings.zone, beyond.toInt().coerceIn(1, ownCapacity)))
+    private fun withAllZones(demand: Map<String, Int>): Map<String, Int> =
+        ctx.settings.zones.associateWith { 0 } + demand
+
+    /** This node serves what exceeds the capacity of the others. */
+    private fun ownShare(demand: Map<String, Int>, nodes: List<SessionNode>): List<SessionNode> {
+        val excess = demand.values.sum() / SessionShares.PLANNED_PART - nodes.sumOf { it.capacity }
+        if (excess <= 0) return emptyList()
+        return listOf(SessionNode(ctx.settings.node, ctx.settings.zone, excess.toInt().coerceIn(1, ownCapacity)))
     }
 
-    private fun inheritedZones(nodes: List<SessionNode>): Map<String, List<SessionShare>> {
+    private fun inheritedShares(nodes: List<SessionNode>): Map<String, List<SessionShare>> {
         val names = nodes.map { it.name }.toSet() + ctx.settings.node
-        return before?.zones.orEmpty().mapValues { (_, shares) ->
+        return previousPlan?.zones.orEmpty().mapValues { (_, shares) ->
             shares.filter { it.node in names }.ifEmpty { nodes.map { SessionShare(it.name, it.capacity) } }
         }
     }
 
     private fun gather() {
-        log.info("epoch {}: sessions come to the leader again", epoch)
+        log.info("sessions gathered on the leader epoch={}", epoch)
         plan = null
     }
 
@@ -192,15 +187,15 @@
         }
 
     private companion object {
-        const val LOOK_EVERY_S = 1.0
+        const val CHECK_INTERVAL_S = 1.0
         const val GATHER_BELOW = 0.7
 
         /** A node that comes and goes with a bad link gets no sessions. */
-        const val JOIN_S = 5.0
-        const val LEAVE_LEASES = 0.5
+        const val JOIN_AFTER_S = 5.0
+        const val REMOVE_AFTER_LEASES = 0.5
 
         /** How far a zone's workers may drift from what the plan was made for, as a part and as a number. */
-        const val DEMAND_DRIFT = 0.2
-        const val SMALL_ZONE = 20.0
+        const val MAX_DRIFT_PART = 0.2
+        const val MAX_DRIFT_WORKERS = 20.0
     }
 }
--- a/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
@@ -44,7 +44,7 @@
     private fun sent(report: HeartbeatStatus, id: Long, to: LeadershipClaim = leader) = batcher.run {
         add(id, to, "", report)
         ctx.time.advance(ctx.now + 0.3, 0)
-        due(to.epoch) { true }.single().reports.single()
+        takeDue(to.epoch) { true }.single().reports.single()
     }
 
     private fun changed(what: String): HeartbeatStatus = when (what) {
@@ -69,7 +69,7 @@
     fun `only a report that says the same is marked, and the leader reads it as it is`(what: String, marked: Boolean) {
         val bases = HeartbeatBaselines()
         bases.resolve("n0", sent(base, 1))
-        batcher.answered(1, 5, base)
+        batcher.onAnswered(1, 5, base)
         val next = sent(changed(what), 2)
         assertEquals(marked, next is UnchangedHeartbeat)
         assertEquals(changed(what), bases.resolve("n0", next))
@@ -79,7 +79,7 @@
     fun `nothing is marked before its base was answered, nor for another leader`() {
         sent(base, 1)
         assertEquals(true, sent(base.copy(seq = 11), 2) is FullHeartbeat)
-        batcher.answered(2, 5, base.copy(seq = 11))
+        batcher.onAnswered(2, 5, base.copy(seq = 11))
         assertEquals(true, sent(base.copy(seq = 12), 3, LeadershipClaim("n2", 8, 100.0)) is FullHeartbeat)
         assertEquals(true, sent(base.copy(seq = 13), 4) is UnchangedHeartbeat)
     }
@@ -101,21 +101,21 @@
     @Test
     fun `unchanged reports wait a little for others, changed ones do not, and given up ones are shed`() {
         batcher.add(1, leader, "", base)
-        assertEquals(1, batcher.due(5) { true }.size)
-        batcher.answered(1, 5, base)
+        assertEquals(1, batcher.takeDue(5) { true }.size)
+        batcher.onAnswered(1, 5, base)
         batcher.add(2, leader, "", base.copy(seq = 11))
-        assertEquals(0, batcher.due(5) { true }.size)
+        assertEquals(0, batcher.takeDue(5) { true }.size)
         batcher.add(3, leader, "", base.copy(machine = "i-000002"))
-        assertEquals(listOf(3L), batcher.due(5) { it == 3L }.single().reports.map { it.id })
+        assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().reports.map { it.id })
         batcher.add(4, leader, "", base)
-        assertEquals(0, batcher.due(6) { true }.size, "another epoch's")
+        assertEquals(0, batcher.takeDue(6) { true }.size, "another epoch's")
     }
 
     @Test
     fun `many reports take several frames, each within its size`() {
         val tasks = List(100) { task.copy(task = it) }
         repeat(40) { batcher.add(it.toLong(), leader, "", base.copy(machine = "i-%06d".format(it), tasks = tasks)) }
-        val frames = batcher.due(5) { true }
+        val frames = batcher.takeDue(5) { true }
         assertEquals(40, frames.sumOf { it.reports.size })
         frames.forEach { assertEquals(true, PeerCodec.write(it).size <= PeerCodec.MAX_FRAME) }
         assertEquals(true, frames.size in 2..20, "${frames.size} frames")
