--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -9,92 +9,98 @@
 import plankwall.core.statemachine.Context
 
 /**
- * Who is to blame for tasks that fail: a machine that fails whatever it gets, or a job submitted with a mistake, which
- * fails wherever it runs. One failure can't tell. What tells is the others: a job that ran well elsewhere accuses the
- * machine, a machine where other jobs run well accuses the job.
+ * Attributes task failures to a faulty machine, which fails whatever it runs, or to a faulty job, which fails wherever
+ * it runs. A single failure does not distinguish the two; other tasks do: a job that ran well elsewhere is evidence
+ * against the machine, a machine on which other jobs run well is evidence against the job.
  *
- * Nothing of it is stored. A new leader begins without suspicions; that costs one round of tasks for each job with a
- * mistake, and a change for every failure would cost more.
+ * Nothing of it is stored. A new leader starts without evidence, which costs one round of tasks for each faulty job;
+ * storing a change for each failure would cost more.
  */
 class FaultAttribution(private val ctx: Context, private val schedulerState: SchedulerState, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger("workers")
 
-    fun failed(p: Placement) {
-        val m = p.machine
-        val job = p.job
-        m.failedJobs.add(job.ix.value)
-        if (!m.faulty) job.failedOn.add(m.ix.value)
-        judge(m)
-        if (job.doubtful) putOff(job)
+    /** The task of [placement] failed with an error. */
+    fun onTaskFailed(placement: Placement) {
+        val machine = placement.machine
+        val job = placement.job
+        machine.failedJobs.add(job.ix.value)
+        if (!machine.faulty) job.failedOn.add(machine.ix.value)
+        updateMachine(machine)
+        if (job.doubtful) delayRetry(job)
     }
 
-    /** A task of [p]'s job is done there: neither of the two is at fault. */
-    fun succeeded(p: Placement) {
-        p.machine.failedJobs.clear()
-        p.job.failedOn.remove(p.machine.ix.value)
-        clear(p.job, "a task of it is done on ${p.machine.id}")
+    /** The task of [placement] succeeded: neither its job nor its machine is faulty. */
+    fun onTaskSucceeded(placement: Placement) {
+        placement.machine.failedJobs.clear()
+        placement.job.failedOn.remove(placement.machine.ix.value)
+        markSound(placement.job, "a task succeeded on ${placement.machine.id}")
     }
 
-    /** [p] still runs: after a while that says as much as its end, which may be many minutes away. */
-    fun runs(p: Placement) {
-        if (p.job.sound || p.job.failedOn.isEmpty() || p.runningSince <= 0.0) return
-        if (ctx.now - p.runningSince >
-            maxOf(ctx.settings.workers.reportS * RUNS_WELL_REPORTS, p.job.longestFailS * 2)
-        ) {
-            clear(p.job, "${p.id} runs well on ${p.machine.id}")
+    /** The task of [placement] is running: after a while that is as good as its success, many minutes earlier. */
+    fun onTaskRunning(placement: Placement) {
+        val job = placement.job
+        if (job.sound || job.failedOn.isEmpty() || placement.runningSince <= 0.0) return
+        val provenAfterS = maxOf(ctx.settings.workers.reportS * PROVEN_AFTER_HEARTBEATS, job.longestFailS * 2)
+        if (ctx.now - placement.runningSince > provenAfterS) {
+            markSound(job, "task ${placement.id} keeps running on ${placement.machine.id}")
         }
     }
 
-    private fun clear(job: Job, why: String) {
+    private fun markSound(job: Job, reason: String) {
         if (job.sound) return
-        val suspected = job.doubtful
+        val wasSuspected = job.doubtful
         job.sound = true
         job.failedProbes = 0
         job.backoffUntil = 0.0
-        if (suspected) log.info("job {} is sound after all: {}", job.spec.id, why)
-        // What it failed on weighs more from now on.
-        fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::judge)
+        if (wasSuspected) log.info("job no longer suspected job={} reason={}", job.spec.id, reason)
+        // Its failures weigh more against the machines from now on.
+        fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::updateMachine)
     }
 
-    private fun putOff(job: Job) {
-        val pause = minOf(LONGEST_S, FIRST_S * (1 shl minOf(job.failedProbes++, 10)))
-        job.backoffUntil = ctx.now + pause
+    /** Exponential backoff between the retries of a suspected job. */
+    private fun delayRetry(job: Job) {
+        val delayS = minOf(MAX_BACKOFF_S, MIN_BACKOFF_S * (1 shl minOf(job.failedProbes++, MAX_DOUBLINGS)))
+        job.backoffUntil = ctx.now + delayS
         log.info(
-            "job {} failed on {} machines and ran well on none: tried again in {} s, one task at a time",
+            "job suspected, retried one task at a time job={} failed_machines={} retry_in_s={}",
             job.spec.id,
             job.failedOn.size,
-            pause,
+            delayS,
         )
     }
 
-    private fun judge(m: Machine) {
-        if (m.faulty || m.failedJobs.isEmpty()) return
-        val accusers = schedulerState.live.filter { it.ix.value in m.failedJobs }
-        if (accusers.sumOf { weightOf(it) } < ENOUGH) return
-        m.faulty = true
-        log.info("machine {} counted as faulty: {} failed on it", m.id, accusers.map { it.spec.id })
-        // What failed there says nothing against the job any more.
-        for (job in accusers) {
-            val suspected = job.doubtful
-            job.failedOn.remove(m.ix.value)
-            if (suspected && !job.doubtful) {
+    /** Marks [machine] as faulty once the failures on it are evidence enough. */
+    private fun updateMachine(machine: Machine) {
+        if (machine.faulty || machine.failedJobs.isEmpty()) return
+        val failedJobs = schedulerState.live.filter { it.ix.value in machine.failedJobs }
+        if (failedJobs.sumOf { evidenceOf(it) } < FAULTY_EVIDENCE) return
+        machine.faulty = true
+        log.info("machine marked as faulty machine={} failed_jobs={}", machine.id, failedJobs.map { it.spec.id })
+        // Failures on a faulty machine are no evidence against the jobs.
+        for (job in failedJobs) {
+            val wasSuspected = job.doubtful
+            job.failedOn.remove(machine.ix.value)
+            if (wasSuspected && !job.doubtful) {
                 job.failedProbes = 0
                 job.backoffUntil = 0.0
             }
         }
     }
 
-    /** How much a failure of [job] says against a machine. */
-    private fun weightOf(job: Job): Int = when {
+    /** How strong a failure of [job] is as evidence against the machine it failed on. */
+    private fun evidenceOf(job: Job): Int = when {
         job.sound -> 2
         job.doubtful -> 0
         else -> 1
     }
 
     private companion object {
-        const val ENOUGH = 2
-        const val FIRST_S = 3.0
-        const val LONGEST_S = 120.0
-        const val RUNS_WELL_REPORTS = 2.0
+        const val FAULTY_EVIDENCE = 2
+        const val MIN_BACKOFF_S = 3.0
+        const val MAX_BACKOFF_S = 120.0
+        const val MAX_DOUBLINGS = 10
+
+        /** Heartbeat intervals after which a running task proves its job sound. */
+        const val PROVEN_AFTER_HEARTBEATS = 2.0
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -39,10 +39,10 @@
                 core.schedulerState.newAttempt(),
             )
             if ('+' in e) {
-                faultAttribution.succeeded(p)
+                faultAttribution.onTaskSucceeded(p)
                 core.schedulerState.complete(job, p.task)
             } else {
-                faultAttribution.failed(p)
+                faultAttribution.onTaskFailed(p)
             }
             core.schedulerState.release(p, "ended")
         }
@@ -59,7 +59,7 @@
     fun `is tried again ever more rarely`(failures: Int, pauseS: Double) {
         val job = job(1)
         repeat(failures) { n ->
-            faultAttribution.failed(
+            faultAttribution.onTaskFailed(
                 core.schedulerState.place(job, job.waiting.first(), core.machine("m$n"), 1).also {
                     core.schedulerState.release(it, "ended")
                 },
@@ -73,13 +73,13 @@
     fun `running on for a while clears a job as much as its end`(ranS: Double, doubtful: Boolean) {
         val job = job(1)
         listOf("A", "B").forEach {
-            faultAttribution.failed(core.schedulerState.place(job, job.waiting.first(), core.machine(it), 1))
+            faultAttribution.onTaskFailed(core.schedulerState.place(job, job.waiting.first(), core.machine(it), 1))
         }
         val p = core.schedulerState.place(job, job.waiting.first(), core.machine("C"), 2).apply {
             runningSince =
                 core.ctx.now - ranS
         }
-        faultAttribution.runs(p)
+        faultAttribution.onTaskRunning(p)
         assertEquals(doubtful, job.doubtful)
     }
 }
