--- a/src/main/kotlin/plankwall/core/api/CapacityView.kt
+++ b/src/main/kotlin/plankwall/core/api/CapacityView.kt
@@ -10,43 +10,46 @@
 import plankwall.wire.StateResult
 
 /**
- * The machine types, which every node needs to judge a submission. Read from the store first, so that an outage of
- * the cloud stops no acceptance; from the cloud where the store has none yet.
+ * The machine types, which each node needs to check submissions. They are read from the store first, so that jobs are
+ * accepted during an outage of the cloud, and from the cloud if the store has none yet.
  */
 class CapacityView(private val ctx: Context) {
+    /** The machine types; null until they are read. */
     var catalog: Catalog? = null
 
-    /** Names of the types in the stored copy. */
+    /** Names of the types in the stored copy; null if none has been read. */
     var storedTypes: List<String>? = null
-    private var asking = false
-    private var nextTry = 0.0
+    private var reading = false
+    private var nextReadAt = 0.0
 
+    /** Reads the types until they are known; to be called regularly. */
     fun tick() {
-        if (catalog != null || asking || ctx.now < nextTry) return
-        asking = true
+        if (catalog != null || reading || ctx.now < nextReadAt) return
+        reading = true
         ctx.out.state(StateOp.Range(Keys.CATALOG, null, MAX_KEYS)) { result ->
             val stored = (result as? StateResult.Items)?.let { ChunkedValue.catalog(it.items) }
             if (stored != null) {
-                settled()
+                finishRead()
                 if (catalog == null) catalog = stored
                 storedTypes = stored.types.map { it.name }
             } else {
-                askCloud()
+                readFromCloud()
             }
         }
     }
 
-    private fun askCloud() = ctx.out.cloud(CloudOp.GetCatalog) { result ->
-        settled()
+    private fun readFromCloud() = ctx.out.cloud(CloudOp.GetCatalog) { result ->
+        finishRead()
         if (result is CloudResult.CatalogRead && catalog == null) catalog = result.catalog
     }
 
-    private fun settled() {
-        asking = false
-        nextTry = ctx.now + 0.5 + ctx.random.nextDouble()
+    private fun finishRead() {
+        reading = false
+        nextReadAt = ctx.now + MIN_RETRY_S + ctx.random.nextDouble()
     }
 
     private companion object {
         const val MAX_KEYS = 200
+        const val MIN_RETRY_S = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -14,96 +14,101 @@
 import plankwall.wire.StateResult
 
 /**
- * Every node's copy of which jobs are live, brought up to date before each use: whoever asks waits for a read of the
- * store's changes that begins after the question came, so an answer is as new as if the job's own key had been read.
- * One such read serves all who wait for it. A read for each poll would take the state service's whole rate as soon as
- * a few hundred users poll, and the leader's writes with it.
+ * Each node's copy of which jobs are live. It is refreshed before each use: a request waits for a read of the store's
+ * changes that begins after the request arrived, so an answer is as new as if the job's own key had been read. One
+ * such read serves all requests that wait for it. A read for each poll would take the state service's whole rate as
+ * soon as a few hundred users poll, and the rate of the leader's writes with it.
+ *
+ * @param keepFacts whether to keep what authorization rules look at for each live job
+ * @param onJobOver called with the id of each job that is no longer live
  */
 class JobCache(
     private val ctx: Context,
     private val keepFacts: Boolean = false,
     private val cancellations: Cancellations? = null,
-    private val onOver: (String) -> Unit,
+    private val onJobOver: (job: String) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("front")
-
-    private val live = HashSet<String>()
+    private val liveJobs = HashSet<String>()
     private val dependencies = DependencyGraph()
-
-    /** What rights may ask of the live jobs; kept only where there are rights. */
     private val facts = HashMap<String, JobFacts>()
     private var revision = UNREAD
-    private var waiting = ArrayList<(Boolean) -> Unit>()
+    private var waiters = ArrayList<(Boolean) -> Unit>()
     private var reading = false
-    private var nextRead = 0.0
-    private val gapS = maxOf(MIN_GAP_S, ctx.settings.nodes / (ctx.settings.state.rps * PART_OF_RATE))
-
-    /** Calls [then] once the copy is newer than this moment, with false if the store could not be read. */
-    fun whenFresh(then: (Boolean) -> Unit) {
-        waiting.add(then)
-        pump()
+    private var nextReadAt = 0.0
+    private val readIntervalS =
+        maxOf(MIN_READ_INTERVAL_S, ctx.settings.nodes / (ctx.settings.state.rps * SHARE_OF_STORE_RATE))
+
+    /** Calls [onFresh] once the copy is newer than this moment, with false if the store could not be read. */
+    fun whenFresh(onFresh: (fresh: Boolean) -> Unit) {
+        waiters.add(onFresh)
+        startRead()
     }
 
-    fun isLive(id: String): Boolean = id in live
+    /** Whether job [id] is live as of the last read. */
+    fun isLive(id: String): Boolean = id in liveJobs
 
+    /** What authorization rules look at for the live job [id]; null for any other, and without access control. */
     fun factsOf(id: String): JobFacts? = facts[id]
 
     /**
-     * Whether a live job is withdrawn, by its user or through a job that it needs, as far as their ends are known here.
+     * Whether a live job is cancelled, by its user or through one of its dependencies, as far as their outcomes are
+     * known here.
      */
     fun isCancelled(id: String): Boolean = dependencies.isCancelled(id)
 
-    /** Jobs that [id] needs and that are over: until it is known how, nobody can say whether [id] is withdrawn. */
-    fun unsettled(id: String): Set<String> = dependencies.unsettled(id) { it !in live }
+    /** Dependencies of [id] that are over with an unknown outcome, which decides whether [id] is cancelled. */
+    fun unresolvedDependencies(id: String): Set<String> = dependencies.unsettled(id) { it !in liveJobs }
 
-    /** What a live job still waits for, as far as known here. */
-    fun openOf(id: String): List<String> = dependencies.openOf(id).toList()
+    /** The dependencies that the live job [id] still waits for, as far as known here. */
+    fun openDependencies(id: String): List<String> = dependencies.openOf(id).toList()
 
-    /** How a job that others need has ended. */
-    fun settle(id: String, stage: JobStage) {
+    /** Records with which [stage] the job [id], a dependency of others, has ended. */
+    fun onOutcome(id: String, stage: JobStage) {
         if (stage == JobStage.DONE) dependencies.done(id) else dependencies.cancelled(id)
         dependencies.over(id)
     }
 
+    /** Starts a read that is due; to be called regularly. */
     fun tick() {
-        // Kept warm, so that the first question after a quiet time does not find the changes gone.
-        if (waiting.isEmpty() && ctx.now >= nextRead + KEEP_WARM_S) whenFresh {} else pump()
+        // Without regular reads the store may have dropped the changes since the last one when the next request comes.
+        if (waiters.isEmpty() && ctx.now >= nextReadAt + IDLE_READ_INTERVAL_S) whenFresh {} else startRead()
     }
 
-    private fun pump() {
-        if (reading || waiting.isEmpty() || ctx.now < nextRead) return
+    private fun startRead() {
+        if (reading || waiters.isEmpty() || ctx.now < nextReadAt) return
         reading = true
-        nextRead = ctx.now + gapS
-        val served = waiting
-        waiting = ArrayList()
+        nextReadAt = ctx.now + readIntervalS
+        val served = waiters
+        waiters = ArrayList()
         if (revision == UNREAD) readAll(null, ArrayList(), 0L, served) else readChanges(served)
     }
 
     private fun readChanges(served: List<(Boolean) -> Unit>) {
-        val begunAt = ctx.now
-        ctx.out.state(StateOp.Changes(Keys.JOBS, revision)) { result -> changed(result, begunAt, served) }
+        val startedAt = ctx.now
+        ctx.out.state(StateOp.Changes(Keys.JOBS, revision)) { result -> onChanges(result, startedAt, served) }
     }
 
-    private fun changed(result: StateResult, begunAt: Double, served: List<(Boolean) -> Unit>) {
+    private fun onChanges(result: StateResult, startedAt: Double, served: List<(Boolean) -> Unit>) {
         if (result is StateResult.News) {
-            for (e in result.events) {
-                val record = e.value as? JobRecord
+            for (event in result.events) {
+                val record = event.value as? JobRecord
                 if (record != null) {
-                    keep(Keys.jobId(e.key), record)
-                } else if (e.value == null) {
-                    drop(Keys.jobId(e.key))
+                    put(Keys.jobId(event.key), record)
+                } else if (event.value == null) {
+                    remove(Keys.jobId(event.key))
                 }
             }
             revision = maxOf(revision, result.revision)
-            cancellations?.readUpTo(begunAt)
+            cancellations?.readUpTo(startedAt)
         } else if (result == StateResult.TooOld) {
             revision = UNREAD
         }
-        finish(served, result is StateResult.News)
+        finishRead(served, fresh = result is StateResult.News)
     }
 
-    private fun keep(id: String, record: JobRecord) {
-        live.add(id)
+    private fun put(id: String, record: JobRecord) {
+        liveJobs.add(id)
         if (keepFacts) facts[id] = record.spec.factsFor(record.owner)
         dependencies.add(id, record.spec.dependencies)
         if (record.cancelledMs > 0) {
@@ -112,18 +117,21 @@
         }
     }
 
-    private fun drop(id: String) {
+    private fun remove(id: String) {
         dependencies.over(id)
         facts.remove(id)
         cancellations?.over(id)
-        if (live.remove(id)) onOver(id)
+        if (liveJobs.remove(id)) onJobOver(id)
     }
 
-    /** Pages of one reading are of different moments; the changes since the first make them one whole. */
+    /**
+     * Reads all live jobs page by page, from the key [after] on. The pages show different moments; reading the changes
+     * since the [first] page's revision makes them consistent.
+     */
     private fun readAll(after: String?, found: ArrayList<StateItem>, first: Long, served: List<(Boolean) -> Unit>) {
-        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE)) { result ->
+        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE_SIZE)) { result ->
             if (result !is StateResult.Items) {
-                finish(served, false)
+                finishRead(served, fresh = false)
                 return@state
             }
             found.addAll(result.items)
@@ -131,28 +139,32 @@
             if (result.more && result.items.isNotEmpty()) {
                 readAll(result.items.last().key, found, from, served)
             } else {
-                live.clear()
-                facts.clear()
-                dependencies.clear()
-                found.forEach { item -> (item.value as? JobRecord)?.let { keep(Keys.jobId(item.key), it) } }
-                revision = from
-                log.debug("{} live jobs read at {}", live.size, from)
+                replaceAll(found, from)
                 readChanges(served)
             }
         }
     }
 
-    private fun finish(served: List<(Boolean) -> Unit>, fresh: Boolean) {
+    private fun replaceAll(items: List<StateItem>, asOf: Long) {
+        liveJobs.clear()
+        facts.clear()
+        dependencies.clear()
+        items.forEach { item -> (item.value as? JobRecord)?.let { put(Keys.jobId(item.key), it) } }
+        revision = asOf
+        log.debug("live jobs read jobs={} revision={}", liveJobs.size, asOf)
+    }
+
+    private fun finishRead(served: List<(Boolean) -> Unit>, fresh: Boolean) {
         reading = false
-        served.forEach { it(fresh) }
-        pump()
+        served.forEach { onFresh -> onFresh(fresh) }
+        startRead()
     }
 
     private companion object {
         const val UNREAD = -1L
-        const val PAGE = 400
-        const val MIN_GAP_S = 0.1
-        const val PART_OF_RATE = 0.2
-        const val KEEP_WARM_S = 4.0
+        const val PAGE_SIZE = 400
+        const val MIN_READ_INTERVAL_S = 0.1
+        const val SHARE_OF_STORE_RATE = 0.2
+        const val IDLE_READ_INTERVAL_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/core/api/PendingRequest.kt
+++ b/src/main/kotlin/plankwall/core/api/PendingRequest.kt
@@ -3,82 +3,106 @@
 import plankwall.core.statemachine.Action
 import plankwall.core.statemachine.Caller
 import plankwall.core.statemachine.Context
-import plankwall.core.statemachine.Decision
 import plankwall.core.statemachine.RequestId
-import plankwall.core.statemachine.Verdict
 import plankwall.model.JobFacts
 import plankwall.model.JobView
 import plankwall.wire.JobCodec
-
-/** That the rights allow it, or that there are none ([verdict] null). */
-internal class RequestedAction(val action: Action, val job: String, val verdict: Verdict?)
+import plankwall.wire.StateOp
+import plankwall.wire.StateResult
 
 /**
- * A request at the front desk, answered once. [caller]: null where nobody has to prove who he is; he may do anything
- * then, and nothing is recorded. [othersCan]: other nodes have the state service and this one does not; a caller that
- * is refused is to come back through the load balancer then, rather than over a connection that leads here again.
+ * A user's request in flight; it is answered exactly once.
+ *
+ * An answer is valid only until the request's deadline. A node that was paused for a minute may hold data that another
+ * node's answers have superseded since, and the user has given up waiting; an answer after the deadline is therefore
+ * replaced by a 503.
  *
- * What a node read before it stood still for a minute is no answer any more: its user has given up after [timeoutS]
- * and may have been told more by another node since. So whatever would be said later than that is not said.
+ * @property caller the authenticated caller; null without access control: everything is allowed, nothing recorded
+ * @param timeoutS seconds from now to the deadline
+ * @param onlyOthersCanServe whether other nodes reach the state service and this one does not; the caller of a
+ *   rejected request is then asked to reconnect through the load balancer instead of reusing the connection to here
+ * @param onAnswered called once, just before the answer goes out
  */
 internal class PendingRequest(
     private val ctx: Context,
     private val request: RequestId,
     val caller: Caller?,
     private val timeoutS: Double,
-    private val othersCan: () -> Boolean,
-    private val closed: () -> Unit,
+    private val onlyOthersCanServe: () -> Boolean,
+    private val onAnswered: () -> Unit,
 ) {
-    private val begunAt = ctx.now
+    private val startedAt = ctx.now
     private var answered = false
 
+    /** Answers without recording a decision; calls after the first answer do nothing. */
     fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) {
         if (answered) return
         answered = true
-        closed()
-        if (ctx.now - begunAt > timeoutS) {
-            ctx.out.answer(request, 503, TOO_LATE, 1, close = true)
+        onAnswered()
+        if (ctx.now - startedAt > timeoutS) {
+            ctx.out.answer(request, 503, DEADLINE_EXCEEDED, 1, close = true)
         } else {
-            ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && othersCan())
+            ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && onlyOthersCanServe())
         }
     }
 
-    fun tooMany() = answer(429, JobCodec.error("too many requests"), 1)
+    /** Answers 429: the rate limit is reached. */
+    fun rejectRateLimited() = answer(429, JobCodec.error("too many requests"), 1)
 
-    fun later(why: String) = answer(503, JobCodec.error(why), 1)
+    /** Answers 503 with [reason]: the caller is to retry. */
+    fun rejectTemporarily(reason: String) = answer(503, JobCodec.error(reason), 1)
 
-    fun unread() = later("the state service can't be read")
+    /** Answers 503: a read of the state service failed. */
+    fun rejectUnreadable() = rejectTemporarily("the state service can't be read")
 
-    /** Tells what was decided, once the trail has it. */
-    fun respond(allowed: RequestedAction, status: Int, body: ByteArray) {
-        if (caller == null || allowed.verdict == null) {
+    /** Records the decision on [requested] in the audit log and answers once it is stored. */
+    fun recordAndAnswer(requested: RequestedAction, status: Int, body: ByteArray) {
+        val decision = requested.decide(status)
+        if (caller == null || decision == null) {
             answer(status, body)
             return
         }
-        caller.record(Decision(allowed.action, allowed.job, allowed.verdict, status)) { stored ->
-            if (stored) answer(status, body) else later("the decision can't be recorded now")
+        caller.record(decision) { stored ->
+            if (stored) answer(status, body) else rejectTemporarily("the decision can't be recorded now")
         }
     }
 
-    fun accepted(allowed: RequestedAction, status: Int, view: JobView) =
-        respond(allowed, status, JobCodec.accepted(view))
+    /** Records the decision on [requested] and answers with the state of its job. */
+    fun recordAndAnswer(requested: RequestedAction, status: Int, view: JobView) =
+        recordAndAnswer(requested, status, JobCodec.accepted(view))
 
     /**
-     * What the rights say of [action] on [job] with [facts]; null if it was denied, which is being told then. Facts are
-     * null for a job that does not exist or whose owner nobody knows, so that a denial does not tell the two apart.
+     * Checks whether the caller may do [action] on [job], whose [facts] the rules look at. Returns null if it is
+     * denied; the denial is then recorded and answered. [facts] is null for a job that does not exist or whose owner
+     * is unknown, so that a denial does not reveal which of the two it is.
      */
     fun authorize(action: Action, job: String, facts: JobFacts?): RequestedAction? {
         if (caller == null) return RequestedAction(action, job, null)
-        val verdict = caller.authorize(action, facts)
-        if (verdict.allowed) return RequestedAction(action, job, verdict)
-        respond(RequestedAction(action, job, verdict), 403, JobCodec.error("you may not ${action.word} $job"))
+        val requested = RequestedAction(action, job, caller.authorize(action, facts))
+        if (requested.verdict?.allowed == true) return requested
+        recordAndAnswer(requested, 403, JobCodec.error("you may not ${action.word} $job"))
         return null
     }
 
+    /**
+     * Stores [txn], the change that [requested] stands for, in one transaction with the decision where there is access
+     * control. [status] is what the caller will be answered if it commits.
+     */
+    fun commit(requested: RequestedAction, status: Int, txn: StateOp.Txn, onResult: (StateResult) -> Unit) {
+        val decision = requested.decide(status)
+        if (caller == null || decision == null) {
+            ctx.out.state(txn, onResult)
+        } else {
+            caller.change(decision, txn, onResult)
+        }
+    }
+
     companion object {
-        /** How long users wait for an answer (PROTOCOL): for a look at a job, and for a change. */
-        const val LOOK_S = 2.0
-        const val CHANGE_S = 5.0
-        private val TOO_LATE = JobCodec.error("the answer would come too late")
+        /** How long users wait for the status of a job (PROTOCOL). */
+        const val STATUS_TIMEOUT_S = 2.0
+
+        /** How long users wait for a submission or a cancellation (PROTOCOL). */
+        const val CHANGE_TIMEOUT_S = 5.0
+        private val DEADLINE_EXCEEDED = JobCodec.error("the answer would come too late")
     }
 }
