--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -9,9 +9,9 @@
 import plankwall.wire.ZoneReach
 
 /**
- * Which machines can reach the leader itself, and when those that come through other nodes are called back. A worker
- * that tries in vain loses several seconds of its lease and lands anywhere, so none is called on suspicion: the leader
- * first reaches the machine itself, which takes packets both ways.
+ * Which workers reach the leader directly, and when those whose heartbeats are relayed are called back. A worker that
+ * tries in vain loses several seconds of its lease and may end up anywhere, so none is called back on suspicion: the
+ * leader first reaches the worker itself, which takes a path that is open in both directions.
  */
 class DirectReachability(
     private val ctx: Context,
@@ -19,220 +19,186 @@
     private val failureDetector: FailureDetector,
     private val sessions: SessionPlanner,
 ) {
-    private class Reach {
+    /** What is known of one worker's path to the leader; moments in seconds. */
+    private class Path {
         var directAt = Machine.NEVER
         var relayedAt = Machine.NEVER
-        var reachedAt = Machine.NEVER
-        var calledAt = Machine.NEVER
+        var commandAnsweredAt = Machine.NEVER
+        var calledBackAt = Machine.NEVER
         var probedAt = Machine.NEVER
+
+        /** After being called back in vain it is not called back before this moment. */
         var notBefore = Machine.NEVER
         var pauseS = 0.0
 
         /**
-         * While its reports came through others there was a time when nobody of its zone came straight: the zone's
-         * link, not its own.
+         * At some time since its heartbeats are relayed, no worker of its zone reached the leader directly: the zone's
+         * link is at fault, not its own.
          */
-        var withZone = false
-
-        /** The node that is to serve its session, when that last did, and when it was last sent there. */
-        var home = ""
-        var homeAt = Machine.NEVER
-        var sentHomeAt = Machine.NEVER
-        var homePauseS = 0.0
+        var isZoneWide = false
     }
 
     private val log = LoggerFactory.getLogger("relay")
-    private val byMachine = HashMap<Int, Reach>()
-    private val lastOpen = HashMap<String, Double>()
-
-    /** By zone, since when commands to machines whose sessions other nodes serve have gone unanswered. */
-    private val unansweredSince = HashMap<String, Double>()
+    private val paths = HashMap<Int, Path>()
+    private val zonePaths = ZonePaths(ctx)
+    private val redirects = SessionRedirects(ctx, sessions)
     private val times = ctx.settings.workers
-    private var lastReached = Machine.NEVER
-    private var lastThrough = Machine.NEVER
-
-    /** Nobody comes through others: nothing to look for among a thousand machines, ten times a second. */
-    private val quiet: Boolean get() = ctx.now - lastThrough >= times.reportS * 2
-    private var probes = 0.0
-    private var probesAt = ctx.now
-    private var through = 0
-    private var lineAt = Machine.NEVER
-
-    private fun of(m: Machine): Reach = byMachine.getOrPut(m.ix.value) { Reach() }
-
-    fun onDirectHeartbeat(m: Machine) {
-        val reach = of(m)
-        reach.directAt = ctx.now
-        m.group?.let { lastOpen[it.zone] = ctx.now }
-        if (reach.pauseS > 0 && ctx.now - reach.relayedAt > times.leaseS * 2) reach.pauseS = 0.0
+    private var lastCommandAnsweredAt = Machine.NEVER
+    private var lastRelayedAt = Machine.NEVER
+    private var probeBudget = 0.0
+    private var probeBudgetAt = ctx.now
+    private var relayedBefore = 0
+    private var lastSummaryAt = Machine.NEVER
+
+    /** No heartbeat is relayed: there is nothing to look for among a thousand machines, ten times a second. */
+    private val isQuiet: Boolean get() = ctx.now - lastRelayedAt >= times.reportS * 2
+
+    private fun pathOf(machine: Machine): Path = paths.getOrPut(machine.ix.value) { Path() }
+
+    /** The node that the worker of [machine], whose heartbeat came to the node [through], is redirected to, or null. */
+    fun redirectTarget(machine: Machine, zone: String, through: String): String? =
+        redirects.targetFor(machine, zone, through)
+
+    /** A heartbeat of [machine] came directly. */
+    fun onDirectHeartbeat(machine: Machine) {
+        val path = pathOf(machine)
+        path.directAt = ctx.now
+        zonePaths.onDirectHeartbeat(machine)
+        if (path.pauseS > 0 && ctx.now - path.relayedAt > times.leaseS * 2) path.pauseS = 0.0
     }
 
     /**
-     * The node that the worker of [m] is to be sent to, whose report came to [through]; null if it is to be served as
-     * it came. A worker that was at its node a lease ago has left it for a reason, and one that was sent there and is
-     * here has not got there: both are served as they come for a while, longer each time.
+     * A heartbeat of [machine] was relayed by another node. Returns whether the worker is called back: its heartbeat is
+     * then not taken in, and it is to come directly.
      */
-    fun redirectTarget(m: Machine, zone: String, through: String): String? {
-        val home = sessions.assignedNode(m.id, zone) ?: return null
-        val reach = of(m)
-        if (reach.home != home) {
-            reach.home = home
-            reach.homeAt = Machine.NEVER
-            reach.sentHomeAt = Machine.NEVER
-            reach.homePauseS = times.leaseS
-        }
-        if (through == home) {
-            reach.homeAt = ctx.now
-            reach.homePauseS = times.leaseS
-            return null
-        }
-        if (ctx.now - maxOf(reach.homeAt, reach.sentHomeAt) < reach.homePauseS) return null
-        if (reach.sentHomeAt >
-            reach.homeAt
-        ) {
-            reach.homePauseS = (reach.homePauseS * 2).coerceAtMost(times.leaseS * MAX_PAUSE_LEASES)
-        }
-        reach.sentHomeAt = ctx.now
-        return home
-    }
-
-    /** A report through another node. True if the worker had better come itself: the report is not taken then. */
-    fun onIndirectHeartbeat(m: Machine, zone: String): Boolean {
-        // As planned: its own way here is not known, and not asked for.
-        if (sessions.assignedNode(m.id, zone) != null) return false
-        val reach = of(m)
-        // Called before, and not here since: the way that the leader found open is closed to the worker.
-        if (reach.calledAt > reach.directAt && reach.calledAt > reach.reachedAt) {
-            reach.pauseS = (reach.pauseS * 2).coerceIn(times.leaseS, times.leaseS * MAX_PAUSE_LEASES)
-            reach.notBefore = ctx.now + reach.pauseS
-            reach.calledAt = Machine.NEVER
-        }
-        reach.withZone = !isOpen(m) || (reach.withZone && reach.relayedAt > reach.directAt)
-        val reached = ctx.now - reach.reachedAt < times.longestReportS
-        // Where a whole zone was shut and one of it gets through again, all do; one by one they would take half a
-        // minute.
-        val open = ctx.now >= reach.notBefore && (reached || (reach.withZone && isOpen(m)))
-        if (!open) {
-            reach.relayedAt = ctx.now
-            lastThrough = ctx.now
+    fun onIndirectHeartbeat(machine: Machine, zone: String): Boolean {
+        // Relayed as planned: its own path to the leader does not matter.
+        if (sessions.assignedNode(machine.id, zone) != null) return false
+        val path = pathOf(machine)
+        backOffAfterVainCall(path)
+        path.isZoneWide = !zonePaths.isOpen(machine) || (path.isZoneWide && path.relayedAt > path.directAt)
+        if (!mayCallBack(machine, path)) {
+            path.relayedAt = ctx.now
+            lastRelayedAt = ctx.now
             return false
         }
-        reach.calledAt = ctx.now
-        reach.reachedAt = Machine.NEVER
-        log.debug("machine {} is called back: it can be reached", m.id)
+        path.calledBackAt = ctx.now
+        path.commandAnsweredAt = Machine.NEVER
+        log.debug("worker called back machine={}", machine.id)
         return true
     }
 
-    /** The machine answered a direct command: the way is open in both directions. */
-    fun onCommandAnswered(m: Machine) {
-        of(m).reachedAt = ctx.now
-        m.group?.let {
-            lastOpen[it.zone] = ctx.now
-            unansweredSince.remove(it.zone)
-        }
-        lastReached = ctx.now
+    /** Called back before and not here since: the path that the leader found open is closed to the worker. */
+    private fun backOffAfterVainCall(path: Path) {
+        if (path.calledBackAt <= path.directAt || path.calledBackAt <= path.commandAnsweredAt) return
+        path.pauseS = (path.pauseS * 2).coerceIn(times.leaseS, times.leaseS * MAX_PAUSE_LEASES)
+        path.notBefore = ctx.now + path.pauseS
+        path.calledBackAt = Machine.NEVER
     }
 
-    /**
-     * Out of reach for direct commands, which would go nowhere and take the place of others: its reports come through
-     * other nodes, and either nobody of its zone comes straight or it was called in vain.
-     */
-    fun isUnreachable(m: Machine): Boolean {
-        if (sessions.assignedNode(m) != null) return isShut(m)
-        val reach = byMachine[m.ix.value] ?: return false
-        return reach.relayedAt > maxOf(reach.directAt, reach.reachedAt) && (ctx.now < reach.notBefore || !isOpen(m))
+    private fun mayCallBack(machine: Machine, path: Path): Boolean {
+        if (ctx.now < path.notBefore) return false
+        val answeredLately = ctx.now - path.commandAnsweredAt < times.longestReportS
+        // Where a whole zone was cut off and one of its workers gets through again, all do; one by one they would take
+        // half a minute.
+        return answeredLately || (path.isZoneWide && zonePaths.isOpen(machine))
     }
 
-    /**
-     * Commands to the machine's zone go unanswered. Half of the time they are let through all the same, so that it
-     * shows when the way is open again.
-     */
-    private fun isShut(m: Machine): Boolean {
-        val zone = m.group?.zone ?: return false
-        val since = unansweredSince[zone] ?: return false
-        return (ctx.now - since) % (SHUT_S * 2) >= SHUT_S
+    /** The worker on [machine] answered a direct command: the path is open in both directions. */
+    fun onCommandAnswered(machine: Machine) {
+        pathOf(machine).commandAnsweredAt = ctx.now
+        zonePaths.onCommandAnswered(machine)
+        lastCommandAnsweredAt = ctx.now
     }
 
-    /** A command was sent to [m]. */
-    fun onCommandSent(m: Machine) {
-        if (sessions.assignedNode(m) != null) m.group?.let { unansweredSince.putIfAbsent(it.zone, ctx.now) }
+    /** A direct command was sent to [machine]. */
+    fun onCommandSent(machine: Machine) {
+        if (sessions.assignedNode(machine) != null) zonePaths.onCommandSent(machine)
     }
 
-    /** Somebody of the machine's zone has come straight, or was reached, within a report interval. */
-    private fun isOpen(m: Machine): Boolean =
-        ctx.now - (lastOpen[m.group?.zone] ?: Machine.NEVER) < times.longestReportS
+    /**
+     * Whether direct commands to [machine] would go nowhere and take the place of others: its heartbeats are relayed,
+     * and either no worker of its zone reaches the leader directly or it was called back in vain.
+     */
+    fun isUnreachable(machine: Machine): Boolean {
+        if (sessions.assignedNode(machine) != null) return zonePaths.areCommandsHeldBack(machine)
+        val path = paths[machine.ix.value] ?: return false
+        return path.relayedAt > maxOf(path.directAt, path.commandAnsweredAt) &&
+            (ctx.now < path.notBefore || !zonePaths.isOpen(machine))
+    }
 
-    /** Machines to be tried now: a few while nothing gets through, many once something does. */
+    /** The machines to be probed now by a direct command: a few while none is answered, many once one is. */
     fun machinesToProbe(): List<Machine> {
-        if (quiet) return emptyList()
-        val rate = if (ctx.now - lastReached < times.reportS) PROBES_OPEN else PROBES_SHUT
-        probes = minOf(rate, probes + (ctx.now - probesAt) * rate)
-        probesAt = ctx.now
-        if (probes < 1) return emptyList()
-        val due = fleet.machines.filter { m ->
-            val r = byMachine[m.ix.value]
-            r != null &&
-                m.address.isNotEmpty() &&
-                !m.deleting &&
-                isThrough(r) &&
-                ctx.now >= r.notBefore &&
-                ctx.now - r.reachedAt > times.reportS &&
-                ctx.now - r.probedAt > times.reportS * 2
-        }
-        return due.sortedBy { of(it).probedAt }.take(probes.toInt()).onEach {
-            of(it).probedAt = ctx.now
-            probes -= 1.0
+        if (isQuiet) return emptyList()
+        val isAnyAnswered = ctx.now - lastCommandAnsweredAt < times.reportS
+        val perSecond = if (isAnyAnswered) PROBES_PER_SECOND_OPEN else PROBES_PER_SECOND_SHUT
+        probeBudget = minOf(perSecond, probeBudget + (ctx.now - probeBudgetAt) * perSecond)
+        probeBudgetAt = ctx.now
+        if (probeBudget < 1) return emptyList()
+        val due = fleet.machines.filter { machine -> paths[machine.ix.value]?.let { isProbeDue(machine, it) } == true }
+        return due.sortedBy { pathOf(it).probedAt }.take(probeBudget.toInt()).onEach {
+            pathOf(it).probedAt = ctx.now
+            probeBudget -= 1.0
         }
     }
 
-    private fun isThrough(r: Reach): Boolean = r.relayedAt > r.directAt && ctx.now - r.relayedAt < times.reportS * 2
+    private fun isProbeDue(machine: Machine, path: Path): Boolean = machine.address.isNotEmpty() &&
+        !machine.deleting &&
+        isRelayed(path) &&
+        ctx.now >= path.notBefore &&
+        ctx.now - path.commandAnsweredAt > times.reportS &&
+        ctx.now - path.probedAt > times.reportS * 2
+
+    private fun isRelayed(path: Path): Boolean =
+        path.relayedAt > path.directAt && ctx.now - path.relayedAt < times.reportS * 2
 
-    /** For the peers, by zone: how many machines should come here, and how many of them have not come straight. */
+    /** For the peers, by zone: how many workers should come directly, and how many of them are late. */
     fun reachByZone(): List<ZoneReach> {
         val known = HashMap<String, Int>()
         val late = HashMap<String, Int>()
-        val overdueS = times.longestReportS + 0.5
-        for (m in fleet.machines) {
-            val zone = m.group?.zone ?: continue
-            if (m.returning ||
-                sessions.assignedNode(m) != null ||
-                !(m.registered || (failureDetector.firstAreBack && failureDetector.isAwaited(m)))
-            ) {
-                continue
-            }
+        val lateAfterS = times.longestReportS + LATE_MARGIN_S
+        for (machine in fleet.machines) {
+            val zone = machine.group?.zone ?: continue
+            if (!shouldComeDirectly(machine)) continue
             known.merge(zone, 1, Int::plus)
-            if (ctx.now - (byMachine[m.ix.value]?.directAt ?: Machine.NEVER) > overdueS) late.merge(zone, 1, Int::plus)
+            val directAt = paths[machine.ix.value]?.directAt ?: Machine.NEVER
+            if (ctx.now - directAt > lateAfterS) late.merge(zone, 1, Int::plus)
         }
-        return known.map { (zone, n) -> ZoneReach(zone, n, late[zone] ?: 0) }.sortedBy { it.zone }
+        return known.map { (zone, count) -> ZoneReach(zone, count, late[zone] ?: 0) }.sortedBy { it.zone }
     }
 
-    /** Machines that were heard through others within two report intervals. */
-    val throughOthers: Int get() = if (quiet) 0 else byMachine.values.count(::isThrough)
+    private fun shouldComeDirectly(machine: Machine): Boolean = !machine.returning &&
+        sessions.assignedNode(machine) == null &&
+        (machine.registered || (failureDetector.firstAreBack && failureDetector.isAwaited(machine)))
 
+    /** How many workers' heartbeats were relayed within two heartbeat intervals. */
+    val relayedWorkers: Int get() = if (isQuiet) 0 else paths.values.count(::isRelayed)
+
+    /** Drops state of removed machines and logs a summary; to be called regularly. */
     fun tick() {
-        if (ctx.now - lineAt < LINE_S) return
-        lineAt = ctx.now
-        if (byMachine.size >
-            fleet.machines.size * 2
-        ) {
-            byMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+        if (ctx.now - lastSummaryAt < SUMMARY_INTERVAL_S) return
+        lastSummaryAt = ctx.now
+        if (paths.size > fleet.machines.size * 2) {
+            paths.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
         }
-        val now = throughOthers
-        if (now > 0 ||
-            through > 0
-        ) {
-            log.info("{} machines report through other nodes, {} before; by zone {}", now, through, reachByZone())
+        redirects.prune(fleet)
+        val relayed = relayedWorkers
+        if (relayed > 0 || relayedBefore > 0) {
+            log.info(
+                "workers reached only through other nodes count={} before={} zones={}",
+                relayed,
+                relayedBefore,
+                reachByZone(),
+            )
         }
-        through = now
+        relayedBefore = relayed
     }
 
     private companion object {
         const val MAX_PAUSE_LEASES = 8.0
-        const val PROBES_SHUT = 2.0
-        const val PROBES_OPEN = 40.0
-        const val LINE_S = 5.0
-
-        /** A worker answers a command within 3 s, or its caller gives up. */
-        const val SHUT_S = 4.0
+        const val PROBES_PER_SECOND_SHUT = 2.0
+        const val PROBES_PER_SECOND_OPEN = 40.0
+        const val SUMMARY_INTERVAL_S = 5.0
+        const val LATE_MARGIN_S = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -6,9 +6,9 @@
 import plankwall.core.statemachine.Context
 
 /**
- * When a leader that holds the store gives up the lead because of where the workers are. Their reports through other
- * nodes are as good as straight ones, so a link that is cut for a while moves nothing; a lead that changes hands costs
- * everything that a leader learns.
+ * Decides when a leader that reaches the store resigns because of where the workers are. Relayed heartbeats are as good
+ * as direct ones, so a link that is cut for a while moves nothing; a change of leaders costs everything that a leader
+ * has learned.
  */
 class LeadershipTransfer(
     private val ctx: Context,
@@ -18,58 +18,58 @@
     private val reach: DirectReachability,
 ) {
     private val times = ctx.settings.workers
-    private var mostlyThroughSince = Double.NaN
+    private var mostlyRelayedSince = Double.NaN
 
-    /**
-     * Most workers have missed a report here, straight and through others, and turn up at peers instead, which surely
-     * reach them ([WorkerRelay.unservedWorkers]): whoever can answer them should lead, and soon, for their leases are running
-     * out. Where no peer is heard that could tell of it, all must be silent: a leader whose peers and most of whose
-     * machines are in another zone, which is cut off, has to go on with the rest. Machines that a new leader knows of
-     * and has never heard count too: one that can't be reached from the start must not keep the lead, and a lease must
-     * not run out meanwhile.
-     */
+    /** Resigns if that is due; to be called regularly. */
     fun tick() {
+        // Machines that a new leader knows of and has never heard from count too: one that can't be reached from the
+        // start must not stay leader, nor may a lease expire meanwhile.
         val known = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
         if (known.size < 2 || !leadership.mayWrite || !failureDetector.firstAreBack) return
         val silent = known.count { ctx.now - it.lastHeard > times.missedS }
-        if (silent * 2 >
-            known.size
-        ) {
-            giveUpUnheard(silent, known.size, known.count { it.registered })
+        if (silent * 2 > known.size) {
+            resignIfOthersReachWorkers(silent, known.size, known.count { it.registered })
         } else {
-            giveUpDistant(known.size)
+            resignIfMostlyRelayed(known.size)
         }
     }
 
-    private fun giveUpUnheard(silent: Int, known: Int, registered: Int) {
+    /**
+     * Most workers have missed a heartbeat here, direct and relayed. If they turn up at peers that surely reach them
+     * ([WorkerRelay.unservedWorkers]), a node that can answer them should lead, and soon, for their leases are about to
+     * expire. If no peer is connected that could report it, all workers must be silent: a leader whose peers and most
+     * of whose machines are in another zone, which is cut off, has to go on with the rest.
+     */
+    private fun resignIfOthersReachWorkers(silent: Int, known: Int, registered: Int) {
         val peers = leadership.reachability.livePeers()
         val unservedWorkers = peers.filter { it.stateReachable }.sumOf { it.unservedWorkers }
-        val alone = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
-        if (!alone && unservedWorkers * 2 <= known) return
-        val elsewhere = if (alone) "no peer is heard" else "$unservedWorkers turn up at peers"
+        val isIsolated = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
+        if (!isIsolated && unservedWorkers * 2 <= known) return
+        val elsewhere = if (isIsolated) "no peer is connected" else "$unservedWorkers turn up at peers"
         leadership.yieldForWorkers("$silent of $known machines silent here, $elsewhere")
     }
 
     /**
-     * Served through others for longer than any passing cut: the lead goes to whoever is reached, if one is reached by
-     * most.
+     * Most heartbeats have been relayed for longer than any passing cut: the leader resigns in favour of a node that
+     * most workers reach, if there is one.
      */
-    private fun giveUpDistant(known: Int) {
-        val through = reach.throughOthers
-        if (through * 2 <= known) {
-            mostlyThroughSince = Double.NaN
+    private fun resignIfMostlyRelayed(known: Int) {
+        val relayed = reach.relayedWorkers
+        if (relayed * 2 <= known) {
+            mostlyRelayedSince = Double.NaN
             return
         }
-        if (mostlyThroughSince.isNaN()) mostlyThroughSince = ctx.now
-        if (ctx.now - mostlyThroughSince < times.leaseS * DISTANT_LEASES) return
-        val best = leadership.succession.preferredSuccessor() ?: return
-        if (best.recentWorkers * 2 <= known) return
+        if (mostlyRelayedSince.isNaN()) mostlyRelayedSince = ctx.now
+        val relayedForS = ctx.now - mostlyRelayedSince
+        if (relayedForS < times.leaseS * MAX_RELAYED_LEASES) return
+        val successor = leadership.succession.preferredSuccessor() ?: return
+        if (successor.recentWorkers * 2 <= known) return
         leadership.yieldForWorkers(
-            "$through of $known machines report through others for ${(ctx.now - mostlyThroughSince).toInt()} s, most at ${best.node}",
+            "$relayed of $known machines relayed for ${relayedForS.toInt()} s, most reach ${successor.node}",
         )
     }
 
     private companion object {
-        const val DISTANT_LEASES = 2.0
+        const val MAX_RELAYED_LEASES = 2.0
     }
 }
