--- a/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
@@ -14,13 +14,13 @@
 import plankwall.wire.StateResult
 import java.util.Random
 
-/** Polls share reads of the store, and none is answered from a read that began before the poll came. */
+/** Requests share reads of the store, and none is answered from a read that began before the request came. */
 class JobCacheTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1, Random(1))
     private val jobCache = JobCache(ctx) {}
-    private val open = ArrayDeque<Effect.StateCall>()
+    private val openCalls = ArrayDeque<Effect.StateCall>()
     private val record = SimulatedCluster.job(1).let { JobRecord(it, 1, 0, 100) }
-    private val key = Keys.job("job-000001")
+    private val key = Keys.job(JOB)
     private var now = 100.0
 
     private fun pass(seconds: Double) {
@@ -30,22 +30,20 @@
         collect()
     }
 
-    private fun collect() = ctx.out.drain().forEach { open.addLast(it as Effect.StateCall) }
+    private fun collect() = ctx.out.drain().forEach { openCalls.addLast(it as Effect.StateCall) }
 
     private fun answer(result: StateResult) {
-        ctx.out.resume(open.removeFirst().call, result)
+        ctx.out.resume(openCalls.removeFirst().call, result)
         collect()
     }
 
     private fun ask(answers: MutableList<String>) {
         jobCache.whenFresh { fresh ->
             answers.add(
-                if (fresh) {
-                    "${jobCache.isCancelled("job-000001").takeIf {
-                        jobCache.isLive("job-000001")
-                    }}"
-                } else {
-                    "unread"
+                when {
+                    !fresh -> "unread"
+                    jobCache.isLive(JOB) -> "${jobCache.isCancelled(JOB)}"
+                    else -> "null"
                 },
             )
         }
@@ -59,19 +57,19 @@
     }
 
     @Test
-    fun `many questions cost one read`() {
+    fun `many requests share one read`() {
         load()
         val answers = ArrayList<String>()
         repeat(200) { ask(answers) }
         pass(1.0)
-        assertEquals(listOf<StateOp>(StateOp.Changes(Keys.JOBS, 6)), open.map { it.op })
+        assertEquals(listOf<StateOp>(StateOp.Changes(Keys.JOBS, 6)), openCalls.map { it.op })
         answer(StateResult.News(emptyList(), 7))
         assertEquals(List(200) { "false" }, answers)
-        assertEquals(0, open.size)
+        assertEquals(0, openCalls.size)
     }
 
     @Test
-    fun `a question that comes during a read waits for the next one`() {
+    fun `a request that comes during a read waits for the next one`() {
         load()
         val answers = ArrayList<String>()
         pass(1.0)
@@ -85,7 +83,7 @@
     }
 
     @Test
-    fun `what is over is no longer live, and changes too old to be had are read anew`() {
+    fun `a job that is over is no longer live, and compacted changes are read anew`() {
         load()
         val answers = ArrayList<String>()
         pass(1.0)
@@ -98,4 +96,8 @@
         answer(StateResult.News(emptyList(), 20))
         assertEquals(listOf("unread", "null"), answers)
     }
+
+    private companion object {
+        const val JOB = "job-000001"
+    }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -17,16 +17,16 @@
 import plankwall.wire.TaskStage
 import plankwall.wire.TaskStatus
 
-/** What a worker is told about a gang task that ended, and whether the leader counts the task as gone. */
+/** Which orders answer a heartbeat, and which tasks the leader counts as gone. */
 class HeartbeatHandlerTest {
     private val core = CoreParts()
     private val schedulerState = core.schedulerState
     private val handler = HeartbeatHandler(core.ctx, core.leadership, schedulerState, core.fleet)
 
-    private fun report(machine: String, seq: Long, tasks: List<TaskStatus>) =
+    private fun heartbeat(machine: String, seq: Long, tasks: List<TaskStatus>) =
         HeartbeatStatus(machine, "addr:$machine", "box", "a", false, 1, seq, 0, null, tasks)
 
-    private fun word(session: Long, seq: Long, token: Long) =
+    private fun heartbeat(session: Long, seq: Long, token: Long) =
         HeartbeatStatus("i-1", "addr:i-1", "box", "a", false, session, seq, token, null, emptyList())
 
     private fun wait(seconds: Double) = core.ctx.time.advance(core.ctx.now + seconds, 0)
@@ -34,67 +34,67 @@
     private val placer = Placer(core.ctx, schedulerState, core.fleet)
 
     @Test
-    fun `a copy of an earlier session as the first word bars a machine only until it shows our token`() {
+    fun `an old heartbeat received first blocks a machine only until it shows our token`() {
         core.lead()
-        val m = core.machine("i-1")
-        handler.onHeartbeat(word(session = 1, seq = 5, token = 2))
-        handler.onHeartbeat(word(session = 2, seq = 9, token = 2))
-        assertFalse(placer.usable(m), "it may be one that hears nobody")
-        handler.onHeartbeat(word(session = 2, seq = 10, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(m))
+        val machine = core.machine("i-1")
+        handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
+        handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = 2))
+        assertFalse(placer.usable(machine), "it may be one that no answer reaches")
+        handler.onHeartbeat(heartbeat(session = 2, seq = 10, token = CoreParts.EPOCH))
+        assertTrue(placer.usable(machine))
     }
 
     @Test
-    fun `a machine that heard us once and lost its lease though answered is barred for a lease`() {
+    fun `a machine that showed our token and lost its lease though answered is blocked for a lease`() {
         core.lead()
-        val m = core.machine("i-1")
-        handler.onHeartbeat(word(session = 1, seq = 5, token = CoreParts.EPOCH))
-        handler.onHeartbeat(word(session = 2, seq = 9, token = CoreParts.EPOCH))
-        assertFalse(placer.usable(m))
+        val machine = core.machine("i-1")
+        handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
+        handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = CoreParts.EPOCH))
+        assertFalse(placer.usable(machine))
         wait(core.ctx.surelyOverS)
-        handler.onHeartbeat(word(session = 2, seq = 12, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(m))
+        handler.onHeartbeat(heartbeat(session = 2, seq = 12, token = CoreParts.EPOCH))
+        assertTrue(placer.usable(machine))
     }
 
-    @ParameterizedTest(name = "run was put into an answer: {0}")
+    @ParameterizedTest(name = "the start was in an answer: {0}")
     @ValueSource(booleans = [false, true])
-    fun `what never left for a machine that misses a report is taken back, all else waits for proof`(
+    fun `a start never sent to a machine that misses a heartbeat is released, all else waits for proof`(
         commanded: Boolean,
     ) {
         core.lead()
-        val m = core.machine("i-1")
-        handler.onHeartbeat(word(session = 1, seq = 5, token = 2))
-        val p = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, m, 7).apply { stored = true }
-        if (commanded) handler.onHeartbeat(word(session = 1, seq = 6, token = 2))
+        val machine = core.machine("i-1")
+        handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
+        val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply { stored = true }
+        if (commanded) handler.onHeartbeat(heartbeat(session = 1, seq = 6, token = 2))
         wait(core.ctx.settings.workers.missedS - 0.1)
         handler.releaseExpired()
-        assertTrue(p.job.placements[0] === p, "not late yet")
+        assertTrue(placement.job.placements[0] === placement, "not late yet")
         wait(0.2)
         handler.releaseExpired()
-        assertEquals(commanded, p.job.placements[0] === p)
-        assertEquals(commanded, placer.usable(m), "nothing more is placed in vain")
-        handler.onHeartbeat(word(session = 1, seq = 8, token = 2))
-        assertTrue(placer.usable(m))
+        assertEquals(commanded, placement.job.placements[0] === placement)
+        assertEquals(commanded, placer.usable(machine), "no more is placed there")
+        handler.onHeartbeat(heartbeat(session = 1, seq = 8, token = 2))
+        assertTrue(placer.usable(machine))
     }
 
     @Test
-    fun `a first word proves no absence before it shows our token`() {
+    fun `a heartbeat proves no absence before it shows our token`() {
         core.lead()
-        val m = core.machine("i-1").apply { session = 1 }
-        val p = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, m, 7).apply {
+        val machine = core.machine("i-1").apply { session = 1 }
+        val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply {
             stored = true
             commanded = true
         }
-        schedulerState.stop(p, StopCause.CANCELLED, 0.0)
-        handler.onHeartbeat(word(session = 1, seq = 3, token = 2))
-        assertTrue(p.job.placements[0] === p)
-        handler.onHeartbeat(word(session = 1, seq = 9, token = CoreParts.EPOCH))
-        assertTrue(p.job.placements.isEmpty())
+        schedulerState.stop(placement, StopCause.CANCELLED, 0.0)
+        handler.onHeartbeat(heartbeat(session = 1, seq = 3, token = 2))
+        assertTrue(placement.job.placements[0] === placement)
+        handler.onHeartbeat(heartbeat(session = 1, seq = 9, token = CoreParts.EPOCH))
+        assertTrue(placement.job.placements.isEmpty())
     }
 
-    @ParameterizedTest(name = "{0} while its mate is {1}")
+    @ParameterizedTest(name = "{0} while the other task is {1}")
     @CsvSource(
-        // Images of 25 GB reach the machines of a gang minutes apart; the first to wait must not end the attempt.
+        // Images of 25 GB arrive on the machines of a gang minutes apart; the first to wait must not end the attempt.
         "ALONE, fetching, 'FORGET START', true",
         "ALONE, stopping, '', false",
         "ALONE, gone, '', false",
@@ -102,26 +102,26 @@
         "PEERS, fetching, '', false",
         "DONE, fetching, '', false",
     )
-    fun `a gang task that waited in vain is started again`(
+    fun `a gang task that gave up waiting is restarted`(
         cause: ExitCause,
-        mate: String,
+        other: String,
         orders: String,
         stays: Boolean,
     ) {
         val spec = SimulatedCluster.job(1, Shape.GANG, tasks = 2)
         val job = core.learn(spec)
         val placed = listOf("i-1", "i-2").mapIndexed { task, name ->
-            val m = core.fleet.machine(name)
-            handler.onHeartbeat(report(name, 1, emptyList()))
-            schedulerState.place(job, task, m, 7).apply { stored = true }
+            val machine = core.fleet.machine(name)
+            handler.onHeartbeat(heartbeat(name, 1, emptyList()))
+            schedulerState.place(job, task, machine, 7).apply { stored = true }
         }
-        handler.onHeartbeat(report("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
-        when (mate) {
+        handler.onHeartbeat(heartbeat("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
+        when (other) {
             "stopping" -> placed[1].apply { commanded = true }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
         val answer = handler.onHeartbeat(
-            report("i-1", 3, listOf(TaskStatus(spec.id, 0, 7, TaskStage.EXITED, cause, false))),
+            heartbeat("i-1", 3, listOf(TaskStatus(spec.id, 0, 7, TaskStage.EXITED, cause, false))),
         ).orEmpty()
         assertEquals(orders, answer.filter { it.task == 0 }.joinToString(" ") { it.op.name })
         assertEquals(stays, job.placements[0] === placed[0])
--- a/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
@@ -31,7 +31,7 @@
 import plankwall.wire.UnchangedHeartbeat
 import java.util.Random
 
-/** Reports in batches: what is said of them in a few bytes, and what a frame that is not as it should be proves. */
+/** Heartbeats in batches: which are sent as references, and that a malformed frame is rejected. */
 class HeartbeatBatchTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1000, Random(1)).apply {
         time.advance(100.0, 0)
@@ -66,17 +66,20 @@
         "nothing,true", "token,true", "session,false", "address,false", "stage,false", "ended,false", "attempt,false",
         "one more,false", "one less,false", "notice,false",
     )
-    fun `only a report that says the same is marked, and the leader reads it as it is`(what: String, marked: Boolean) {
-        val bases = HeartbeatBaselines()
-        bases.resolve("n0", sent(base, 1))
+    fun `only a repeated heartbeat is sent as a reference, and the leader resolves it exactly`(
+        what: String,
+        asReference: Boolean,
+    ) {
+        val baselines = HeartbeatBaselines()
+        baselines.resolve("n0", sent(base, 1))
         batcher.onAnswered(1, 5, base)
         val next = sent(changed(what), 2)
-        assertEquals(marked, next is UnchangedHeartbeat)
-        assertEquals(changed(what), bases.resolve("n0", next))
+        assertEquals(asReference, next is UnchangedHeartbeat)
+        assertEquals(changed(what), baselines.resolve("n0", next))
     }
 
     @Test
-    fun `nothing is marked before its base was answered, nor for another leader`() {
+    fun `no reference is sent before its baseline was answered, nor to another leader`() {
         sent(base, 1)
         assertEquals(true, sent(base.copy(seq = 11), 2) is FullHeartbeat)
         batcher.onAnswered(2, 5, base.copy(seq = 11))
@@ -85,21 +88,21 @@
     }
 
     @Test
-    fun `a mark is read only against the very report that it names`() {
-        val bases = HeartbeatBaselines()
-        val mark = UnchangedHeartbeat(9, "", base.machine, 1, 11, 5)
-        assertNull(bases.resolve("n0", mark), "never had it")
-        bases.resolve("n0", FullHeartbeat(1, "", base))
-        assertEquals(11, bases.resolve("n0", mark)?.seq)
-        assertNull(bases.resolve("n2", mark), "another node's")
-        bases.resolve("n0", FullHeartbeat(4, "", changed("ended")))
-        assertNull(bases.resolve("n0", mark), "replaced since")
-        bases.resolve("n0", FullHeartbeat(1, "", base))
-        assertNull(bases.resolve("n0", mark), "a late copy replaces nothing")
+    fun `a reference is resolved only by the very heartbeat that it names`() {
+        val baselines = HeartbeatBaselines()
+        val reference = UnchangedHeartbeat(9, "", base.machine, 1, 11, 5)
+        assertNull(baselines.resolve("n0", reference), "never had it")
+        baselines.resolve("n0", FullHeartbeat(1, "", base))
+        assertEquals(11, baselines.resolve("n0", reference)?.seq)
+        assertNull(baselines.resolve("n2", reference), "another node's")
+        baselines.resolve("n0", FullHeartbeat(4, "", changed("ended")))
+        assertNull(baselines.resolve("n0", reference), "replaced since")
+        baselines.resolve("n0", FullHeartbeat(1, "", base))
+        assertNull(baselines.resolve("n0", reference), "a late copy replaces nothing")
     }
 
     @Test
-    fun `unchanged reports wait a little for others, changed ones do not, and given up ones are shed`() {
+    fun `unchanged heartbeats wait a little for others, changed ones do not, and timed out ones are dropped`() {
         batcher.add(1, leader, "", base)
         assertEquals(1, batcher.takeDue(5) { true }.size)
         batcher.onAnswered(1, 5, base)
@@ -112,7 +115,7 @@
     }
 
     @Test
-    fun `many reports take several frames, each within its size`() {
+    fun `many heartbeats take several frames, each within its size`() {
         val tasks = List(100) { task.copy(task = it) }
         repeat(40) { batcher.add(it.toLong(), leader, "", base.copy(machine = "i-%06d".format(it), tasks = tasks)) }
         val frames = batcher.takeDue(5) { true }
@@ -151,7 +154,7 @@
     )
 
     @Test
-    fun `frames are read as written, and not at all where they are cut short`() {
+    fun `frames are read as written, and rejected where they are cut short`() {
         for (message in messages()) {
             val bytes = PeerCodec.write(message)
             assertEquals(message, PeerCodec.read(bytes))
