--- /dev/null
+++ b/src/main/kotlin/plankwall/core/StateLoader.kt
@@ -0,0 +1,100 @@
+package plankwall.core
+
+import org.slf4j.LoggerFactory
+import plankwall.core.autoscaling.Autoscaler
+import plankwall.core.state.Fleet
+import plankwall.core.state.SchedulerState
+import plankwall.core.statemachine.Context
+import plankwall.core.store.LeaderStore
+import plankwall.core.store.VersionUpgrade
+import plankwall.wire.JobRecord
+import plankwall.wire.Keys
+import plankwall.wire.PageRecord
+import plankwall.wire.StateItem
+import plankwall.wire.StateResult
+import plankwall.wire.Stored
+
+/**
+ * Reads all stored state into that of a newly elected leader, and then follows the job records as users submit and
+ * cancel. Owns only how far that has come.
+ */
+internal class StateLoader(
+    private val ctx: Context,
+    private val store: LeaderStore,
+    private val schedulerState: SchedulerState,
+    private val fleet: Fleet,
+    private val autoscaler: Autoscaler,
+    private val upgrade: VersionUpgrade,
+) {
+    private val log = LoggerFactory.getLogger("term")
+
+    /** All that was stored at the election has been read. */
+    var isLoaded = false
+        private set
+
+    /** Starts to read. */
+    fun load() {
+        store.readAll(Keys.FLEET) { items, _ ->
+            autoscaler.restore(items)
+            store.readAll(Keys.LEVEL) { levels, _ ->
+                upgrade.restore(levels)
+                loadJobs()
+            }
+        }
+    }
+
+    private fun loadJobs() = store.readAll(Keys.JOBS) { jobs, revision ->
+        jobs.forEach(::onItem)
+        store.readAll(Keys.PAGES) { pages, _ -> loadPages(pages, revision) }
+    }
+
+    private fun loadPages(pages: List<StateItem>, revision: Long) {
+        val orphans = pages.filterNot { restorePage(it) }.map { it.key }
+        schedulerState.finishRestore()
+        isLoaded = true
+        log.info(
+            "state loaded epoch={} jobs={} machines={}",
+            store.epoch,
+            schedulerState.live.size,
+            fleet.machines.size,
+        )
+        schedulerState.removeLeftovers(orphans)
+        watchJobs(revision)
+    }
+
+    /** False for a page without placements whose job is over: it is left over from the end of the job. */
+    private fun restorePage(item: StateItem): Boolean {
+        val record = item.value as? PageRecord ?: return true
+        val job = schedulerState.find(Keys.jobId(item.key)) ?: return record.placements.isNotEmpty()
+        schedulerState.restorePage(job, item, record)
+        return true
+    }
+
+    /** Follows submissions and cancellations after the revision [after]. */
+    private fun watchJobs(after: Long) {
+        store.watch(Keys.JOBS, after, WATCH_MS) { result ->
+            when (result) {
+                is StateResult.News -> {
+                    result.events.forEach { onRecord(it.key, it.value, it.version) }
+                    watchJobs(maxOf(after, result.revision))
+                }
+                StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
+                    jobs.forEach(::onItem)
+                    watchJobs(revision)
+                }
+                else -> ctx.later(RETRY_S) { if (store.active) watchJobs(after) }
+            }
+        }
+    }
+
+    private fun onItem(item: StateItem) = onRecord(item.key, item.value, item.version)
+
+    private fun onRecord(key: String, value: Stored?, version: Long) {
+        if (value is JobRecord) schedulerState.onJobRecord(Keys.jobId(key), value, version)
+    }
+
+    private companion object {
+        const val WATCH_MS = 8_000L
+        const val RETRY_S = 0.3
+    }
+}
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -31,7 +31,8 @@
 ) {
     private val log = LoggerFactory.getLogger("daemon")
     private val incarnation = System.currentTimeMillis()
-    private val core = Controller(settings, tuning, incarnation, seed = System.nanoTime(), gate = identities?.gate)
+    private val core =
+        Controller(settings, tuning, incarnation, seed = System.nanoTime(), accessCheck = identities?.gate)
     private val proofs = identities != null
     private val state = StateClient(selector, settings.stateAddress)
     private val cloud =
