--- a/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -10,68 +10,76 @@
 import plankwall.wire.Write
 
 /**
- * Values that may outgrow one key: the first says how many further keys hold the rest, and all are written in one
- * transaction. Further keys that the first does not name are left from an earlier time and count for nothing.
+ * Values that may outgrow one key: the first chunk says how many further keys hold the rest, and all are written in one
+ * transaction. Further keys that the first does not count are left from an earlier write and mean nothing.
  */
 object ChunkedValue {
-    /** The fewest pieces that fit, at most [most]; null if there is no way. */
-    private fun <R : Stored> pieces(most: Int, limit: Int, ways: (Int) -> List<List<R>>): List<R>? {
-        for (n in 1..most) {
-            ways(n).firstOrNull { way ->
-                way.size <= most && way.all { StateCodec.sizeOf(it) <= limit }
-            }?.let { return it }
+    /** [whole] in at most [maxChunks] chunks of at most [maxBytes] each, or null if it does not fit. */
+    fun fleet(whole: FleetRecord, maxChunks: Int, maxBytes: Int): List<FleetRecord>? =
+        fewestChunks(maxChunks, maxBytes) { count ->
+            listOfNotNull(evenChunks(whole, count), scaleOutsApart(whole, count))
         }
-        return null
+
+    /** The scale-out requests share the first chunk with machines. */
+    private fun evenChunks(whole: FleetRecord, count: Int): List<FleetRecord> {
+        val chunks = slices(whole, count)
+        return listOf(chunks.first().copy(rentals = whole.rentals, more = count - 1)) + chunks.drop(1)
     }
 
-    fun fleet(whole: FleetRecord, most: Int, limit: Int): List<FleetRecord>? = pieces(most, limit) { n ->
-        // The rentals either share the first piece or, where they are many, have it to themselves.
-        val apart = if (n ==
-            1
-        ) {
-            null
-        } else {
-            listOf(FleetRecord(whole.rentals, emptyList(), emptyList(), n - 1)) + slices(whole, n - 1)
-        }
-        val even = slices(whole, n).mapIndexed { i, s ->
-            if (i ==
-                0
-            ) {
-                s.copy(rentals = whole.rentals, more = n - 1)
-            } else {
-                s
-            }
-        }
-        listOfNotNull(even, apart)
+    /** The scale-out requests, where they are many, have the first chunk to themselves; null for a single chunk. */
+    private fun scaleOutsApart(whole: FleetRecord, count: Int): List<FleetRecord>? {
+        if (count == 1) return null
+        return listOf(FleetRecord(whole.rentals, emptyList(), emptyList(), count - 1)) + slices(whole, count - 1)
     }
 
-    private fun slices(whole: FleetRecord, n: Int): List<FleetRecord> {
+    private fun slices(whole: FleetRecord, count: Int): List<FleetRecord> {
         val returning = whole.returning.sorted()
-        return (0 until n).map { FleetRecord(emptyList(), slice(whole.arrivals, it, n), slice(returning, it, n)) }
+        return (0 until count).map { index ->
+            FleetRecord(emptyList(), slice(whole.arrivals, index, count), slice(returning, index, count))
+        }
     }
 
-    private fun <T> slice(all: List<T>, i: Int, n: Int): List<T> = all.subList(all.size * i / n, all.size * (i + 1) / n)
+    /** [whole] in at most [maxChunks] chunks of at most [maxBytes] each, or null if it does not fit. */
+    fun catalog(whole: Catalog, maxChunks: Int, maxBytes: Int): List<CatalogRecord>? =
+        fewestChunks(maxChunks, maxBytes) { count ->
+            listOf(
+                (0 until count).map { index ->
+                    CatalogRecord(Catalog(slice(whole.types, index, count)), if (index == 0) count - 1 else 0)
+                },
+            )
+        }
 
-    fun catalog(whole: Catalog, most: Int, limit: Int): List<CatalogRecord>? = pieces(most, limit) { n ->
-        listOf((0 until n).map { CatalogRecord(Catalog(slice(whole.types, it, n)), if (it == 0) n - 1 else 0) })
+    /** The first that fits of the ways in which [waysToSplit] splits the value into each number of chunks. */
+    private fun <R : Stored> fewestChunks(
+        maxChunks: Int,
+        maxBytes: Int,
+        waysToSplit: (Int) -> List<List<R>>,
+    ): List<R>? = (1..maxChunks).firstNotNullOfOrNull { count ->
+        waysToSplit(count).firstOrNull { chunks ->
+            chunks.size <= maxChunks && chunks.all { StateCodec.sizeOf(it) <= maxBytes }
+        }
     }
 
-    /** One transaction's changes: the pieces, and the removal of further keys up to [had] that are needed no more. */
-    fun writes(key: String, pieces: List<Stored>, had: Int): List<Write> =
-        pieces.mapIndexed { i, p -> Write.Put(if (i == 0) key else Keys.more(key, i), p) } +
-            (pieces.size..had).map { Write.Remove(Keys.more(key, it)) }
+    private fun <T> slice(all: List<T>, index: Int, count: Int): List<T> =
+        all.subList(all.size * index / count, all.size * (index + 1) / count)
+
+    /** The changes of one transaction: [chunks], and the removal of further keys up to [had] that are obsolete. */
+    fun writes(key: String, chunks: List<Stored>, had: Int): List<Write> =
+        chunks.mapIndexed { index, chunk -> Write.Put(if (index == 0) key else Keys.more(key, index), chunk) } +
+            (chunks.size..had).map { Write.Remove(Keys.more(key, it)) }
 
-    /** How many further keys of [key] there are, counted or not. */
+    /** How many further keys of [key] are among [items], counted by the first or not. */
     fun further(key: String, items: List<StateItem>): Int =
         items.maxOfOrNull { it.key.removePrefix("$key/").toIntOrNull() ?: 0 } ?: 0
 
+    /** The whole fleet record that is stored as [items], or null if there is none. */
     fun fleet(items: List<StateItem>): FleetRecord? {
         val first = items.firstOrNull { it.key == Keys.FLEET }?.value as? FleetRecord ?: return null
         val all = listOf(first) + rest(Keys.FLEET, first.more, items).filterIsInstance<FleetRecord>()
         return FleetRecord(first.rentals, all.flatMap { it.arrivals }, all.flatMap { it.returning })
     }
 
-    /** Null unless all of it is there: with a part of the types a job might be refused that could run. */
+    /** Null unless all of it is there: with a part of the types a job might be rejected that could run. */
     fun catalog(items: List<StateItem>): Catalog? {
         val first = items.firstOrNull { it.key == Keys.CATALOG }?.value as? CatalogRecord ?: return null
         val rest = rest(Keys.CATALOG, first.more, items).filterIsInstance<CatalogRecord>()
@@ -79,7 +87,7 @@
     }
 
     private fun rest(key: String, more: Int, items: List<StateItem>): List<Stored> {
-        val byKey = items.associateBy { it.key }
-        return (1..more).mapNotNull { byKey[Keys.more(key, it)]?.value }
+        val itemsByKey = items.associateBy { it.key }
+        return (1..more).mapNotNull { itemsByKey[Keys.more(key, it)]?.value }
     }
 }
--- a/src/main/kotlin/plankwall/core/store/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/store/StoreLimits.kt
@@ -3,37 +3,41 @@
 import plankwall.model.Settings
 
 /**
- * How much one write may hold. The smaller of the limits that hold now and of those announced is kept to from the first
- * write, so that the change, which comes without notice, finds nothing too large under way. A refusal teaches more.
+ * How much one write may hold. The smaller of the limits in force and of those announced applies from the first write,
+ * so that the change, which comes without notice, finds nothing too large under way. A rejected write lowers the limits
+ * further. Nothing of this is stored.
  */
 class StoreLimits(private val settings: Settings) {
+    /** The most changes of one transaction. */
     var txnOps = settings.stateTight.txnOps
         private set
+
+    /** The largest value, in bytes. */
     var valueBytes = bytes(settings.stateTight.valueKb)
         private set
 
     /**
-     * Whether values may be divided among keys that the first version does not read. Only when no process of it can
-     * lead any more, or it would go on with a part: see [VersionUpgrade].
+     * Whether values may be split among keys that the first version does not read. Only once no process of that version
+     * can lead any more, or it would continue with a part: see [VersionUpgrade].
      */
     var mayDivide = false
 
-    /** What a value under one key may take. Until values may be divided, only the limit that holds now can bound it. */
+    /** The largest value of one key, in bytes. Until values may be split, only the limit in force can bound it. */
     val wholeBytes: Int get() = if (mayDivide) valueBytes else bytes(settings.state.valueKb)
 
-    /** How many tasks a page, or a part of one, holds so that it surely fits. */
+    /** How many tasks a page, or a part of one, may hold so that it surely fits. */
     val pageTasks: Int get() = pageSize(valueBytes / 1024.0)
 
     /**
-     * The store will never take a write of [ops] changes whose largest value has [largest] bytes. Beyond the announced
-     * limits that says that they are in force, which they are only after the upgrade; within them, that they are
-     * smaller than anybody said.
+     * The store rejected a write of [ops] changes whose largest value has [largestBytes]. Beyond the announced limits
+     * that shows that they are in force, which they are only after the upgrade; within them, that the limits are lower
+     * than announced.
      */
-    fun rejected(ops: Int, largest: Int) {
-        val known = ops > txnOps || largest > valueBytes
+    fun onRejected(ops: Int, largestBytes: Int) {
+        val exceedsAnnounced = ops > txnOps || largestBytes > valueBytes
         mayDivide = true
-        if (known) return
-        if (largest > LEAST_BYTES) valueBytes = maxOf(LEAST_BYTES, minOf(valueBytes, largest) / 2)
+        if (exceedsAnnounced) return
+        if (largestBytes > LEAST_BYTES) valueBytes = maxOf(LEAST_BYTES, minOf(valueBytes, largestBytes) / 2)
         if (ops > LEAST_OPS) txnOps = maxOf(LEAST_OPS, minOf(txnOps, ops) / 2)
     }
 
--- a/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
@@ -10,31 +10,34 @@
 import plankwall.wire.Write
 
 /**
- * Whether a process of an older version may still lead. While nodes are replaced a few at a time either version takes
- * over from the other, so nothing is stored that the older one would read in part. Once every node has shown the level
- * of this version that is stored for good: nodes are not put back, and a node that is away later need not be heard
- * again.
+ * Whether a process of an older version may still lead. During a rolling upgrade either version may take over from the
+ * other, so nothing is stored that the older one would read in part. Once every node has shown the level of this
+ * version, that is stored for good: nodes are not downgraded, and a node that is down later need not show it again.
+ *
+ * Owns the key `level`, and sets [StoreLimits.mayDivide].
  */
 class VersionUpgrade(private val leadership: Leadership, private val store: LeaderStore) {
     private val log = LoggerFactory.getLogger("upgrade")
-    private var stored = false
-    private var writing = false
+    private var isStored = false
+    private var isWriting = false
 
+    /** Takes the stored level after the election. */
     fun restore(items: List<StateItem>) {
         val level = (items.firstOrNull { it.key == Keys.LEVEL }?.value as? LevelRecord)?.level ?: return
-        stored = level >= PeerCodec.LEVEL
-        if (stored) store.limits.mayDivide = true
+        isStored = level >= PeerCodec.LEVEL
+        if (isStored) store.limits.mayDivide = true
     }
 
+    /** Stores the level once every node has shown it. */
     fun tick() {
-        if (stored || writing || !leadership.allNodesCurrent || store.availableWrites() < 1) return
-        writing = true
+        if (isStored || isWriting || !leadership.allNodesCurrent || store.availableWrites() < 1) return
+        isWriting = true
         store.write(emptyList(), listOf(Write.Put(Keys.LEVEL, LevelRecord(PeerCodec.LEVEL)))) { result ->
-            writing = false
+            isWriting = false
             if (result !is StateResult.Committed) return@write
-            stored = true
+            isStored = true
             store.limits.mayDivide = true
-            log.info("every node has level {}: no older process can lead any more", PeerCodec.LEVEL)
+            log.info("upgrade complete level={}", PeerCodec.LEVEL)
         }
     }
 }
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -175,7 +175,7 @@
     fun `a refusal teaches the limits`(ops: Int, largest: Int, opsAfter: Int, bytesAfter: Int) {
         val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smaller))
         assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
-        limits.rejected(ops, largest)
+        limits.onRejected(ops, largest)
         assertEquals(
             listOf(opsAfter, bytesAfter, bytesAfter),
             listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes),
