--- a/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
@@ -45,9 +45,9 @@
         lastEntryByFrame[seq] = dropped + entries.size
         if (lastEntryByFrame.size > MAX_FRAMES) lastEntryByFrame.remove(lastEntryByFrame.keys.first())
         val arrivedEverywhere = ctx.settings.peers.minOfOrNull { arrivedByNode[it.node] ?: 0L } ?: 0L
-        val notSent = maxOf(dropped, arrivedEverywhere)
-        val jobs = entries.drop((notSent - dropped).toInt()).map { it.job }
-        return CancellationUpdate(notSent + 1, jobs, readAgeMs, upMs)
+        val acknowledged = maxOf(dropped, arrivedEverywhere)
+        val jobs = entries.drop((acknowledged - dropped).toInt()).map { it.job }
+        return CancellationUpdate(acknowledged + 1, jobs, readAgeMs, upMs)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -139,7 +139,8 @@
         key.read { result ->
             isPolling = false
             reachability.storeAnswered(result)
-            nextPollAt = ctx.now + if (isOlderNodeLive) EAGER_POLL_S else POLL_S + ctx.random.nextDouble() * POLL_JITTER_S
+            nextPollAt =
+                ctx.now + if (isOlderNodeLive) EAGER_POLL_S else POLL_S + ctx.random.nextDouble() * POLL_JITTER_S
             if (result is StateResult.Item) onLeaderRecord(result.item, askedAt)
         }
     }
--- a/src/main/kotlin/plankwall/core/state/DirtyJobs.kt
+++ b/src/main/kotlin/plankwall/core/state/DirtyJobs.kt
@@ -29,8 +29,8 @@
     fun isEmpty(): Boolean = jobs.isEmpty()
 
     /**
-     * The jobs in the order in which they are to be written: first what somebody waits for, a start or a result. The
-     * end of a job that is cancelled through another can wait: every node can tell it without the final record.
+     * The jobs in the order in which they are to be written: first what a user or a task waits for, a start or an end.
+     * The end of a job that is cancelled through another can wait: every node can work it out without the final record.
      */
     fun inWriteOrder(): List<Job> {
         val (first, rest) = jobs.partition { it.urgent || (it.isFinalizable && !it.cancelledByDependency) }
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Whether the changes of [job] can wait for others of the same page, so that one write takes all: that a task is
-     * gone or done is awaited by nobody.
+     * Whether the changes of [job] can wait for others of the same page, so that one write takes all: nothing waits for
+     * the record that a task is gone or done.
      */
     fun mayCoalesce(job: Job): Boolean = !job.urgent && ctx.now < job.dirtySince + COALESCE_S
 
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -9,7 +9,7 @@
 
 /**
  * All machines that the leader knows, by name. Only this class creates and removes [Machine]s and sets what describes
- * them. Machines that boot or are being returned are stored by the autoscaler; all else is learned again by each leader.
+ * them. Machines that boot or are being returned are stored by the autoscaler; each leader learns all else again.
  */
 class Fleet(private val ctx: Context) {
     private val machinesById = LinkedHashMap<String, Machine>()
@@ -69,9 +69,9 @@
         deletedNames[machine.id] = Unit
     }
 
-    /** Whether [machine] was heard recently enough that its status and its lease can be relied on. */
-    fun isReady(machine: Machine): Boolean =
-        machine.registered && ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_REPORTS + READY_MARGIN_S
+    /** Whether [machine] sent a status recently enough that its status and its lease can be relied on. */
+    fun isReady(machine: Machine): Boolean = machine.registered &&
+        ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_HEARTBEATS + READY_MARGIN_S
 
     /**
      * The moment from which the worker of [machine] has surely stopped all tasks that older answers let it keep.
@@ -84,7 +84,7 @@
         const val MAX_DELETED_NAMES = 5000
 
         /** So many heartbeat intervals a ready machine may be silent, and [READY_MARGIN_S] more. */
-        const val READY_REPORTS = 3
+        const val READY_HEARTBEATS = 3
         const val READY_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -29,7 +29,7 @@
     val learnedAt: Double,
     private val expected: Boolean = true,
 ) {
-    /** The version of the job's record, guarded by every write about it, so that no start follows a withdrawal. */
+    /** The version of the job's record, guarded by every write about it, so that no start follows a cancellation. */
     var version = 0L
 
     /** Who proved to have submitted it, where callers prove who they are. */
@@ -226,6 +226,7 @@
     private companion object {
         /** Failures on as many machines are attributed to the job. */
         const val SUSPECT_MACHINES = 2
+
         /** [demandIx] of a job that is not demand yet. */
         const val NO_DEMAND = -1
     }
--- a/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -15,7 +15,7 @@
 import plankwall.wire.ReachabilityReport
 import java.util.Random
 
-/** Up to when a node knows all withdrawals that users were told of, from what it has read and heard. */
+/** Up to when a node knows all cancellations confirmed to users, from its reads of the store and its peers' updates. */
 class CancellationsTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1000, Random(1)).apply {
         time.advance(100.0, 0)
@@ -27,59 +27,48 @@
 
     private fun wait(seconds: Double) = ctx.time.advance(ctx.now + seconds, 0)
 
-    private fun says(
+    private fun receive(
         node: String,
-        news: CancellationUpdate?,
+        update: CancellationUpdate?,
         echo: Long? = reachability.report(0, null, null).seq,
         number: Long = ++seq,
         incarnation: Long = 1,
     ) {
-        val links =
-            ReachabilityReport(
-                number,
-                listOfNotNull(echo).associateBy {
-                    "n0"
-                },
-                listOf(0, 0, 0, 0),
-                0,
-                0,
-                emptyList(),
-                null,
-                null,
-            )
-        val status = PeerStatus(node, incarnation, 5, false, 0, true, 0, PeerCodec.LEVEL, links, news)
+        val echoes = listOfNotNull(echo).associateBy { "n0" }
+        val links = ReachabilityReport(number, echoes, listOf(0, 0, 0, 0), 0, 0, emptyList(), null, null)
+        val status = PeerStatus(node, incarnation, 5, false, 0, true, 0, PeerCodec.LEVEL, links, update)
         // As it comes over the wire.
-        val heard = PeerCodec.read(PeerCodec.write(status)) as PeerStatus
-        if (reachability.onStatus(heard)) cancellations.onStatus(heard)
+        val received = PeerCodec.read(PeerCodec.write(status)) as PeerStatus
+        if (reachability.onStatus(received)) cancellations.onStatus(received)
     }
 
-    private fun whole(upS: Double = 50.0, readAgeS: Double? = null, vararg jobs: String) =
+    private fun completeList(upS: Double = 50.0, readAgeS: Double? = null, vararg jobs: String) =
         CancellationUpdate(1, jobs.toList(), readAgeS?.let { (it * 1000).toLong() } ?: -1, (upS * 1000).toLong())
 
     /**
      * read, wait:SECONDS, whole:NODE, slow:NODE (made up to 10 s ago), unechoed:NODE, older:NODE (of a version that
-     * tells nothing), replayed:NODE, restarted:NODE/UP_S, gap:NODE (numbers are missing before its first),
+     * sends no cancellations), replayed:NODE, restarted:NODE/UP_S, gap:NODE (numbers are missing before its first),
      * reads:NODE/AGE_S (it has read the store itself).
      */
-    private fun happen(words: String) = words.split(' ').forEach { word ->
-        val (kind, what) = word.split(':', limit = 2).let { it[0] to it.getOrElse(1) { "" } }
+    private fun applyEvents(events: String) = events.split(' ').forEach { event ->
+        val (kind, what) = event.split(':', limit = 2).let { it[0] to it.getOrElse(1) { "" } }
         val node = what.substringBefore('/')
         val seconds = what.substringAfter('/').toDoubleOrNull() ?: 0.0
         when (kind) {
             "read" -> cancellations.readUpTo(ctx.now)
             "wait" -> wait(seconds)
-            "whole" -> says(node, whole())
+            "whole" -> receive(node, completeList())
             "slow" -> reachability.report(0, null, null).seq.let { echo ->
                 wait(10.0)
-                says(node, whole(), echo)
+                receive(node, completeList(), echo)
             }
-            "unechoed" -> says(node, whole(), echo = null)
-            "older" -> says(node, null)
-            "replayed" -> says(node, whole(), number = 10)
-            "restarted" -> says(node, whole(upS = seconds), incarnation = 2)
-            "gap" -> says(node, whole().copy(first = 4))
-            "reads" -> says(node, whole(readAgeS = seconds))
-            else -> error(word)
+            "unechoed" -> receive(node, completeList(), echo = null)
+            "older" -> receive(node, null)
+            "replayed" -> receive(node, completeList(), number = 10)
+            "restarted" -> receive(node, completeList(upS = seconds), incarnation = 2)
+            "gap" -> receive(node, completeList().copy(first = 4))
+            "reads" -> receive(node, completeList(readAgeS = seconds))
+            else -> error(event)
         }
     }
 
@@ -91,8 +80,8 @@
         "read whole:n1 slow:n2, 10.0",
         "read wait:5 whole:n1 unechoed:n2, 5.0",
         "read wait:5 whole:n1 older:n2, 5.0",
-        // A list that is whole from a node's start proves nothing of what it told before, but all if it has been up
-        // since the reading.
+        // A list that is complete from a node's start proves nothing of what it confirmed before, but all if it has
+        // been up since the read.
         "read wait:5 whole:n1 restarted:n2/2, 5.0",
         "read wait:5 whole:n1 restarted:n2/30, 0.0",
         "read whole:n1 whole:n2 wait:5 whole:n1 restarted:n2/1, 5.0",
@@ -100,19 +89,19 @@
         "read wait:5 whole:n1 gap:n2, 5.0",
         "read wait:5 gap:n2 wait:1 read wait:2 whole:n1 gap:n2, 0.0",
         "read whole:n1 whole:n2 wait:5 replayed:n1 whole:n2, 5.0",
-        // What a peer has read serves as well, where its list is whole from before our own reading; else it is nobody's
-        // proof.
+        // A peer's read proves as much where its list is complete from before this node's own read; else it proves
+        // nothing.
         "read whole:n1 whole:n2 wait:5 reads:n1/1, 1.0",
         "reads:n1/1 reads:n2/1, -",
         "read wait:5 restarted:n1/2, 5.0",
         "read wait:5 reads:n1/30, 5.0",
     )
-    fun `what is surely known`(words: String, behindS: String) {
-        happen(words)
+    fun `up to when cancellations are known`(events: String, behindS: String) {
+        applyEvents(events)
         val behind = ctx.now - cancellations.knownUpTo
         assertEquals(behindS, if (behind.isInfinite()) "-" else "%.1f".format(behind))
         assertEquals(behind <= cancellations.toleratedLagS, cancellations.isAware)
-        // Time alone brings no knowledge.
+        // The known moment does not advance by time alone.
         wait(cancellations.toleratedLagS + 0.1)
         assertEquals(false, cancellations.isAware)
     }
@@ -126,29 +115,29 @@
     )
     fun `what was learned is repeated until each peer has had it, for as long as it matters`(
         what: String,
-        told: String,
+        sentAgain: String,
     ) {
         listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::learn)
         assertEquals(listOf("job-000001", "job-000002"), learned)
         val frame = reachability.report(0, null, null).seq
         assertEquals(2, cancellations.nextUpdate(frame).jobs.size)
         when (what) {
-            "echoed" -> listOf("n1", "n2").forEach { says(it, whole(), frame) }
-            "one" -> says("n1", whole(), frame)
+            "echoed" -> listOf("n1", "n2").forEach { receive(it, completeList(), frame) }
+            "one" -> receive("n1", completeList(), frame)
             "wait" -> wait(ctx.settings.workers.cancelS + 1.0)
         }
-        val news = cancellations.nextUpdate(frame + 1)
-        assertEquals(told, news.jobs.joinToString(" "))
-        assertEquals(3, news.first + news.jobs.size, "numbers go on")
+        val update = cancellations.nextUpdate(frame + 1)
+        assertEquals(sentAgain, update.jobs.joinToString(" "))
+        assertEquals(3, update.first + update.jobs.size, "numbers go on")
     }
 
     @ParameterizedTest
     @CsvSource("n1, 2", "n2, 5")
-    fun `word of a peer is learned once, and known until the job is over`(node: String, first: Long) {
-        repeat(2) { says(node, whole().copy(first = first, jobs = listOf("job-000007"))) }
+    fun `a cancellation from a peer is learned once, and known until the job has ended`(node: String, first: Long) {
+        repeat(2) { receive(node, completeList().copy(first = first, jobs = listOf("job-000007"))) }
         assertEquals(listOf("job-000007"), learned)
         assertEquals(true, cancellations.isKnown("job-000007"))
-        // Told by this node later, it would be missing from a list that claims to be whole.
+        // Confirmed by this node later, it would be missing from a list that claims to be complete.
         cancellations.learn("job-000007")
         assertEquals(listOf("job-000007"), cancellations.nextUpdate(1).jobs)
         cancellations.onJobEnded("job-000007")
@@ -156,10 +145,10 @@
     }
 
     @Test
-    fun `a peer's reading is as old as it says, and older by what its clock may be slow`() {
-        happen("read")
+    fun `a peer's read is as old as it states, and older by what its clock may be slow`() {
+        applyEvents("read")
         wait(60.0)
-        says("n1", whole(upS = 100.0, readAgeS = 40.0))
+        receive("n1", completeList(upS = 100.0, readAgeS = 40.0))
         assertTrue(cancellations.storedUpTo in ctx.now - 40.1..ctx.now - 40.04, "${ctx.now - cancellations.storedUpTo}")
     }
 }
