--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -29,7 +29,7 @@
     val learnedAt: Double,
     private val expected: Boolean = true,
 ) {
-    /** The version of the job's record, guarded by every write about it, so that no start follows a withdrawal. */
+    /** The version of the job's record, guarded by every write about it, so that no start follows a cancellation. */
     var version = 0L
 
     /** Who proved to have submitted it, where callers prove who they are. */
