--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -7,94 +7,103 @@
 import plankwall.model.GroupKey
 
 /**
- * Groups (type, zone, kind) whose new machines come up late or not at all, many together. A single straggler is
- * replaced at once; where a third of a group is overdue, each replacement would be overdue in its turn, and one wave of
- * demand was once rented four times over while nothing came up for 90 s. So in such a group a late boot is not taken
- * for a lost one: two of three overdue machines still count as room about to arrive, they are given up only after twice
- * the usual patience, and other groups are rented in first.
+ * Finds groups whose new machines come up late or not at all, many together. A single straggler is replaced at once;
+ * where a third of a group is overdue, each replacement would be overdue in its turn, and one wave of demand would be
+ * requested again and again. So in such a group a late boot is not taken for a lost one: part of the overdue machines
+ * still count as room about to arrive, they are given up only after a longer time, and other groups are expanded first.
  *
- * It needs no memory of its own: who was rented when is in the fleet's record, so a new leader sees the same trouble at
- * once.
+ * It needs no stored state of its own: what was requested when is in the stored fleet record, so a new leader finds the
+ * same groups at once.
  */
-class BootDelayDetector(private val ctx: Context, private val boots: BootDurations, private val startedAt: Double) {
+class BootDelayDetector(
+    private val ctx: Context,
+    private val durations: BootDurations,
+    private val startedAt: Double,
+) {
     private val log = LoggerFactory.getLogger("autoscaler")
-    private val recordBoot = HashMap<GroupKey, ArrayDeque<Double>>()
+    private val bootedAt = HashMap<GroupKey, ArrayDeque<Double>>()
     private var uncounted: Set<String> = emptySet()
 
+    /** The groups whose machines boot late, as of the last [refresh]. */
     var delayedGroups: Set<GroupKey> = emptySet()
         private set
 
-    /** A machine of [group] came up [tookS] seconds after it was rented. */
+    /** Records that a machine of [group] came up now. */
     fun recordBoot(group: GroupKey) {
-        recordBoot.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
+        bootedAt.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
 
-    /** To be called once a round. */
+    /** To be called once in each iteration. */
     fun refresh(arrivals: Collection<BootingMachine>, catalog: Catalog) {
-        val overdue = LinkedHashMap<GroupKey, ArrayList<BootingMachine>>()
-        for (a in arrivals) {
-            val type = catalog[a.group.type] ?: continue
-            if (ctx.now - a.rentedAt >= boots.overdueAfterS(type)) overdue.getOrPut(a.group) { ArrayList() }.add(a)
-        }
-        val up = overdue.keys.associateWith { g -> recentlyUp(g, catalog) }
-        // A new leader has not seen who came up before: it believes a group's own handful, not the sum of single
-        // stragglers.
-        val broad = ctx.now > startedAt + longestS(catalog) && isMany(overdue.values.sumOf { it.size }, up.values.sum())
-        val now = overdue.filter { (g, late) ->
-            val came = up[g] ?: 0
-            isMany(late.size, came) || (broad && late.size * OVERDUE_PART >= late.size + came)
+        val overdue = overdueByGroup(arrivals, catalog)
+        val booted = overdue.keys.associateWith { recentBoots(it, catalog) }
+        // A new leader has not seen which machines came up before: a group's own number of stragglers counts for it,
+        // the sum over all groups does not yet.
+        val isBroad = ctx.now > startedAt + longestWindowS(catalog) &&
+            isMany(overdue.values.sumOf { it.size }, booted.values.sum())
+        val delayed = overdue.filter { (group, late) ->
+            val recent = booted[group] ?: 0
+            isMany(late.size, recent) || (isBroad && isLargePart(late.size, recent))
         }.keys
-        for (g in now - delayedGroups) {
-            log.info(
-                "group {}: {} machines overdue, {} came up lately: rented in last, and a late boot is not taken for a lost one",
-                g,
-                overdue[g]?.size,
-                up[g],
-            )
+        for (group in delayed - delayedGroups) {
+            log.info("group boots late group={} overdue={} booted={}", group, overdue[group]?.size, booted[group])
         }
-        for (g in delayedGroups - now) log.info("group {} boots as usual again, or what was overdue is given up", g)
-        delayedGroups = now.toSet()
-        uncounted =
-            overdue.flatMap { (g, late) ->
-                if (g in
-                    delayedGroups
-                ) {
-                    late.filterIndexed { i, _ -> i % REPLACED_PART == 0 }
-                } else {
-                    late
-                }
-            }
-                .mapTo(HashSet()) { it.machine }
+        for (group in delayedGroups - delayed) log.info("group boots late no more group={}", group)
+        delayedGroups = delayed.toSet()
+        uncounted = overdue.flatMap { (group, late) -> if (group in delayedGroups) replaced(late) else late }
+            .mapTo(HashSet()) { it.machine }
     }
 
-    private fun isMany(late: Int, came: Int): Boolean = late >= HANDFUL && late * OVERDUE_PART >= late + came
+    private fun overdueByGroup(
+        arrivals: Collection<BootingMachine>,
+        catalog: Catalog,
+    ): Map<GroupKey, List<BootingMachine>> {
+        val overdue = LinkedHashMap<GroupKey, ArrayList<BootingMachine>>()
+        for (booting in arrivals) {
+            val type = catalog[booting.group.type] ?: continue
+            if (ctx.now - booting.rentedAt < durations.overdueAfterS(type)) continue
+            overdue.getOrPut(booting.group) { ArrayList() }.add(booting)
+        }
+        return overdue
+    }
 
-    private fun longestS(catalog: Catalog): Double =
-        (catalog.types.maxOfOrNull { boots.overdueAfterS(it) } ?: 0.0) * WINDOW
+    /** So many that in the end no more than twice the room is requested. */
+    private fun replaced(late: List<BootingMachine>): List<BootingMachine> =
+        late.filterIndexed { index, _ -> index % LATE_PER_REPLACEMENT == 0 }
 
-    private fun recentlyUp(g: GroupKey, catalog: Catalog): Int {
-        val seen = recordBoot[g] ?: return 0
-        val window = (catalog[g.type]?.let { boots.overdueAfterS(it) } ?: 0.0) * WINDOW
-        while (seen.isNotEmpty() && seen.first() < ctx.now - window) seen.removeFirst()
-        return seen.size
+    private fun isMany(late: Int, booted: Int): Boolean = late >= MIN_LATE && isLargePart(late, booted)
+
+    private fun isLargePart(late: Int, booted: Int): Boolean = late * DELAYED_PART >= late + booted
+
+    private fun longestWindowS(catalog: Catalog): Double =
+        (catalog.types.maxOfOrNull { durations.overdueAfterS(it) } ?: 0.0) * WINDOW_BOOTS
+
+    private fun recentBoots(group: GroupKey, catalog: Catalog): Int {
+        val boots = bootedAt[group] ?: return 0
+        val windowS = (catalog[group.type]?.let { durations.overdueAfterS(it) } ?: 0.0) * WINDOW_BOOTS
+        while (boots.isNotEmpty() && boots.first() < ctx.now - windowS) boots.removeFirst()
+        return boots.size
     }
 
-    fun isCounted(a: BootingMachine): Boolean = a.machine !in uncounted
+    /** Whether [booting] still counts as room about to arrive. */
+    fun isCounted(booting: BootingMachine): Boolean = booting.machine !in uncounted
 
-    /** For how long a machine of [group] that never registered is waited for, in seconds since it was rented. */
+    /** Seconds since its request after which a machine of [group] that never registered is given up (UC5). */
     fun registrationTimeoutS(group: GroupKey): Double =
-        ctx.tuning.unregisteredS * if (group in delayedGroups) TROUBLED_PATIENCE else 1.0
+        ctx.tuning.unregisteredS * if (group in delayedGroups) DELAYED_TIMEOUT_FACTOR else 1.0
 
     private companion object {
-        /** A single one or two say nothing. */
-        const val HANDFUL = 3
+        /** One or two say nothing. */
+        const val MIN_LATE = 3
+
+        /** One in so many overdue: delayed. */
+        const val DELAYED_PART = 3
 
-        /** One in so many overdue: trouble. */
-        const val OVERDUE_PART = 3
+        /** One in so many overdue machines is replaced. */
+        const val LATE_PER_REPLACEMENT = 2
 
-        /** One in so many of those overdue is replaced, so that in the end no more than twice the room is rented. */
-        const val REPLACED_PART = 2
-        const val WINDOW = 2.0
-        const val TROUBLED_PATIENCE = 1.5
+        /** For how long a boot counts as recent, in times after which boots are overdue. */
+        const val WINDOW_BOOTS = 2.0
+        const val DELAYED_TIMEOUT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
@@ -7,7 +7,9 @@
 import plankwall.model.MachineType
 import plankwall.model.Resources
 
-/** A machine of [group], arriving or to be requested, into which the [Estimator] packs tasks; [free] is what is left. */
+/**
+ * A machine of [group], arriving or to be requested, into which the [Estimator] packs tasks; [free] is what is left.
+ */
 internal open class CapacityBin(val group: GroupKey, var free: Resources) {
     /** What tasks of [job] may count on here. */
     open fun freeFor(job: Job): Resources = free
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -13,8 +13,8 @@
 import plankwall.model.Shape
 
 /**
- * What machines are needed for: the [pending] jobs, of each of which [waitingTasks] gives the tasks without a place, and
- * the demand that is [forecast], beside [running] machines and [arriving] ones (one group for each). [endangered]:
+ * What machines are needed for: the [pending] jobs, of each of which [waitingTasks] gives the tasks without a place,
+ * and the demand that is [forecast], beside [running] machines and [arriving] ones (one group for each). [endangered]:
  * replicas to be replaced beside the waiting tasks, though nothing proves them gone yet.
  */
 class ScaleOutDemand(
@@ -120,7 +120,7 @@
             fun cheapestOf(mayExpand: (GroupKey) -> Boolean): GroupKey? =
                 chooser.cheapestFor(job, waiting, zones, onlyZone, ::machinesIn, mayExpand)
             if (job.spareTime) {
-                return leftover.take { cheapestOf { groups.mayExpand(it) && leftover.mayRent(job, it) } }
+                return leftover.take { cheapestOf { groups.mayExpand(it) && leftover.mayRequest(job, it) } }
             }
             val group = cheapestOf(groups.mayExpand) ?: cheapestOf(groups.mayExpandDelayed)
             if (group != null || job.spec.shape != Shape.SERVICE) return group
--- a/src/main/kotlin/plankwall/core/autoscaling/ExpandableGroups.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ExpandableGroups.kt
@@ -9,8 +9,8 @@
 import plankwall.model.Resources
 
 /**
- * Which groups may be expanded (the paper's step 6): [mayExpand] for any work; [mayExpandDelayed] if no such group would
- * do; [mayExpandForService] for a live service if neither would do. [machinesIn] counts the machines in a zone.
+ * Which groups may be expanded (the paper's step 6): [mayExpand] for any work; [mayExpandDelayed] if no such group
+ * would do; [mayExpandForService] for a live service if neither would do. [machinesIn] counts the machines in a zone.
  */
 class ExpandableGroups(
     val mayExpand: (GroupKey) -> Boolean,
--- a/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -10,75 +10,85 @@
 import plankwall.wire.ListedMachine
 import plankwall.wire.ListedState
 
-/** Follows the cloud's list and catalogue on the leader's behalf, in few calls. */
+/** Follows the cloud's list of machines and its catalog of machine types, in few calls. */
 class InstanceInventory(
     private val ctx: Context,
     private val store: LeaderStore,
     private val fleet: Fleet,
-    private val memory: AutoscalerState,
+    private val state: AutoscalerState,
 ) {
-    private var nextList = 0.0
-    private var listing = false
-    private var nextCatalog = 0.0
+    private var nextListAt = 0.0
+    private var isListing = false
+    private var nextCatalogAt = 0.0
 
+    /** Asks the cloud for what is due. */
     fun poll() {
-        if (!listing && ctx.now >= nextList) {
-            listing = true
-            list(null, ArrayList())
+        if (!isListing && ctx.now >= nextListAt) {
+            isListing = true
+            readPage(null, ArrayList())
         }
-        if (ctx.now >= nextCatalog) {
-            nextCatalog = ctx.now + if (fleet.catalog == null) 1.0 else CATALOG_S
+        if (ctx.now >= nextCatalogAt) {
+            nextCatalogAt = ctx.now + if (fleet.catalog == null) CATALOG_RETRY_S else CATALOG_INTERVAL_S
             ctx.out.cloud(CloudOp.GetCatalog) { result ->
                 if (store.active && result is CloudResult.CatalogRead) fleet.catalog = result.catalog
             }
         }
     }
 
-    private fun list(after: String?, found: ArrayList<ListedMachine>) {
+    /** Reads the list's page that follows the machine [after], and all further ones, to those [found] so far. */
+    private fun readPage(after: String?, found: ArrayList<ListedMachine>) {
         ctx.out.cloud(CloudOp.ListMachines(after, LIST_PAGE)) { result ->
             if (!store.active) return@cloud
             if (result !is CloudResult.Listed) {
-                listing = false
-                nextList = ctx.now + 2.0
+                endListing(LIST_RETRY_S)
                 return@cloud
             }
             found.addAll(result.machines)
             if (result.more && result.machines.isNotEmpty()) {
-                list(result.machines.last().id, found)
+                readPage(result.machines.last().id, found)
             } else {
-                listing = false
-                nextList = ctx.now + LIST_S
-                listed(found)
+                endListing(LIST_INTERVAL_S)
+                onListed(found)
             }
         }
     }
 
+    private fun endListing(pauseS: Double) {
+        isListing = false
+        nextListAt = ctx.now + pauseS
+    }
+
     /** The list is late and may be older than the last one: it can add machines, never prove that a task is gone. */
-    private fun listed(all: List<ListedMachine>) {
-        val names = HashSet<String>()
-        for (l in all) {
-            names.add(l.id)
-            if (fleet.isGone(l.id)) continue
-            val known = fleet.find(l.id)
-            val m = known ?: fleet.machine(l.id)
-            fleet.describe(m, l)
-            m.listed = l.state
-            m.missingSince = Machine.NEVER
-            if (!m.registered && !m.returning && l.id !in fleet.arrivals && l.state == ListedState.BOOTING) {
-                // Rented by somebody whose record of it was lost: it counts as arriving, from the age the list gives.
-                val ageMs = (l.ageS * 1000).toLong()
-                fleet.arrivals[l.id] = BootingMachine(l.id, l.group, ctx.now - l.ageS, ctx.time.wallMs - ageMs)
-                memory.dirty = true
-            }
+    private fun onListed(all: List<ListedMachine>) {
+        val listedIds = HashSet<String>()
+        for (listed in all) {
+            listedIds.add(listed.id)
+            if (!fleet.isGone(listed.id)) update(fleet.machine(listed.id), listed)
         }
-        for (m in fleet.machines) {
-            if (m.listed != null && m.id !in names && m.missingSince == Machine.NEVER) m.missingSince = ctx.now
+        for (machine in fleet.machines) {
+            if (machine.listed == null || machine.id in listedIds) continue
+            if (machine.missingSince == Machine.NEVER) machine.missingSince = ctx.now
         }
     }
 
+    private fun update(machine: Machine, listed: ListedMachine) {
+        fleet.describe(machine, listed)
+        machine.listed = listed.state
+        machine.missingSince = Machine.NEVER
+        if (machine.registered || machine.returning || listed.id in fleet.arrivals) return
+        if (listed.state != ListedState.BOOTING) return
+        // Requested by a leader whose record of it was lost: it counts as arriving, from the age that the list gives.
+        val ageMs = (listed.ageS * 1000).toLong()
+        fleet.arrivals[listed.id] =
+            BootingMachine(listed.id, listed.group, ctx.now - listed.ageS, ctx.time.wallMs - ageMs)
+        state.dirty = true
+    }
+
     private companion object {
-        const val LIST_S = 3.0
+        const val LIST_INTERVAL_S = 3.0
+        const val LIST_RETRY_S = 2.0
         const val LIST_PAGE = 500
-        const val CATALOG_S = 60.0
+        const val CATALOG_INTERVAL_S = 60.0
+        const val CATALOG_RETRY_S = 1.0
     }
 }
