--- a/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
@@ -20,7 +20,7 @@
     fun releaseExpired() {
         for (machine in fleet.machines) {
             if (machine.placements.isEmpty()) continue
-            if (ctx.now >= fleet.surelyEmptyAt(machine, leadership.othersSilent)) {
+            if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersSilentAt)) {
                 // Each is looked at when its turn comes: releasing one task of a gang may stop the others.
                 for (placement in machine.placements.values.toList()) {
                     if (placement.stored || placement.commanded) {
@@ -40,7 +40,7 @@
      */
     private fun releaseUncommanded(machine: Machine) {
         for (placement in machine.placements.values.filter { it.stored && !it.commanded }) {
-            machine.awaited = true
+            machine.awaitingHeartbeat = true
             schedulerState.release(placement, "never commanded, and ${machine.id} missed a heartbeat")
         }
     }
--- a/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
@@ -36,8 +36,8 @@
             it.stored && !it.commanded && it.stopping == null && it.session == machine.session
         }
         val requestHeartbeat =
-            isStartDue && ctx.now - machine.lastPoked > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
-        if (requestHeartbeat) machine.lastPoked = ctx.now
+            isStartDue && ctx.now - machine.lastWokenAt > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
+        if (requestHeartbeat) machine.lastWokenAt = ctx.now
         machine.unsent = isStartDue && !requestHeartbeat
         return if (stops.isEmpty() && !requestHeartbeat) null else stops.map(::stop)
     }
--- a/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
@@ -25,7 +25,7 @@
      * Returns the orders that follow. [overtaken]: an answer to a direct command, made later, arrived before it.
      */
     fun reconcile(machine: Machine, tasks: List<TaskStatus>, overtaken: Boolean): List<Order> {
-        machine.strangers = 0
+        machine.unknownTasks = 0
         machine.exitsShown = tasks.count { it.stage == TaskStage.EXITED }
         val orders = ArrayList<Order>()
         val shown = HashSet<Placement>()
@@ -63,7 +63,7 @@
 
     private fun stopUnknown(machine: Machine, task: TaskStatus, overtaken: Boolean): Order? {
         if (overtaken) return null
-        machine.strangers++
+        machine.unknownTasks++
         log.info("stop unknown task task={}/{}#{} machine={}", task.jobId, task.task, task.attempt, machine.id)
         return Order(OrderOp.STOP, task.jobId, task.task, task.attempt, 0.0)
     }
@@ -83,7 +83,7 @@
             log.debug("task stage changed task={} machine={} stage={}", placement.id, machine.id, stage)
             if (stage == TaskStage.RUNNING) placement.runningSince = ctx.now
             if (stage == TaskStage.RUNNING || stage == TaskStage.WAITING) {
-                machine.noteImage(ImageIndex(placement.job.image.value), placement.job.spec.imageGb, ctx.now)
+                machine.recordImage(ImageIndex(placement.job.image.value), placement.job.spec.imageGb, ctx.now)
             }
         }
         placement.stage = stage
@@ -97,7 +97,7 @@
      */
     private fun isRestartable(placement: Placement, task: TaskStatus): Boolean {
         val job = placement.job
-        return task.cause == ExitCause.ALONE &&
+        return task.cause == ExitCause.GANG_INCOMPLETE &&
             placement.stopping == null &&
             !placement.ended &&
             !placement.machine.returning &&
@@ -132,7 +132,7 @@
                 }
                 faultAttribution.onTaskFailed(placement)
             }
-            ExitCause.NO_ROOM, ExitCause.BUSY -> placement.machine.blockedUntil = ctx.now + MACHINE_BACKOFF_S
+            ExitCause.INSUFFICIENT_RESOURCES, ExitCause.OTHER_ATTEMPT_PRESENT -> placement.machine.blockedUntil = ctx.now + MACHINE_BACKOFF_S
             ExitCause.UNKNOWN -> job.backoffUntil = ctx.now + JOB_BACKOFF_S
             else -> Unit
         }
