--- a/src/main/kotlin/plankwall/audit/AuditBatch.kt
+++ b/src/main/kotlin/plankwall/audit/AuditBatch.kt
@@ -75,7 +75,9 @@
 
     private val segmentNumber: Long get() = if (startsSegment) tail.segment + 1 else tail.segment
 
-    /** Guards on the last segment and on there being none behind it, so that a late write can't follow a new segment. */
+    /**
+     * Guards on the last segment and on there being none behind it, so that a late write can't follow a new segment.
+     */
     val chainGuards: List<Guard>
         get() = listOf(
             Guard(AccessKeys.segment(node, tail.segment), tail.version),
--- a/src/main/kotlin/plankwall/audit/AuditEntry.kt
+++ b/src/main/kotlin/plankwall/audit/AuditEntry.kt
@@ -1,10 +1,10 @@
 package plankwall.audit
 
 /**
- * One decision in the audit log. [id]: unique for ever, by which an entry that was sent twice is recognized. [epoch]: of
- * the deciding node's leadership term, or 0. [network]: where the request came from, which proves nothing. [version]: of
- * the policy. [status]: the caller's HTTP status; 0: there was no request. [request]: the caller's own id of the
- * request, from its token.
+ * One decision in the audit log. [id]: unique for ever, by which an entry that was sent twice is recognized. [epoch]:
+ * of the deciding node's leadership term, or 0. [network]: where the request came from, which proves nothing.
+ * [version]: of the policy. [status]: the caller's HTTP status; 0: there was no request. [request]: the caller's own id
+ * of the request, from its token.
  */
 data class AuditEntry(
     val id: String,
--- a/src/main/kotlin/plankwall/audit/AuditLines.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLines.kt
@@ -37,7 +37,10 @@
         if (entry.note.isNotEmpty()) put("x", entry.note)
     }.toString()
 
-    /** Reads a stored line. Throws [MalformedAuditLineException]. Unknown fields are ignored: a later version may write more. */
+    /**
+     * Reads a stored line. Throws [MalformedAuditLineException]. Unknown fields are ignored: a later version may write
+     * more.
+     */
     fun read(line: String): AuditLine {
         val fields = try {
             json.readTree(line) as? ObjectNode ?: throw MalformedAuditLineException("not a JSON object")
--- a/src/main/kotlin/plankwall/authorization/PolicyReader.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyReader.kt
@@ -90,9 +90,7 @@
         val expected = names.map(::displayName).distinct()
             // Where a name may stand, so may each soft keyword; naming them all would not help.
             .let { all -> if ("a name" in all) all.filter { it !in softKeywords } else all }
-        val found = if (offending.type ==
-            Token.EOF
-        ) {
+        val found = if (offending.type == Token.EOF) {
             "the text ends"
         } else {
             "'${offending.text.take(MAX_QUOTED_CHARS)}' stands"
--- a/src/main/kotlin/plankwall/cli/GatewayComponents.kt
+++ b/src/main/kotlin/plankwall/cli/GatewayComponents.kt
@@ -9,18 +9,16 @@
 import plankwall.model.Settings
 import plankwall.wire.FrameSeal
 
-/** Builds what stands at the doors of a node whose operators want to know who asks. */
+/** Builds the access gateway and the peers' authenticator of a node with identities. */
 internal object GatewayComponents {
     fun of(gate: GatewaySettings, settings: Settings): AccessComponents {
         val key = gate.nodeKey
-        if (key != null &&
-            key.principal != settings.node
-        ) {
+        if (key != null && key.principal != settings.node) {
             throw InvalidSettingsException(
                 "node_key_file: the key is ${key.principal}'s, this node is ${settings.node}",
             )
         }
-        var house: AccessGateway? = null
+        var gateway: AccessGateway? = null
         val toleranceMs = gate.clockToleranceMs + settings.timeBoundMs.toLong() + 1
         val frames: ((Long) -> FrameSeal)? = if (gate.peerKeys.isEmpty()) {
             null
@@ -29,10 +27,10 @@
                 PeerAuthenticator(
                     PeerSeal(settings.node, incarnation, gate.peerKeys, gate.allowUnsignedPeers, toleranceMs),
                 ) {
-                    house?.peerNetworks
+                    gateway?.peerNetworks
                 }
             }
         }
-        return AccessComponents({ ctx -> AccessGateway(ctx, gate).also { house = it } }, frames)
+        return AccessComponents({ ctx -> AccessGateway(ctx, gate).also { gateway = it } }, frames)
     }
 }
--- a/src/main/kotlin/plankwall/identity/Keys.kt
+++ b/src/main/kotlin/plankwall/identity/Keys.kt
@@ -12,11 +12,13 @@
 import org.jose4j.lang.JoseException
 import java.security.PrivateKey
 
-/** A file of keys, or a key in the rights, that can't be used. The text never holds any of a key. */
-class MalformedKeyException(reason: String) : Exception(reason)
+/**
+ * A key, in a file or in the policy, that can't be used. Neither the text nor a cause holds any part of the key.
+ */
+class MalformedKeyException(val problem: String) : Exception(problem)
 
 /**
- * One of a principal's keys (RFC 8037). Several may hold at the same time, so that one can replace another in peace.
+ * One of a principal's public keys (RFC 8037). Several may be valid at the same time, so that keys can be rotated.
  */
 class PublicKey private constructor(
     val id: String,
@@ -37,27 +39,26 @@
             Ed25519.verify(signature, 0, point, 0, signed, 0, signed.size)
     }
 
+    /** Whether the key is valid at [wallMs], the time of day, give or take [toleranceMs]. */
     fun isValidAt(wallMs: Long, toleranceMs: Long): Boolean =
         wallMs >= sinceMs - toleranceMs && wallMs < untilMs + toleranceMs
 
     companion object {
-        /** [x]: the 32 bytes of an Ed25519 public key, base64url without padding, as a JWK's `x`. */
+        /**
+         * The key [id]. [x]: the 32 bytes of an Ed25519 public key, base64url without padding, as a JWK's `x`. Throws
+         * [MalformedKeyException].
+         */
         fun of(
             id: String,
             x: String,
             sinceMs: Long = Long.MIN_VALUE / 2,
             untilMs: Long = Long.MAX_VALUE / 2,
         ): PublicKey {
-            if (!X.matches(
-                    x,
-                )
-            ) {
+            if (!X.matches(x)) {
                 throw MalformedKeyException("not an Ed25519 public key: 43 characters of base64url are wanted")
             }
             val point = x.decodeBase64()?.toByteArray()
-            if (point == null ||
-                !Ed25519.validatePublicKeyFull(point, 0)
-            ) {
+            if (point == null || !Ed25519.validatePublicKeyFull(point, 0)) {
                 throw MalformedKeyException("not an Ed25519 public key: no point of the curve's group")
             }
             return PublicKey(id, point, sinceMs, untilMs)
@@ -68,7 +69,8 @@
 }
 
 /**
- * A private key as it stands in its file, a JWK: `{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"meera","x":…,"d":…}`.
+ * A private key as it stands in its file, a JWK:
+ * `{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"meera","x":…,"d":…}`.
  */
 class SigningKey private constructor(
     val principal: String,
@@ -77,12 +79,13 @@
     val x: String,
     private val json: String,
 ) {
-    /** What goes into the file, private part and all. */
+    /** The content of the key's file, private part included. */
     fun secretJson(): String = json
 
     override fun toString(): String = "key $id of $principal"
 
     companion object {
+        /** A new random key of [principal]. */
         fun generate(principal: String, id: String): SigningKey {
             val jwk = OkpJwkGenerator.generateJwk(OctetKeyPairJsonWebKey.SUBTYPE_ED25519)
             jwk.keyId = id
@@ -90,13 +93,15 @@
             return parse(jwk.toJson(JsonWebKey.OutputControlLevel.INCLUDE_PRIVATE))
         }
 
+        /** Reads the content of a key file. Throws [MalformedKeyException]. */
         fun parse(json: String): SigningKey {
             val values = try {
                 JsonUtil.parseJson(json)
             } catch (_: JoseException) {
+                // Its message may quote the key.
                 throw MalformedKeyException("not a JWK")
             }
-            val jwk = read(values)
+            val jwk = readJwk(values)
             val principal = values["sub"] as? String ?: throw MalformedKeyException("sub: missing: whose key it is")
             val id = jwk.keyId ?: throw MalformedKeyException("kid: missing: the key's id")
             val secret = jwk.privateKey ?: throw MalformedKeyException("d: missing: the private part")
@@ -116,12 +121,11 @@
     return jws.compactSerialization
 }
 
-/** jose4j says in its messages what it could not read; that may be the key itself, so nothing of it is passed on. */
-private fun read(values: Map<String, Any?>): PublicJsonWebKey = try {
+/** The library's messages quote what it could not read, which may be the key: they are not passed on as a cause. */
+@Suppress("TooGenericExceptionCaught") // The library throws several kinds on values of a wrong type.
+private fun readJwk(values: Map<String, Any?>): PublicJsonWebKey = try {
     val jwk = PublicJsonWebKey.Factory.newPublicJwk(values)
-    if (jwk !is OctetKeyPairJsonWebKey ||
-        values["crv"] != OctetKeyPairJsonWebKey.SUBTYPE_ED25519
-    ) {
+    if (jwk !is OctetKeyPairJsonWebKey || values["crv"] != OctetKeyPairJsonWebKey.SUBTYPE_ED25519) {
         throw MalformedKeyException("not an Ed25519 key")
     }
     jwk
--- a/src/main/kotlin/plankwall/identity/Networks.kt
+++ b/src/main/kotlin/plankwall/identity/Networks.kt
@@ -6,22 +6,25 @@
 import inet.ipaddr.ipv4.IPv4AddressTrie
 import inet.ipaddr.ipv6.IPv6AddressTrie
 
-/** Ranges of IPv4 and IPv6 addresses. An address within them is never proof of anything; one outside is refused. */
+/**
+ * Ranges of IPv4 and IPv6 addresses from which connections are accepted. An address within them proves nothing by
+ * itself.
+ */
 class Networks private constructor(
     private val texts: List<String>,
     private val v4: IPv4AddressTrie,
     private val v6: IPv6AddressTrie,
 ) {
-    /** Whether [address], with or without a port, lies in one of the ranges. What can't be read lies in none. */
+    /** Whether [address], with or without a port, lies in one of the ranges. An unreadable address lies in none. */
     fun contains(address: String): Boolean {
-        val a = parse(host(address)) ?: return false
-        return if (a.isIPv4) v4.elementContains(a.toIPv4()) else v6.elementContains(a.toIPv6())
+        val parsed = parse(host(address)) ?: return false
+        return if (parsed.isIPv4) v4.elementContains(parsed.toIPv4()) else v6.elementContains(parsed.toIPv6())
     }
 
     override fun toString(): String = texts.joinToString(", ")
 
     companion object {
-        /** [unreadable] is called with the first text that is no range. */
+        /** The ranges in [texts]; [unreadable] is called with the first text that is none. */
         fun of(texts: List<String>, unreadable: (String) -> Nothing): Networks {
             val v4 = IPv4AddressTrie()
             val v6 = IPv6AddressTrie()
@@ -32,16 +35,18 @@
             return Networks(texts, v4, v6)
         }
 
-        /** A single address or a block whose host bits are zero: `10.1.2.3/8` is more likely a slip than a wish. */
+        /** A single address or a block whose host bits are zero: `10.1.2.3/8` is more likely a mistake. */
         private fun range(text: String): IPAddress? {
-            if (text.length > LONGEST || ('*' in text) || ('-' in text) || text.isBlank()) return null
+            if (text.length > MAX_ADDRESS_CHARS || ('*' in text) || ('-' in text) || text.isBlank()) return null
             val parsed = parseOrNull(text) ?: return null
             if (!parsed.isPrefixed) return if (parsed.isMultiple) null else parsed
             val block = parsed.toPrefixBlock()
             return if (block.lower.toInetAddress() == parsed.lower.toInetAddress()) block else null
         }
 
-        /** Plain notation only: what `10.1` or a mask with holes would mean is not for a reader of rights to guess. */
+        /**
+         * Plain notation only: abbreviations such as `10.1` and masks with holes are refused rather than interpreted.
+         */
         private val plain: IPAddressStringParameters = IPAddressStringParameters.Builder()
             .allowMask(false).allowEmpty(false).allowAll(false).allowPrefixOnly(false).allowWildcardedSeparator(false)
             .getIPv4AddressParametersBuilder().allow_inet_aton(false).allowBinary(false).getParentBuilder()
@@ -56,12 +61,12 @@
             null
         }
 
-        /** IPv4 in IPv6's clothes (`::ffff:10.0.0.1`) is what a dual-stack socket reports: taken as the IPv4 it is. */
+        /** IPv4-mapped IPv6 addresses (`::ffff:10.0.0.1`), as dual-stack sockets report them, count as IPv4. */
         private fun parse(host: String): IPAddress? {
-            val a = if (host.length > LONGEST) null else parseOrNull(host.substringBefore('%'))
-            if (a == null || a.isMultiple) return null
-            val v6 = a.toIPv6() ?: return a
-            return if (a.isIPv6 && v6.isIPv4Mapped) v6.embeddedIPv4Address else a
+            val parsed = if (host.length > MAX_ADDRESS_CHARS) null else parseOrNull(host.substringBefore('%'))
+            if (parsed == null || parsed.isMultiple) return null
+            val v6 = parsed.toIPv6() ?: return parsed
+            return if (parsed.isIPv6 && v6.isIPv4Mapped) v6.embeddedIPv4Address else parsed
         }
 
         /** The host of `host:port`, `[v6]:port` or a bare address. */
@@ -73,17 +78,19 @@
 
         /** Whether two addresses name the same host, however they are written. */
         fun sameHost(one: String, other: String): Boolean {
-            val a = parse(host(one))
-            val b = parse(host(other))
-            return if (a == null || b == null) host(one) == host(other) else a == b
+            val first = parse(host(one))
+            val second = parse(host(other))
+            return if (first == null || second == null) host(one) == host(other) else first == second
         }
 
-        /** What counts as one network where requests are limited: a /24, or a /64. */
+        /** The network by which requests of [address] are rate limited: its /24, or its /64. */
         fun neighbourhood(address: String): String {
-            val a = parse(host(address)) ?: return "unreadable"
-            return a.toPrefixBlock(if (a.isIPv4) 24 else 64).toCanonicalString()
+            val parsed = parse(host(address)) ?: return "unreadable"
+            return parsed.toPrefixBlock(if (parsed.isIPv4) IPV4_NETWORK_BITS else IPV6_NETWORK_BITS).toCanonicalString()
         }
 
-        private const val LONGEST = 60
+        private const val MAX_ADDRESS_CHARS = 60
+        private const val IPV4_NETWORK_BITS = 24
+        private const val IPV6_NETWORK_BITS = 64
     }
 }
--- a/src/main/kotlin/plankwall/identity/PeerAuthenticator.kt
+++ b/src/main/kotlin/plankwall/identity/PeerAuthenticator.kt
@@ -4,7 +4,7 @@
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerMessage
 
-/** The door for links between controllers. [networks]: from where they may come, null for anywhere. */
+/** Authenticates frames between controllers. [networks]: from where peers may connect; null: from anywhere. */
 class PeerAuthenticator(private val seal: PeerSeal, private val networks: () -> Networks?) : FrameSeal {
     override val overhead: Int get() = PeerSeal.OVERHEAD
 
@@ -13,8 +13,8 @@
     override fun open(sealed: ByteArray, wallMs: Long): PeerMessage? {
         val opened = seal.open(sealed, wallMs) ?: return null
         val message = PeerCodec.read(opened.frame)
-        // One controller must not speak in another's name: each peer's own word counts when a leader takes over, and an
-        // answer to a relayed report goes to the worker as the leader's.
+        // A controller must not send frames in another's name: each peer's own status counts at a failover, and an
+        // answer to a relayed heartbeat goes to the worker as the leader's.
         return message.takeIf { opened.sender == null || it.sender == null || it.sender == opened.sender }
     }
 
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -2,18 +2,19 @@
 
 import com.google.common.hash.Hashing
 import okio.Buffer
+import java.io.EOFException
 import java.security.MessageDigest
 
-/** A key that all controllers share, with its name. The first of several signs; all of them are believed. */
+/** A key that all controllers share. The first of several signs; frames signed with any of them are accepted. */
 class PeerKey(val id: String, val secret: ByteArray) {
     override fun toString(): String = "peer key $id"
 }
 
 /**
- * Frames between controllers, each with a keyed hash over who sent it, in which life, as which of its frames and when.
- * A forged status could make a leader yield, or make it believe that no older one answers workers any more; one that
- * was captured could do so later. Frames of an earlier life, in the wrong order or too old are dropped like forged
- * ones.
+ * Signs frames between controllers and verifies them: a keyed hash over the sender, its incarnation, the frame's number
+ * and the time. A forged status could make a leader yield, or make it conclude that no older one answers workers any
+ * more; a captured one could do so later. Frames of an earlier incarnation, out of order or too old are dropped like
+ * forged ones. [allowUnsigned]: accepts frames without a signature, while keys are introduced.
  */
 class PeerSeal(
     private val node: String,
@@ -22,67 +23,73 @@
     private val allowUnsigned: Boolean,
     private val toleranceMs: Long,
 ) {
-    private class Last(val incarnation: Long, val count: Long, val atMs: Long)
+    /** The newest frame of a sender. */
+    private class LastFrame(val incarnation: Long, val number: Long, val atMs: Long)
 
-    private val heard = HashMap<String, Last>()
+    private val lastFrames = HashMap<String, LastFrame>()
     private var sent = 0L
 
-    /** Frames that were dropped, by nobody in particular: anybody can send them. */
+    /** How many frames were dropped. */
     var dropped = 0L
         private set
 
+    /** [frame] with its signature; as it is where there is no key. [wallMs]: the time of day. */
     fun seal(frame: ByteArray, wallMs: Long): ByteArray {
         val key = keys.firstOrNull() ?: return frame
-        val head = Buffer().writeByte(
-            SEALED,
-        ).name(key.id).name(node).writeLong(incarnation).writeLong(++sent).writeLong(wallMs)
+        val head = Buffer().writeByte(SEALED).name(key.id).name(node)
+            .writeLong(incarnation).writeLong(++sent).writeLong(wallMs)
         val signed = head.write(frame).readByteArray()
         return signed + mac(key, signed)
     }
 
     /**
-     * What [sealed] carries and who sent it; null if it is not believed. The sender is null for a frame that names
-     * none.
+     * Verifies [sealed]; null if it is to be dropped. [wallMs]: the time of day.
      */
     fun open(sealed: ByteArray, wallMs: Long): Opened? {
-        val opened = if (sealed.isNotEmpty() &&
-            sealed[0].toInt() == SEALED
-        ) {
-            openSealed(sealed, wallMs)
-        } else {
-            unsigned(sealed)
-        }
+        val isSealed = sealed.isNotEmpty() && sealed[0].toInt() == SEALED
+        val opened = if (isSealed) openSealed(sealed, wallMs) else openUnsigned(sealed)
         if (opened == null) dropped++
         return opened
     }
 
+    /** A verified frame. [sender]: null for one without a signature. */
     class Opened(val sender: String?, val frame: ByteArray)
 
-    private fun unsigned(frame: ByteArray): Opened? = if (allowUnsigned || keys.isEmpty()) Opened(null, frame) else null
+    private fun openUnsigned(frame: ByteArray): Opened? =
+        if (allowUnsigned || keys.isEmpty()) Opened(null, frame) else null
 
     private fun openSealed(sealed: ByteArray, wallMs: Long): Opened? = try {
-        if (sealed.size <= MAC_BYTES) null else check(sealed, wallMs)
-    } catch (_: java.io.EOFException) {
+        if (sealed.size <= MAC_BYTES) null else verify(sealed, wallMs)
+    } catch (_: EOFException) {
+        // Shorter than it claims to be.
         null
     }
 
-    private fun check(sealed: ByteArray, wallMs: Long): Opened? {
+    private fun verify(sealed: ByteArray, wallMs: Long): Opened? {
         val signed = sealed.copyOf(sealed.size - MAC_BYTES)
-        val b = Buffer().write(signed)
-        b.readByte()
-        val keyId = b.readName() ?: return null
-        val sender = b.readName() ?: return null
-        val life = b.readLong()
-        val count = b.readLong()
-        val at = b.readLong()
+        val buffer = Buffer().write(signed)
+        buffer.readByte()
+        val keyId = buffer.readName() ?: return null
+        val sender = buffer.readName() ?: return null
+        val incarnation = buffer.readLong()
+        val number = buffer.readLong()
+        val atMs = buffer.readLong()
         val key = keys.find { it.id == keyId } ?: return null
         if (!MessageDigest.isEqual(mac(key, signed), sealed.copyOfRange(signed.size, sealed.size))) return null
-        val last = heard[sender]
-        // Lives are told apart by their number and ordered by time: a clock set back must not shut a node out for good.
-        val newer = last == null || (if (life == last.incarnation) count > last.count else at > last.atMs)
-        if (sender == node || !newer || at < wallMs - MAX_AGE_MS - toleranceMs || at > wallMs + toleranceMs) return null
-        heard[sender] = Last(life, count, at)
-        return Opened(sender, b.readByteArray())
+        val isInTime = atMs in (wallMs - MAX_AGE_MS - toleranceMs)..(wallMs + toleranceMs)
+        if (sender == node || !isInTime || !isNewer(lastFrames[sender], incarnation, number, atMs)) return null
+        lastFrames[sender] = LastFrame(incarnation, number, atMs)
+        return Opened(sender, buffer.readByteArray())
+    }
+
+    /**
+     * Incarnations are distinguished by their number and ordered by time: a clock that was set back must not exclude a
+     * node for good.
+     */
+    private fun isNewer(last: LastFrame?, incarnation: Long, number: Long, atMs: Long): Boolean = when {
+        last == null -> true
+        incarnation == last.incarnation -> number > last.number
+        else -> atMs > last.atMs
     }
 
     private fun mac(key: PeerKey, signed: ByteArray): ByteArray =
@@ -99,7 +106,7 @@
     }
 
     companion object {
-        /** What a seal adds at the most: two names of 200 bytes, four numbers, the keyed hash. */
+        /** The most bytes that a signature adds: two names of 200 bytes, four numbers, the keyed hash. */
         const val OVERHEAD = 500
 
         /** Not a kind of frame that an unsigned peer sends. */
@@ -107,7 +114,7 @@
         private const val MAC_BYTES = 32
         private const val MAX_NAME = 200
 
-        /** A cut may hold frames back for minutes; each is sent anew every second, so an old one is worth nothing. */
+        /** A partition may hold frames back for minutes; each is sent anew every second, so old ones are not needed. */
         private const val MAX_AGE_MS = 10_000L
     }
 }
