--- a/src/main/kotlin/plankwall/core/api/JobViews.kt
+++ b/src/main/kotlin/plankwall/core/api/JobViews.kt
@@ -27,7 +27,7 @@
     fun ofEnded(id: String, record: FinalRecord) = JobView(id, record.stage, record.done, 0)
 
     /**
-     * A live job that is cancelled. Once a user is told so it holds, whoever answers; so the cancellation is also
+     * A live job that is cancelled. Once a user has got this answer it holds on every node, so the cancellation is also
      * passed on from here to those that keep its tasks.
      */
     fun ofCancelled(id: String): JobView {
--- a/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
+++ b/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Another node may already have told a user that the live job is cancelled because of a dependency, so a job with
+     * Another node may already have answered that the live job is cancelled because of a dependency, so a job with
      * dependencies is answered from a read that began after the request.
      */
     private fun answerLive(pending: PendingRequest, id: String, found: JobLookupResult.Live) {
--- a/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
@@ -10,7 +10,7 @@
  * and a node that joins or leaves moves only the workers that it gets or had.
  */
 object SessionAssignment {
-    /** The node that serves the session of [machine]; null if [plan] has no entry for [zone], so that the leader does. */
+    /** The node that serves the session of [machine]; null if [plan] has no entry for [zone]: the leader serves it. */
     fun nodeFor(plan: SessionPlan, machine: String, zone: String): String? =
         plan.zones[zone]?.maxByOrNull { score(it, machine) }?.node
 
