--- a/src/main/kotlin/plankwall/model/Catalog.kt
+++ b/src/main/kotlin/plankwall/model/Catalog.kt
@@ -1,6 +1,6 @@
 package plankwall.model
 
-/** One machine type as the cloud offers it. */
+/** One machine type as the cloud offers it. [price] and [spotPrice]: per hour; [bootS]: its usual boot time. */
 data class MachineType(
     val name: String,
     val capacity: Resources,
@@ -11,24 +11,25 @@
     val bootS: Double,
     val zones: List<String>,
 ) {
-    /** Seconds that fetching an image of [gb] takes when nothing else is fetched. */
+    /** Seconds to fetch an image of [gb] gigabytes while nothing else is fetched. */
     fun fetchS(gb: Double): Double = gb / fetchGbPerS
 }
 
+/** The machine types that the cloud offers. */
 data class Catalog(val types: List<MachineType>) {
     private val byName = types.associateBy { it.name }
 
     operator fun get(name: String): MachineType? = byName[name]
 
     /** The types that [spec] allows and that one of its tasks fits. */
-    fun fitting(spec: JobSpec): List<MachineType> = types.filter { t ->
-        (spec.types == null || t.name in spec.types) &&
-            (spec.zone == null || spec.zone in t.zones) &&
-            spec.need.fitsIn(t.capacity)
+    fun fitting(spec: JobSpec): List<MachineType> = types.filter { type ->
+        (spec.types == null || type.name in spec.types) &&
+            (spec.zone == null || spec.zone in type.zones) &&
+            spec.need.fitsIn(type.capacity)
     }
 }
 
-/** One machine type in one zone, of one kind (spot or ordinary): what the cloud rents and what health is kept for. */
+/** A group of machines: one type in one zone, spot or not. Scale-out and health are per group. */
 data class GroupKey(val type: String, val zone: String, val spot: Boolean) {
     override fun toString(): String = "$type/$zone/${if (spot) "spot" else "ordinary"}"
 }
--- a/src/main/kotlin/plankwall/model/JobSpec.kt
+++ b/src/main/kotlin/plankwall/model/JobSpec.kt
@@ -1,11 +1,12 @@
 package plankwall.model
 
+/** How the tasks of a job belong together: independent, all at the same time, or running until cancelled. */
 enum class Shape { ARRAY, GANG, SERVICE }
 
 /** In ascending order: a later constant may preempt an earlier one. */
 enum class Priority { LOW, NORMAL, HIGH, PRODUCTION }
 
-/** What a user handed in, checked but not yet judged against the catalogue and the team's limit. */
+/** A submitted job, whose form is valid; not yet checked against the catalogue and the team's limit. */
 data class JobSpec(
     val id: String,
     val jobClass: String,
@@ -25,11 +26,11 @@
     val checkpointS: Double,
     val saveS: Double,
     val deadlineS: Double?,
-    /** Ids of the jobs that have to be done before any task of this one starts. */
+    /** DAG dependencies: the jobs that have to be done before any task of this one starts. */
     val dependencies: List<String> = emptyList(),
 )
 
-/** What rights may ask about a job. [owner]: null where nobody proved who submitted it. */
+/** What the policy may ask about a job. [owner]: null where callers are not authenticated. */
 data class JobFacts(
     val owner: String?,
     val jobClass: String,
@@ -38,12 +39,13 @@
     val shape: Shape,
 )
 
+/** The facts of this job if [owner] submitted it. */
 fun JobSpec.factsFor(owner: String?): JobFacts = JobFacts(owner, jobClass, team, priority, shape)
 
-/** Where a job stands, as told to its user. */
+/** The stage of a job in answers to its user. */
 enum class JobStage { PENDING, RUNNING, DONE, CANCELLED }
 
-/** [dependencies]: what the job waits, or waited, for; known while it is live. */
+/** The state of a job in answers to its user. [dependencies]: known only while the job is live. */
 data class JobView(
     val id: String,
     val stage: JobStage,
--- a/src/main/kotlin/plankwall/model/Resources.kt
+++ b/src/main/kotlin/plankwall/model/Resources.kt
@@ -4,41 +4,54 @@
 import java.math.RoundingMode
 
 /**
- * What a task takes or a machine has, in thousandths. Whole numbers, because sums of decimal fractions drift and a
- * quota that is broken by a rounding error is broken all the same.
+ * What a task needs or a machine has, in thousandths of a CPU, a GPU and a GB. Whole numbers, because sums of decimal
+ * fractions drift, and a quota must not be exceeded by a rounding error either.
  */
 data class Resources(val cpus: Long, val gpus: Long, val memory: Long) {
-    operator fun plus(o: Resources) = Resources(cpus + o.cpus, gpus + o.gpus, memory + o.memory)
+    operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memory + other.memory)
 
-    operator fun minus(o: Resources) = Resources(cpus - o.cpus, gpus - o.gpus, memory - o.memory)
+    operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memory - other.memory)
 
-    operator fun times(n: Int) = Resources(cpus * n, gpus * n, memory * n)
+    operator fun times(count: Int) = Resources(cpus * count, gpus * count, memory * count)
 
-    fun fitsIn(o: Resources): Boolean = cpus <= o.cpus && gpus <= o.gpus && memory <= o.memory
+    /** Whether every resource is at most that of [capacity]. */
+    fun fitsIn(capacity: Resources): Boolean =
+        cpus <= capacity.cpus && gpus <= capacity.gpus && memory <= capacity.memory
 
-    /** The largest of the parts that this is of [whole]; what is below nothing counts as nothing. */
+    /** The dominant share: the largest of this one's shares of [whole]'s resources; negative ones count as 0. */
     fun partOf(whole: Resources): Double {
-        fun part(p: Long, w: Long) = if (p <= 0 || w <= 0) 0.0 else p.toDouble() / w
+        fun part(amount: Long, total: Long) = if (amount <= 0 || total <= 0) 0.0 else amount.toDouble() / total
         return maxOf(part(cpus, whole.cpus), part(gpus, whole.gpus), part(memory, whole.memory))
     }
 
+    /** With 0 for negative amounts. */
     fun atLeastNothing() = Resources(cpus.coerceAtLeast(0), gpus.coerceAtLeast(0), memory.coerceAtLeast(0))
 
-    fun least(o: Resources) = Resources(minOf(cpus, o.cpus), minOf(gpus, o.gpus), minOf(memory, o.memory))
+    /** The smaller amount of each resource. */
+    fun least(other: Resources) =
+        Resources(minOf(cpus, other.cpus), minOf(gpus, other.gpus), minOf(memory, other.memory))
 
-    /** How many of [need] fit side by side. */
+    /** How many tasks that take [need] each fit at the same time. */
     fun holds(need: Resources): Int {
         fun part(have: Long, want: Long) = if (want <= 0) Long.MAX_VALUE else have / want
         return minOf(part(cpus, need.cpus), part(gpus, need.gpus), part(memory, need.memory))
-            .coerceIn(0, 1_000_000).toInt()
+            .coerceIn(0, MAX_COUNT).toInt()
     }
 
     companion object {
         val NONE = Resources(0, 0, 0)
+        private const val MAX_COUNT = 1_000_000L
 
-        /** A need is rounded up and a capacity down, so that rounding never overfills a machine. */
-        fun need(value: BigDecimal): Long = value.movePointRight(3).setScale(0, RoundingMode.CEILING).longValueExact()
+        /** Thousandths: the decimal point is moved by so many digits. */
+        private const val SCALE_DIGITS = 3
 
-        fun capacity(value: BigDecimal): Long = value.movePointRight(3).setScale(0, RoundingMode.FLOOR).longValueExact()
+        /** [value] in thousandths, rounded up, so that rounding never overfills a machine. */
+        fun need(value: BigDecimal): Long = scaled(value, RoundingMode.CEILING)
+
+        /** [value] in thousandths, rounded down, so that rounding never overfills a machine. */
+        fun capacity(value: BigDecimal): Long = scaled(value, RoundingMode.FLOOR)
+
+        private fun scaled(value: BigDecimal, rounding: RoundingMode): Long =
+            value.movePointRight(SCALE_DIGITS).setScale(0, rounding).longValueExact()
     }
 }
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -1,62 +1,6 @@
 package plankwall.model
 
-data class Peer(val node: String, val zone: String, val host: String, val port: Int)
-
-data class Address(val host: String, val port: Int) {
-    override fun toString(): String = "$host:$port"
-
-    companion object {
-        fun parse(text: String): Address? {
-            val colon = text.lastIndexOf(':')
-            val port = if (colon > 0) text.substring(colon + 1).toIntOrNull() else null
-            return if (port == null || port !in 1..65535) null else Address(text.substring(0, colon), port)
-        }
-    }
-}
-
-/** 0 in a field means: no guarantee, or no limit. */
-data class Team(val name: String, val cpus: Long, val cpusMax: Long, val gpus: Long, val gpusMax: Long) {
-    val hasGuarantee: Boolean get() = cpus > 0 || gpus > 0
-
-    /** Whether the team's tasks may use [sum] at the same time. */
-    fun allows(sum: Resources): Boolean =
-        (cpusMax == 0L || sum.cpus <= cpusMax) && (gpusMax == 0L || sum.gpus <= gpusMax)
-}
-
-/** [withinS]: of starts and ends, in seconds; [times]: of deadlines, how many times the job's own time it may take. */
-data class Objective(
-    val kind: String,
-    val jobClass: String?,
-    val withinS: Double,
-    val share: Double,
-    val times: Double = 1.0,
-)
-
-data class WorkerTimes(
-    val reportS: Double,
-    val leaseS: Double,
-    val gangWaitS: Double,
-    val gangPeerS: Double,
-    val cancelS: Double,
-) {
-    /**
-     * The longest, in seconds, that a sound worker goes without a report: they come up to a quarter late (PROTOCOL).
-     */
-    val longestReportS: Double get() = reportS * 1.25
-
-    /** A worker that was not heard for longer has missed a report, whatever a network adds to it. */
-    val missedS: Double get() = reportS * 1.5 + 1.0
-}
-
-data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int) {
-    /** What keeps within both. */
-    fun within(o: StateLimits) =
-        StateLimits(minOf(rps, o.rps), minOf(writeRps, o.writeRps), minOf(valueKb, o.valueKb), minOf(txnOps, o.txnOps))
-}
-
-data class CloudLimits(val rps: Double, val listLagS: Double)
-
-/** The settings that the platform hands over. */
+/** The settings that the platform provides. */
 data class Settings(
     val node: String,
     val zone: String,
@@ -73,51 +17,66 @@
     val state: StateLimits,
     val cloud: CloudLimits,
     val maxConnections: Int,
-    /** The limits that the state service will have from some unannounced moment on. */
+    /** The limits that the state service will have from an unannounced time on. */
     val stateNext: StateLimits? = null,
 ) {
-    /** Kept to from the start: the smaller limits come without notice. */
+    /** The limits to keep to from the start, since those of [stateNext] come into force without notice. */
     val stateTight: StateLimits = stateNext?.within(state) ?: state
 
+    /** How many controllers there are. */
     val nodes: Int get() = peers.size + 1
 
-    /** Connections that workers and users may have here: all but what this node opens itself and has with its peers. */
-    val frontConnections: Int get() = maxOf(
-        maxConnections - OWN_CONNECTIONS - PER_PEER * peers.size,
-        maxConnections / 2,
-    )
+    /** Connections that workers and users may have here: all but those that this node opens and has with its peers. */
+    val frontConnections: Int
+        get() = maxOf(maxConnections - OWN_CONNECTIONS - CONNECTIONS_PER_PEER * peers.size, maxConnections / 2)
 
-    /** Workers whose sessions fit here, with room for users beside them. */
-    val sessionCapacity: Int get() = (frontConnections * PART_FOR_SESSIONS).toInt()
+    /** How many workers' sessions this node can serve; the other connections are for users. */
+    val sessionCapacity: Int get() = (frontConnections * SESSION_SHARE).toInt()
 
     private companion object {
-        /** Calls of the state service, the cloud and workers. */
+        /** To the state service, the cloud and workers. */
         const val OWN_CONNECTIONS = 70
 
-        /** Links to and from a peer, with those that are being made anew. */
-        const val PER_PEER = 6
-        const val PART_FOR_SESSIONS = 0.85
+        /** To and from a peer, with those that are being replaced. */
+        const val CONNECTIONS_PER_PEER = 6
+        const val SESSION_SHARE = 0.85
     }
 }
 
-/**
- * The operators' own settings (YAML). The defaults are DESIGN's, but for the two waits of which 0 means: as long as a
- * machine of the type takes to boot. Where machines are paid by the second and up within a minute, ten minutes of
- * waiting cost many times what a needless return does.
- */
-data class Tuning(
-    val haltUnreadyShare: Double = 0.30,
-    val haltRetryS: Double = 10.0,
-    val shortGroupS: Double = 120.0,
-    val unregisteredS: Double = 120.0,
-    val unreadyS: Double = 300.0,
-    val unneededS: Double = 0.0,
-    val afterRentalS: Double = 0.0,
-    val leaderLeaseS: Double = 0.0,
-    val outageGraceLeases: Double = 3.0,
-    /**
-     * From which part of the leader's room for workers' sessions on they are spread over all controllers; 0: never. The
-     * leader's setting counts.
-     */
-    val spreadSessionsAt: Double = 0.0,
-)
+/** Another controller, with the address for frames between controllers. */
+data class Peer(val node: String, val zone: String, val host: String, val port: Int)
+
+/** The workers' intervals and timeouts, in seconds, by the platform's settings. */
+data class WorkerTimes(
+    val reportS: Double,
+    val leaseS: Double,
+    val gangWaitS: Double,
+    val gangPeerS: Double,
+    val cancelS: Double,
+) {
+    /** The longest interval between heartbeats of a healthy worker: they are up to a quarter late by the protocol. */
+    val longestReportS: Double get() = reportS * LATEST_REPORT_FACTOR
+
+    /** A worker without a heartbeat for longer has missed one, whatever delay a network adds. */
+    val missedS: Double get() = reportS * MISSED_REPORT_FACTOR + MISSED_REPORT_MARGIN_S
+
+    private companion object {
+        const val LATEST_REPORT_FACTOR = 1.25
+        const val MISSED_REPORT_FACTOR = 1.5
+        const val MISSED_REPORT_MARGIN_S = 1.0
+    }
+}
+
+/** The limits of the state service: requests and writes a second, KiB of a value, operations of a transaction. */
+data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int) {
+    /** The lower of both limits, each. */
+    fun within(other: StateLimits) = StateLimits(
+        rps = minOf(rps, other.rps),
+        writeRps = minOf(writeRps, other.writeRps),
+        valueKb = minOf(valueKb, other.valueKb),
+        txnOps = minOf(txnOps, other.txnOps),
+    )
+}
+
+/** The limits of the cloud: requests a second, and how many seconds its list may lag. */
+data class CloudLimits(val rps: Double, val listLagS: Double)
