--- a/src/main/kotlin/plankwall/cli/CheckSettings.kt
+++ b/src/main/kotlin/plankwall/cli/CheckSettings.kt
@@ -28,7 +28,8 @@
         val platform = SettingsFile.read(config)
         val own = tuning?.let { TuningFile.read(it) } ?: Tuning()
         println(
-            "node ${platform.node} in ${platform.zone}: users and workers on ${platform.front}, peers on ${platform.internal}",
+            "node ${platform.node} in ${platform.zone}: " +
+                "users and workers on ${platform.front}, peers on ${platform.internal}",
         )
         println("${platform.nodes} nodes, ${platform.teams.size} teams, zones ${platform.zones.joinToString(", ")}")
         println(own)
--- a/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
@@ -13,12 +13,14 @@
 import java.nio.file.Files
 import java.util.concurrent.Callable
 
-/** Real controllers and hollow workers on this machine. */
+/** Runs real controller processes with simulated workers on this machine. */
 @Command(
     name = "scale",
     description = [
-        "Starts real controller processes over loopback, with hollow workers, users, state service and cloud as stand-ins, and says what",
-        "each node uses. Ends by itself and ends only processes that it started. Exits 1 if a rule broke, 2 if the run does not fit this machine.",
+        "Starts real controller processes over loopback, with hollow workers, users, state service and " +
+            "cloud as stand-ins, and says what",
+        "each node uses. Ends by itself and ends only processes that it started. Exits 1 if a rule broke, 2 if " +
+            "the run does not fit this machine.",
     ],
     mixinStandardHelpOptions = true,
 )
@@ -105,7 +107,7 @@
             throw InvalidSettingsException(e.message.orEmpty(), e)
         }
         report?.writeText(LoadTestReport.json(figures))
-        conclude(figures)
+        printSummary(figures)
         return if (figures.broken.isEmpty()) 0 else 1
     }
 
@@ -122,26 +124,23 @@
         )
     }
 
-    private fun conclude(f: LoadTestFigures) {
-        f.faults.forEach { o ->
-            val served =
-                o.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
-                    ?: "99% of the workers not served again within the run"
-            println("${o.fault.kind.name.lowercase()} ${o.fault.target} (${o.hit.joinToString(" ")}): $served")
+    private fun printSummary(figures: LoadTestFigures) {
+        figures.faults.forEach { outcome ->
+            val fault = outcome.fault
+            val served = outcome.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
+                ?: "99% of the workers not served again within the run"
+            println("${fault.kind.name.lowercase()} ${fault.target} (${outcome.hit.joinToString(" ")}): $served")
         }
         println(
-            "services: ${f.serviceTasksStarted} of ${f.serviceTasks} tasks begun; jobs given up by their users: ${f.givenUp}; controllers ended by themselves: ${f.endedByItself}",
+            "services: ${figures.serviceTasksStarted} of ${figures.serviceTasks} tasks begun; " +
+                "jobs given up by their users: ${figures.givenUp}; " +
+                "controllers ended by themselves: ${figures.endedByItself}",
         )
-        if (f.broken.isEmpty()) {
-            println("no rule broken")
-        } else {
-            f.broken.take(SHOWN).forEach {
-                println("rule broken: $it")
-            }
-        }
+        if (figures.broken.isEmpty()) println("no rule broken")
+        figures.broken.take(MAX_SHOWN).forEach { println("rule broken: $it") }
     }
 
     private companion object {
-        const val SHOWN = 20
+        const val MAX_SHOWN = 20
     }
 }
--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable
 import java.util.stream.IntStream
 
-/** Experiments in virtual time, with the cores as they are and stand-ins for all the rest. */
+/** Groups the commands that simulate: the controllers' cores in virtual time, everything else simulated. */
 @Command(
     name = "lab",
     description = ["Plays days in virtual time against stand-ins; needs no site."],
@@ -45,34 +45,40 @@
         val results = IntStream.range(first, first + days).parallel()
             .mapToObj { LinkFaultScenario(it.toLong(), nodes[it % nodes.size], machines).play() }.toList()
         if (each) {
-            results.forEach { r ->
+            results.forEach { day ->
                 println(
-                    "day ${r.seed}, ${r.nodes} nodes: killed ${r.leaseDeaths} (${r.avoidable}), leads ${r.leads}; ${r.troubles}",
+                    "day ${day.seed}, ${day.nodes} nodes: " +
+                        "killed ${day.leaseDeaths} (${day.avoidable}), leads ${day.leads}; ${day.troubles}",
                 )
             }
         }
-        results.forEach { r -> r.broken.forEach { println("day ${r.seed}: $it") } }
+        results.forEach { day -> day.broken.forEach { println("day ${day.seed}: $it") } }
         println(
-            "nodes   days  broken  killed by lease  of these avoidable  leads a day  served after p50  p90  p99  max (s)",
+            "nodes   days  broken  killed by lease  of these avoidable  leads a day  " +
+                "served after p50  p90  p99  max (s)",
         )
-        for ((n, group) in results.groupBy { it.nodes }.toSortedMap()) {
+        for ((nodeCount, group) in results.groupBy { it.nodes }.toSortedMap()) {
             val served = Histogram(group.first().servedMs)
             group.forEach { served.add(it.servedMs) }
             println(
                 "%5d %6d %7d %16d %19d %12.1f %17.1f %4.1f %4.1f %4.1f".format(
-                    n, group.size,
-                    group.sumOf {
-                        it.broken.size
-                    },
-                    group.sumOf { it.leaseDeaths }, group.sumOf { it.avoidable },
-                    group.map { it.leads }.average(), served.s(50.0), served.s(90.0), served.s(99.0), served.s(100.0),
+                    nodeCount,
+                    group.size,
+                    group.sumOf { it.broken.size },
+                    group.sumOf { it.leaseDeaths },
+                    group.sumOf { it.avoidable },
+                    group.map { it.leads }.average(),
+                    served.seconds(percentile = 50.0),
+                    served.seconds(percentile = 90.0),
+                    served.seconds(percentile = 99.0),
+                    served.seconds(percentile = 100.0),
                 ),
             )
         }
         return if (results.any { it.broken.isNotEmpty() }) 1 else 0
     }
 
-    private fun Histogram.s(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
+    private fun Histogram.seconds(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
 }
 
 @Command(
@@ -94,29 +100,18 @@
     private var nodes = listOf(3, 5, 7)
 
     override fun call(): Int {
-        val results = IntStream.range(first, first + days).parallel().mapToObj {
-            MixedFaultScenario(
-                it.toLong(),
-                nodes[
-                    it %
-                        nodes.size,
-                ],
-            ).play()
-        }.toList()
-        for (r in results) {
-            r.broken.forEach { println("day ${r.seed}: $it") }
-            if (r.unserved.isNotEmpty()) {
-                println(
-                    "day ${r.seed}, ${r.nodes} nodes: not done ${r.unserved}; ${r.troubles}",
-                )
+        val results = IntStream.range(first, first + days).parallel()
+            .mapToObj { MixedFaultScenario(it.toLong(), nodes[it % nodes.size]).play() }.toList()
+        for (day in results) {
+            day.broken.forEach { println("day ${day.seed}: $it") }
+            if (day.unserved.isNotEmpty()) {
+                println("day ${day.seed}, ${day.nodes} nodes: not done ${day.unserved}; ${day.troubles}")
             }
         }
         println(
             "%d days: %d rules broken, %d jobs not done, at most %d machines at a time, %d starts".format(
                 days,
-                results.sumOf {
-                    it.broken.size
-                },
+                results.sumOf { it.broken.size },
                 results.sumOf { it.unserved.size },
                 results.maxOf { it.most },
                 results.sumOf { it.starts },
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -31,21 +31,22 @@
         runBlocking {
             withContext(main) {
                 val scope = CoroutineScope(main + SupervisorJob())
-                val loopback = "127.0.0.1"
-                val answers =
-                    HttpServer(scope, selector, 10) { HttpReply(200, if (it.body.isEmpty()) EMPTY else it.body) }
-                val echo = answers.start(Address(loopback, 0))
-                val port = (echo.localAddress as InetSocketAddress).port
+                val services =
+                    HttpServer(scope, selector, MAX_CONNECTIONS) {
+                        HttpReply(OK, if (it.body.isEmpty()) EMPTY else it.body)
+                    }
+                val listener = services.start(Address(LOOPBACK, 0))
+                val port = (listener.localAddress as InetSocketAddress).port
                 val front = freePort()
                 val settings = SettingsFile.read(TomlMapper().readTree(settings(front, freePort(), port)))
                 scope.launch { Daemon(scope, selector, settings, Tuning()).run() }
-                withTimeoutOrNull(1_500) {
-                    val client = HttpClient(selector, Address(loopback, front), 2, 4)
-                    repeat(20) {
-                        client.call("POST", "/checkin", REPORT, 500)
-                        client.call("GET", "/api/jobs/job-000001", null, 500)
-                        client.call("POST", "/api/jobs", JOB, 500)
-                        client.call("GET", "/up", null, 500)
+                withTimeoutOrNull(WARM_UP_MS) {
+                    val client = HttpClient(selector, Address(LOOPBACK, front), maxConnections = 2, maxWaiting = 4)
+                    repeat(ROUNDS) {
+                        client.call("POST", "/checkin", REPORT, CALL_MS)
+                        client.call("GET", "/api/jobs/job-000001", null, CALL_MS)
+                        client.call("POST", "/api/jobs", JOB, CALL_MS)
+                        client.call("GET", "/up", null, CALL_MS)
                     }
                 }
                 StateCodec.items(ITEMS)
@@ -85,6 +86,12 @@
     """.trimIndent()
 
     private companion object {
+        const val LOOPBACK = "127.0.0.1"
+        const val MAX_CONNECTIONS = 10
+        const val WARM_UP_MS = 1_500L
+        const val ROUNDS = 20
+        const val CALL_MS = 500L
+        const val OK = 200
         val EMPTY = "{}".encodeToByteArray()
         val REPORT = """{"berth":"i-1","address":"127.0.0.1:9","build":"b","yard":"z","loaners":false,"watch":1,"tally":1,
             "baton":0,"recall_s":null,"pieces":[{"piece":"job-000001/0","try":1,"stage":"running"}]}"""
--- a/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
@@ -70,11 +70,16 @@
     lateinit var out: File
 
     override fun call(): Int {
-        val secret = ByteArray(32).also { SecureRandom().nextBytes(it) }
+        val secret = ByteArray(SECRET_BYTES).also { SecureRandom().nextBytes(it) }
         KeyFiles.write(out, "keys:\n  - id: \"$id\"\n    secret: ${Base64.getEncoder().encodeToString(secret)}\n")
         println(
-            "$out: the same file for every node; to replace a key, add the new one below, then move it up, then drop the old one",
+            "$out: the same file for every node; to replace a key, add the new one below, then move it up, " +
+                "then drop the old one",
         )
         return 0
     }
+
+    private companion object {
+        const val SECRET_BYTES = 32
+    }
 }
--- a/src/main/kotlin/plankwall/cli/settings/InvalidSettingsException.kt
+++ b/src/main/kotlin/plankwall/cli/settings/InvalidSettingsException.kt
@@ -7,9 +7,9 @@
 import java.io.IOException
 
 /**
- * Settings, or another input of a command, that can't be used. [setting]: the file, key or option that is wrong; null if
- * the message names none at its start. [problem]: what is wrong with it, and what would do. The message, which joins both,
- * is shown to the user.
+ * Settings, or another input of a command, that can't be used. [setting]: the file, key or option that is wrong; null
+ * if the message names none at its start. [problem]: what is wrong with it, and what would do. The message, which
+ * joins both, is shown to the user.
  */
 class InvalidSettingsException private constructor(
     val setting: String?,
--- a/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/TuningFile.kt
@@ -5,7 +5,9 @@
 import plankwall.model.Tuning
 import java.io.File
 
-/** Reads the operators' own settings (YAML). An unknown key is refused: a misspelt one would silently change nothing. */
+/**
+ * Reads the operators' own settings (YAML). An unknown key is refused: a misspelt one would silently change nothing.
+ */
 object TuningFile {
     private class Key(val range: ClosedFloatingPointRange<Double>, val set: (Tuning, Double) -> Tuning)
 
--- a/src/main/kotlin/plankwall/io/ApiRoutes.kt
+++ b/src/main/kotlin/plankwall/io/ApiRoutes.kt
@@ -9,8 +9,8 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Maps HTTP requests of users and workers to inputs of the core. [authenticated]: whether callers prove who they are; the
- * policy and the audit log exist only then. [ask] passes an input to the core and waits for its answer.
+ * Maps HTTP requests of users and workers to inputs of the core. [authenticated]: whether callers prove who they are;
+ * the policy and the audit log exist only then. [ask] passes an input to the core and waits for its answer.
  */
 internal class ApiRoutes(
     private val authenticated: Boolean,
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -83,10 +83,10 @@
 
     /**
      * Sends queued frames until the connection fails, is closed or reaches its maximum age. A receiver closes a
-     * connection that was silent for a while, as in a network partition; frames written to it afterwards are lost without
-     * an error, for as long as both processes live, and every later leader would wait in vain for the status of all its
-     * peers. Nothing is ever sent back, so the first thing read is the end; a connection whose end was lost on the way is
-     * replaced for its age.
+     * connection that was silent for a while, as in a network partition; frames written to it afterwards are lost
+     * without an error, for as long as both processes live, and every later leader would wait in vain for the status
+     * of all its peers. Nothing is ever sent back, so the first thing read is the end; a connection whose end was lost
+     * on the way is replaced for its age.
      */
     private suspend fun sendFrames(socket: Socket, queue: Channel<ByteArray>) = coroutineScope {
         val output = socket.openWriteChannel(autoFlush = false)
@@ -123,7 +123,8 @@
         } catch (e: CancellationException) {
             throw e
         } catch (
-            // Sockets, channels and the codecs fail in many ways; each ends this connection, and the peer makes another.
+            // Sockets, channels and the codecs fail in many ways; each ends this connection, and the peer makes
+            // another.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
             log.debug("incoming peer connection ended error={}", e.toString())
--- a/src/main/kotlin/plankwall/io/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/io/WorkerCommands.kt
@@ -14,8 +14,8 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Sends commands to workers directly. They only hasten what the answer to the next heartbeat brings anyway: those beyond
- * the bound of the queue are dropped. [onReply] gets the status in every answer.
+ * Sends commands to workers directly. They only hasten what the answer to the next heartbeat brings anyway: those
+ * beyond the bound of the queue are dropped. [onReply] gets the status in every answer.
  */
 internal class WorkerCommands(
     private val scope: CoroutineScope,
--- a/src/main/kotlin/plankwall/wire/AccessRecords.kt
+++ b/src/main/kotlin/plankwall/wire/AccessRecords.kt
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.core.JsonParser
 
 /**
- * Which version of the policy is in force. Every change that was authorized is guarded on this key's version, so none is
- * stored under a policy that had been replaced when the change was applied. [parts]: under how many keys the text is
- * stored. [digest]: of the text. [by]: the principal that published it, at wall-clock [atMs].
+ * Which version of the policy is in force. Every change that was authorized is guarded on this key's version, so none
+ * is stored under a policy that had been replaced when the change was applied. [parts]: under how many keys the text
+ * is stored. [digest]: of the text. [by]: the principal that published it, at wall-clock [atMs].
  */
 data class RightsHead(val version: Long, val parts: Int, val digest: String, val by: String, val atMs: Long) : Stored
 
@@ -18,8 +18,8 @@
 
 /**
  * Consecutive entries of one node's audit log, from number [first] on. [lines] are kept as the very bytes that were
- * hashed: a value that the state service wrote again with other spaces would otherwise look like an edit. [before] is the
- * hash of the entry before the first.
+ * hashed: a value that the state service wrote again with other spaces would otherwise look like an edit. [before] is
+ * the hash of the entry before the first.
  */
 data class AuditSegment(val first: Long, val before: String, val lines: List<String>) : Stored
 
--- a/src/main/kotlin/plankwall/wire/AdminCodec.kt
+++ b/src/main/kotlin/plankwall/wire/AdminCodec.kt
@@ -1,6 +1,9 @@
 package plankwall.wire
 
-/** Requests of administrators about the policy and the audit log, and their answers. Those that read throw [MalformedMessageException]. */
+/**
+ * Requests of administrators about the policy and the audit log, and their answers. Those that read throw
+ * [MalformedMessageException].
+ */
 object AdminCodec {
     /** A policy to publish after version [base]: a new [text], or the text of the earlier version [to]. */
     class Publication(val base: Long, val text: String?, val to: Long?)
--- a/src/main/kotlin/plankwall/wire/JobCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobCodec.kt
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Reads the description that [p] stands on; throws [MalformedMessageException]. A submission has to be [whole], with
-     * every flag; see [JobSpecReader].
+     * Reads the description that [p] stands on; throws [MalformedMessageException]. A submission has to be [whole],
+     * with every flag; see [JobSpecReader].
      */
     fun read(p: JsonParser, whole: Boolean = false): JobSpec = JobSpecReader(complete = whole).read(p)
 
@@ -78,7 +78,9 @@
         if (jobIds.isNotEmpty()) arr(Fields.DEPENDENCIES) { jobIds.forEach { writeString(it) } }
     }
 
-    /** The submission [description], checked, with the dependencies [more] added; throws [MalformedMessageException]. */
+    /**
+     * The submission [description], checked, with the dependencies [more] added; throws [MalformedMessageException].
+     */
     fun withDependencies(description: ByteArray, more: List<String>): ByteArray {
         val spec = read(description)
         val extended = description(spec.copy(dependencies = (spec.dependencies + more).distinct()))
--- a/src/main/kotlin/plankwall/wire/JobRecords.kt
+++ b/src/main/kotlin/plankwall/wire/JobRecords.kt
@@ -32,8 +32,8 @@
 
 /**
  * The state of up to [JobRecord.pageSize] tasks of one job. Only the leader writes it. A page that is too large for a
- * stored value is divided: it then holds its first [partSize] tasks, and further keys ([Keys.part]) as many each. 0: not
- * divided.
+ * stored value is divided: it then holds its first [partSize] tasks, and further keys ([Keys.part]) as many each. 0:
+ * not divided.
  */
 data class PageRecord(val done: BitSet, val placements: List<StoredPlacement>, val partSize: Int = 0) : Stored
 
--- a/src/main/kotlin/plankwall/wire/JobSpecReader.kt
+++ b/src/main/kotlin/plankwall/wire/JobSpecReader.kt
@@ -10,8 +10,8 @@
 
 /**
  * Reads one job description field by field and checks it: what is accepted here is stored for good. Every flag of a
- * description that has to be [complete] must be given: a flag that is missing is not the same as one that is false, since
- * the job could be placed where its owner did not want it.
+ * description that has to be [complete] must be given: a flag that is missing is not the same as one that is false,
+ * since the job could be placed where its owner did not want it.
  */
 internal class JobSpecReader(private val complete: Boolean) {
     private var id: String? = null
--- a/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
+++ b/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
@@ -2,7 +2,8 @@
 
 /**
  * A message or a stored value that is not in the protocol's form. [field]: the field, or the kind of message, that is
- * wrong; null if the whole message is. [problem]: what is wrong with it. The message, which joins both, is shown to users.
+ * wrong; null if the whole message is. [problem]: what is wrong with it. The message, which joins both, is shown to
+ * users.
  */
 class MalformedMessageException private constructor(
     val field: String?,
--- a/src/main/kotlin/plankwall/wire/NameRuns.kt
+++ b/src/main/kotlin/plankwall/wire/NameRuns.kt
@@ -1,8 +1,8 @@
 package plankwall.wire
 
 /**
- * Machine names come numbered in order of creation, so those of one scale-out are mostly consecutive: written as a first
- * name and how many follow it, hundreds of them fit a stored value of a few KiB.
+ * Machine names come numbered in order of creation, so those of one scale-out are mostly consecutive: written as a
+ * first name and how many follow it, hundreds of them fit a stored value of a few KiB.
  */
 internal object NameRuns {
     /** Passes every run of consecutive [names], in order, to [run]. */
--- a/src/main/kotlin/plankwall/wire/RecordCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RecordCodec.kt
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Reads the value of [key] that [parser] stands on. Null for a key of a kind that this version does not know; throws
-     * [MalformedMessageException] for a value that can't be read.
+     * Reads the value of [key] that [parser] stands on. Null for a key of a kind that this version does not know;
+     * throws [MalformedMessageException] for a value that can't be read.
      */
     fun read(key: String, parser: JsonParser): Stored? = when {
         key == Keys.LEADER -> LeadershipRecordCodec.readLeader(parser)
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -3,8 +3,8 @@
 import okio.Buffer
 
 /**
- * Heartbeats and answers that are relayed through another node. Binary: the leader reads hundreds of them at a time when
- * connections are cut.
+ * Heartbeats and answers that are relayed through another node. Binary: the leader reads hundreds of them at a time
+ * when connections are cut.
  */
 internal object RelayCodec {
     fun write(buffer: Buffer, heartbeat: RelayedHeartbeat): ByteArray {
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -1,14 +1,14 @@
 package plankwall.wire
 
 /**
- * A node's share in serving workers' sessions. [capacity]: how many it has connections for. [plan]: of the leader, while
- * it shards them.
+ * A node's share in serving workers' sessions. [capacity]: how many it has connections for. [plan]: of the leader,
+ * while it shards them.
  */
 data class SessionUpdate(val capacity: Int, val plan: SessionPlan? = null)
 
 /**
- * The nodes that serve the workers of each zone while the leader of [epoch] leads. Workers of other zones connect to the
- * leader.
+ * The nodes that serve the workers of each zone while the leader of [epoch] leads. Workers of other zones connect to
+ * the leader.
  */
 data class SessionPlan(val epoch: Long, val zones: Map<String, List<SessionShare>>)
 
@@ -42,8 +42,8 @@
 ) : BatchedHeartbeat
 
 /**
- * Heartbeats of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from] had
- * received from the leader before the first of them arrived, which tells the leader how old they can be.
+ * Heartbeats of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from]
+ * had received from the leader before the first of them arrived, which tells the leader how old they can be.
  */
 data class HeartbeatBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedHeartbeat>) :
     PeerMessage {
--- a/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
@@ -3,7 +3,9 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import plankwall.wire.StateCodec.entry
 
-/** The state service's side of its protocol, for simulations: reads what [StateCodec] writes and writes what it reads. */
+/**
+ * The state service's side of its protocol, for simulations: reads what [StateCodec] writes and writes what it reads.
+ */
 object StateServiceCodec {
     fun readTxn(bytes: ByteArray): StateOp.Txn = parseJson(bytes) { p ->
         val guards = ArrayList<Guard>()
--- a/src/main/kotlin/plankwall/wire/WorkerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerMessages.kt
@@ -4,8 +4,9 @@
 enum class TaskStage { FETCHING, WAITING, RUNNING, SAVING, EXITED }
 
 /**
- * Why a task exited. [PEER_LOST]: another task of its gang disappeared. [GANG_INCOMPLETE]: its gang was not complete in
- * time. [INSUFFICIENT_RESOURCES] and [OTHER_ATTEMPT_PRESENT]: the machine refused to start it. Frames carry the ordinal.
+ * Why a task exited. [PEER_LOST]: another task of its gang disappeared. [GANG_INCOMPLETE]: its gang was not complete
+ * in time. [INSUFFICIENT_RESOURCES] and [OTHER_ATTEMPT_PRESENT]: the machine refused to start it. Frames carry the
+ * ordinal.
  */
 enum class ExitCause {
     DONE,
