--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable
 import java.util.stream.IntStream
 
-/** Experiments in virtual time, with the cores as they are and stand-ins for all the rest. */
+/** Groups the commands that simulate: the controllers' cores in virtual time, everything else simulated. */
 @Command(
     name = "lab",
     description = ["Plays days in virtual time against stand-ins; needs no site."],
@@ -45,37 +45,40 @@
         val results = IntStream.range(first, first + days).parallel()
             .mapToObj { LinkFaultScenario(it.toLong(), nodes[it % nodes.size], machines).play() }.toList()
         if (each) {
-            results.forEach { r ->
+            results.forEach { day ->
                 println(
-                    "day ${r.seed}, ${r.nodes} nodes: killed ${r.tasksKilledByLease} (${r.avoidableKills}), leads ${r.leaderChanges}; ${r.faults}",
+                    "day ${day.seed}, ${day.nodes} nodes: " +
+                        "killed ${day.tasksKilledByLease} (${day.avoidableKills}), leads ${day.leaderChanges}; ${day.faults}",
                 )
             }
         }
-        results.forEach { r -> r.violations.forEach { println("day ${r.seed}: $it") } }
+        results.forEach { day -> day.violations.forEach { println("day ${day.seed}: $it") } }
         println(
-            "nodes   days  broken  killed by lease  of these avoidable  leads a day  served after p50  p90  p99  max (s)",
+            "nodes   days  broken  killed by lease  of these avoidable  leads a day  " +
+                "served after p50  p90  p99  max (s)",
         )
-        for ((n, group) in results.groupBy { it.nodes }.toSortedMap()) {
+        for ((nodeCount, group) in results.groupBy { it.nodes }.toSortedMap()) {
             val served = Histogram(group.first().servedMs)
             group.forEach { served.add(it.servedMs) }
             println(
                 "%5d %6d %7d %16d %19d %12.1f %17.1f %4.1f %4.1f %4.1f".format(
-                    n, group.size,
-                    group.sumOf {
-                        it.violations.size
-                    },
-                    group.sumOf { it.tasksKilledByLease }, group.sumOf { it.avoidableKills },
-                    group.map {
-                        it.leaderChanges
-                    }.average(),
-                    served.s(50.0), served.s(90.0), served.s(99.0), served.s(100.0),
+                    nodeCount,
+                    group.size,
+                    group.sumOf { it.violations.size },
+                    group.sumOf { it.tasksKilledByLease },
+                    group.sumOf { it.avoidableKills },
+                    group.map { it.leaderChanges }.average(),
+                    served.seconds(percentile = 50.0),
+                    served.seconds(percentile = 90.0),
+                    served.seconds(percentile = 99.0),
+                    served.seconds(percentile = 100.0),
                 ),
             )
         }
         return if (results.any { it.violations.isNotEmpty() }) 1 else 0
     }
 
-    private fun Histogram.s(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
+    private fun Histogram.seconds(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
 }
 
 @Command(
@@ -97,29 +100,18 @@
     private var nodes = listOf(3, 5, 7)
 
     override fun call(): Int {
-        val results = IntStream.range(first, first + days).parallel().mapToObj {
-            MixedFaultScenario(
-                it.toLong(),
-                nodes[
-                    it %
-                        nodes.size,
-                ],
-            ).play()
-        }.toList()
-        for (r in results) {
-            r.violations.forEach { println("day ${r.seed}: $it") }
-            if (r.unfinishedJobs.isNotEmpty()) {
-                println(
-                    "day ${r.seed}, ${r.nodes} nodes: not done ${r.unfinishedJobs}; ${r.faults}",
-                )
+        val results = IntStream.range(first, first + days).parallel()
+            .mapToObj { MixedFaultScenario(it.toLong(), nodes[it % nodes.size]).play() }.toList()
+        for (day in results) {
+            day.violations.forEach { println("day ${day.seed}: $it") }
+            if (day.unfinishedJobs.isNotEmpty()) {
+                println("day ${day.seed}, ${day.nodes} nodes: not done ${day.unfinishedJobs}; ${day.faults}")
             }
         }
         println(
             "%d days: %d rules broken, %d jobs not done, at most %d machines at a time, %d starts".format(
                 days,
-                results.sumOf {
-                    it.violations.size
-                },
+                results.sumOf { it.violations.size },
                 results.sumOf { it.unfinishedJobs.size },
                 results.maxOf { it.maxInstances },
                 results.sumOf { it.starts },
