--- a/src/main/kotlin/plankwall/simulation/CancellationRule.kt
+++ b/src/main/kotlin/plankwall/simulation/CancellationRule.kt
@@ -11,7 +11,7 @@
     /** Cancelled jobs that may have a running task. */
     private val mayRun = LinkedHashSet<String>()
 
-    /** Tasks whose start was commanded after the cancellation was confirmed; what was commanded before may still start. */
+    /** Tasks whose start was commanded after the cancellation was confirmed; one commanded before may still start. */
     var startsAfterCancel = 0
         private set
 
--- a/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
+++ b/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
@@ -7,7 +7,7 @@
 import plankwall.wire.StateResult
 import plankwall.wire.Write
 
-/** Carries out the effects of one [controller]: calls of the stand-ins over links that may fail, and the answers back. */
+/** Carries out the effects of one [controller]: calls of the stand-ins over links that may fail, and their answers. */
 internal class ControllerEffects(private val cluster: SimulatedCluster, private val controller: SimulatedController) {
     private val clock = cluster.clock
     private val state = cluster.state
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -6,11 +6,10 @@
 import plankwall.model.Shape
 
 /**
- * A day drawn by [seed] on which troubles meet in pairs, three times, while users withdraw every second job and ask for
- * all.
+ * A run drawn by [seed]: three pairs of faults that overlap, while users cancel every second job and poll all of them.
  */
 class FaultCombinationScenario(private val seed: Long, private val nodes: Int) {
-    /** [unfinishedJobs]: jobs that nobody withdrew and that were not done at the end, when all had been well for long. */
+    /** [unfinishedJobs]: jobs that nobody cancelled and that were not done at the end, long after the last fault. */
     class Result(
         val seed: Long,
         val nodes: Int,
@@ -27,7 +26,7 @@
         LEADER_ALONE,
         LATE_WRITES,
         LATE_REPORTS,
-        DEAF,
+        INBOUND_BLOCKED,
         CRASH,
         ALL_CRASH,
         FROZEN,
@@ -36,7 +35,7 @@
         SLOW_STORE,
         LOST_ANSWERS,
         COPIES_FOR_NEXT,
-        MUTE,
+        OUTBOUND_BLOCKED,
         HANG,
         CLOSE_LOOKS,
         ODD_REQUESTS,
@@ -70,8 +69,8 @@
             }
         }
         for (n in 10 until 60) job(n, 5.0 + (n - 10) * 6.0)
-        for (meeting in 0 until 3) {
-            val at = 50.0 + meeting * 85.0 + random.nextDouble() * 10.0
+        for (combination in 0 until 3) {
+            val at = 50.0 + combination * 85.0 + random.nextDouble() * 10.0
             val first = begin(Kind.entries[random.nextInt(Kind.entries.size)], at)
             begin(Kind.entries[random.nextInt(Kind.entries.size)], at + random.nextDouble() * minOf(first, 8.0))
         }
@@ -135,12 +134,12 @@
             }) { cluster.faults.lateHeartbeatCopies = 0.0 }
             Kind.SLOW_STORE -> during(forS, { cluster.faults.answerLoss = 0.2 }) { cluster.faults.answerLoss = 0.0 }
             Kind.CUT_ZONE -> during(forS, { cluster.faults.cutZones.add("a") }) { cluster.faults.cutZones.remove("a") }
-            Kind.DEAF -> half().let { ids ->
+            Kind.INBOUND_BLOCKED -> half().let { ids ->
                 during(forS, {
                     cluster.faults.inboundBlocked.addAll(ids)
                 }) { cluster.faults.inboundBlocked.removeAll(ids) }
             }
-            Kind.MUTE -> half().let { ids ->
+            Kind.OUTBOUND_BLOCKED -> half().let { ids ->
                 during(forS, {
                     cluster.faults.outboundBlocked.addAll(ids)
                 }) { cluster.faults.outboundBlocked.removeAll(ids) }
--- a/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
@@ -20,7 +20,7 @@
     /** Share of the heartbeats of which a copy arrives again, up to two leases later. */
     var lateHeartbeatCopies = 0.0
 
-    /** Share of the heartbeats of which a copy reaches every controller as the next leader is elected, and again later. */
+    /** Share of the heartbeats of which a copy reaches all controllers as the next leader is elected, and again later. */
     var copiesForNextLeader = 0.0
 
     /** Controllers of the previous version: they send no links, and end a link that carries frames unknown to them. */
@@ -45,8 +45,8 @@
     var pollFactor = 1.0
 
     /**
-     * Users send requests to all controllers within milliseconds, and repeat them, right after a job was accepted, ended
-     * or cancelled.
+     * Users send requests to all controllers within milliseconds, and repeat them, right after a job was accepted,
+     * ended or cancelled.
      */
     var concurrentRequests = false
 
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -7,13 +7,13 @@
 import plankwall.model.Shape
 
 /**
- * A day of link troubles drawn by [seed], at a site of [nodes] nodes and some [machines] machines, nearly all of them
+ * A run with link faults drawn by [seed], on a cluster of [nodes] controllers and some [machines] machines, nearly all of them
  * at work on replicas of live services.
  */
 class LinkFaultScenario(private val seed: Long, private val nodes: Int, private val machines: Int) {
     /**
-     * [tasksKilledByLease]: tasks killed by their worker as its lease ran out; [avoidableKills]: of these, where the worker did
-     * reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
+     * [tasksKilledByLease]: tasks killed by their worker as its lease expired; [avoidableKills]: of these, where the
+     * worker did reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
      * the start of each trouble to the next answer that each worker took.
      */
     class Result(
@@ -43,7 +43,7 @@
         work(cluster)
         drawn.forEach { it.schedule(cluster) }
         drawn.forEach { t -> cluster.clock.after(t.at) { since(cluster, cluster.clock.now) } }
-        cluster.onHeartbeatServed = { worker, _ -> heard(worker.id, cluster.clock.now) }
+        cluster.onHeartbeatServed = { worker, _ -> onServed(worker.id, cluster.clock.now) }
         cluster.onHeartbeatReceived =
             { worker, node -> if (couldServe(cluster, worker, node)) couldServe[worker.id] = cluster.clock.now }
         cluster.onTasksKilledByLease = { worker, tasks ->
@@ -69,8 +69,15 @@
         }
         cluster.clock.runUntil(endS)
         return Result(
-            seed, nodes, drawn, cluster.checker.violations.toList(), cluster.tasksKilledByLease, avoidableKills, leaderChanges,
-            cluster.checker.starts, served,
+            seed = seed,
+            nodes = nodes,
+            faults = drawn,
+            violations = cluster.checker.violations.toList(),
+            tasksKilledByLease = cluster.tasksKilledByLease,
+            avoidableKills = avoidableKills,
+            leaderChanges = leaderChanges,
+            starts = cluster.checker.starts,
+            servedMs = served,
         )
     }
 
@@ -110,7 +117,7 @@
         waitingSince.add(now to cluster.cloud.workers.map { it.id }.toHashSet())
     }
 
-    private fun heard(worker: String, now: Double) {
+    private fun onServed(worker: String, now: Double) {
         for ((at, left) in waitingSince) {
             if (left.remove(worker)) {
                 served.recordValue(
--- a/src/main/kotlin/plankwall/simulation/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/simulation/RuleChecker.kt
@@ -91,7 +91,8 @@
     fun pollEnded(id: String, answered: Boolean, now: Double) = progress.onPollEnded(id, answered, now)
 
     /**
-     * Once all faults are over, no job may wait while one of [machines] has room for it and its team is under its quota.
+     * Once all faults are over, no job may wait while one of [machines] has room for it and its team is under its
+     * quota.
      * [machines]: the healthy and reachable ones, with the capacity of each.
      */
     fun checkStalled(machines: Map<SimulatedWorker, Resources>, now: Double) = progress.checkStalled(machines, now)
--- a/src/main/kotlin/plankwall/simulation/SimulatedController.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedController.kt
@@ -15,8 +15,8 @@
 import plankwall.wire.ProgressUpdate
 
 /**
- * One controller of a [SimulatedCluster]: the real core with virtual clocks; [ControllerEffects] carries its calls to the
- * stand-ins over links that may fail.
+ * One controller of a [SimulatedCluster]: the real core with virtual clocks; [ControllerEffects] carries its calls to
+ * the stand-ins over links that may fail.
  */
 class SimulatedController(private val cluster: SimulatedCluster, val name: String, private val ownSettings: Settings) {
     private class LateInput(val processNumber: Int, val input: Input)
--- a/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
@@ -2,7 +2,7 @@
 
 /** How a cut link fails those who use it. */
 enum class LinkCut {
-    /** Told at once: a reset or a refused connection. */
+    /** The sender gets an error at once: a reset or a refused connection. */
     REFUSE,
 
     /** Nothing ever arrives. */
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -22,7 +22,7 @@
     private val leases = HashMap<Long, Lease>()
     private val history = ArrayList<StateEvent>()
 
-    /** How many changes are kept at least; who asks for what came before is told that it is too old. */
+    /** How many changes are kept at least; a request for older ones is answered [StateResult.TooOld]. */
     var historyLimit = Int.MAX_VALUE
     private var forgottenUpTo = 0L
     private val watchers = ArrayList<Watcher>()
@@ -197,7 +197,7 @@
 
     private fun close(w: Watcher) {
         if (!w.open) return
-        // Open watches stay open through an outage, and tell nothing meanwhile.
+        // Open watches stay open through an outage and are answered after it.
         if (outage) return clock.after(0.1) { close(w) }
         w.open = false
         watchers.remove(w)
@@ -216,7 +216,7 @@
 
     private fun changes(prefix: String, after: Long) = since(after).filter { it.key.startsWith(prefix) }
 
-    /** The history rises by version; a long day reads its end thousands of times. */
+    /** The history is sorted by version; a long run reads its end thousands of times. */
     private fun since(after: Long): List<StateEvent> {
         val at = history.binarySearchBy(after + 1) { it.version }
         var first = if (at >= 0) at else -at - 1
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -7,7 +7,8 @@
 import java.util.Random
 
 /**
- * The cluster around a [SimulatedWorker]: its clock, the controllers that it reports to, and the observers of what it does.
+ * The cluster around a [SimulatedWorker]: its clock, the controllers that it reports to, and the observers of what it
+ * does.
  * A [SimulatedCluster] carries reports in virtual time; the scale run carries them over sockets.
  */
 interface WorkerHost {
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -9,11 +9,11 @@
 import plankwall.simulation.SimulatedCluster
 import java.util.stream.LongStream
 
-/** Troubles that meet: every rule that the checker knows, and every job that nobody withdrew is done in the end. */
+/** Faults that overlap: no rule is violated, and every job that nobody cancelled is done in the end. */
 class FaultCombinationScenarioTest {
-    /** A dozen here; `-Dmeetings=300` plays more, from `-DfirstMeeting=` on. */
+    /** A dozen here; `-Dmeetings=300` runs more, from `-DfirstMeeting=` on. */
     @Test
-    fun `troubles drawn in pairs break no rule`() {
+    fun `faults drawn in pairs violate no rule`() {
         val first = java.lang.Long.getLong("firstMeeting", 1L)
         val days = LongStream.range(first, first + java.lang.Long.getLong("meetings", 12L)).parallel().mapToObj {
             FaultCombinationScenario(
@@ -40,8 +40,8 @@
     }
 
     /**
-     * The leader crashes [crashAfterS] after [inboundBlocked] machines stopped hearing answers; what ran there starts again
-     * elsewhere.
+     * The leader crashes [crashAfterS] after [inboundBlocked] machines stopped receiving answers; what ran there starts
+     * again elsewhere.
      */
     private fun startsWithBlockedMachines(inboundBlocked: Int, crashAfterS: Double): Int {
         val cluster = SimulatedCluster(3, nodeCount = 3)
@@ -52,15 +52,15 @@
         assertEquals(12, cluster.checker.starts)
         cluster.faults.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
         cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
-        // Reports go on for all this time, and those of the deaf never show the new leader's token.
+        // Reports go on for all this time, and those of the blocked machines never show the new leader's token.
         cluster.clock.runUntil(50.0 + crashAfterS + 2 * cluster.settings.workers.leaseS + 40.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         return cluster.checker.starts
     }
 
-    @ParameterizedTest(name = "{0} deaf, {1} s before the leader ends")
+    @ParameterizedTest(name = "{0} blocked, {1} s before the leader ends")
     @CsvSource("1, 1, 16", "1, 8, 16", "0, 1, 12")
-    fun `a machine that hears no new leader keeps nothing for ever`(
+    fun `a machine that receives nothing of the new leader keeps no task for ever`(
         inboundBlocked: Int,
         crashAfterS: Double,
         starts: Int,
@@ -69,7 +69,7 @@
     }
 
     @Test
-    fun `most machines deaf move no lead to and fro, and their work starts elsewhere`() {
+    fun `most machines that receive nothing cause no repeated failover, and their tasks start elsewhere`() {
         assertEquals(24, startsWithBlockedMachines(inboundBlocked = 3, crashAfterS = 1.0))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
@@ -13,7 +13,7 @@
 
 /** Machines that are out of reach, hang or fail, combined with cancellations and failovers. */
 class MachineFaultCombinationsTest : FaultCombinationFixture() {
-    @ParameterizedTest(name = "{0} nodes, {1} of the machines deaf, the leader ends: {2}")
+    @ParameterizedTest(name = "{0} nodes, {1} of the machines receive nothing, the leader ends: {2}")
     @CsvSource("3, 1.0, true", "5, 1.0, true", "7, 1.0, true", "5, 0.7, true", "7, 0.7, false", "3, 0.7, false")
     fun `machines that receive nothing cause no failover`(nodes: Int, share: Double, leaderEnds: Boolean) {
         startJobs(nodes)
@@ -28,9 +28,9 @@
         assertNoViolations()
     }
 
-    @ParameterizedTest(name = "{0} of the machines mute, the leader ends: {1}")
+    @ParameterizedTest(name = "{0} of the machines send nothing, the leader ends: {1}")
     @CsvSource("0.3, false", "0.3, true", "1.0, true", "1.0, false")
-    fun `machines whose heartbeats are lost - tasks start elsewhere, cancelled ones are stopped by commands, no failover`(
+    fun `machines whose heartbeats are lost - tasks start elsewhere, cancelled ones are stopped, no failover`(
         share: Double,
         leaderEnds: Boolean,
     ) {
--- a/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
@@ -16,7 +16,7 @@
 class MixedFaultDaysTest {
     @ParameterizedTest(name = "{0} nodes")
     @CsvSource("3, 1 2 3 4", "5, 5 6 7 8", "7, 9 10 11 12")
-    fun `nights with all troubles drawn by seed`(nodes: Int, seeds: String) {
+    fun `mixed faults drawn by seed`(nodes: Int, seeds: String) {
         val nights = seeds.split(' ').map { MixedFaultScenario(it.toLong(), nodes).play() }
         assertEquals(emptyList<String>(), nights.flatMap { it.violations })
         assertEquals(emptyList<String>(), nights.flatMap { n -> n.unfinishedJobs.map { "${n.seed}: $it not done" } })
