--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -91,16 +91,17 @@
     /** Decides [action] on [job]: a deny that applies wins, else the first allow, else it is denied. */
     fun authorize(principal: String, action: Action, job: JobFacts?): Verdict {
         val known = principals[principal]
-        if (known == null) return Verdict(false, UNKNOWN)
-        if (known.disabled) return Verdict(false, DISABLED)
-        var allowing: Rule? = null
-        for (rule in rulesOf(principal)) {
-            if (action !in rule.actions || !holds(rule.condition, principal, job)) continue
-            if (!rule.allows) return Verdict(false, rule.name, rule.cancel ?: false)
-            if (allowing == null) allowing = rule
+        return when {
+            known == null -> Verdict(false, UNKNOWN)
+            known.disabled -> Verdict(false, DISABLED)
+            else -> decide(principal, action, job)
         }
-        if (allowing == null) return Verdict(false, NOTHING_ALLOWS)
-        return Verdict(true, allowing.name, allowing.cancel ?: false)
+    }
+
+    private fun decide(principal: String, action: Action, job: JobFacts?): Verdict {
+        val applying = rulesOf(principal).filter { action in it.actions && holds(it.condition, principal, job) }
+        val deciding = applying.find { !it.allows } ?: applying.firstOrNull() ?: return Verdict(false, NOTHING_ALLOWS)
+        return Verdict(deciding.allows, deciding.name, deciding.cancel ?: false)
     }
 
     /** Whether the first rule that denies it to [principal] cancels running jobs; null if none does or says. */
--- a/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
@@ -63,7 +63,7 @@
             item.until?.let(::instant) ?: (Long.MAX_VALUE / 2),
         )
     } catch (e: MalformedKeyException) {
-        throw at(item.STRING(0).symbol, e.message.orEmpty())
+        throw at(item.STRING(0).symbol, e.problem, e)
     }
 
     private fun instant(token: Token): Long = try {
@@ -144,8 +144,16 @@
         c.term().map(::term).let { if (it.size == 1) it[0] else Condition.All(it) }
 
     private fun term(t: RightsParser.TermContext): Condition {
-        t.condition()?.let { return condition(it) }
-        t.term()?.let { return Condition.Not(term(it)) }
+        val inBrackets = t.condition()
+        val negated = t.term()
+        return when {
+            inBrackets != null -> condition(inBrackets)
+            negated != null -> Condition.Not(term(negated))
+            else -> comparison(t)
+        }
+    }
+
+    private fun comparison(t: RightsParser.TermContext): Condition {
         val attribute =
             Attribute.entries.find { it.word == t.name(0).text() }
                 ?: t.name(0).unknown("property of a job", Attribute.entries.map { it.word })
@@ -189,8 +197,8 @@
     private fun RightsParser.NameContext.unknown(what: String, known: Collection<String>): Nothing =
         fail("no $what is called '${text()}'${PolicyReader.suggest(text(), known)}")
 
-    private fun at(token: Token, problem: String) =
-        InvalidPolicyException(token.line, token.charPositionInLine + 1, problem)
+    private fun at(token: Token, problem: String, cause: Throwable? = null) =
+        InvalidPolicyException(token.line, token.charPositionInLine + 1, problem, cause)
 
     private companion object {
         const val MAX_NAME = 100
--- a/src/main/kotlin/plankwall/authorization/PolicyReader.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyReader.kt
@@ -11,8 +11,8 @@
 import plankwall.authorization.grammar.RightsParser
 
 /** The first problem in the text of a policy. [line] and [column] count from 1. */
-class InvalidPolicyException(val line: Int, val column: Int, val problem: String) :
-    Exception("line $line, column $column: $problem", null, false, false)
+class InvalidPolicyException(val line: Int, val column: Int, val problem: String, cause: Throwable? = null) :
+    Exception("line $line, column $column: $problem", cause, false, false)
 
 /** Parses the text of a policy. */
 object PolicyReader {
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -52,24 +52,35 @@
     @Option(names = ["--follow"], description = ["Show every change until all are done or cancelled."])
     var follow = false
 
+    /** The worst of all answers so far. */
+    private var exitCode = 0
+
+    /** What was printed last of each job. */
+    private val shown = HashMap<String, String>()
+
     override fun call(): Int {
-        var worst = 0
-        val shown = HashMap<String, String>()
         val left = jobs.toMutableList()
         while (left.isNotEmpty()) {
-            for (job in left.toList()) {
-                val answer = calls.ask("GET", "/api/jobs/$job")
-                if (!follow || answer != null && answer.status in FINAL) {
-                    worst = maxOf(worst, calls.report(answer))
-                    left.remove(job)
-                } else if (answer != null && answer.status == 200) {
-                    if (shown.put(job, answer.body) != answer.body) println(answer.body)
-                    if (JobCodec.isOver(answer.body.encodeToByteArray())) left.remove(job)
-                }
-            }
+            left.removeAll(left.filter { showOnce(it) }.toSet())
             if (left.isNotEmpty()) Thread.sleep(POLL_MS)
         }
-        return worst
+        return exitCode
+    }
+
+    /** Shows [job] as it is now; true if nothing more is to be shown of it. */
+    private fun showOnce(job: String): Boolean {
+        val answer = calls.ask("GET", "/api/jobs/$job")
+        if (!follow || answer != null && answer.status in FINAL) {
+            exitCode = maxOf(exitCode, calls.report(answer))
+            return true
+        }
+        if (answer == null || answer.status != 200) return false
+        printIfChanged(job, answer.body)
+        return JobCodec.isOver(answer.body.encodeToByteArray())
+    }
+
+    private fun printIfChanged(job: String, view: String) {
+        if (shown.put(job, view) != view) println(view)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -48,7 +48,8 @@
             results.forEach { day ->
                 println(
                     "day ${day.seed}, ${day.nodes} nodes: " +
-                        "killed ${day.tasksKilledByLease} (${day.avoidableKills}), leads ${day.leaderChanges}; ${day.faults}",
+                        "killed ${day.tasksKilledByLease} (${day.avoidableKills}), " +
+                        "leads ${day.leaderChanges}; ${day.faults}",
                 )
             }
         }
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -100,7 +100,8 @@
             "accelerators":0.0,"ram_gb":1.0,"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
             .encodeToByteArray()
         val ITEMS =
-            """{"items":[{"key":"f/job-000001","data":{"stage":"DONE","done":1},"stamp":3}],"has_next":false,"ledger":3}"""
+            """{"items":[{"key":"f/job-000001","data":{"stage":"DONE","done":1},"stamp":3}],
+            "has_next":false,"ledger":3}"""
                 .encodeToByteArray()
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -164,7 +164,7 @@
      */
     private fun removeUnregistered() {
         val overdue = fleet.machines.firstOrNull { isRegistrationOverdue(it) } ?: return
-        scaleIn.scaleIn(overdue, "never registered")
+        scaleIn.request(overdue, "never registered")
     }
 
     private fun isRegistrationOverdue(machine: Machine): Boolean {
@@ -187,7 +187,7 @@
         }
         for (booting in missing) {
             val machine = fleet.find(booting.machine) ?: continue
-            scaleIn.scaleIn(machine, "group ${booting.group} short of it for long")
+            scaleIn.request(machine, "group ${booting.group} short of it for long")
         }
         return missing.isNotEmpty()
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
@@ -25,7 +25,7 @@
     fun remove() {
         for (machine in fleet.machines.toList()) {
             if (machine.returning) continue
-            failureOf(machine)?.let { scaleIn.scaleIn(machine, it) }
+            failureOf(machine)?.let { scaleIn.request(machine, it) }
         }
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -26,7 +26,7 @@
     private var isDeleting = false
 
     /** Begins to take [machine] out, for [reason]: it gets no more tasks, and those on it save and stop. */
-    fun scaleIn(machine: Machine, reason: String) {
+    fun request(machine: Machine, reason: String) {
         if (machine.returning) return
         machine.returning = true
         state.dirty = true
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -55,7 +55,7 @@
                     if (!capacity.fitsIn(spare)) return@forEach
                     spare -= capacity
                 }
-                scaleIn.scaleIn(machine, "unneeded for ${(ctx.now - machine.unneededSince).toInt()} s")
+                scaleIn.request(machine, "unneeded for ${(ctx.now - machine.unneededSince).toInt()} s")
             }
     }
 
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -125,7 +125,7 @@
             isPolling = false
             reachability.storeAnswered(result)
             if (!leading || lease != renewed) return@renew
-            nextPollAt = ctx.now + if (result == StateResult.Renewed) ttlS / 4 else RENEWAL_RETRY_S
+            nextPollAt = ctx.now + if (result == StateResult.Renewed) ttlS / RENEWALS_PER_LEASE else RENEWAL_RETRY_S
             when (result) {
                 StateResult.Renewed -> leaseExpiresAt = maxOf(leaseExpiresAt, sentAt + ttlS)
                 StateResult.NoLease -> resign("the state service ended the lease")
@@ -178,7 +178,7 @@
         leaseExpiresAt = leaseFrom + ttlS
         wonAt = ctx.now
         olderLeaders.reset()
-        nextPollAt = ctx.now + ttlS / 4
+        nextPollAt = ctx.now + ttlS / RENEWALS_PER_LEASE
         log.info("leader elected epoch={} lease={}", epoch, lease)
         onElected()
     }
@@ -241,6 +241,7 @@
 
         /** Below the older version's poll, so that this version is elected at the first change of leaders. */
         const val EAGER_POLL_S = 0.12
+        const val RENEWALS_PER_LEASE = 4
         const val RENEWAL_RETRY_S = 0.3
         const val RESIGNED_POLL_S = 0.2
     }
--- a/src/main/kotlin/plankwall/core/election/WithheldAnswers.kt
+++ b/src/main/kotlin/plankwall/core/election/WithheldAnswers.kt
@@ -4,7 +4,7 @@
 import plankwall.core.cancellations.Cancellations
 import plankwall.core.statemachine.Context
 
-/** Logs when this leader begins to withhold answers from workers since cancellations may be unknown, and when it ends. */
+/** Logs when this leader begins to withhold answers from workers, since cancellations may be unknown, and its end. */
 internal class WithheldAnswers(private val ctx: Context, private val cancellations: Cancellations) {
     private val log = LoggerFactory.getLogger("leadership")
     private var isLogged = false
--- a/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
@@ -21,18 +21,21 @@
         for (machine in fleet.machines) {
             if (machine.placements.isEmpty()) continue
             if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersSilentAt)) {
-                // Each is looked at when its turn comes: releasing one task of a gang may stop the others.
-                for (placement in machine.placements.values.toList()) {
-                    if (placement.stored || placement.commanded) {
-                        schedulerState.release(placement, "lease of ${machine.id} expired")
-                    }
-                }
+                releaseAll(machine)
             } else if (machine.registered && ctx.now - machine.lastHeard > ctx.settings.workers.missedS) {
                 releaseUncommanded(machine)
             }
         }
     }
 
+    private fun releaseAll(machine: Machine) {
+        // Each is looked at when its turn comes: releasing one task of a gang may stop the others.
+        for (placement in machine.placements.values.toList()) {
+            if (!placement.stored && !placement.commanded) continue
+            schedulerState.release(placement, "lease of ${machine.id} expired")
+        }
+    }
+
     /**
      * A task whose start was in no answer can't have started, so it may be placed elsewhere without further proof. All
      * that is known of the machine may be one old heartbeat that was held back until this node led, of a machine long
--- a/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
@@ -28,13 +28,9 @@
      */
     fun urgentOrders(machine: Machine): List<Order>? {
         if (!machine.unsent || !machine.registered || machine.address.isEmpty() || machine.deleting) return null
-        val stops = machine.placements.values.filter {
-            it.stopping != null && it.commanded && !it.stopPosted && !it.ended
-        }
+        val stops = machine.placements.values.filter { isStopUnsent(it) }
         stops.forEach { it.stopPosted = true }
-        val isStartDue = machine.placements.values.any {
-            it.stored && !it.commanded && it.stopping == null && it.session == machine.session
-        }
+        val isStartDue = machine.placements.values.any { isStartDue(machine, it) }
         val requestHeartbeat =
             isStartDue && ctx.now - machine.lastWokenAt > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
         if (requestHeartbeat) machine.lastWokenAt = ctx.now
@@ -42,6 +38,14 @@
         return if (stops.isEmpty() && !requestHeartbeat) null else stops.map(::stop)
     }
 
+    private fun isStopUnsent(placement: Placement): Boolean =
+        placement.stopping != null && placement.commanded && !placement.stopPosted && !placement.ended
+
+    private fun isStartDue(machine: Machine, placement: Placement): Boolean = placement.stored &&
+        !placement.commanded &&
+        placement.stopping == null &&
+        placement.session == machine.session
+
     private fun mayStart(machine: Machine, placement: Placement): Boolean = placement.stored &&
         !placement.seen &&
         !placement.job.cancelled &&
--- a/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -8,6 +8,7 @@
 import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.GroupKey
+import plankwall.model.MachineType
 import plankwall.model.Resources
 
 /**
@@ -133,15 +134,19 @@
         if (job.gatherZone != null && zone != job.gatherZone) return null
         if (!capacity.isEligible(job, machine, zones) || !job.spec.need.fitsIn(type.capacity)) return null
         if (machine.held !== Resources.NONE || machine.reservations.isNotEmpty()) return null
+        val roomInS = capacity.secondsUntilFree(job, machine) ?: return null
+        val freeInS = roomInS + machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+        return if (freeInS < maxWaitS(job, type, zone)) VacatingMachine(machine, freeInS) else null
+    }
+
+    /** Seconds within which room has to come free in [zone] to be worth more than a new machine of [type]. */
+    private fun maxWaitS(job: Job, type: MachineType, zone: String): Double {
         val mayGetNew = mayExpand(GroupKey(type.name, zone, false)) ||
             (job.spec.spot && mayExpand(GroupKey(type.name, zone, true)))
         val newMachineInS = type.bootS + type.fetchS(job.spec.imageGb)
         // A gang still incomplete when new machines should long be there does not wait for them again.
         val waitsForNew = mayGetNew && ctx.now - job.gatherSince < newMachineInS
-        val limitS = if (waitsForNew) newMachineInS * CLEARLY_SOONER_PART else Double.MAX_VALUE
-        val roomInS = capacity.secondsUntilFree(job, machine) ?: return null
-        val freeInS = roomInS + machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
-        return if (freeInS < limitS) VacatingMachine(machine, freeInS) else null
+        return if (waitsForNew) newMachineInS * CLEARLY_SOONER_PART else Double.MAX_VALUE
     }
 
     /** Several times as long as machines to complete the gang should take to come. */
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -123,10 +123,8 @@
 
     /** Places the waiting tasks of [job] one by one, and returns how many. */
     private fun placeTasks(job: Job, pass: Pass): Int {
-        if ((job.isGang || job.suspect) && job.placements.isNotEmpty()) return 0
-        if (capacity.reservedTasks(job) == 0 && job.equivalenceClass in pass.withoutRoom) return 0
-        // A job that fails wherever it runs is tried with one task at a time.
-        val max = if (job.suspect) 1 else minOf(pass.placementsLeft, pendingQueue.maxPlacements(job))
+        if (isSkipped(job, pass)) return 0
+        val max = maxPlacements(job, pass)
         var placed = 0
         var keptWaiting = 0
         var candidates: CandidateQueue? = null
@@ -139,8 +137,7 @@
             val machine =
                 if (candidates == null) capacity.best(job, pass.withRoom, zones) else candidates.best(zones)
             if (machine == null) {
-                // Room only shrinks within a pass: what holds for this job holds for all that ask for the same.
-                if (!zones.isBinding && job.failedOn.isEmpty()) pass.withoutRoom.add(job.equivalenceClass)
+                recordNoRoom(job, zones, pass)
                 break
             }
             if (cachedImages.comesSooner(job, machine, pass.usable, zones)) {
@@ -154,6 +151,21 @@
         return placed
     }
 
+    /** Room only shrinks within a pass: what holds for [job] holds for all of its equivalence class. */
+    private fun recordNoRoom(job: Job, zones: ZoneConstraint, pass: Pass) {
+        if (!zones.isBinding && job.failedOn.isEmpty()) pass.withoutRoom.add(job.equivalenceClass)
+    }
+
+    /** A job that fails wherever it runs is tried with one task at a time. */
+    private fun maxPlacements(job: Job, pass: Pass): Int =
+        if (job.suspect) 1 else minOf(pass.placementsLeft, pendingQueue.maxPlacements(job))
+
+    /** Whether nothing of [job] can be placed in this pass, as is known without a search. */
+    private fun isSkipped(job: Job, pass: Pass): Boolean {
+        if ((job.isGang || job.suspect) && job.placements.isNotEmpty()) return true
+        return capacity.reservedTasks(job) == 0 && job.equivalenceClass in pass.withoutRoom
+    }
+
     /** How many tasks of [job] neither have a place nor one being made or held for them. */
     fun unreserved(job: Job): Int =
         (job.waiting.size - capacity.reservedTasks(job) - gangPlacer.heldFor(job)).coerceAtLeast(0)
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -11,6 +11,7 @@
 import plankwall.core.state.ZoneConstraint
 import plankwall.core.statemachine.Context
 import plankwall.model.Priority
+import plankwall.model.Resources
 import plankwall.model.TeamIndex
 
 /**
@@ -116,13 +117,12 @@
         zones: ZoneConstraint,
         taken: Set<Machine>,
     ): Preemption? {
-        if (searchesLeft <= 0 || job.equivalenceClass in unsatisfiable) return null
+        if (isFutile(job)) return null
         searchesLeft--
         var best: Preemption? = null
         var lowestS = Double.MAX_VALUE
         for (machine in machines) {
-            if (machine in taken || machine.placements.isEmpty()) continue
-            if (!capacity.isEligible(job, machine, zones)) continue
+            if (machine in taken || machine.placements.isEmpty() || !capacity.isEligible(job, machine, zones)) continue
             val waitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
             if (waitS >= lowestS) continue
             val victims = victimsOn(machine, job) ?: continue
@@ -132,16 +132,16 @@
                 best = Preemption(machine, victims)
             }
         }
-        if (best == null &&
-            !zones.isBinding &&
-            taken.isEmpty() &&
-            !job.guaranteed
-        ) {
-            unsatisfiable.add(job.equivalenceClass)
-        }
+        if (best == null && isTrueForAllAlike(job, zones, taken)) unsatisfiable.add(job.equivalenceClass)
         return best
     }
 
+    private fun isFutile(job: Job): Boolean = searchesLeft <= 0 || job.equivalenceClass in unsatisfiable
+
+    /** Whether what was found for [job] holds for all jobs of its equivalence class. */
+    private fun isTrueForAllAlike(job: Job, zones: ZoneConstraint, taken: Set<Machine>): Boolean =
+        !zones.isBinding && taken.isEmpty() && !job.guaranteed
+
     /** Seconds of work that stopping [victim] would lose; a gang goes with all its tasks. */
     private fun lostWorkS(victim: Placement): Double =
         lostWorkOfTaskS(victim) * if (victim.job.isGang) victim.job.placements.size else 1
@@ -172,13 +172,19 @@
                 .thenByDescending { it.job.bestEffort }
                 .thenBy { lostWorkS(it) },
         )
+        return takeUntilFits(job.spec.need, free, candidates)
+    }
+
+    /** The first of [candidates] that make room for [need] beside what is [free]; null if all of them do not. */
+    private fun takeUntilFits(need: Resources, free: Resources, candidates: List<Placement>): List<Placement>? {
+        var available = free
         val victims = ArrayList<Placement>()
         for (placement in candidates) {
-            if (job.spec.need.fitsIn(free)) break
+            if (need.fitsIn(available)) break
             victims.add(placement)
-            free += placement.job.spec.need
+            available += placement.job.spec.need
         }
-        return if (job.spec.need.fitsIn(free)) victims else null
+        return if (need.fitsIn(available)) victims else null
     }
 
     private fun mayPreempt(job: Job, victim: Job): Boolean {
--- a/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Removes [id], whose end is known. Only jobs that depend on it may still ask how it ended, and they learned it from
-     * [markDone] or [markCancelled].
+     * Removes [id], whose end is known. Only jobs that depend on it may still ask how it ended, and they learned it
+     * from [markDone] or [markCancelled].
      */
     fun forget(id: String) {
         for (name in unfinished.remove(id).orEmpty()) {
--- a/src/main/kotlin/plankwall/core/statemachine/Timers.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Timers.kt
@@ -6,15 +6,15 @@
 internal class Timers(private val time: Time) {
     private class Timer(val dueAt: Double, val action: () -> Unit)
 
-    private val timers = PriorityQueue<Timer>(compareBy { it.dueAt })
+    private val queue = PriorityQueue<Timer>(compareBy { it.dueAt })
 
     /** Schedules [action] to run [delayS] seconds from now. */
     fun schedule(delayS: Double, action: () -> Unit) {
-        timers.add(Timer(time.now + delayS, action))
+        queue.add(Timer(time.now + delayS, action))
     }
 
     /** Runs the actions that are due, the earliest first; also those that they schedule for now. */
     fun runDue() {
-        while (timers.isNotEmpty() && timers.peek().dueAt <= time.now) timers.poll().action()
+        while (queue.isNotEmpty() && queue.peek().dueAt <= time.now) queue.poll().action()
     }
 }
--- a/src/main/kotlin/plankwall/core/store/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/store/StoreLimits.kt
@@ -47,7 +47,14 @@
         private const val LEAST_BYTES = 1024
         private const val LEAST_OPS = 4
 
+        /** What a page takes beside its tasks, and what a task takes in it, both in bytes. */
+        private const val PAGE_OVERHEAD_BYTES = 256
+        private const val TASK_BYTES = 64
+        private const val MIN_PAGE_TASKS = 8
+        private const val MAX_PAGE_TASKS = 256
+
         /** How many tasks share a page so that the page surely fits a value. */
-        fun pageSize(valueKb: Double): Int = ((valueKb * 1024 - 256) / 64).toInt().coerceIn(8, 256)
+        fun pageSize(valueKb: Double): Int =
+            ((valueKb * 1024 - PAGE_OVERHEAD_BYTES) / TASK_BYTES).toInt().coerceIn(MIN_PAGE_TASKS, MAX_PAGE_TASKS)
     }
 }
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -23,10 +23,11 @@
     private val allowUnsigned: Boolean,
     private val toleranceMs: Long,
 ) {
-    /** The newest frame of a sender. */
-    private class LastFrame(val incarnation: Long, val number: Long, val atMs: Long)
+    /** Which frame of its sender a frame is, and when it was sent. */
+    private class FrameHead(val incarnation: Long, val number: Long, val atMs: Long)
 
-    private val lastFrames = HashMap<String, LastFrame>()
+    /** The newest frame of each sender. */
+    private val lastFrames = HashMap<String, FrameHead>()
     private var sent = 0L
 
     /** How many frames were dropped. */
@@ -71,25 +72,27 @@
         buffer.readByte()
         val keyId = buffer.readName() ?: return null
         val sender = buffer.readName() ?: return null
-        val incarnation = buffer.readLong()
-        val number = buffer.readLong()
-        val atMs = buffer.readLong()
-        val key = keys.find { it.id == keyId } ?: return null
-        if (!MessageDigest.isEqual(mac(key, signed), sealed.copyOfRange(signed.size, sealed.size))) return null
-        val isInTime = atMs in (wallMs - MAX_AGE_MS - toleranceMs)..(wallMs + toleranceMs)
-        if (sender == node || !isInTime || !isNewer(lastFrames[sender], incarnation, number, atMs)) return null
-        lastFrames[sender] = LastFrame(incarnation, number, atMs)
+        val frame = FrameHead(buffer.readLong(), buffer.readLong(), buffer.readLong())
+        val isSigned = isSigned(keyId, signed, sealed.copyOfRange(signed.size, sealed.size))
+        if (!isSigned || sender == node || !isInTime(frame, wallMs) || !isNewer(lastFrames[sender], frame)) return null
+        lastFrames[sender] = frame
         return Opened(sender, buffer.readByteArray())
     }
 
+    private fun isSigned(keyId: String, signed: ByteArray, mac: ByteArray): Boolean =
+        keys.find { it.id == keyId }?.let { MessageDigest.isEqual(mac(it, signed), mac) } ?: false
+
+    private fun isInTime(frame: FrameHead, wallMs: Long): Boolean =
+        frame.atMs in (wallMs - MAX_AGE_MS - toleranceMs)..(wallMs + toleranceMs)
+
     /**
      * Incarnations are distinguished by their number and ordered by time: a clock that was set back must not exclude a
      * node for good.
      */
-    private fun isNewer(last: LastFrame?, incarnation: Long, number: Long, atMs: Long): Boolean = when {
+    private fun isNewer(last: FrameHead?, frame: FrameHead): Boolean = when {
         last == null -> true
-        incarnation == last.incarnation -> number > last.number
-        else -> atMs > last.atMs
+        frame.incarnation == last.incarnation -> frame.number > last.number
+        else -> frame.atMs > last.atMs
     }
 
     private fun mac(key: PeerKey, signed: ByteArray): ByteArray =
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -97,22 +97,26 @@
         wallMs: Long,
         keyOf: (String, String) -> PublicKey?,
     ): TokenResult {
-        // A critical header would require an extension that is not supported.
-        val isExpectedKind = header.text("alg") == AlgorithmIdentifiers.EDDSA && header.text("typ") == Tokens.TYPE
-        if (!isExpectedKind || header.has("crit")) return MALFORMED
         // The claims name the key's owner, so they are read before the signature is verified; nothing else of them is
         // used until then.
-        val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME_CHARS } ?: return MALFORMED
-        val kid = header.text("kid") ?: return MALFORMED
-        val key = keyOf(principal, kid) ?: return UNPROVEN
-        if (!key.isValidAt(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
-        val tokenAudience = claims.get("aud")?.let { if (it.isArray && it.size() == 1) it[0] else it }
-        if (tokenAudience?.isTextual != true || tokenAudience.textValue() != audience) {
-            return TokenResult.Refused("the token is meant for another service")
-        }
+        val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME_CHARS }
+        val kid = header.text("kid")
+        if (!isExpectedKind(header) || principal == null || kid == null) return MALFORMED
+        val key = keyOf(principal, kid)
+        if (key == null || !key.isValidAt(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
+        if (audienceOf(claims) != audience) return TokenResult.Refused("the token is meant for another service")
         return verifyTimes(claims, principal, kid, wallMs)
     }
 
+    /** A critical header would require an extension that is not supported. */
+    private fun isExpectedKind(header: ObjectNode): Boolean = header.text("alg") == AlgorithmIdentifiers.EDDSA &&
+        header.text("typ") == Tokens.TYPE &&
+        !header.has("crit")
+
+    private fun audienceOf(claims: ObjectNode): String? = claims.get("aud")
+        ?.let { if (it.isArray && it.size() == 1) it[0] else it }
+        ?.takeIf { it.isTextual }?.textValue()
+
     private fun verifyTimes(claims: ObjectNode, principal: String, kid: String, wallMs: Long): TokenResult {
         val issued = claims.millis("iat") ?: return MALFORMED
         val expires = claims.millis("exp") ?: return MALFORMED
--- a/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -45,7 +45,8 @@
         root.put("node", plan.nodeName(index)).put("site", plan.zoneOfNode(index))
         root.put("front", addresses.apiAddress.toString()).put("internal_addr", addresses.internal.toString())
         val known = root.putArray("known")
-        (0 until plan.controllers).filter { it != index }.forEach { peer ->
+        for (peer in 0 until plan.controllers) {
+            if (peer == index) continue
             known.addObject().put("node", plan.nodeName(peer)).put("site", plan.zoneOfNode(peer))
                 .put("address", addresses.peers.getValue(plan.nodeName(peer)).toString())
         }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestPlanFile.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestPlanFile.kt
@@ -8,18 +8,18 @@
 import java.io.IOException
 
 /** A plan that can't be read or does not fit this machine; the message says why in one line. */
-class InvalidLoadTestPlanException(message: String) : Exception(message)
+class InvalidLoadTestPlanException(message: String, cause: Throwable? = null) : Exception(message, cause)
 
 /** Reads a [LoadTestPlan] from YAML. Unknown keys are refused: a misspelt one would silently change nothing. */
 object LoadTestPlanFile {
     fun read(file: File): LoadTestPlan = try {
         read(YAMLMapper().readTree(file))
     } catch (e: JacksonException) {
-        throw InvalidLoadTestPlanException("$file: not YAML: ${e.originalMessage}")
+        throw InvalidLoadTestPlanException("$file: not YAML: ${e.originalMessage}", e)
     } catch (e: IOException) {
-        throw InvalidLoadTestPlanException("$file: can't be read: ${e.message}")
+        throw InvalidLoadTestPlanException("$file: can't be read: ${e.message}", e)
     } catch (e: InvalidLoadTestPlanException) {
-        throw InvalidLoadTestPlanException("$file: ${e.message}")
+        throw InvalidLoadTestPlanException("$file: ${e.message}", e)
     }
 
     fun read(root: JsonNode): LoadTestPlan {
@@ -34,9 +34,9 @@
             seed = r.whole("seed", plan.seed.toInt(), 0..Int.MAX_VALUE).toLong(),
             memoryMb = r.number("memory_mb", plan.memoryMb, 64.0..8_192.0),
             maxConnections = r.whole("max_connections", plan.maxConnections, 50..60_000),
-            phases = phases(r.table("phases"), plan.phases),
-            work = work(r.table("work"), plan.work),
-            state = state(r.table("state"), plan.state),
+            phases = phases(r.subTable("phases"), plan.phases),
+            work = work(r.subTable("work"), plan.work),
+            state = state(r.subTable("state"), plan.state),
             faults = r.rows("faults").map(::fault),
         )
         r.refuseUnknown()
@@ -130,7 +130,7 @@
         fun text(key: String, default: String? = null): String =
             find(key)?.asText() ?: default ?: throw InvalidLoadTestPlanException("$prefix$key: missing")
 
-        fun table(key: String) = Table(find(key), "$prefix$key.")
+        fun subTable(key: String) = Table(find(key), "$prefix$key.")
 
         fun rows(key: String): List<Table> = find(key)?.map { Table(it, "$prefix$key.") }.orEmpty()
 
--- a/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
@@ -180,7 +180,8 @@
             )
         }
         appendLine(
-            "  node        cpu mean  busiest s  MB   sockets  reports/s  polls/s  state/s  refused/s  puts/s  frames kB/s",
+            "  node        cpu mean  busiest s  MB   sockets  reports/s  polls/s  state/s  refused/s  " +
+                "puts/s  frames kB/s",
         )
         p.nodes.forEach { n ->
             appendLine(
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -99,7 +99,7 @@
             } else {
                 JsonNodeFactory.instance.nullNode()
             }
-            cluster.onThread { answered(worker, node, outcome, sentAt, answer, then) }
+            cluster.onThread { answered(worker, outcome, sentAt, answer, then) }
         }
     }
 
@@ -114,7 +114,6 @@
 
     private fun answered(
         worker: SimulatedWorker,
-        node: Int,
         outcome: HttpOutcome,
         sentAt: Double,
         answer: JsonNode,
--- a/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
@@ -20,7 +20,9 @@
     /** Share of the heartbeats of which a copy arrives again, up to two leases later. */
     var lateHeartbeatCopies = 0.0
 
-    /** Share of the heartbeats of which a copy reaches all controllers as the next leader is elected, and again later. */
+    /**
+     * Share of the heartbeats of which a copy reaches all controllers as the next leader is elected, and again later.
+     */
     var copiesForNextLeader = 0.0
 
     /** Controllers of the previous version: they send no links, and end a link that carries frames unknown to them. */
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -7,14 +7,14 @@
 import plankwall.model.Shape
 
 /**
- * A run with link faults drawn by [seed], on a cluster of [nodes] controllers and some [machines] machines, nearly all of them
- * at work on replicas of live services.
+ * A run with link faults drawn by [seed], on a cluster of [nodes] controllers and some [machines] machines, nearly all
+ * of them at work on replicas of live services.
  */
 class LinkFaultScenario(private val seed: Long, private val nodes: Int, private val machines: Int) {
     /**
      * [tasksKilledByLease]: tasks killed by their worker as its lease expired; [avoidableKills]: of these, where the
-     * worker did reach a node, after its last answer and within its lease, that led or could reach one that did. [servedMs]: from
-     * the start of each trouble to the next answer that each worker took.
+     * worker did reach a node, after its last answer and within its lease, that led or could reach one that did.
+     * [servedMs]: from the start of each trouble to the next answer that each worker took.
      */
     class Result(
         val seed: Long,
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -9,8 +9,8 @@
 import plankwall.model.Shape
 
 /**
- * A run drawn by [seed] in which the faults that operators reported come together: machines late or never, silent controllers,
- * storms of polls, best-effort jobs, jobs that fail everywhere beside machines that fail everything.
+ * A run drawn by [seed] in which the faults that operators reported come together: machines late or never, silent
+ * controllers, storms of polls, best-effort jobs, jobs that fail everywhere beside machines that fail everything.
  */
 class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
     /**
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -165,11 +165,20 @@
         return if (changesInSecond > limits.writeRps * 2) StateResult.Refused else null
     }
 
-    private fun transact(op: StateOp.Txn): StateResult {
+    /** Why [op] is not applied; null if it is. */
+    private fun refusalOf(op: StateOp.Txn): StateResult? {
         limits?.let { l -> limited(op, l)?.let { return it } }
         val failed = op.guards.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }.toSet()
-        if (failed.isNotEmpty()) return StateResult.Conflict(failed)
-        if (op.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }) return StateResult.Refused
+        val hasLostLease = op.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }
+        return when {
+            failed.isNotEmpty() -> StateResult.Conflict(failed)
+            hasLostLease -> StateResult.Refused
+            else -> null
+        }
+    }
+
+    private fun transact(op: StateOp.Txn): StateResult {
+        refusalOf(op)?.let { return it }
         if (op.writes.isEmpty()) return StateResult.Committed(revision)
         revision++
         changes += op.writes.size
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -87,36 +87,52 @@
         if (waiting || !alive || hung) return
         waiting = true
         lastSent = clock.now
-        val sentAt = clock.now
-        val sentSession = session
-        var settled = false
-        fun failed() {
-            if (settled) return
+        SentHeartbeat().send()
+    }
+
+    /** A heartbeat in flight: answered, redirected, or failed, once. */
+    private inner class SentHeartbeat {
+        private val sentAt = clock.now
+        private val sentSession = session
+        private var settled = false
+
+        fun send() {
+            clock.after(ANSWER_TIMEOUT_S) { whenResumed { fail() } }
+            host.sendHeartbeat(this@SimulatedWorker, target, heartbeat()) { status, body ->
+                whenResumed { onAnswer(status, body) }
+            }
+        }
+
+        private fun settle() {
             settled = true
             waiting = false
+        }
+
+        private fun fail() {
+            if (settled) return
+            settle()
             target = (target + 1) % host.nodeNames.size
-            clock.after(1.0) { send() }
+            clock.after(1.0) { this@SimulatedWorker.send() }
         }
-        clock.after(ANSWER_TIMEOUT_S) { whenResumed { failed() } }
-        host.sendHeartbeat(this, target, heartbeat()) { status, body ->
-            whenResumed {
-                if (settled || !alive || clock.now - sentAt > ANSWER_TIMEOUT_S) return@whenResumed
-                if (status != 200 && status != 421) return@whenResumed failed()
-                if (status == 421) {
-                    val leader = body.get("foreman")?.asText()
-                    val node = host.nodeNames.indexOf(leader)
-                    if (node < 0 || node == target) return@whenResumed failed()
-                    target = node
-                    settled = true
-                    waiting = false
-                    clock.after(0.2) { send() }
-                    return@whenResumed
+
+        private fun onAnswer(status: Int, body: JsonNode) {
+            if (settled || !alive || clock.now - sentAt > ANSWER_TIMEOUT_S) return
+            when (status) {
+                200 -> {
+                    settle()
+                    if (sentSession == session) accept(body, sentAt)
                 }
-                settled = true
-                waiting = false
-                if (sentSession == session) accept(body, sentAt)
+                421 -> redirect(host.nodeNames.indexOf(body.get("foreman")?.asText()))
+                else -> fail()
             }
         }
+
+        private fun redirect(node: Int) {
+            if (node < 0 || node == target) return fail()
+            target = node
+            settle()
+            clock.after(0.2) { this@SimulatedWorker.send() }
+        }
     }
 
     private fun accept(body: JsonNode, sentAt: Double) {
@@ -147,20 +163,25 @@
         for (order in body.get("orders")) {
             val name = order.get("piece").asText()
             val attempt = order.get("try").asLong()
-            val there = tasks[name]
             when (order.get("verb").asText()) {
-                "run" -> if (there == null) start(name, attempt)
-                "stop" -> if (there != null && there.attempt == attempt && there.stage != TaskStage.EXITED) {
-                    end(name, there, ExitCause.STOPPED)
-                }
-                "clear" -> if (there != null && there.attempt == attempt && there.stage == TaskStage.EXITED) {
-                    if (there.cause == ExitCause.DONE) host.checkStored(there.spec.id, there.task)
-                    tasks.remove(name)
-                }
+                "run" -> if (tasks[name] == null) start(name, attempt)
+                "stop" -> stop(name, attempt)
+                "clear" -> forget(name, attempt)
             }
         }
     }
 
+    private fun stop(name: String, attempt: Long) {
+        val task = tasks[name]?.takeIf { it.attempt == attempt && it.stage != TaskStage.EXITED } ?: return
+        end(name, task, ExitCause.STOPPED)
+    }
+
+    private fun forget(name: String, attempt: Long) {
+        val task = tasks[name]?.takeIf { it.attempt == attempt && it.stage == TaskStage.EXITED } ?: return
+        if (task.cause == ExitCause.DONE) host.checkStored(task.spec.id, task.task)
+        tasks.remove(name)
+    }
+
     private fun start(name: String, attempt: Long) {
         val spec = host.specOf(name.substringBefore('/')) ?: return
         host.checker.startCommanded(spec.id, clock.now)
--- a/src/main/kotlin/plankwall/wire/Json.kt
+++ b/src/main/kotlin/plankwall/wire/Json.kt
@@ -9,6 +9,9 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigDecimal
 
+/** What most messages fit. */
+private const val INITIAL_BYTES = 256
+
 internal val jsonFactory: JsonFactory = JsonFactory.builder()
     .streamReadConstraints(
         StreamReadConstraints.builder()
@@ -43,7 +46,7 @@
 
 /** The JSON that [write] generates, as UTF-8. */
 internal inline fun writeJson(write: JsonGenerator.() -> Unit): ByteArray {
-    val out = ByteArrayOutputStream(256)
+    val out = ByteArrayOutputStream(INITIAL_BYTES)
     jsonFactory.createGenerator(out).use { it.write() }
     return out.toByteArray()
 }
--- a/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
+++ b/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
@@ -105,8 +105,8 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, workers seen here, at peer n1, this node resigned for lack of workers, named successor, seconds until it
-        // tries to acquire leadership
+        // name, workers seen here, at peer n1, this node resigned for lack of workers, named successor, seconds until
+        // it tries to acquire leadership
         "'nothing is known', 0, 0, false, '', 0.0",
         "'workers reach a peer only', 0, 4, false, '', 0.6",
         "'workers reach this node too', 1, 4, false, '', 0.0",
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -95,11 +95,11 @@
     @ParameterizedTest(name = "{0} while the other task is {1}")
     @CsvSource(
         // Images of 25 GB arrive on the machines of a gang minutes apart; the first to wait must not end the attempt.
-        "ALONE, fetching, 'FORGET START', true",
-        "ALONE, stopping, '', false",
-        "ALONE, gone, '', false",
+        "GANG_INCOMPLETE, fetching, 'FORGET START', true",
+        "GANG_INCOMPLETE, stopping, '', false",
+        "GANG_INCOMPLETE, gone, '', false",
         "STOPPED, fetching, '', false",
-        "PEERS, fetching, '', false",
+        "PEER_LOST, fetching, '', false",
         "DONE, fetching, '', false",
     )
     fun `a gang task that gave up waiting is restarted`(
--- a/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -135,7 +135,8 @@
         "'this node is elected meanwhile', 'leads:5:40 w1 lead answer:n1:200', '- to:n1 503 -'",
         // The link to the leader is gone too: 503, and after a while another redirect.
         "'the leader is no longer connected', 'leads:5:0 w1 +5 w1', '- 421 - 503'",
-        // Sessions spread: heartbeats go in batches, whichever node serves the worker; the leader decides which that is.
+        // Sessions spread: heartbeats go in batches, whichever node serves the worker; the leader decides which that
+        // is.
         "'its session is served here', 'spreads:5:n0 w1 +0.1 batch:n1:5:200', '- - batch:n1:5:full 200'",
         "'unchanged: a reference, which waits a little, each time to the same full heartbeat', 'spreads:5:n0 w1 +0.1 batch:n1:5:200 w1 +0.1 +0.15 batch:n1:5:200 w1 +0.25 batch:n1:5:200', '- - batch:n1:5:full 200 - - batch:n1:5:unchanged 200 - batch:n1:5:unchanged 200'",
         "'the leader does not have it: in full, and the worker is answered once', 'spreads:5:n0 w1 +0.1 batch:n1:5:200 w1 +0.25 batch:n1:5:0 +0.1 batch:n1:5:200 batch:n1:5:200', '- - batch:n1:5:full 200 - batch:n1:5:unchanged - batch:n1:5:full 200 -'",
