--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -78,6 +78,7 @@
         sendNext()
     }
 
+    /** Finds the chain's tail at first, gives up what waits too long, and sends what may go. */
     fun tick() {
         if (tail == null && !isSearchingTail) findTail(emptyList())
         expireOverdue(changes)
--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -9,6 +9,7 @@
 import plankwall.model.Shape
 import plankwall.wire.JobCodec
 
+/** What a principal is. */
 enum class PrincipalKind { PERSON, SERVICE, NODE }
 
 /** A person, service or node that can prove who it is. [networks]: from where; null for anywhere. */
@@ -19,6 +20,7 @@
     val networks: Networks?,
     val disabled: Boolean,
 ) {
+    /** The key of this id; null if there is none, or the principal is disabled. */
     fun key(id: String): PublicKey? = if (disabled) null else keys.find { it.id == id }
 }
 
@@ -37,6 +39,7 @@
     class Bounded(val least: Boolean, val bound: Priority) : Condition
 }
 
+/** An attribute of a job that a condition may ask about. [word]: in the policy language. */
 enum class Attribute(val word: String, val of: (JobFacts) -> String?) {
     CLASS("class", { it.jobClass }),
     TEAM("team", { it.team }),
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -54,6 +54,7 @@
     /** Whether [policy] was confirmed to be the newest within the last [withinS] seconds. */
     fun isFresh(withinS: Double): Boolean = ctx.now - confirmedAt <= withinS
 
+    /** Reads the head if that is due. */
     fun tick() {
         if (!isReading && ctx.now >= nextRead) readHead()
     }
--- a/src/main/kotlin/plankwall/model/Catalog.kt
+++ b/src/main/kotlin/plankwall/model/Catalog.kt
@@ -19,6 +19,7 @@
 data class Catalog(val types: List<MachineType>) {
     private val byName = types.associateBy { it.name }
 
+    /** The machine type of this name; null if the cloud offers none. */
     operator fun get(name: String): MachineType? = byName[name]
 
     /** The types that [spec] allows and that one of its tasks fits. */
--- a/src/main/kotlin/plankwall/model/Resources.kt
+++ b/src/main/kotlin/plankwall/model/Resources.kt
@@ -8,10 +8,13 @@
  * fractions drift, and a quota must not be exceeded by a rounding error either.
  */
 data class Resources(val cpus: Long, val gpus: Long, val memory: Long) {
+    /** Sum. */
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memory + other.memory)
 
+    /** Difference; may be negative. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memory - other.memory)
 
+    /** What [n] of it take. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memory * count)
 
     /** Whether every resource is at most that of [capacity]. */
