--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -41,9 +41,6 @@
     private val changes = ArrayDeque<PendingAuditEntry>()
     private val records = ArrayDeque<PendingAuditEntry>()
 
-    /** Entries of this node's chain so far. */
-    val length: Long get() = tail?.next ?: 0
-
     /** Stores a decision by itself; [then] learns whether it was. Refused at once if too many wait. */
     fun record(entry: AuditEntry, then: (stored: Boolean) -> Unit) = enqueue(
         records,
@@ -187,20 +184,18 @@
 
     /** Entries whose own guards failed get the conflict; the others only shared the transaction and are sent again. */
     private fun onConflict(batch: AuditBatch, failed: Set<String>) {
-        val conflicting = batch.items.filter { item -> item.guardKeys().any { it in failed } }
+        val conflicting = batch.items.filter { item -> item.guardKeys.any { it in failed } }
         val isChainConflict = batch.chainGuards.any { it.key in failed }
         requeue(batch.items - conflicting.toSet())
         isInFlight = false
         conflicting.forEach { item ->
-            val own = item.guardKeys()
+            val own = item.guardKeys
             item.then(StateResult.Conflict(failed.filterTo(HashSet()) { it in own }))
         }
         // An earlier transaction without an answer was applied after all: the chain goes on behind it.
         if (isChainConflict) findTail(emptyList()) else sendNext()
     }
 
-    private fun PendingAuditEntry.guardKeys(): Set<String> = txn?.guards.orEmpty().mapTo(HashSet()) { it.key }
-
     private fun requeue(items: List<PendingAuditEntry>) {
         for (item in items.asReversed()) {
             when {
--- a/src/main/kotlin/plankwall/audit/PendingAuditEntry.kt
+++ b/src/main/kotlin/plankwall/audit/PendingAuditEntry.kt
@@ -14,5 +14,9 @@
     val timeoutS: Double,
     val then: (StateResult) -> Unit,
 ) {
+    /** How often it was sent. */
     var attempts = 0
+
+    /** The keys that the change is guarded on. */
+    val guardKeys: Set<String> get() = txn?.guards.orEmpty().mapTo(HashSet()) { it.key }
 }
