--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -9,6 +9,7 @@
 import plankwall.model.Shape
 import plankwall.wire.JobCodec
 
+/** What a principal is. */
 enum class PrincipalKind { PERSON, SERVICE, NODE }
 
 /** A person, service or node that can prove who it is. [networks]: from where; null for anywhere. */
@@ -19,6 +20,7 @@
     val networks: Networks?,
     val disabled: Boolean,
 ) {
+    /** The key of this id; null if there is none, or the principal is disabled. */
     fun key(id: String): PublicKey? = if (disabled) null else keys.find { it.id == id }
 }
 
@@ -37,6 +39,7 @@
     class Bounded(val least: Boolean, val bound: Priority) : Condition
 }
 
+/** An attribute of a job that a condition may ask about. [word]: in the policy language. */
 enum class Attribute(val word: String, val of: (JobFacts) -> String?) {
     CLASS("class", { it.jobClass }),
     TEAM("team", { it.team }),
@@ -91,16 +94,17 @@
     /** Decides [action] on [job]: a deny that applies wins, else the first allow, else it is denied. */
     fun authorize(principal: String, action: Action, job: JobFacts?): Verdict {
         val known = principals[principal]
-        if (known == null) return Verdict(false, UNKNOWN)
-        if (known.disabled) return Verdict(false, DISABLED)
-        var allowing: Rule? = null
-        for (rule in rulesOf(principal)) {
-            if (action !in rule.actions || !holds(rule.condition, principal, job)) continue
-            if (!rule.allows) return Verdict(false, rule.name, rule.cancel ?: false)
-            if (allowing == null) allowing = rule
+        return when {
+            known == null -> Verdict(false, UNKNOWN)
+            known.disabled -> Verdict(false, DISABLED)
+            else -> decide(principal, action, job)
         }
-        if (allowing == null) return Verdict(false, NOTHING_ALLOWS)
-        return Verdict(true, allowing.name, allowing.cancel ?: false)
+    }
+
+    private fun decide(principal: String, action: Action, job: JobFacts?): Verdict {
+        val applying = rulesOf(principal).filter { action in it.actions && holds(it.condition, principal, job) }
+        val deciding = applying.find { !it.allows } ?: applying.firstOrNull() ?: return Verdict(false, NOTHING_ALLOWS)
+        return Verdict(deciding.allows, deciding.name, deciding.cancel ?: false)
     }
 
     /** Whether the first rule that denies it to [principal] cancels running jobs; null if none does or says. */
