--- a/src/main/kotlin/plankwall/core/state/BootingMachine.kt
+++ b/src/main/kotlin/plankwall/core/state/BootingMachine.kt
@@ -3,7 +3,10 @@
 import plankwall.model.GroupKey
 
 /**
- * A machine that was scaled out and has not registered yet. [rentedAt] is in seconds of the steady clock, [rentedMs] in
- * milliseconds of the time of day.
+ * A machine that was requested from the cloud and has not registered yet.
+ *
+ * @property machine the name of the machine
+ * @property rentedAt when it was requested, in seconds of the steady clock
+ * @property rentedMs when it was requested, in milliseconds of the time of day
  */
 class BootingMachine(val machine: String, val group: GroupKey, val rentedAt: Double, val rentedMs: Long)
--- a/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
@@ -1,61 +1,67 @@
 package plankwall.core.state
 
 /**
- * Which jobs depend on which others, and what follows from how those end. A job may start when all that it names are
- * done; it is cancelled when one of them is, directly or through others. Both rest on stored facts that never change
- * back, so every node that has read them comes to the same result: the leader for what may start, each node for what
- * it answers users. Chains may be of any length, hence no recursion.
+ * The dependencies between jobs, and what the end of one means for the others. A job may start when all jobs that it
+ * depends on are done; it is cancelled when one of them is cancelled, whether it depends on that one directly or
+ * through others. Both follow from stored facts that never change back, so every node that has read them comes to the
+ * same result: the leader decides by it what may start, each node what it answers users. Chains may be of any length,
+ * so no function here is recursive.
  *
  * The graph owns its edges and the set of cancelled jobs; nothing of it is stored.
  */
 class DependencyGraph {
-    /** By job: those it names that are not known to be done. */
+    /** For each job, the jobs that it depends on and that are not known to be done. */
     private val unfinished = HashMap<String, LinkedHashSet<String>>()
+
+    /** For each job, the jobs that depend on it directly. */
     private val dependents = HashMap<String, LinkedHashSet<String>>()
     private val cancelled = HashSet<String>()
 
     /**
-     * Adds [id], which depends on [names]. Returns the jobs that are cancelled by that, since it may name a cancelled
-     * one.
+     * Adds [id], which depends on [dependencies], and returns the jobs that are cancelled by that: if one of the
+     * dependencies is cancelled, so are [id] and all jobs that depend on it. Does nothing if [id] was added before.
      */
-    fun add(id: String, names: List<String>): List<String> {
-        if (names.isEmpty() || id in unfinished) return emptyList()
-        unfinished[id] = LinkedHashSet(names)
-        names.forEach { dependents.getOrPut(it) { LinkedHashSet() }.add(id) }
-        if (names.none { it in cancelled }) return emptyList()
+    fun add(id: String, dependencies: List<String>): List<String> {
+        if (dependencies.isEmpty() || id in unfinished) return emptyList()
+        unfinished[id] = LinkedHashSet(dependencies)
+        dependencies.forEach { dependents.getOrPut(it) { LinkedHashSet() }.add(id) }
+        if (dependencies.none { it in cancelled }) return emptyList()
         return listOf(id).filter { it !in cancelled } + markCancelled(id)
     }
 
-    /** [id] is done for good. Returns the jobs that are ready by that. */
-    fun markDone(id: String): List<String> = dependents.remove(id).orEmpty().filter { job ->
-        val left = unfinished[job]
-        left != null && left.remove(id) && left.isEmpty() && job !in cancelled
+    /** Records that [id] is done for good. Returns the jobs that become ready by that. */
+    fun markDone(id: String): List<String> = dependents.remove(id).orEmpty().filter { dependent ->
+        val remaining = unfinished[dependent]
+        remaining != null && remaining.remove(id) && remaining.isEmpty() && dependent !in cancelled
     }
 
-    /** [id] is cancelled for good. Returns the jobs that are cancelled through it, those nearest first. */
+    /**
+     * Records that [id] is cancelled for good. Returns the jobs that are cancelled because of it, in breadth-first
+     * order.
+     */
     fun markCancelled(id: String): List<String> {
         if (!cancelled.add(id)) return emptyList()
         val found = ArrayList<String>()
-        val next = ArrayDeque(listOf(id))
-        while (next.isNotEmpty()) {
-            for (job in dependents[next.removeFirst()].orEmpty()) {
-                if (!cancelled.add(job)) continue
-                found.add(job)
-                next.addLast(job)
+        val queue = ArrayDeque(listOf(id))
+        while (queue.isNotEmpty()) {
+            for (dependent in dependents[queue.removeFirst()].orEmpty()) {
+                if (!cancelled.add(dependent)) continue
+                found.add(dependent)
+                queue.addLast(dependent)
             }
         }
         return found
     }
 
     /**
-     * Removes [id], whose end is known. Only jobs that depend on it may still ask how it ended, and they learned it
+     * Removes [id], which has ended. Only jobs that depend on it could still ask how it ended, and they learned that
      * from [markDone] or [markCancelled].
      */
     fun forget(id: String) {
-        for (name in unfinished.remove(id).orEmpty()) {
-            val others = dependents[name] ?: continue
-            others.remove(id)
-            if (others.isEmpty()) dependents.remove(name)
+        for (dependency in unfinished.remove(id).orEmpty()) {
+            val itsDependents = dependents[dependency] ?: continue
+            itsDependents.remove(id)
+            if (itsDependents.isEmpty()) dependents.remove(dependency)
         }
         if (cancelled.remove(id)) dependents.remove(id)
     }
@@ -67,28 +73,31 @@
         cancelled.clear()
     }
 
-    /** Whether [id] depends on nothing that is not known to be done. */
+    /** Returns whether all jobs that [id] depends on are known to be done. */
     fun isReady(id: String): Boolean = unfinished[id].isNullOrEmpty()
 
-    /** Whether [id] is cancelled, by itself or through another. */
+    /** Returns whether [id] is cancelled, by its user or because of a job that it depends on. */
     fun isCancelled(id: String): Boolean = id in cancelled
 
-    /** What [id] names and is not known to be done. */
+    /** Returns the jobs that [id] depends on directly and that are not known to be done. */
     fun unfinishedOf(id: String): Set<String> = unfinished[id].orEmpty()
 
-    /** The jobs that name [id]. */
+    /** Returns the jobs that depend on [id] directly. */
     fun dependentsOf(id: String): Set<String> = dependents[id].orEmpty()
 
-    /** Those that [id] depends on, directly or through others, that are [unknown]: how they ended decides. */
-    fun unresolved(id: String, unknown: (String) -> Boolean): Set<String> {
+    /**
+     * Returns the jobs for which [isUnknown] holds among those that [id] depends on, directly or through others.
+     * Whether [id] is cancelled depends on how they ended.
+     */
+    fun unresolved(id: String, isUnknown: (String) -> Boolean): Set<String> {
         if (id !in unfinished) return emptySet()
         val found = LinkedHashSet<String>()
         val seen = hashSetOf(id)
-        val next = ArrayDeque(listOf(id))
-        while (next.isNotEmpty()) {
-            for (name in unfinishedOf(next.removeFirst())) {
-                if (!seen.add(name)) continue
-                if (unknown(name)) found.add(name) else next.addLast(name)
+        val queue = ArrayDeque(listOf(id))
+        while (queue.isNotEmpty()) {
+            for (dependency in unfinishedOf(queue.removeFirst())) {
+                if (!seen.add(dependency)) continue
+                if (isUnknown(dependency)) found.add(dependency) else queue.addLast(dependency)
             }
         }
         return found
--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -9,9 +9,10 @@
 import plankwall.wire.StateResult
 
 /**
- * The leader's side of DAG dependencies: which jobs may start, and which are cancelled with one that they depend on. A
- * job is ready only when the final record of every job that it names has been read, or written by this leader, as done.
- * One that is merely missing from [SchedulerState] is looked up in the store; what can't be read yet is not done yet.
+ * The leader's view of DAG dependencies: which jobs may start, and which are cancelled because a job that they depend
+ * on was. A job is ready only once this leader has read or written a final record of each of its dependencies that says
+ * it is done. A dependency that is not in [SchedulerState] is looked up in the store; until its final record can be
+ * read, it does not count as done.
  *
  * Owns the leader's [DependencyGraph], [Job.needed], and the inherited [Job.priority] and [Job.dueMs]. Stores nothing.
  */
@@ -19,8 +20,8 @@
     private val ctx: Context,
     private val store: LeaderStore,
     private val inheritance: InheritedUrgency,
-    private val find: (String) -> Job?,
-    private val cancel: (job: Job, through: String) -> Unit,
+    private val findJob: (String) -> Job?,
+    private val cancelJob: (job: Job, dependency: String) -> Unit,
     private val onReady: (Job) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("dependencies")
@@ -28,66 +29,72 @@
     /** Shared with [inheritance]. */
     private val graph = inheritance.graph
 
-    /** Named by waiting jobs and not in [SchedulerState]: when each is to be looked up next. */
-    private val missing = LinkedHashMap<String, Double>()
+    /**
+     * The dependencies of waiting jobs that are not in [SchedulerState], each with the time of its next lookup in
+     * seconds of the steady clock.
+     */
+    private val pendingLookups = LinkedHashMap<String, Double>()
     private var readsUnderWay = 0
 
-    /** Adds [job], its own dependencies included. */
+    /** Adds [job] along with its dependencies. If it has none, it is ready at once. */
     fun add(job: Job) {
         val id = job.spec.id
-        missing.remove(id)
+        pendingLookups.remove(id)
         if (graph.dependentsOf(id).isNotEmpty()) job.needed = true
-        val names = job.spec.dependencies
+        val dependencyIds = job.spec.dependencies
         inheritance.recompute(job)
-        if (names.isEmpty()) {
+        if (dependencyIds.isEmpty()) {
             onReady(job)
             return
         }
-        cancelAll(graph.add(id, names), id)
-        names.mapNotNull(find).forEach { it.needed = true }
-        names.filter { find(it) == null }.forEach { missing[it] = ctx.now }
+        cancelAll(graph.add(id, dependencyIds), id)
+        dependencyIds.mapNotNull(findJob).forEach { it.needed = true }
+        dependencyIds.filter { findJob(it) == null }.forEach { pendingLookups[it] = ctx.now }
         inheritance.raiseDependenciesOf(job)
     }
 
-    /** [job] is stored as cancelled by its user, or cancelled through one that is. */
+    /** Cancels the jobs that depend on [job], which was cancelled by its user or because of a dependency. */
     fun onCancelled(job: Job) {
         cancelAll(graph.markCancelled(job.spec.id), job.spec.id)
-        // It raises its dependencies no more; those that are cancelled with it need no update.
-        job.spec.dependencies.mapNotNull(find).filter { !it.cancelled }.forEach(inheritance::recompute)
+        // The job no longer raises the urgency of its dependencies. Those that are cancelled too need no update.
+        job.spec.dependencies.mapNotNull(findJob).filter { !it.cancelled }.forEach(inheritance::recompute)
     }
 
-    /** The final record of [id] says how it ended; [atMs] is 0 where an older version wrote it. */
-    fun onEnded(id: String, stage: JobStage, atMs: Long) {
-        missing.remove(id)
+    /**
+     * Handles the end of the job [id] in [stage] according to its final record: makes ready the jobs that waited only
+     * for it, or cancels those that depend on it. [endedMs] is 0 if an older release wrote the record.
+     */
+    fun onEnded(id: String, stage: JobStage, endedMs: Long) {
+        pendingLookups.remove(id)
         if (stage == JobStage.DONE) {
-            for (name in graph.markDone(id)) find(name)?.let { makeReady(it, id, atMs) }
+            for (readyId in graph.markDone(id)) findJob(readyId)?.let { makeReady(it, id, endedMs) }
         } else {
             cancelAll(graph.markCancelled(id), id)
         }
         graph.forget(id)
     }
 
-    private fun makeReady(job: Job, lastDependency: String, atMs: Long) {
-        job.readyMs = maxOf(job.readyMs, atMs)
+    private fun makeReady(job: Job, lastDependency: String, endedMs: Long) {
+        job.readyMs = maxOf(job.readyMs, endedMs)
         log.info("job ready job={} last_dependency={}", job.spec.id, lastDependency)
         onReady(job)
     }
 
-    private fun cancelAll(ids: List<String>, through: String) = ids.forEach { id ->
-        find(id)?.let { cancel(it, through) }
+    private fun cancelAll(ids: List<String>, dependency: String) = ids.forEach { id ->
+        findJob(id)?.let { cancelJob(it, dependency) }
     }
 
     /**
-     * Looks up how jobs ended that are not in [SchedulerState]: they ended before this leader came, or their records
-     * are still on their way.
+     * Looks up how dependencies ended that are not in [SchedulerState]: either they ended before this leader was
+     * elected, or it has not read their job records yet.
      */
     fun tick() {
-        if (missing.isEmpty()) return
-        for ((id, lookUpAt) in missing.entries.toList()) {
-            if (graph.dependentsOf(id).isEmpty()) missing.remove(id)
-            if (ctx.now < lookUpAt || id !in missing) continue
+        if (pendingLookups.isEmpty()) return
+        for ((id, lookUpAt) in pendingLookups.entries.toList()) {
+            if (graph.dependentsOf(id).isEmpty()) pendingLookups.remove(id)
+            if (ctx.now < lookUpAt || id !in pendingLookups) continue
             if (readsUnderWay >= MAX_READS_UNDER_WAY || !store.mayRead()) return
-            missing[id] = ctx.now + RETRY_S
+            pendingLookups[id] = ctx.now + RETRY_S
             lookUp(id)
         }
     }
@@ -96,8 +103,8 @@
         readsUnderWay++
         store.read(Keys.final(id)) { result ->
             readsUnderWay--
-            val end = (result as? StateResult.Item)?.item?.value as? FinalRecord
-            if (end != null && id in missing) onEnded(id, end.stage, end.endedMs)
+            val finalRecord = (result as? StateResult.Item)?.item?.value as? FinalRecord
+            if (finalRecord != null && id in pendingLookups) onEnded(id, finalRecord.stage, finalRecord.endedMs)
         }
     }
 
--- a/src/main/kotlin/plankwall/core/state/DirtyJobs.kt
+++ b/src/main/kotlin/plankwall/core/state/DirtyJobs.kt
@@ -3,8 +3,8 @@
 import plankwall.core.statemachine.Context
 
 /**
- * Decides what is due to be written. Owns the set of jobs with changes that the store does not have yet, and
- * [Job.dirtySince] and [Job.urgent] of those in it.
+ * The set of jobs with changes that the store does not have yet; decides which of them are due to be written. Sets
+ * [Job.dirtySince], and clears [Job.urgent] once all changes of a job are sent.
  */
 internal class DirtyJobs(private val ctx: Context) {
     private val jobs = LinkedHashSet<Job>()
@@ -14,12 +14,12 @@
         if (jobs.add(job)) job.dirtySince = ctx.now
     }
 
-    /** Drops [job], which is over. */
+    /** Removes [job], which has ended. */
     fun remove(job: Job) {
         jobs.remove(job)
     }
 
-    /** Drops [job] if all its pages are written or under way. */
+    /** Removes [job] if none of its pages has changes that no write was sent for. */
     fun removeIfClean(job: Job) {
         if (job.pages.values.any { it.dirty }) return
         jobs.remove(job)
@@ -29,22 +29,23 @@
     fun isEmpty(): Boolean = jobs.isEmpty()
 
     /**
-     * The jobs in the order in which they are to be written: first what a user or a task waits for, a start or an end.
-     * The end of a job that is cancelled through another can wait: every node can work it out without the final record.
+     * Returns the jobs in the order in which they are to be written: first those with a start that a task waits for, or
+     * with an end that a user waits for. The end of a job that was cancelled because of a dependency can wait, since
+     * every node can derive it without the final record.
      */
     fun inWriteOrder(): List<Job> {
-        val (first, rest) = jobs.partition { it.urgent || (it.isFinalizable && !it.cancelledByDependency) }
-        return first + rest
+        val (awaited, others) = jobs.partition { it.urgent || (it.isFinalizable && !it.cancelledByDependency) }
+        return awaited + others
     }
 
     /**
-     * Whether the changes of [job] can wait for others of the same page, so that one write takes all: nothing waits for
-     * the record that a task is gone or done.
+     * Returns whether the changes of [job] can wait for others of the same page, so that one write takes them all.
+     * Nothing waits for a record that says that a task is gone or done.
      */
-    fun mayCoalesce(job: Job): Boolean = !job.urgent && ctx.now < job.dirtySince + COALESCE_S
+    fun mayCoalesce(job: Job): Boolean = !job.urgent && ctx.now < job.dirtySince + MAX_COALESCE_DELAY_S
 
     private companion object {
-        /** How long changes may wait for others while writes are scarce. */
-        const val COALESCE_S = 1.0
+        /** The longest time for which changes may wait for others while the write budget is scarce. */
+        const val MAX_COALESCE_DELAY_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/state/EquivalenceClass.kt
+++ b/src/main/kotlin/plankwall/core/state/EquivalenceClass.kt
@@ -4,9 +4,9 @@
 import plankwall.model.Resources
 
 /**
- * All that decides whether a task fits somewhere, its job's other tasks aside. The priority is part of it because it
- * decides which reserved capacity is open to the task. What did not fit once need not be tried again for another job
- * of the same class within a placement pass.
+ * Everything that decides whether a task fits on a machine, except the placements of its job's other tasks. The
+ * priority is included because it decides which reserved capacity the task may use. If a placement pass found no
+ * machine for one job of a class, it need not search again for the others.
  */
 data class EquivalenceClass(
     val need: Resources,
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -13,11 +13,20 @@
 /**
  * A live job: its specification, and what the leader knows of its tasks.
  *
- * [SchedulerState] owns the tasks' state ([done], [placements], [waiting]), cancellation and readiness;
- * [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] with its parts the versions, [storedDone] and
- * [finishing]. Fault attribution sets the fields on failures, placement those on gathering and quota. Stored are the
- * job's record (written when it is submitted or cancelled), its pages of [done] and [placements], and in the end its
- * final record. All else is worked out anew by each leader.
+ * Several classes set its fields: [SchedulerState] the state of the tasks ([done], [placements], [waiting]),
+ * cancellation and readiness; [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] and the classes
+ * that it uses the versions, [storedDone] and [finishing]; fault attribution the fields about failures; gang placement
+ * [gatherZone] and [gatherSince]; the queue [guaranteed]; scale-out [starving].
+ *
+ * The store holds the job's record (written when the job is submitted or cancelled), its pages of [done] and
+ * [placements], and in the end its final record. Each leader derives everything else anew.
+ *
+ * @property ix the number of the job, which is only valid as long as this node leads
+ * @property pageSize the number of tasks in a stored page
+ * @property submittedMs when the job was submitted, in milliseconds of the time of day
+ * @property learnedAt when this leader first read the job's record, in seconds of the steady clock
+ * @property hasServiceObjective whether a service-level objective or its team's guarantee applies to the job; such a
+ * job is never [bestEffort]
  */
 class Job(
     val ix: JobIndex,
@@ -27,39 +36,44 @@
     val pageSize: Int,
     val submittedMs: Long,
     val learnedAt: Double,
-    private val expected: Boolean = true,
+    private val hasServiceObjective: Boolean = true,
 ) {
-    /** The version of the job's record, guarded by every write about it, so that no start follows a cancellation. */
+    /**
+     * The store's version of the job's record. Every write about the job is guarded on it, so that no task starts after
+     * a cancellation.
+     */
     var version = 0L
 
-    /** Who proved to have submitted it, where callers prove who they are. */
+    /** The principal that submitted the job; null where callers are not authenticated. */
     var owner: String? = null
 
-    /** Its user cancelled it, or it depends on a cancelled one: nothing of it starts any more. */
+    /** Whether its user cancelled it, or it depends on a cancelled job. No more tasks of it are started. */
     var cancelled = false
 
     /** When it was cancelled, in milliseconds of the time of day; 0 if it was not. */
     var cancelledMs = 0L
 
-    /** The write of its final record is under way. */
+    /** Whether the write of its final record is under way. */
     var finishing = false
 
-    /** Cancelled because of a job that it depends on: that follows from what is stored already. */
+    /** Whether it was cancelled because a job that it depends on was, which follows from what is stored already. */
     var cancelledByDependency = false
 
-    /** All jobs that it depends on are done. Until then it is no demand, and nothing of it starts. */
+    /**
+     * Whether all jobs that it depends on are done. Until then it does not count as demand, and no task of it starts.
+     */
     var ready = false
 
     /**
-     * From when on its waiting counts: its submission, or the end of the last job that it depends on, in milliseconds
-     * of the time of day.
+     * When its waiting time began, in milliseconds of the time of day: its submission, or the end of the last job that
+     * it depends on.
      */
     var readyMs = submittedMs
 
-    /** When this leader saw it become ready, in seconds of the steady clock. */
+    /** When this leader found it ready, in seconds of the steady clock. */
     var readyAt = learnedAt
 
-    /** Another job waits for it. */
+    /** Whether another job depends on it. */
     var needed = false
         set(value) {
             field = value
@@ -67,12 +81,13 @@
         }
 
     /**
-     * It has no objective and no deadline, no guarantee covers it and no other job waits for it, so it takes leftover
-     * capacity. It goes last among its equals, keeps no ordinary machine from being scaled in, and causes scale-out
-     * only where that costs next to nothing.
+     * Whether it only takes leftover capacity: it has no objective and no deadline, no guarantee covers it, no other
+     * job depends on it, and it is neither a service nor dependent on other jobs. It comes last among jobs of the same
+     * rank, does not keep an ordinary machine from being scaled in, and causes scale-out only where that costs next to
+     * nothing.
      */
     val bestEffort: Boolean
-        get() = !expected &&
+        get() = !hasServiceObjective &&
             !needed &&
             spec.shape != Shape.SERVICE &&
             spec.deadlineS == null &&
@@ -80,8 +95,8 @@
             spec.dependencies.isEmpty()
 
     /**
-     * A best-effort job that has waited for long. Where no capacity is ever left over it would starve, so it may cost
-     * more from now on.
+     * Whether it is a best-effort job that has waited for long. Where no capacity is ever left over it would starve, so
+     * from then on it may use more expensive machines.
      */
     var starving = false
         set(value) {
@@ -89,117 +104,129 @@
             equivalenceClass = equivalenceClassFor(priority)
         }
 
-    /** Rises in the order in which jobs became demand. */
+    /** The position of the job in the order in which jobs became ready, or [NO_DEMAND]. */
     var demandIx = NO_DEMAND
 
-    /** Its own priority, or the higher one of a job that needs it. */
+    /** The highest of its own priority and those of the jobs that depend on it. */
     var priority = spec.priority
         set(value) {
             field = value
             equivalenceClass = equivalenceClassFor(value)
         }
 
-    /** Its own deadline in milliseconds of the time of day, or [Long.MAX_VALUE]. */
+    /** Its own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
 
-    /** Its own deadline, or the earlier one that follows from a job that needs it. */
+    /**
+     * Its own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time of
+     * day; [Long.MAX_VALUE] if there is neither.
+     */
     var dueMs = ownDueMs
 
-    /** The tasks that are done. */
+    /** The numbers of the tasks that are done. */
     val done = BitSet(spec.tasks)
 
-    /** How many tasks are [done]. */
+    /** The number of tasks in [done]. */
     var doneCount = 0
 
-    /** What of [done] the state service holds. */
+    /** The tasks in [done] that the state service holds as done. */
     val storedDone = BitSet()
 
-    /** By task: the attempt that is not proven gone. */
+    /** The placement of each task whose current attempt is not proven gone, by task number. */
     val placements = HashMap<Int, Placement>()
 
-    /** By the number in the stored key: the pages, and the parts of pages that were split. */
+    /** The pages and the parts of split pages, by their number in the stored key. */
     val pages = HashMap<Int, TaskPage>()
 
-    /** Tasks neither done nor placed, in the order in which they are to be tried. */
+    /** The tasks that are neither done nor placed, in the order in which they are to be placed. */
     val waiting = ArrayDeque<Int>()
 
-    /** No task of it is placed before this time. */
+    /** The time before which no task of it is placed, in seconds of the steady clock. */
     var backoffUntil = 0.0
 
-    /** A task to start, or the user of a cancelled job, waits for what is to be written. */
+    /** Whether a task was placed and cannot start before its page is written. */
     var urgent = false
 
-    /** When its oldest change came up that is not written yet. */
+    /** When the oldest change that is not written yet was made, in seconds of the steady clock. */
     var dirtySince = 0.0
 
-    /** Indices of the machines on which a task of it failed and that are not known to be faulty themselves. */
+    /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
     val failedOn = HashSet<Int>()
 
     /**
-     * A task of it finished, or ran for long where others failed at once: failures from now on are not attributed to
-     * the job.
+     * Whether a task of it finished, or ran for long where others failed at once. Failures from then on are not
+     * attributed to the job.
      */
     var provenSound = false
 
-    /** The longest, in seconds, that a task of it ran before it failed. */
+    /** The longest time, in seconds, for which a task of it ran before it failed. */
     var longestFailS = 0.0
 
-    /** Attempts that failed in a row since it became [suspect]. */
+    /** The number of attempts that failed in a row since the job became [suspect]. */
     var failedProbes = 0
 
     /**
-     * It failed on more than one machine and ran well nowhere: likely submitted with a mistake. It is retried one task
-     * at a time with a growing backoff; until it runs well it causes no scale-out and no preemption, and its failures
-     * are not attributed to machines.
+     * Whether it failed on at least [SUSPECT_MACHINES] machines and ran well nowhere, probably because it was submitted
+     * with a mistake. It is then retried one task at a time with a growing backoff. Until it runs well, it causes no
+     * scale-out and no preemption, and its failures are not attributed to machines.
      */
     val suspect: Boolean get() = !provenSound && failedOn.size >= SUSPECT_MACHINES
 
-    /** It fits into its team's guarantee together with the team's earlier unfinished jobs. */
+    /** Whether it fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
 
-    /** Its tasks start together or not at all. */
+    /** Whether its tasks start together or not at all. */
     val isGang: Boolean get() = spec.shape == Shape.GANG
 
-    /** A gang of one task has no others to wait for and is treated as any other task. */
+    /**
+     * Whether it is a gang of more than one task. A gang of one task has no others to wait for and is treated like any
+     * other job.
+     */
     val isGangOfSeveral: Boolean get() = isGang && spec.tasks > 1
 
-    /** The class in which its tasks fit the same machines as those of other jobs. */
+    /** The class that it shares with all jobs whose tasks fit on the same machines as its own. */
     var equivalenceClass = equivalenceClassFor(spec.priority)
         private set
 
     private fun equivalenceClassFor(priority: Priority) =
         EquivalenceClass(spec.need, spec.types, spec.zone, spec.spot, priority, bestEffort, starving)
 
-    /** The zone in which capacity for a gang is being gathered. */
+    /**
+     * The zone in which capacity is held for this gang; null if none was chosen, or if its tasks may be in several
+     * zones.
+     */
     var gatherZone: String? = null
 
-    /** Since when capacity is gathered in [gatherZone]. */
+    /** When holding capacity in [gatherZone] began, in seconds of the steady clock. */
     var gatherSince = 0.0
 
-    /** The page, or the part of a split one, that holds [task]. */
+    /** Returns the page, or the part of a split page, that holds [task]. */
     fun pageOf(task: Int): TaskPage {
-        val whole = page(task / pageSize)
-        val part = if (whole.partSize > 0) task % pageSize / whole.partSize else 0
-        return if (part == 0) whole else page(Keys.part(whole.number, part))
+        val wholePage = page(task / pageSize)
+        val partNumber = if (wholePage.partSize > 0) task % pageSize / wholePage.partSize else 0
+        return if (partNumber == 0) wholePage else page(Keys.part(wholePage.number, partNumber))
     }
 
-    /** The page with the key's [number]; a part whose page is not split covers nothing. */
+    /**
+     * Returns the page with this [number] in the stored key, and adds it if it is missing. A part whose page is not
+     * split covers no tasks.
+     */
     fun page(number: Int): TaskPage = pages.getOrPut(number) {
         TaskPage(number).apply {
-            val whole = Keys.wholeOf(number)
-            val from = whole * pageSize
-            if (number == whole) {
-                cover(from, minOf(from + pageSize, spec.tasks))
+            val wholePageNumber = Keys.wholeOf(number)
+            val pageStart = wholePageNumber * pageSize
+            if (number == wholePageNumber) {
+                cover(pageStart, minOf(pageStart + pageSize, spec.tasks))
             } else {
-                pages[whole]?.let { coverPart(it, from) }
+                pages[wholePageNumber]?.let { coverPart(it, pageStart) }
             }
         }
     }
 
-    private fun TaskPage.coverPart(whole: TaskPage, from: Int) {
-        if (whole.partSize == 0) return
-        val start = from + Keys.partOf(number) * whole.partSize
-        cover(start, minOf(start + whole.partSize, from + pageSize, spec.tasks))
+    private fun TaskPage.coverPart(wholePage: TaskPage, pageStart: Int) {
+        if (wholePage.partSize == 0) return
+        val partStart = pageStart + Keys.partOf(number) * wholePage.partSize
+        cover(partStart, minOf(partStart + wholePage.partSize, pageStart + pageSize, spec.tasks))
     }
 
     /** Records that [task] is done for good. */
@@ -207,27 +234,30 @@
         if (task >= spec.tasks || done[task]) return
         done.set(task)
         doneCount++
-        // A placed task is not waiting: searching all tasks of a huge job would be for nothing.
+        // A placed task is not among the waiting ones, and a huge job has too many of those to search them in vain.
         if (task !in placements) waiting.remove(task)
         pageOf(task).dirty = true
     }
 
-    /** How many tasks are done and how many run now. */
+    /** The numbers of tasks that are done and that run now. */
     val progress: JobProgress
         get() = JobProgress(spec.id, doneCount, placements.values.count { it.runningSince > 0.0 && !it.ended })
 
-    /** All tasks are done. */
+    /** Whether all tasks are done. */
     val complete: Boolean get() = doneCount == spec.tasks
 
-    /** It is over and nothing of it is placed or being written, so its final record may be. */
+    /**
+     * Whether its final record may be written: it is complete or cancelled, no task of it is placed, and no page of it
+     * is being read or written.
+     */
     val isFinalizable: Boolean
         get() = (complete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
 
     private companion object {
-        /** Failures on as many machines are attributed to the job. */
+        /** Failures on this many machines are attributed to the job. */
         const val SUSPECT_MACHINES = 2
 
-        /** [demandIx] of a job that is not demand yet. */
+        /** The [demandIx] of a job that is not ready yet and so does not count as demand. */
         const val NO_DEMAND = -1
     }
 }
--- a/src/main/kotlin/plankwall/core/state/JobFactory.kt
+++ b/src/main/kotlin/plankwall/core/state/JobFactory.kt
@@ -7,17 +7,20 @@
 import plankwall.model.TeamIndex
 import plankwall.wire.JobRecord
 
-/** Creates [Job]s from their stored records. Owns the numbering of jobs, which lasts as long as this leader. */
+/**
+ * Creates [Job]s from their stored records. Owns the numbering of jobs, which is only valid as long as this node leads.
+ */
 internal class JobFactory(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("jobs")
     private var nextIndex = 0
 
-    /** A new job whose tasks all wait; null if the settings don't know its team. */
+    /** Returns a new job, all tasks of which wait; null if the settings do not contain its team. */
     fun create(record: JobRecord): Job? {
         val spec = record.spec
         val knownTeam = ctx.names.teams.find(spec.team)
         if (knownTeam == null) {
-            // Only after a change of settings: one such job must not keep all others from being served.
+            // This happens only after a change of the settings. One such job must not keep all others from being
+            // served.
             log.error("job of unknown team ignored job={} team={}", spec.id, spec.team)
             return null
         }
@@ -29,13 +32,16 @@
             record.pageSize,
             record.submittedMs,
             ctx.now,
-            isExpected(record),
+            hasServiceObjective(record),
         )
         for (task in 0 until spec.tasks) job.waiting.addLast(task)
         return job
     }
 
-    /** A guarantee is an objective of its own, for whatever its team submits. */
-    private fun isExpected(record: JobRecord): Boolean = ctx.objectives.isStated(record.spec.jobClass) ||
+    /**
+     * Returns whether the job of [record] counts as having a service-level objective. A team's guarantee is an
+     * objective for every job of the team.
+     */
+    private fun hasServiceObjective(record: JobRecord): Boolean = ctx.objectives.isStated(record.spec.jobClass) ||
         ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
 }
--- a/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
+++ b/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
@@ -10,7 +10,7 @@
 import plankwall.wire.StateResult
 import plankwall.wire.Write
 
-/** Replaces the record and pages of a job that is over by its final record. Owns [Job.finishing]. */
+/** Replaces the record and the pages of a job that has ended by its final record. Owns [Job.finishing]. */
 internal class JobFinalizer(
     private val ctx: Context,
     private val store: LeaderStore,
@@ -19,8 +19,8 @@
     private val onEnded: JobEndListener,
 ) {
     /**
-     * Writes how [job] ended in one transaction; the pages of a huge job that it can't hold are removed afterwards.
-     * Returns the number of changes that this takes of the write budget.
+     * Writes how [job] ended in one transaction. Pages of a huge job that the transaction cannot hold are removed
+     * afterwards. Returns the number of changes that this takes of the write budget.
      */
     fun finalize(job: Job): Int {
         val id = job.spec.id
@@ -39,7 +39,7 @@
                     leftovers.remove(storedPages.drop(removedNow.size))
                 }
                 is StateResult.Conflict -> reader.rereadJob(job)
-                // The job is still dirty: the next flush writes it again.
+                // The job stays dirty, so the next flush writes it again.
                 else -> Unit
             }
         }
@@ -50,7 +50,7 @@
         FinalRecord(stage, job.doneCount, endedMs, job.owner?.let { job.spec.factsFor(it) })
 
     private companion object {
-        /** The final record is put and the job's record removed. */
+        /** The changes besides those of pages: the final record is put and the job's record is removed. */
         const val RECORD_CHANGES = 2
     }
 }
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -9,239 +9,274 @@
 import plankwall.wire.ListedState
 
 /**
- * What the leader knows of one machine, by its heartbeats, the cloud's list and what was placed on it. Times are in
- * seconds of the steady clock, or [NEVER].
+ * What the leader knows of one machine from its heartbeats, from the cloud's list of machines and from what was placed
+ * on it. Times are in seconds of the steady clock, or [NEVER].
  *
  * [Fleet] creates it and sets what describes it; [SchedulerState] adds and removes placements; the heartbeat handler
- * sets what heartbeats show, the autoscaler what concerns its return, placement [held] and [reservations]. Of all this
- * only the return is stored, by the autoscaler.
+ * sets what heartbeats show, the autoscaler what concerns scale-in, placement [held] and [reservations]. The store only
+ * holds which machines are to be scaled in; the autoscaler writes that.
+ *
+ * @property ix the number of the machine, which is only valid as long as this node leads
+ * @property id the name that the cloud gave it
  */
 class Machine(val ix: MachineIndex, val id: String) {
-    /** Type, zone and purchase kind; null until a heartbeat or the list named them. */
+    /** Its type, its zone and whether it is a spot machine; null until a heartbeat or the cloud's list states them. */
     var group: GroupKey? = null
 
-    /** Null until [group] and the catalog are known. */
+    /** Its machine type; null until [group] and the catalog are known. */
     var type: MachineType? = null
         set(value) {
             field = value
             free = capacity - used
         }
 
-    /** Where its worker is reached, by its heartbeats or the list; empty if unknown. */
+    /** The address of its worker, from its heartbeats or the cloud's list; empty if unknown. */
     var address: String = ""
 
-    /** Where the cloud says it is; empty until it was listed. */
+    /** Its address in the cloud's list; empty until it was listed. */
     var listedAddress: String = ""
 
-    /** The session of its newest status. */
+    /** The session of its newest heartbeat. A worker begins a new session whenever its lease has expired. */
     var session = 0L
 
-    /** The sequence number of its newest status within [session]. */
+    /** The highest sequence number within [session] of a heartbeat or of an answer to a direct command. */
     var seq = 0L
 
-    /** Of the newest heartbeat. Answers to direct commands also raise [seq], and may overtake a heartbeat under way. */
+    /**
+     * The sequence number of the newest heartbeat alone. [seq] may be higher: the answer to a direct command may
+     * overtake a heartbeat that is under way.
+     */
     var heartbeatSeq = 0L
 
-    /** The fencing token that this worker has been shown, or 0 for the leader's epoch. */
+    /** The highest fencing token that this leader has sent to the worker; 0 stands for the leader's epoch. */
     var token = 0L
 
-    /** When it was last sent a direct command only so that it sends a heartbeat at once. */
+    /** When it was last sent a direct command only to make it send a heartbeat at once. */
     var lastWokenAt = NEVER
 
-    /** When its last status arrived. */
+    /** When its last heartbeat arrived that was not out of date. */
     var lastHeard = NEVER
 
-    /** When the last heartbeat arrived that this leader answered, or may have: its lease starts there at the latest. */
+    /**
+     * When the last heartbeat arrived that this leader answered or may have answered; the worker's lease starts then at
+     * the latest.
+     */
     var lastAnswered = NEVER
 
-    /** The worker has seen this leader's token, so no older leader can command it any more. */
+    /** Whether the worker has seen this leader's fencing token, so that no older leader can command it any more. */
     var confirmed = false
 
-    /** When this leader first came across its name. */
+    /** When this leader first learned of it. */
     var firstSeen = 0.0
 
-    /** When its first heartbeat arrived here. */
+    /** When its first heartbeat reached this leader. */
     var registeredAt = NEVER
 
-    /** What the cloud's list says of it; null until it was listed. */
+    /** Its state in the cloud's list; null until it was listed. */
     var listed: ListedState? = null
 
-    /** Since when the list no longer names it. */
+    /** When the cloud's list was first found to lack it; [NEVER] while the list contains it. */
     var missingSince = NEVER
 
-    /** To be scaled in. Never gets work again. */
+    /** Whether it is to be scaled in. It gets no more tasks from then on. */
     var returning = false
 
-    /** The store holds that it is [returning]. */
+    /** Whether the store holds that it is to be scaled in. */
     var returnStored = false
 
-    /** The call to the cloud that deletes it is under way. */
+    /** Whether the call to the cloud that deletes it is under way. */
     var deleting = false
 
-    /** When the cloud takes it away, as announced. */
+    /** When the cloud takes it away according to its termination notice. */
     var noticeAt = NEVER
 
-    /** Since when its capacity is not needed. */
+    /** Since when the autoscaler has found its capacity to be unneeded. */
     var unneededSince = NEVER
 
-    /** How many tasks it reports that no leader placed there; while there are any, its free capacity is unknown. */
+    /**
+     * The number of unfinished tasks in its last heartbeat that match no placement here. Until they are gone, the free
+     * capacity is unknown and the machine gets no more tasks.
+     */
     var unknownTasks = 0
 
-    /** What counts against its capacity, by job and task. */
+    /** The placements that count against its capacity, by job and task (see [keyOf]). */
     val placements = LinkedHashMap<Long, Placement>()
 
-    /** Ended tasks that its heartbeats still show: an exit is cleared only once the end is stored. */
+    /**
+     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is told to forget
+     * it, which happens only once the end of the task is stored.
+     */
     var exitsShown = 0
 
     /**
-     * Whether its heartbeat can take one task more. A heartbeat may have 64 KiB: beyond that no node could read it, and
-     * the worker would lose its lease with all that is on it. Hundreds of small tasks of a sweep, as many exits beside
-     * them, come near.
+     * Whether one more task fits into its heartbeat. A heartbeat may have 64 KiB: no node could read a longer one, and
+     * the worker would lose its lease with all its tasks. Hundreds of small tasks of an array, along with as many
+     * exits, come close to that.
      */
     val fitsReport: Boolean get() = placements.size + exitsShown < MAX_TASKS_IN_HEARTBEAT
 
-    /** What its [placements] take. */
+    /** The resources that its [placements] take. */
     var used = Resources.NONE
         private set
 
     /**
-     * Images expected in its cache, least recently used first, by [ImageIndex]. Reading an entry does not count as use.
+     * The images expected in its cache by [ImageIndex], the least recently used first. Reading an entry does not count
+     * as use.
      */
     val images = LinkedHashMap<Int, CachedImage>()
 
-    /** When the fetches under way should be over. */
+    /** When the image fetches under way should be finished. */
     var fetchBusyUntil = 0.0
 
-    /** Indices of jobs of which a task failed here and none ran well since. */
+    /** The indices of the jobs of which a task failed here since a task last succeeded here. */
     val failedJobs = HashSet<Int>()
 
-    /** Failures here are attributed to the machine: it gets no work. */
+    /** Whether failures here are attributed to the machine, which then gets no more tasks. */
     var faulty = false
 
-    /** No task is placed here before. */
+    /** The time before which no task is placed here. */
     var blockedUntil = NEVER
 
-    /** When it was last shown this leader's token directly. */
+    /** When this leader last announced its fencing token to the worker by a direct command. */
     var lastAnnounced = NEVER
 
     /**
-     * Its session ended though its heartbeats were answered, and it has not shown since that answers of this leader
-     * arrive.
+     * Whether its session ended although its heartbeats were answered, and it has not yet shown that it receives this
+     * leader's answers.
      */
     var unresponsive = false
 
-    /** Placements that were never commanded were taken back: nothing more is placed before the next heartbeat. */
+    /**
+     * Whether placements that were never commanded were released here. Nothing more is placed before the next
+     * heartbeat.
+     */
     var awaitingHeartbeat = false
 
-    /** A start or a stop here has not been commanded yet. */
+    /** Whether the start or the stop of a task here may still have to be sent. */
     var unsent = false
 
-    /** The session that a refused direct command named. */
+    /** The session that the worker named when it refused an announcement of the fencing token; 0 if it refused none. */
     var announceSession = 0L
 
-    /** Capacity that is being freed here by preemption. */
+    /** The capacity that preemption is freeing here. */
     val reservations = ArrayList<Reservation>()
 
-    /** The fleet could do without it, so it is to run empty. */
+    /**
+     * Whether the rest of the fleet could do its work as well. New tasks avoid it, so that it becomes empty and can be
+     * scaled in.
+     */
     var surplus = false
 
     /**
-     * Capacity that the last placement pass held for gangs that are not complete yet. Anything but [Resources.NONE]
-     * itself says that the machine is held, even where nothing of it is free yet.
+     * The capacity that the last placement pass held for gangs that are not complete yet. Any object other than
+     * [Resources.NONE] itself means that the machine is held, even where none of its capacity is free yet.
      */
     var held = Resources.NONE
 
-    /** Capacity freed for [job], which other jobs may not use before [until]. */
+    /** Capacity for one task of [job], which other jobs may not use before [until], in seconds of the steady clock. */
     class Reservation(val job: Job, val until: Double)
 
-    /** An image of [gb] gigabytes that should be in the cache at [readyAt]. */
+    /** An image of [gb] gigabytes that should be in the cache from [readyAt] on. */
     class CachedImage(val gb: Double, val readyAt: Double)
 
-    /** A heartbeat of it has arrived here. */
+    /** Whether a heartbeat of it has reached this leader. */
     val registered: Boolean get() = registeredAt > NEVER
 
     private val capacity: Resources get() = type?.capacity ?: Resources.NONE
 
-    /** Accelerators and processors taken by replicas, which stay, unlike all other tasks. */
-    private var lasting = Resources.NONE
+    /** The resources that service tasks take. Unlike all other tasks, these run until they are cancelled. */
+    private var usedByServices = Resources.NONE
 
-    /** The part of the machine that replicas take. */
-    val lastingShare: Double get() = lasting.partOf(capacity)
+    /** The share of the machine's capacity that service tasks take. */
+    val lastingShare: Double get() = usedByServices.partOf(capacity)
 
-    /** Kept rather than computed: a placement pass reads it for every machine and every task. */
+    /**
+     * The capacity that no placement takes. It is kept up to date rather than computed on demand, because a placement
+     * pass reads it for every machine and every task.
+     */
     var free: Resources = Resources.NONE
         private set
 
-    /** Counts [placement] against the capacity. */
+    /** Adds [placement], which takes its resources from the free capacity. */
     fun add(placement: Placement) {
         placements[keyOf(placement)] = placement
         val need = placement.job.spec.need
         used += need
-        if (placement.job.spec.shape == Shape.SERVICE) lasting += need
+        if (placement.job.spec.shape == Shape.SERVICE) usedByServices += need
         free = capacity - used
     }
 
-    /** Gives back the capacity of [placement], if it is here. */
+    /** Removes [placement] and frees its resources; does nothing if it is not here. */
     fun remove(placement: Placement) {
         if (placements.remove(keyOf(placement)) == null) return
         val need = placement.job.spec.need
         used -= need
-        if (placement.job.spec.shape == Shape.SERVICE) lasting -= need
+        if (placement.job.spec.shape == Shape.SERVICE) usedByServices -= need
         free = capacity - used
     }
 
-    /** The placement of [task] here, or null. */
+    /** Returns the placement of [task] of [job] here, or null if there is none. */
     fun placement(job: Job, task: Int): Placement? = placements[keyOf(job, task)]
 
     private fun keyOf(placement: Placement) = keyOf(placement.job, placement.task)
 
     private fun keyOf(job: Job, task: Int) = (job.ix.value.toLong() shl TASK_BITS) or task.toLong()
 
-    /** Seconds until [image] would be on the machine if a task needing it were placed now. */
+    /** Returns the seconds until [image] would be on the machine if a task that needs it were placed now. */
     fun fetchWait(image: ImageIndex, gb: Double, now: Double): Double {
         val cached = images[image.value]
         if (cached != null) return (cached.readyAt - now).coerceAtLeast(0.0)
         return (fetchBusyUntil - now).coerceAtLeast(0.0) + fetchS(gb)
     }
 
-    /** Seconds by which fetching [image] too would delay, on average, the tasks that wait here for other images. */
+    /**
+     * Returns the seconds by which fetching [image] as well would delay, on average, the tasks here that wait for other
+     * images.
+     */
     fun fetchDelay(image: ImageIndex, gb: Double, now: Double): Double {
         if (images[image.value] != null) return 0.0
         return minOf((fetchBusyUntil - now).coerceAtLeast(0.0), fetchS(gb)) * 0.5
     }
 
+    /** Returns the seconds to fetch [gb] gigabytes, at one gigabyte per second while the machine type is unknown. */
     private fun fetchS(gb: Double): Double = type?.fetchS(gb) ?: gb
 
-    /** A task that needs [image] was placed here, so the worker will fetch it unless it is cached. */
+    /** Records that a task that needs [image] was placed here, so that the worker will fetch it unless it is cached. */
     fun scheduleFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
         if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
         recordImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
     }
 
-    /** [image] is in use and should be cached at [readyAt]; the least recently used ones make room for it. */
+    /**
+     * Records that [image] is in use and should be cached at [readyAt]. The least recently used images are evicted if
+     * the cache cannot hold them all.
+     */
     fun recordImage(image: ImageIndex, gb: Double, readyAt: Double) {
         images.remove(image.value)
         images[image.value] = CachedImage(gb, readyAt)
-        var total = images.values.sumOf { it.gb }
-        val cache = type?.cacheGb ?: return
-        val oldest = images.entries.iterator()
-        while (total > cache && oldest.hasNext()) {
-            val entry = oldest.next()
+        var totalGb = images.values.sumOf { it.gb }
+        val cacheGb = type?.cacheGb ?: return
+        val leastRecentlyUsed = images.entries.iterator()
+        while (totalGb > cacheGb && leastRecentlyUsed.hasNext()) {
+            val entry = leastRecentlyUsed.next()
             if (entry.key == image.value) continue
-            total -= entry.value.gb
-            oldest.remove()
+            totalGb -= entry.value.gb
+            leastRecentlyUsed.remove()
         }
     }
 
     companion object {
-        /** Before any time of the steady clock. */
+        /** A time before any time of the steady clock, for what has not happened. */
         const val NEVER = -1e12
 
-        /** Bits for the task in the key of [placements]. */
+        /** The number of bits that the task takes in the keys of [placements]. */
         private const val TASK_BITS = 20
 
-        /** 64 KiB of entries of some 90 bytes each, the longest names, attempts and causes considered. */
+        /**
+         * 64 KiB hold this many entries of about 90 bytes each, which allows for the longest names, attempts and
+         * causes.
+         */
         private const val MAX_TASKS_IN_HEARTBEAT = 700
     }
 }
--- a/src/main/kotlin/plankwall/core/state/PageSnapshot.kt
+++ b/src/main/kotlin/plankwall/core/state/PageSnapshot.kt
@@ -6,8 +6,8 @@
 import java.util.BitSet
 
 /**
- * The content of one page as of the moment of its write. The page may change while the write is under way; only what
- * the snapshot holds counts as stored by it.
+ * The content of one page at the moment of its write. The page may change while the write is under way; a successful
+ * write stores only what the snapshot holds.
  */
 internal class PageSnapshot private constructor(
     val job: Job,
@@ -16,7 +16,7 @@
     val done: BitSet,
     partSize: Int,
 ) {
-    /** What is written under [key]. */
+    /** The record that is written under [key]. */
     val record = PageRecord(
         done,
         placements.map { StoredPlacement(it.task, it.attempt, it.machine.id, it.session) },
@@ -26,7 +26,10 @@
     /** The page's key in the store. */
     val key: String get() = Keys.page(job.spec.id, page.number)
 
-    /** A cheap estimate of the stored size; [done] is stored as ranges, of which there are at most half the tasks. */
+    /**
+     * A cheap estimate of the size of [record]. The record holds [done] as ranges, of which there are at most half as
+     * many as tasks.
+     */
     val estimatedBytes: Int
         get() = RECORD_BYTES +
             placements.size * PLACEMENT_BYTES +
@@ -37,13 +40,16 @@
         private const val PLACEMENT_BYTES = 60
         private const val DONE_RANGE_BYTES = 14
 
-        /** The whole range of [page]. */
-        fun of(job: Job, page: TaskPage): PageSnapshot = of(job, page, page.to, page.partSize)
+        /** Returns a snapshot of the whole range of [page]. */
+        fun of(job: Job, page: TaskPage): PageSnapshot = of(job, page, page.endTask, page.partSize)
 
-        /** The tasks of [page] before [to], with [partSize] as the size of its parts. */
-        fun of(job: Job, page: TaskPage, to: Int, partSize: Int): PageSnapshot {
-            val placements = job.placements.values.filter { it.task in page.from until to }
-            val done = job.done.get(0, to).also { it.clear(0, page.from) }
+        /**
+         * Returns a snapshot of the tasks of [page] before [endTask]. Its record states [partSize] as the size of the
+         * parts.
+         */
+        fun of(job: Job, page: TaskPage, endTask: Int, partSize: Int): PageSnapshot {
+            val placements = job.placements.values.filter { it.task in page.firstTask until endTask }
+            val done = job.done.get(0, endTask).also { it.clear(0, page.firstTask) }
             return PageSnapshot(job, page, placements, done, partSize)
         }
     }
--- a/src/main/kotlin/plankwall/core/state/PageSplitter.kt
+++ b/src/main/kotlin/plankwall/core/state/PageSplitter.kt
@@ -7,8 +7,8 @@
 
 /**
  * Splits a page that no longer fits a stored value among several keys. The page itself is written last and states the
- * size of the parts: until then the parts count for nothing, whoever leads, and the page stands as it was. What changes
- * meanwhile is written afterwards, so nothing counts as stored by the split alone.
+ * size of the parts. Until then every leader ignores the parts, and the stored page holds what it held before. Changes
+ * made meanwhile are written afterwards, so the split alone marks nothing as stored.
  */
 internal class PageSplitter(
     private val store: LeaderStore,
@@ -18,45 +18,50 @@
     private val log = LoggerFactory.getLogger("jobs")
     private val limits = store.limits
 
-    /** One page being split: [unwritten] parts are left, each of [partSize] tasks. */
-    private class Split(val job: Job, val page: TaskPage, val partSize: Int, val unwritten: ArrayDeque<TaskPage>)
+    /** A page that is being split into parts of [tasksPerPart] tasks, of which [unwritten] are still to be written. */
+    private class Split(val job: Job, val page: TaskPage, val tasksPerPart: Int, val unwritten: ArrayDeque<TaskPage>)
 
-    /** Whether [page] with a record of [exactBytes] has to be split, and may be. */
+    /** Returns whether [page], whose record takes [exactBytes], is too large for one value and may be split. */
     fun needsSplit(page: TaskPage, exactBytes: Int): Boolean =
-        exactBytes > limits.wholeBytes && limits.mayDivide && page.partSize == 0 && page.tasks > limits.pageTasks
+        exactBytes > limits.wholeBytes && limits.mayDivide && page.partSize == 0 && page.taskCount > limits.pageTasks
 
     /** Starts to split [page]. Returns the number of changes that this takes of the write budget. */
     fun split(job: Job, page: TaskPage): Int {
-        val size = limits.pageTasks
-        val parts = (1..(page.tasks - 1) / size).map { part -> partOf(job, page, part, size) }
+        val tasksPerPart = limits.pageTasks
+        val parts = (1..(page.taskCount - 1) / tasksPerPart).map { part -> partOf(job, page, part, tasksPerPart) }
         log.info(
             "page split page={} job={} parts={} tasks_per_part={}",
             page.number,
             job.spec.id,
             parts.size + 1,
-            size,
+            tasksPerPart,
         )
         page.inFlight = true
-        writeNextParts(Split(job, page, size, ArrayDeque(parts)))
+        writeNextParts(Split(job, page, tasksPerPart, ArrayDeque(parts)))
         return parts.size + 1
     }
 
-    private fun partOf(job: Job, page: TaskPage, part: Int, size: Int): TaskPage {
+    private fun partOf(job: Job, page: TaskPage, part: Int, tasksPerPart: Int): TaskPage {
         val number = Keys.part(page.number, part)
         return job.pages.getOrPut(number) { TaskPage(number) }
-            .apply { cover(page.from + part * size, minOf(page.from + (part + 1) * size, page.to)) }
+            .apply {
+                cover(
+                    page.firstTask + part * tasksPerPart,
+                    minOf(page.firstTask + (part + 1) * tasksPerPart, page.endTask),
+                )
+            }
     }
 
-    /** Writes as many parts as one transaction holds, and the page itself with the last of them. */
+    /** Writes as many parts as one transaction holds. The last transaction also writes the page itself. */
     private fun writeNextParts(split: Split) {
         val job = split.job
         val page = split.page
-        val most = minOf(limits.txnOps, maxOf(1, PageBatch.MAX_TRANSACTION_BYTES / limits.valueBytes))
-        val parts = generateSequence { split.unwritten.removeFirstOrNull() }.take(most).toList()
-        val isLast = split.unwritten.isEmpty() && parts.size < most
+        val maxParts = minOf(limits.txnOps, maxOf(1, PageBatch.MAX_TRANSACTION_BYTES / limits.valueBytes))
+        val parts = generateSequence { split.unwritten.removeFirstOrNull() }.take(maxParts).toList()
+        val isLast = split.unwritten.isEmpty() && parts.size < maxParts
         val snapshots = parts.map { PageSnapshot.of(job, it) } +
             if (isLast) {
-                listOf(PageSnapshot.of(job, page, page.from + split.partSize, split.partSize))
+                listOf(PageSnapshot.of(job, page, page.firstTask + split.tasksPerPart, split.tasksPerPart))
             } else {
                 emptyList()
             }
@@ -76,13 +81,15 @@
     private fun onSplit(split: Split) {
         val page = split.page
         page.inFlight = false
-        page.partSize = split.partSize
-        page.cover(page.from, page.from + split.partSize)
+        page.partSize = split.tasksPerPart
+        page.cover(page.firstTask, page.firstTask + split.tasksPerPart)
         split.job.pages.values.filter { Keys.wholeOf(it.number) == page.number }.forEach { it.dirty = true }
         dirtyJobs.add(split.job)
     }
 
-    /** Which of the parts are stored now may be unknown: their versions are read before the next attempt. */
+    /**
+     * Prepares another attempt. It may be unknown which of the parts are stored now, so their versions are read first.
+     */
     private fun onFailed(split: Split, parts: List<TaskPage>, result: StateResult) {
         val job = split.job
         val page = split.page
--- a/src/main/kotlin/plankwall/core/state/PageWriteResults.kt
+++ b/src/main/kotlin/plankwall/core/state/PageWriteResults.kt
@@ -6,22 +6,25 @@
 import plankwall.wire.StateResult
 
 /**
- * Takes the results of page writes: sets the version and flags of each [TaskPage], [Placement.stored] and
+ * Handles the results of page writes: sets the version and the flags of each [TaskPage], [Placement.stored] and
  * [Job.storedDone].
  */
 internal class PageWriteResults(private val dirtyJobs: DirtyJobs, private val reader: StoredJobReader) {
     private val log = LoggerFactory.getLogger("jobs")
 
-    /** [result] is that of the one transaction that wrote [snapshots]. */
+    /** Handles the [result] of the transaction that wrote [snapshots]. */
     fun onResult(snapshots: List<PageSnapshot>, result: StateResult) {
-        if (result == StateResult.Rejected) snapshots.forEach { onRejected(it, amongOthers = snapshots.size > 1) }
+        if (result == StateResult.Rejected) snapshots.forEach { onRejected(it, inBatch = snapshots.size > 1) }
         snapshots.forEach { onResult(it, result) }
     }
 
-    /** One page that is too large must not keep the others from being written: each is tried alone. */
-    private fun onRejected(snapshot: PageSnapshot, amongOthers: Boolean) {
-        snapshot.page.alone = amongOthers
-        if (!amongOthers) snapshot.page.refusedBytes = StateCodec.sizeOf(snapshot.record)
+    /**
+     * Records that the store rejected the page of [snapshot], either in a batch with others or alone. One page that is
+     * too large must not keep the others from being written, so each page of a rejected batch is then written alone.
+     */
+    private fun onRejected(snapshot: PageSnapshot, inBatch: Boolean) {
+        snapshot.page.writeAlone = inBatch
+        if (!inBatch) snapshot.page.rejectedBytes = StateCodec.sizeOf(snapshot.record)
     }
 
     private fun onResult(snapshot: PageSnapshot, result: StateResult) {
@@ -30,8 +33,8 @@
         when (result) {
             is StateResult.Committed -> onCommitted(snapshot, result.revision)
             is StateResult.Conflict -> onConflict(snapshot, result)
-            // The write may still be applied, much later: the guard on the page's version lets only one of the two
-            // through.
+            // The write may still be applied, much later. The guard on the page's version lets only this write or its
+            // retry succeed.
             else -> page.dirty = true
         }
         if (page.dirty) dirtyJobs.add(snapshot.job)
@@ -39,7 +42,7 @@
 
     private fun onCommitted(snapshot: PageSnapshot, revision: Long) {
         snapshot.page.version = revision
-        snapshot.page.alone = false
+        snapshot.page.writeAlone = false
         snapshot.placements.filterNot { it.stored }.forEach { onStored(it, revision) }
         snapshot.job.storedDone.or(snapshot.done)
     }
@@ -59,7 +62,7 @@
 
     private fun onConflict(snapshot: PageSnapshot, conflict: StateResult.Conflict) {
         snapshot.page.dirty = true
-        if (snapshot.key in conflict.failed) snapshot.page.reread = true
+        if (snapshot.key in conflict.failed) snapshot.page.mustReread = true
         if (Keys.job(snapshot.job.spec.id) in conflict.failed) reader.rereadJob(snapshot.job)
     }
 }
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -4,53 +4,61 @@
 import plankwall.wire.TaskStage
 
 /**
- * One attempt of one task on one machine. From the moment it is planned until there is proof that the task is gone,
- * it counts against quota, capacity and zone rules.
+ * One attempt to run one task on one machine. It counts against quota, capacity and zone rules from the moment it is
+ * planned until there is proof that the task is gone.
  *
- * [SchedulerState] creates it and decides on its end; [StateWriter] sets [stored]; the heartbeat handler records what
- * commands were sent and what the worker reported. Stored are task, attempt, machine and session.
+ * [SchedulerState] creates it and decides when it ends; [StateWriter] and the classes that it uses set [stored]; the
+ * heartbeat handler records which commands were sent and what the worker reported. The store holds the task, the
+ * attempt, the machine and the session.
+ *
+ * @property session the session of the worker for which it was planned; in any later one the task is not started
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val session: Long) {
-    /** The state service holds it: only then may `run` be sent. */
+    /** Whether the state service holds it. Only then may the worker be told to start the task. */
     var stored = false
 
-    /** `run` was put into an answer of this leader, or may have been by an earlier one. */
+    /**
+     * Whether an answer of this leader told the worker to start the task, or one of an earlier leader may have done so.
+     */
     var commanded = false
 
-    /** The worker reported it. */
+    /** Whether the worker has reported the task. */
     var seen = false
 
-    /** The stage that the worker reported last. */
+    /** The stage of the task that the worker reported last; null if it has reported none. */
     var stage: TaskStage? = null
 
-    /** Why it is being ended; null while it may go on. */
+    /** Why the task is being stopped; null while it may go on. */
     var stopping: StopCause? = null
 
     /** When the stop was decided, in seconds of the steady clock. */
     var stopSince = 0.0
 
-    /** The stop was sent directly, once; heartbeat answers repeat it. */
+    /** Whether the stop was sent by a direct command, which is done once; answers to heartbeats repeat it. */
     var stopPosted = false
 
-    /** When the worker first reported it as running, or 0. */
+    /** When the worker reported that the task had begun to run, in seconds of the steady clock; 0 before that. */
     var runningSince = 0.0
 
-    /** When it was planned or read from the store. */
+    /** When it was planned, or read from the store by this leader, in seconds of the steady clock. */
     var plannedAt = 0.0
 
-    /** Seconds that the task has for its checkpoint after the stop. */
+    /** The number of seconds that a stopped task has for its checkpoint. */
     var graceS = 0.0
 
-    /** The worker reported its end; only the store has to follow. */
+    /** Whether the worker has reported the end of the task, which then only has to be stored. */
     var ended = false
 
-    /** Job, task and attempt, as in log lines. */
+    /** The job, the task and the attempt, as log lines show them. */
     val id: String get() = "${job.spec.id}/$task#$attempt"
 
-    /** Seconds until the task should end; null if that is unknown. Estimates of owners are often wrong by half. */
+    /**
+     * Returns the seconds from [now] until the task should end, or null if that is unknown. The estimates of owners are
+     * often wrong by half.
+     */
     fun endsIn(now: Double): Double? {
         val spec = job.spec
-        if (stopping != null) return STOP_S
+        if (stopping != null) return STOP_DURATION_S
         if (spec.shape == Shape.SERVICE || runningSince <= 0.0) return null
         val ranS = now - runningSince
         val isOverdue = ranS > spec.estimateS * OVERDUE_FACTOR
@@ -58,13 +66,13 @@
     }
 
     private companion object {
-        /** How long a stop usually takes. */
-        const val STOP_S = 2.0
+        /** The time that a stop usually takes. */
+        const val STOP_DURATION_S = 2.0
 
-        /** Beyond this multiple of its estimate nothing is known of a task's end. */
+        /** The multiple of its estimate after which the end of a running task counts as unknown. */
         const val OVERDUE_FACTOR = 1.5
 
-        /** The least part of the estimate that is assumed to remain. */
+        /** The share of the estimate that is at least assumed to remain. */
         const val LEAST_REMAINING_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
+++ b/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
@@ -4,14 +4,14 @@
 import plankwall.wire.ProgressUpdate
 
 /**
- * Works out what the leader publishes about its jobs: what changed since it last published, and each time a part of the
- * rest for nodes that missed it. Owns what was published last; nothing of it is stored.
+ * Selects the progress of jobs that the leader publishes: in each round that of the jobs that changed since the last
+ * round, and of a part of the others, for nodes that missed it. Owns what was published last; nothing of it is stored.
  */
 internal class ProgressPublisher(private val schedulerState: SchedulerState) {
     private val lastPublished = HashMap<String, JobProgress>()
     private var round = 0
 
-    /** The updates to be sent now, each of at most a frame's size. */
+    /** Returns the updates to be sent now, each small enough for one frame. */
     fun nextUpdates(epoch: Long): List<ProgressUpdate> {
         round++
         val changed = ArrayList<JobProgress>()
@@ -27,6 +27,7 @@
     }
 
     private companion object {
+        /** The number of rounds within which the progress of every job is published, whether it changed or not. */
         const val REPEAT_EVERY_ROUNDS = 15
         const val JOBS_PER_FRAME = 500
     }
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -12,11 +12,12 @@
 import plankwall.wire.StateItem
 
 /**
- * The leader's state: the live jobs with their tasks, placements and attempts, and what each team uses. It may run
- * ahead of the store, into which [flush] brings it; commands to workers only follow what the store has confirmed.
+ * The leader's state in memory: the live jobs with their tasks, placements and attempts, and the resources that each
+ * team uses. It may be ahead of the store until [flush] writes the changes. A worker is told to start a task only once
+ * the store has confirmed the placement; a stop needs nothing stored.
  *
- * Only this class adds and removes jobs, attaches placements to jobs and machines and detaches them. A new leader
- * builds it from the stored job records and pages.
+ * Only this class adds and removes jobs, attaches placements to jobs and machines, and detaches them. A newly elected
+ * leader builds it from the stored job records and pages.
  */
 class SchedulerState(
     private val ctx: Context,
@@ -40,35 +41,41 @@
     private var nextDemandIndex = 0
     private var lastAttempt = 0L
 
-    /** All jobs that are not over, in the order in which this leader learned of them. */
+    /** All jobs that have not ended, in the order in which this leader learned of them. */
     val live: Collection<Job> get() = jobs.values
 
-    /** The live job [id], or null. */
+    /** Returns the live job [id], or null if there is none. */
     fun find(id: String): Job? = jobs[id]
 
-    /** What all placements of [team] take that are not proven gone. */
+    /** Returns the resources that the placements of [team] take; each counts until its task is proven gone. */
     fun used(team: TeamIndex): Resources = usedByTeam[team.value]
 
-    /** Whether the quota of [team] allows [extra] beside what it uses. */
+    /** Returns whether the quota of [team] allows it to use [extra] in addition to what it uses now. */
     fun withinLimit(team: TeamIndex, extra: Resources): Boolean =
         ctx.settings.teams[team.value].allows(used(team) + extra)
 
-    /** Rises whenever a job is added, becomes ready, or ends. */
+    /** The number of times that a job was added, became ready or ended. Tells callers that they have to recompute. */
     var changes = 0
         private set
 
-    /** Unique for ever without being stored: the epoch is never given twice, nor is a number within it. */
+    /**
+     * Returns an attempt number that is unique for ever although it is not stored: an epoch is never given to two
+     * leaders, and a number is never used twice within an epoch.
+     */
     fun newAttempt(): Long = store.epoch * ATTEMPTS_PER_EPOCH + ++lastAttempt
 
-    /** Takes the record of the job [id] as read or announced by the state service at [version]. */
+    /**
+     * Applies the record of the job [id] as read from the state service or announced by it, and adds the job if it is
+     * new. [version] is the version of the record; a record that is not newer than the one applied last is ignored.
+     */
     fun onJobRecord(id: String, record: JobRecord, version: Long) {
         val job = jobs[id] ?: addJob(record) ?: return
         if (version <= job.version) return
         job.version = version
-        // An older version that cancels a job rewrites its record without the owner.
+        // An older release that cancels a job rewrites its record without the owner.
         job.owner = record.owner ?: job.owner
         if (record.cancelledMs > 0 && !job.cancelled) cancel(job, record.cancelledMs)
-        // The record may be older than the answer that confirmed the cancellation to a user.
+        // The record may have been read before the cancellation that a node confirmed to a user.
         if (!job.cancelled && isKnownCancelled(id)) cancel(job, ctx.time.wallMs)
         writer.markDirty(job)
     }
@@ -83,17 +90,21 @@
         return job
     }
 
-    /** Restores a stored page of [job] after the election: it names the tasks that may be running. */
+    /**
+     * Restores [record], the page of [job] that was read as [item] after the election. Its placements are the tasks
+     * that may be running.
+     */
     fun restorePage(job: Job, item: StateItem, record: PageRecord) {
         val number = Keys.pageNumber(item.key) ?: return
         val page = job.page(number)
         page.version = item.version
         if (record.partSize > 0) {
             page.partSize = record.partSize
-            page.cover(page.from, minOf(page.from + record.partSize, page.to))
+            page.cover(page.firstTask, minOf(page.firstTask + record.partSize, page.endTask))
         }
-        // A part of a page that does not state a part size: left by a leader that ended while splitting it.
-        if (page.tasks == 0) return
+        // This is a part of a page whose record states no part size, so it counts for nothing: the leader that wrote
+        // the part ended before it had split the page.
+        if (page.taskCount == 0) return
         job.done.or(record.done)
         job.doneCount = job.done.cardinality()
         job.storedDone.or(record.done)
@@ -108,7 +119,10 @@
         if (job.complete) writer.markDirty(job)
     }
 
-    /** To be called once all pages are restored: what is neither done nor placed waits. */
+    /**
+     * Leaves only tasks that are neither done nor placed among the waiting ones; to be called once all pages are
+     * restored.
+     */
     fun finishRestore() = jobs.values.forEach { job -> job.waiting.removeAll { it in job.placements || job.done[it] } }
 
     private fun attach(placement: Placement) {
@@ -117,7 +131,7 @@
         usedByTeam[placement.job.team.value] += placement.job.spec.need
     }
 
-    /** Plans [task] onto [machine]. Nothing is commanded before the store has it. */
+    /** Plans [task] onto [machine]. The worker is not told to start it before the store has confirmed the placement. */
     fun place(job: Job, task: Int, machine: Machine, attempt: Long): Placement {
         val placement = Placement(job, task, attempt, machine, machine.session)
         placement.plannedAt = ctx.now
@@ -130,10 +144,14 @@
         return placement
     }
 
-    /** Stops [placement], which gets [graceS] seconds for its checkpoint. The stop is sent to the worker afterwards. */
+    /**
+     * Stops [placement], which gets [graceS] seconds for its checkpoint. The stop is sent to the worker afterwards; a
+     * placement that was never commanded is released at once. One that is stopping already only loses the rest of its
+     * grace if its job is cancelled.
+     */
     fun stop(placement: Placement, cause: StopCause, graceS: Double) {
         if (placement.stopping != null) {
-            // A cancellation overrides the grace given before.
+            // A cancellation overrides the grace that was given before.
             if (cause == StopCause.CANCELLED) {
                 placement.stopping = cause
                 placement.graceS = 0.0
@@ -148,7 +166,10 @@
         if (!placement.commanded) release(placement, "never commanded")
     }
 
-    /** Stops [placement] with time for a checkpoint, if its job makes any. */
+    /**
+     * Stops [placement] with time for a checkpoint if its job writes checkpoints. If the job is a gang, all its tasks
+     * are stopped.
+     */
     fun stopWithSave(placement: Placement, cause: StopCause) {
         val job = placement.job
         val graceS = if (job.spec.checkpointS > 0) job.spec.saveS + SAVE_MARGIN_S else 0.0
@@ -159,7 +180,10 @@
     private fun stopAll(job: Job, cause: StopCause, graceS: Double) =
         job.placements.values.toList().forEach { stop(it, cause, graceS) }
 
-    /** The task is proven gone (or was never commanded): it frees its capacity and waits again, unless it is done. */
+    /**
+     * Detaches [placement], whose task is proven gone or was never commanded; [proof] says why. Its capacity becomes
+     * free, and the task waits again unless it is done. Does nothing if the placement was released before.
+     */
     fun release(placement: Placement, proof: String) {
         val job = placement.job
         val task = placement.task
@@ -171,11 +195,11 @@
         if (!job.done[task]) job.waiting.addFirst(task)
         writer.markDirty(job)
         log.info("task released task={} machine={} proof=\"{}\"", placement.id, placement.machine.id, proof)
-        // A gang's attempt is spent as soon as one task of it is lost.
+        // The attempt of a gang has failed as a whole as soon as one of its tasks is lost.
         if (job.isGang && !job.done[task]) stopAll(job, StopCause.GANG, 0.0)
     }
 
-    /** [task] of [job] is done for good. */
+    /** Records that [task] of [job] is done for good. */
     fun complete(job: Job, task: Int) {
         job.markDone(task)
         writer.markDirty(job)
@@ -196,33 +220,34 @@
     }
 
     /**
-     * Some node confirmed to a user that [id] is cancelled, so that is stored though not read here yet. Its tasks are
-     * stopped at once, which needs nothing stored, and none starts; that anything is gone still needs its proof.
+     * Cancels the job [id], whose cancellation some node has confirmed to a user: it is stored, even if this leader has
+     * not read it yet. Its tasks are stopped at once and no more are started, which needs no write. A task is still
+     * released only with a proof that it is gone.
      */
     fun onCancelled(id: String) {
         val job = jobs[id] ?: return
         if (!job.cancelled) cancel(job, ctx.time.wallMs)
     }
 
-    private fun cancel(job: Job, atMs: Long) {
+    private fun cancel(job: Job, cancelledMs: Long) {
         job.cancelled = true
-        job.cancelledMs = atMs
+        job.cancelledMs = cancelledMs
         log.info("job cancelled job={} placed={}", job.spec.id, job.placements.size)
         stopAll(job, StopCause.CANCELLED, 0.0)
         writer.markDirty(job)
         dependencies.onCancelled(job)
     }
 
-    /** Writes what the store does not have yet, as far as its rate allows. */
+    /** Writes the changes that the store does not have yet, as far as its rate limit allows. */
     fun flush() = writer.flush()
 
     /** Removes the stored pages under [keys], which belong to no live job. */
     fun removeLeftovers(keys: List<String>) = writer.removeLeftovers(keys)
 
-    /** Looks up how the dependencies of waiting jobs ended. */
+    /** Looks up in the store how dependencies ended that are no longer live; to be called regularly. */
     fun tick() = dependencies.tick()
 
-    /** [job]'s final record is stored and says how it ended. */
+    /** Removes [job], whose final record is stored and states [stage], and updates the jobs that depend on it. */
     private fun onJobEnded(job: Job, stage: JobStage, endedMs: Long) {
         if (jobs.remove(job.spec.id) == null) return
         changes++
@@ -232,9 +257,10 @@
     }
 
     private companion object {
+        /** The number of attempt numbers that are reserved for each epoch. */
         const val ATTEMPTS_PER_EPOCH = 10_000_000L
 
-        /** Added to the time that a checkpoint takes. */
+        /** The time that a stopped task gets in addition to what its checkpoint should take. */
         const val SAVE_MARGIN_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/state/StateWriter.kt
+++ b/src/main/kotlin/plankwall/core/state/StateWriter.kt
@@ -5,9 +5,9 @@
 import plankwall.wire.StateCodec
 
 /**
- * Brings the store's copy of [SchedulerState] up to date: pages of tasks, and how jobs ended. [DirtyJobs] decides what
- * is due, [PageBatch] gathers page writes, [PageWriteResults] takes their results; [PageSplitter] and [JobFinalizer]
- * write what takes more than a page.
+ * Writes the changes of [SchedulerState] to the store: pages of tasks, and the final records of jobs that ended.
+ * [DirtyJobs] decides what is due, [PageBatch] collects page writes, and [PageWriteResults] handles their results.
+ * [PageSplitter] and [JobFinalizer] write what takes more than one page.
  */
 internal class StateWriter(
     ctx: Context,
@@ -23,16 +23,19 @@
     private val splitter = PageSplitter(store, dirtyJobs, reader)
     private val finalizer = JobFinalizer(ctx, store, reader, leftovers, onEnded)
 
-    /** [job] has changes to be written. */
+    /** Records that [job] has changes to be written. */
     fun markDirty(job: Job) = dirtyJobs.add(job)
 
-    /** [job] is over: nothing of it is to be written any more. */
+    /** Records that [job] has ended, so that nothing of it is to be written any more. */
     fun forget(job: Job) = dirtyJobs.remove(job)
 
     /** Removes the stored pages under [keys], which belong to no live job. */
     fun removeLeftovers(keys: List<String>) = leftovers.remove(keys)
 
-    /** Writes what the store does not have yet, as far as its rate allows, in the order of [DirtyJobs.inWriteOrder]. */
+    /**
+     * Writes the changes that the store does not have yet, as far as its rate limit allows, in the order of
+     * [DirtyJobs.inWriteOrder].
+     */
     fun flush() {
         var budget = store.availableWrites()
         if (budget <= 0 || dirtyJobs.isEmpty()) return
@@ -44,7 +47,7 @@
         batch.send()
     }
 
-    /** Writes what is due of [job]. Returns the number of changes that this takes of [budget]. */
+    /** Writes the changes of [job] that are due. Returns how much of [budget], in changes, that takes. */
     private fun writeJob(job: Job, batch: PageBatch, budget: Int): Int {
         if (job.version == 0L || job.finishing) return 0
         if (job.isFinalizable) return finalizer.finalize(job)
@@ -57,7 +60,7 @@
     private fun writePages(job: Job, batch: PageBatch, budget: Int): Int {
         var spent = 0
         for (page in job.pages.values.filter { it.dirty && !it.inFlight }) {
-            if (page.reread) {
+            if (page.mustReread) {
                 reader.rereadPage(job, page)
             } else {
                 if (spent >= budget) break
@@ -69,18 +72,18 @@
 
     private fun writePage(job: Job, page: TaskPage, batch: PageBatch): Int {
         val snapshot = PageSnapshot.of(job, page)
-        if (snapshot.estimatedBytes > limits.wholeBytes * NEAR_FULL_SHARE || page.refusedBytes > 0) {
+        if (snapshot.estimatedBytes > limits.wholeBytes * NEAR_FULL_SHARE || page.rejectedBytes > 0) {
             val exactBytes = StateCodec.sizeOf(snapshot.record)
             if (splitter.needsSplit(page, exactBytes)) return splitter.split(job, page)
-            // Rejected as it is, so it is not sent again before it has changed.
-            if (page.refusedBytes == exactBytes) return 0
+            // The store rejected a record of exactly this size, so the page is not sent again before it has changed.
+            if (page.rejectedBytes == exactBytes) return 0
         }
         batch.add(snapshot)
         return 1
     }
 
     private companion object {
-        /** From this part of the largest value on, a page's exact size is computed. */
+        /** The share of the largest value's size above which the exact size of a page is computed. */
         const val NEAR_FULL_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/state/StoredJobReader.kt
+++ b/src/main/kotlin/plankwall/core/state/StoredJobReader.kt
@@ -7,8 +7,8 @@
 import plankwall.wire.StateResult
 
 /**
- * Reads again what the store holds of a job once a conflict or a missing answer leaves that unknown. Changes nothing
- * but the version of a page, [TaskPage.inFlight] and [TaskPage.reread] itself.
+ * Reads again what the store holds of a job after a conflict or a missing answer has left that unknown. By itself it
+ * changes only the version of a page, [TaskPage.inFlight] and [TaskPage.mustReread].
  */
 internal class StoredJobReader(
     private val store: LeaderStore,
@@ -16,21 +16,21 @@
     private val onRecord: JobRecordListener,
     private val onEnded: JobEndListener,
 ) {
-    /** Reads the version of [page]; if that fails the page is still to be read. */
+    /** Reads the version of [page]. If that fails, the page stays marked to be read again. */
     fun rereadPage(job: Job, page: TaskPage) {
         page.inFlight = true
         store.read(Keys.page(job.spec.id, page.number)) { result ->
             page.inFlight = false
             if (result is StateResult.Item) {
                 page.version = result.item?.version ?: 0L
-                page.reread = false
+                page.mustReread = false
             } else {
-                page.reread = true
+                page.mustReread = true
             }
         }
     }
 
-    /** Reads the record of [job]; if it is gone, the final record. */
+    /** Reads the record of [job] or, if that is gone, its final record. */
     fun rereadJob(job: Job) = store.read(Keys.job(job.spec.id)) { result ->
         if (result !is StateResult.Item) return@read
         val item = result.item
@@ -38,15 +38,17 @@
         if (item != null && record != null) {
             onRecord.onJobRecord(job.spec.id, record, item.version)
         } else if (job.placements.isEmpty() && !job.finishing) {
-            // Only the finalizer removes a record: a write of it that was never answered has been applied.
-            readEnd(job)
+            // Only the finalizer removes a record, so one of its writes was applied although its answer did not arrive.
+            readFinalRecord(job)
         }
     }
 
-    /** The final record says how the job ended, which decides about the jobs that depend on it. */
-    private fun readEnd(job: Job) = store.read(Keys.final(job.spec.id)) { result ->
-        val end = (result as? StateResult.Item)?.item?.value as? FinalRecord ?: return@read
-        onEnded.onJobEnded(job, end.stage, end.endedMs)
+    /**
+     * Reads the final record of [job], which says how the job ended and so what becomes of the jobs that depend on it.
+     */
+    private fun readFinalRecord(job: Job) = store.read(Keys.final(job.spec.id)) { result ->
+        val finalRecord = (result as? StateResult.Item)?.item?.value as? FinalRecord ?: return@read
+        onEnded.onJobEnded(job, finalRecord.stage, finalRecord.endedMs)
         leftovers.remove(job.pages.values.filter { it.version > 0 }.map { Keys.page(job.spec.id, it.number) })
     }
 }
--- a/src/main/kotlin/plankwall/core/state/TaskPage.kt
+++ b/src/main/kotlin/plankwall/core/state/TaskPage.kt
@@ -1,45 +1,51 @@
 package plankwall.core.state
 
 /**
- * A contiguous range of a job's tasks that is stored under one key: a page, or a part of one that was split. Holds the
- * range and how far the stored copy is known; only [SchedulerState] and [StateWriter] with its parts change it.
+ * A contiguous range of a job's tasks that is stored under one key: a page, or a part of a page that was split. Holds
+ * the range and what is known of the stored copy. Only [Job], [SchedulerState] and [StateWriter] with the classes that
+ * it uses change it.
+ *
+ * @property number the number of the page or part in the stored key
  */
 class TaskPage(val number: Int) {
     /** The first task of the range. */
-    var from = 0
+    var firstTask = 0
         private set
 
     /** One past the last task of the range. */
-    var to = 0
+    var endTask = 0
         private set
 
-    /** The store's version of the page's key, 0 while there is none. */
+    /** The store's version of the page's key; 0 if the store does not have the key. */
     var version = 0L
 
-    /** The range has changes that no write has been sent for. */
+    /** Whether the range has changes that no write was sent for. */
     var dirty = false
 
-    /** A write or read of the page's key is under way. */
+    /** Whether a write or a read of the page's key is under way. */
     var inFlight = false
 
-    /** After a conflict or an unanswered read the stored version is unknown, and is read before the next write. */
-    var reread = false
+    /**
+     * Whether the stored version is unknown after a conflict or an unanswered read, and has to be read before the next
+     * write.
+     */
+    var mustReread = false
 
-    /** 0, or how many tasks each of the keys holds among which this page is split. */
+    /** The number of tasks under each key among which this page is split; 0 if it is not split. */
     var partSize = 0
 
-    /** The size in bytes at which the store rejected the page on its own, or 0. */
-    var refusedBytes = 0
+    /** The size in bytes at which the store rejected the page when it was written alone; 0 if it did not. */
+    var rejectedBytes = 0
 
-    /** The store rejected it together with other pages, so it is to be written alone. */
-    var alone = false
+    /** Whether to write the page alone, because the store rejected it together with others. */
+    var writeAlone = false
 
-    /** How many tasks the range has. */
-    val tasks: Int get() = to - from
+    /** The number of tasks in the range. */
+    val taskCount: Int get() = endTask - firstTask
 
-    /** Sets the range to the tasks from [from] up to but not including [to]. */
-    fun cover(from: Int, to: Int) {
-        this.from = from
-        this.to = to
+    /** Sets the range to the tasks from [firstTask] up to but not including [endTask]. */
+    fun cover(firstTask: Int, endTask: Int) {
+        this.firstTask = firstTask
+        this.endTask = endTask
     }
 }
