--- a/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
@@ -1,24 +1,27 @@
 package plankwall.core.statemachine
 
 /**
- * Access control in front of the users' API, where the operators require an identity with each request. Without one,
- * anybody may do anything, as PROTOCOL has it.
+ * Access control for requests and heartbeats, used where the operators require every request to prove an identity. A
+ * controller without an access check lets anybody make any request, as the protocol specifies.
  */
 interface AccessCheck {
-    /** Calls [then] with the caller that [credentials] prove; answers [request] here if they prove none. */
+    /** Calls [then] with the caller that [credentials] prove. If they prove none, answers [request] itself instead. */
     fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit)
 
-    /** Answers a [request] about the access policy or the audit log. */
+    /** Answers [request], in which a caller asks about the access policy or the audit log. */
     fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest)
 
     /**
-     * Why a heartbeat from [address] is rejected, or null if it is not.
+     * Returns why a heartbeat is refused, or null if it is accepted.
      *
+     * @param address the network address that the heartbeat came from
      * @param claimed the worker's address according to the heartbeat
-     * @param listed the worker's address according to the cloud, null if unknown
+     * @param listed the worker's address according to the cloud's list, null if unknown
      */
     fun heartbeatRefusal(address: String, claimed: String, listed: String?): String?
 
-    /** Does what is due; to be called regularly. [authority]: null while this node does not lead. */
+    /**
+     * Does the periodic work that is due; to be called on each tick. [authority] is null while this node does not lead.
+     */
     fun tick(authority: LeaseAuthority?)
 }
--- a/src/main/kotlin/plankwall/core/statemachine/AdminRequest.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/AdminRequest.kt
@@ -5,15 +5,18 @@
     /** Asks for the policy in force. */
     data object CurrentPolicy : AdminRequest
 
-    /** Asks for an earlier version of the policy. */
+    /** Asks for the policy [version], which may be an earlier one. */
     class PolicyVersion(val version: Long) : AdminRequest
 
-    /** Replaces version [base] of the policy by [text]. */
+    /** Asks to replace the policy by [text]; refused unless [base] is the version in force. */
     class Publish(val base: Long, val text: String) : AdminRequest
 
-    /** Replaces version [base] of the policy by the earlier version [to]. */
+    /** Asks to replace the policy by its earlier version [to]; refused unless [base] is the version in force. */
     class Rollback(val base: Long, val to: Long) : AdminRequest
 
-    /** Asks for one stored piece of the audit log: segment [number] of [node], or a seal if [node] is null. */
+    /**
+     * Asks for one stored record of the audit log: the segment [number] of [node], or the seal [number] if [node] is
+     * null.
+     */
     class AuditRecord(val node: String?, val number: Long) : AdminRequest
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Caller.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Caller.kt
@@ -4,22 +4,24 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** An authenticated caller. */
+/** A caller that has proved its identity, with the request that it made. */
 interface Caller {
+    /** The name of the principal in the access policy. */
     val name: String
 
     /**
-     * Decides whether the caller may do [action]. [job] is null for what concerns no job, or one of which nothing may
-     * be revealed.
+     * Decides by the policy whether the caller may do [action]. [job] is null if the action concerns no job, or a job
+     * of which nothing may be revealed.
      */
     fun authorize(action: Action, job: JobFacts?): Verdict
 
-    /** Stores a decision that changes nothing else; [then] learns whether the caller may be answered now. */
+    /** Stores a [decision] that goes with no other change. [then] is told whether the caller may be answered now. */
     fun record(decision: Decision, then: (stored: Boolean) -> Unit)
 
     /**
-     * Stores a change and its decision in one transaction. It is guarded by the policy that allowed the change: if that
-     * was replaced, the result is a conflict on its key, and the new policy is known by the time [then] is called.
+     * Stores the change [txn] and the [decision] on it in one transaction, which is guarded on the policy that allowed
+     * the change. If the policy was replaced, the result is a conflict on the policy's key, and the new policy is known
+     * by the time that [then] is called.
      */
     fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit)
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Context.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Context.kt
@@ -9,22 +9,31 @@
 /**
  * What all parts of the core share: settings, time, timers, randomness and the outbox.
  *
- * @property incarnation distinguishes the runs of this node's process, rising from one to the next
+ * @property incarnation the number of this run of the node's process; higher in each later run
  */
 class Context(val settings: Settings, val tuning: Tuning, val incarnation: Long, val random: Random) {
     val time = Time()
+
+    /** Collects the effects of the current step and keeps the callbacks of calls. */
     val out = Outbox()
     val objectives = ServiceLevelObjectives(settings.objectives)
+
+    /** The numbers that this node gives to the names of teams and images. */
     val names = SiteNames(settings.teams.map { it.name })
     private val timers = Timers(time)
 
-    /** Seconds of the steady clock, as of the input being handled. */
+    /** The time of the input being handled, in seconds of the steady clock. */
     val now: Double get() = time.now
 
-    /** How long a leader that lost the state service goes on answering heartbeats, in seconds (X in the design). */
+    /**
+     * The seconds for which a leader that lost the state service goes on answering heartbeats once its own lease has
+     * expired.
+     */
     val outageGraceS: Double = tuning.outageGraceLeases * settings.workers.leaseS
 
-    /** From this many seconds after the heartbeat behind the last answer on, a worker's lease is over by any clock. */
+    /**
+     * The seconds after which a worker's lease is over by any clock, counted from the heartbeat that was answered last.
+     */
     val surelyOverS: Double = settings.workers.leaseS * MAX_CLOCK_DRIFT + LEASE_MARGIN_S
 
     /** Runs [action] on the first tick after [delayS] seconds. */
@@ -34,6 +43,7 @@
     fun runTimers() = timers.runDue()
 
     private companion object {
+        /** The factor by which this node's clock may run faster than a worker's. */
         const val MAX_CLOCK_DRIFT = 1.002
         const val LEASE_MARGIN_S = 1.0
     }
--- a/src/main/kotlin/plankwall/core/statemachine/Effect.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Effect.kt
@@ -4,11 +4,16 @@
 import plankwall.wire.PeerMessage
 import plankwall.wire.StateOp
 
-/** Everything that a controller can do in response to an [Input]. */
+/**
+ * An action of a controller in response to an [Input], such as an answer or a call. The controller only asks for it;
+ * its surroundings carry it out.
+ */
 sealed interface Effect {
     /**
-     * Answers a request. [retryAfterS]: seconds after which the caller should retry. [close]: asks the caller to make a
-     * new connection for its next request.
+     * Answers a request.
+     *
+     * @property retryAfterS the seconds after which the caller should retry, or null
+     * @property close whether the caller is asked to open a new connection for its next request
      */
     class Answer(
         val request: RequestId,
@@ -27,6 +32,6 @@
     /** Sends a direct command to the worker on [machine]; its answer comes back as [Input.WorkerReply]. */
     class WorkerPost(val machine: String, val address: String, val body: ByteArray) : Effect
 
-    /** Sends [message] to the node [to], or to all other nodes if that is null. */
+    /** Sends [message] to the node [to], or to all other nodes if [to] is null. */
     data class PeerSend(val message: PeerMessage, val to: String? = null) : Effect
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Identifiers.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Identifiers.kt
@@ -4,6 +4,6 @@
 @JvmInline
 value class RequestId(val value: Long)
 
-/** Identifies a call that the controller makes, to match its reply. */
+/** Identifies a call that the controller makes, so that the reply can be matched to it. */
 @JvmInline
 value class CallId(val value: Long)
--- a/src/main/kotlin/plankwall/core/statemachine/LeaseAuthority.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/LeaseAuthority.kt
@@ -1,10 +1,10 @@
 package plankwall.core.statemachine
 
-/** The leader's authority to write to the store, delegated to the access gateway while this node leads. */
+/** The leader's authority to write to the store, which the access gateway may use while this node leads. */
 interface LeaseAuthority {
     /** The epoch of this node's leadership. */
     val epoch: Long
 
-    /** Whether there is room for a write that no request waits for. */
+    /** Returns whether the write budget has room for a write that no request waits for. */
     fun mayWrite(): Boolean
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Outbox.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Outbox.kt
@@ -5,20 +5,22 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** Collects the effects of a step, and keeps the continuations of calls until their replies come. */
+/** Collects the effects of a step, and keeps the callbacks of calls until their replies arrive. */
 class Outbox {
     private var effects = ArrayList<Effect>()
-    private var nextCall = 1L
+    private var nextCallNumber = 1L
     private val stateCalls = HashMap<CallId, (StateResult) -> Unit>()
     private val cloudCalls = HashMap<CallId, (CloudResult) -> Unit>()
 
-    /** Receives each reply of the state service before the caller does, to observe the link to it. */
+    /**
+     * Called with each reply of the state service before the callback of the call, to observe the link to the service.
+     */
     var onState: (StateOp, StateResult) -> Unit = { _, _ -> }
 
-    /** Receives each reply of the cloud before the caller does, to observe the link to it. */
+    /** Called with each reply of the cloud before the callback of the call, to observe the link to the cloud. */
     var onCloud: (CloudResult) -> Unit = {}
 
-    /** Adds an [effect] to those of the current step. */
+    /** Adds [effect] to those of the current step. */
     fun add(effect: Effect) {
         effects.add(effect)
     }
@@ -27,37 +29,37 @@
     fun answer(request: RequestId, status: Int, body: ByteArray, retryAfterS: Int? = null, close: Boolean = false) =
         add(Effect.Answer(request, status, body, retryAfterS, close))
 
-    /** Calls the state service; [then] gets the result in a later step. */
-    fun state(op: StateOp, then: (StateResult) -> Unit) {
-        val call = CallId(nextCall++)
+    /** Calls the state service. [onResult] receives the result in a later step. */
+    fun state(op: StateOp, onResult: (StateResult) -> Unit) {
+        val call = CallId(nextCallNumber++)
         stateCalls[call] = { result ->
             onState(op, result)
-            then(result)
+            onResult(result)
         }
         add(Effect.StateCall(call, op))
     }
 
-    /** Calls the cloud; [then] gets the result in a later step. */
-    fun cloud(op: CloudOp, then: (CloudResult) -> Unit) {
-        val call = CallId(nextCall++)
+    /** Calls the cloud. [onResult] receives the result in a later step. */
+    fun cloud(op: CloudOp, onResult: (CloudResult) -> Unit) {
+        val call = CallId(nextCallNumber++)
         cloudCalls[call] = { result ->
             onCloud(result)
-            then(result)
+            onResult(result)
         }
         add(Effect.CloudCall(call, op))
     }
 
-    /** Continues after the reply to [call]; a call that is unknown or was replied to already is ignored. */
+    /** Passes [result] to the callback of [call]. Does nothing if the call is unknown or was replied to already. */
     fun resume(call: CallId, result: StateResult) {
         stateCalls.remove(call)?.invoke(result)
     }
 
-    /** Continues after the reply to [call]; a call that is unknown or was replied to already is ignored. */
+    /** Passes [result] to the callback of [call]. Does nothing if the call is unknown or was replied to already. */
     fun resume(call: CallId, result: CloudResult) {
         cloudCalls.remove(call)?.invoke(result)
     }
 
-    /** Takes out the effects collected so far, in the order in which they were added. */
+    /** Returns the effects added so far, in the order in which they were added, and removes them. */
     fun drain(): List<Effect> {
         val drained = effects
         effects = ArrayList()
--- a/src/main/kotlin/plankwall/core/statemachine/Timers.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Timers.kt
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue
 
-/** Actions to be run once their time has come. */
+/** Schedules actions to run once their time has come. */
 internal class Timers(private val time: Time) {
     private class Timer(val dueAt: Double, val action: () -> Unit)
 
@@ -13,7 +13,7 @@
         queue.add(Timer(time.now + delayS, action))
     }
 
-    /** Runs the actions that are due, the earliest first; also those that they schedule for now. */
+    /** Runs the actions that are due, the earliest first, including those that they schedule for now. */
     fun runDue() {
         while (queue.isNotEmpty() && queue.peek().dueAt <= time.now) queue.poll().action()
     }
