--- a/src/main/kotlin/plankwall/core/CatalogWriter.kt
+++ b/src/main/kotlin/plankwall/core/CatalogWriter.kt
@@ -11,24 +11,25 @@
 internal class CatalogWriter(private val store: LeaderStore, private val capacityView: CapacityView) {
     private var isSaving = false
 
-    /** Stores [catalog] unless it is stored already. */
+    /** Stores [catalog] unless it is stored already or a write of it is in flight. */
     fun save(catalog: Catalog) {
-        val names = catalog.types.map { it.name }
-        if (isSaving || capacityView.storedTypes == names) return
+        val typeNames = catalog.types.map { it.name }
+        if (isSaving || capacityView.storedTypes == typeNames) return
         val chunks = ChunkedValue.catalog(
             catalog,
             if (store.limits.mayDivide) store.limits.txnOps else 1,
             store.limits.wholeBytes,
         )
-        // What can't be stored is requested from the cloud by every node instead, and not tried again.
+        // A catalog that does not fit is not tried again, and every node requests it from the cloud instead. Before the
+        // upgrade it is tried again, since several chunks may be written later.
         if (chunks == null) {
-            if (store.limits.mayDivide) capacityView.storedTypes = names
+            if (store.limits.mayDivide) capacityView.storedTypes = typeNames
             return
         }
         isSaving = true
         store.write(emptyList(), ChunkedValue.writes(Keys.CATALOG, chunks, 0)) { result ->
             isSaving = false
-            if (result is StateResult.Committed) capacityView.storedTypes = names
+            if (result is StateResult.Committed) capacityView.storedTypes = typeNames
         }
     }
 }
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -27,9 +27,9 @@
 import java.util.Random
 
 /**
- * One controller node as a state machine: no clock, no I/O, one thread. [step] takes what happened and returns what
- * to send, write and answer. Creates the parts, hands each input to the one that it is for, and owns the current
- * [LeadershipTerm] while this node leads.
+ * One controller node as a state machine: it reads no clock, does no I/O and runs on one thread. [step] takes one input
+ * and returns what to send, write and answer. Creates the parts of the controller, passes each input to the part that
+ * handles it, and owns the current [LeadershipTerm] while this node leads.
  *
  * Without an [accessCheck] anybody may make requests; with one, a request without credentials is refused.
  */
@@ -56,12 +56,12 @@
         leadership.cancellations.onLearned = { term?.onCancelled(it) }
     }
 
-    /** This node leads. */
+    /** Whether this node leads. */
     val leading: Boolean get() = leadership.leading
 
     /**
      * Handles [input], which happened at [now] seconds of the steady clock and [wallMs] milliseconds of the time of
-     * day. Returns what follows from it, in order.
+     * day. Returns the effects that follow from it, in order.
      */
     fun step(now: Double, wallMs: Long, input: Input): List<Effect> {
         ctx.time.advance(now, wallMs)
@@ -104,12 +104,12 @@
         jobApi.cancel(input.request, input.jobId, it)
     }
 
-    private fun authenticate(request: RequestId, credentials: Credentials?, then: (Caller?) -> Unit) {
+    private fun authenticate(request: RequestId, credentials: Credentials?, onAuthenticated: (Caller?) -> Unit) {
         val check = accessCheck
         when {
-            check == null -> then(null)
+            check == null -> onAuthenticated(null)
             credentials == null -> ctx.out.answer(request, 401, JobCodec.error("no proof of who asks"))
-            else -> check.authenticate(request, credentials, then)
+            else -> check.authenticate(request, credentials, onAuthenticated)
         }
     }
 
@@ -122,7 +122,10 @@
         }
     }
 
-    /** Healthy while requests can be taken. Where only peers reach the store, refusing at once beats timing out. */
+    /**
+     * Reports this node as healthy while it can accept requests. Where only peers reach the store it reports itself as
+     * unhealthy, since refusing requests at once is better than letting them time out.
+     */
     private fun answerHealthCheck(input: Input.HealthCheck) {
         if (capacityView.catalog != null && !leadership.reachability.onlyOthersHaveStore()) {
             ctx.out.answer(input.request, 200, JobCodec.error("none"))
@@ -143,7 +146,8 @@
         relay.onLeadershipGained()
         heartbeats.onElected()
         term = LeadershipTerm(ctx, leadership, capacityView).also { it.begin() }
-        // The workers that other nodes serve are to stay there, so the peers should know the new leader at once.
+        // Workers whose sessions other nodes serve should stay with them, so the peers should know the new leader at
+        // once.
         if (leadership.reachability.lastSessionPlan != null) nextStatusAt = ctx.now
     }
 
@@ -158,15 +162,15 @@
         capacityView.tick()
         term?.tick()
         jobApi.tick()
-        accessCheck?.tick(if (leadership.leading) term?.authority else null)
+        accessCheck?.tick(if (leadership.leading) term?.leaseAuthority else null)
         relay.tick()
         if (ctx.now >= nextStatusAt) sendStatus()
     }
 
     private fun sendStatus() {
         nextStatusAt = ctx.now + STATUS_INTERVAL_S
-        val links = leadership.reachabilityReport(relay.recentWorkers).copy(zones = term?.zones().orEmpty())
-        ctx.out.add(Effect.PeerSend(leadership.status(relay.unservedWorkers, links, term?.sessionPlan)))
+        val links = leadership.createReachabilityReport(relay.recentWorkers).copy(zones = term?.reachByZone().orEmpty())
+        ctx.out.add(Effect.PeerSend(leadership.createStatus(relay.unservedWorkers, links, term?.sessionPlan)))
         term?.progressUpdates()?.forEach { ctx.out.add(Effect.PeerSend(it)) }
     }
 
--- a/src/main/kotlin/plankwall/core/HeartbeatOutcome.kt
+++ b/src/main/kotlin/plankwall/core/HeartbeatOutcome.kt
@@ -2,14 +2,14 @@
 
 import plankwall.wire.Order
 
-/** What becomes of a heartbeat at the leader. */
+/** How the leader responds to a heartbeat. */
 internal sealed interface HeartbeatOutcome {
-    /** It is answered with [orders]. */
+    /** The heartbeat was accepted, and its worker gets [orders]. */
     class Answered(val orders: List<Order>) : HeartbeatOutcome
 
-    /** The worker should send its heartbeats to [node]. */
+    /** The worker is told to send its heartbeats to [node]. */
     class RedirectedTo(val node: String) : HeartbeatOutcome
 
-    /** It is outdated and must change nothing. */
+    /** The heartbeat is outdated and changes nothing; its worker is told to try again. */
     data object Outdated : HeartbeatOutcome
 }
--- a/src/main/kotlin/plankwall/core/HeartbeatRouter.kt
+++ b/src/main/kotlin/plankwall/core/HeartbeatRouter.kt
@@ -20,31 +20,32 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Takes heartbeats on whichever way they come, from the worker itself, relayed by a peer, or in a peer's batch, and
- * returns the answer on the same way. Where this node does not lead, a worker's own heartbeat goes to the relay.
+ * Accepts heartbeats by every path (from the worker itself, relayed by a peer, or in a peer's batch) and returns the
+ * answer by the same path. Where this node does not lead, it passes a worker's own heartbeat to the relay.
  */
 internal class HeartbeatRouter(
     private val ctx: Context,
     private val leadership: Leadership,
     private val relay: WorkerRelay,
     private val accessCheck: AccessCheck?,
-    private val term: () -> LeadershipTerm?,
+    private val currentTerm: () -> LeadershipTerm?,
 ) {
     private val log = LoggerFactory.getLogger("heartbeat")
     private var baselines = HeartbeatBaselines()
 
+    /** An HTTP answer to a worker. [retryAfterS]: the seconds after which the worker should try again, if any. */
     private class WorkerAnswer(val status: Int, val body: ByteArray, val retryAfterS: Int? = null)
 
-    /** This node was elected: peers send whole heartbeats before they refer to them. */
+    /** Forgets all baselines when this node is elected: peers send full heartbeats before they refer to them. */
     fun onElected() {
         baselines = HeartbeatBaselines()
     }
 
-    /** Takes a heartbeat that came straight from its worker. */
+    /** Handles a heartbeat that came directly from its worker. */
     fun onHeartbeat(input: Input.Heartbeat) {
-        val refusal = refusalOf(input.from, input.report)
+        val refusal = findRefusal(input.from, input.report)
         if (refusal != null) return ctx.out.answer(input.request, 403, JobCodec.error(refusal))
-        term()?.resignIfFenced(input.report)
+        currentTerm()?.resignIfFenced(input.report)
         val answer = answerAsLeader(input.report, ctx.settings.node)
         if (answer == null) {
             relay.onHeartbeat(input)
@@ -53,59 +54,68 @@
         }
     }
 
-    /** Takes a heartbeat that a peer relays since its worker can't reach this node. */
+    /** Handles a heartbeat that a peer relays because its worker can't reach this node. */
     fun onRelayedHeartbeat(message: RelayedHeartbeat) {
         if (isDelayed(message.echo)) return
         val answer = answerRelayed(message.from, message.address, message.report)
         send(RelayedAnswer(ctx.settings.node, message.id, answer.status, answer.body), message.from)
     }
 
-    /** Takes heartbeats of workers whose sessions a peer serves; those meant for another epoch are dropped. */
+    /**
+     * Handles heartbeats of workers whose sessions a peer serves. A batch that is meant for another epoch or was
+     * delayed is dropped.
+     */
     fun onBatch(batch: HeartbeatBatch) {
         val epoch = leadership.epoch
         if (batch.epoch != epoch || isDelayed(batch.echo)) return
         val answers = ArrayList<BatchedAnswer>()
-        var bytes = 0
+        var batchBytes = 0
         for (sent in batch.reports) {
             val heartbeat = baselines.resolve(batch.from, sent)
             val answer = heartbeat?.let { answerRelayed(batch.from, sent.address, it) }
             val batched = BatchedAnswer(sent.id, answer?.status ?: BatchedAnswer.RESEND, answer?.body ?: NO_BODY)
-            if (bytes + batched.body.size > MAX_BATCH_BYTES && answers.isNotEmpty()) {
+            if (batchBytes + batched.body.size > MAX_BATCH_BYTES && answers.isNotEmpty()) {
                 send(AnswerBatch(ctx.settings.node, epoch, answers.toList()), batch.from)
                 answers.clear()
-                bytes = 0
+                batchBytes = 0
             }
             answers.add(batched)
-            bytes += batched.body.size + ANSWER_OVERHEAD_BYTES
+            batchBytes += batched.body.size + ANSWER_OVERHEAD_BYTES
         }
         if (answers.isNotEmpty()) send(AnswerBatch(ctx.settings.node, epoch, answers), batch.from)
     }
 
     private fun send(message: PeerMessage, node: String) = ctx.out.add(Effect.PeerSend(message, node))
 
-    /** Delayed on the way: its worker no longer waits for the answer, and may have sent a newer one elsewhere. */
+    /**
+     * Whether the message with this [echo] was delayed on the way. Its worker no longer waits for the answer then, and
+     * may have sent a newer heartbeat to another node.
+     */
     private fun isDelayed(echo: Long): Boolean = leadership.reachability.echoAgeS(echo) > ReachabilityMatrix.FRESH_S
 
     private fun answerRelayed(from: String, address: String, heartbeat: HeartbeatStatus): WorkerAnswer {
-        val refusal = refusalOf(address, heartbeat)
-        term()?.resignIfFenced(heartbeat)
+        val refusal = findRefusal(address, heartbeat)
+        currentTerm()?.resignIfFenced(heartbeat)
         if (refusal != null) return WorkerAnswer(403, JobCodec.error(refusal))
         return answerAsLeader(heartbeat, from) ?: WorkerAnswer(503, JobCodec.error("does not lead"))
     }
 
-    /** Why [heartbeat] from the [address] is not accepted, or null. */
-    private fun refusalOf(address: String, heartbeat: HeartbeatStatus): String? =
-        accessCheck?.heartbeatRefusal(address, heartbeat.address, term()?.listedAddress(heartbeat.machine))?.also {
-            log.warn("heartbeat refused machine={} address={} reason=\"{}\"", heartbeat.machine, address, it)
-        }
+    /** Returns why [heartbeat], which came from [address], is refused; null if it is accepted. */
+    private fun findRefusal(address: String, heartbeat: HeartbeatStatus): String? = accessCheck?.heartbeatRefusal(
+        address,
+        heartbeat.address,
+        currentTerm()?.listedAddress(heartbeat.machine),
+    )?.also {
+        log.warn("heartbeat refused machine={} address={} reason=\"{}\"", heartbeat.machine, address, it)
+    }
 
-    /** The leader's answer; null where this node may not give one. */
-    private fun answerAsLeader(heartbeat: HeartbeatStatus, through: String): WorkerAnswer? {
-        val current = term()
-        if (current == null || !leadership.mayAnswer) return null
-        return when (val outcome = current.onHeartbeat(heartbeat, through)) {
+    /** Returns the leader's answer, or null if this node may not give one. */
+    private fun answerAsLeader(heartbeat: HeartbeatStatus, receivingNode: String): WorkerAnswer? {
+        val term = currentTerm()
+        if (term == null || !leadership.mayAnswer) return null
+        return when (val outcome = term.onHeartbeat(heartbeat, receivingNode)) {
             is HeartbeatOutcome.Answered ->
-                WorkerAnswer(200, WorkerCodec.answer(current.tokenFor(heartbeat.machine), outcome.orders))
+                WorkerAnswer(200, WorkerCodec.answer(term.tokenFor(heartbeat.machine), outcome.orders))
             is HeartbeatOutcome.RedirectedTo -> WorkerAnswer(421, WorkerCodec.reportTo(outcome.node))
             HeartbeatOutcome.Outdated -> WorkerAnswer(503, JobCodec.error("an old report"), 1)
         }
@@ -114,7 +124,7 @@
     private companion object {
         val NO_BODY = ByteArray(0)
 
-        /** Below the largest frame; an answer's orders are bounded far below that. */
+        /** Less than the maximum size of a frame. The size of one answer's orders is bounded far below this. */
         const val MAX_BATCH_BYTES = 40_000
         const val ANSWER_OVERHEAD_BYTES = 20
     }
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -23,9 +23,9 @@
 import plankwall.wire.ZoneReach
 
 /**
- * All that a node knows and does while it leads, from its election to its resignation: creates the parts, and runs them
- * in a fixed order. A new term begins with nothing and reads everything from the store, so that nothing remembered from
- * an earlier time can be wrong.
+ * The parts and the state that a node has while it leads, from its election to its resignation. Creates the parts and
+ * runs them in a fixed order. A new term starts empty and reads everything from the store, so that nothing remembered
+ * from an earlier term can be wrong.
  */
 internal class LeadershipTerm(
     private val ctx: Context,
@@ -42,85 +42,101 @@
         Autoscaler(ctx, store, schedulerState, fleet, placer, failureDetector, ctx.now) {
             fleet.provablyEmptyAt(it, leadership.olderLeadersSilentAt)
         }
-    private val upgrade = VersionUpgrade(leadership, store)
+    private val versionUpgrade = VersionUpgrade(leadership, store)
     private val catalogWriter = CatalogWriter(store, capacityView)
-    private val progress = ProgressPublisher(schedulerState)
-    private val sessions =
+    private val progressPublisher = ProgressPublisher(schedulerState)
+    private val sessionPlanner =
         SessionPlanner(ctx, leadership.reachability, fleet, leadership.epoch, leadership.reachability.lastSessionPlan)
-    private val reach = DirectReachability(ctx, fleet, failureDetector, sessions)
-    private val transfer = LeadershipTransfer(ctx, leadership, fleet, failureDetector, reach)
-    private val loader = StateLoader(ctx, store, schedulerState, fleet, autoscaler, upgrade)
-    private val commands = WorkerCommands(ctx, leadership, store, fleet, heartbeatHandler, reach)
-    private val heartbeats =
-        TermHeartbeats(ctx, leadership, store, fleet, heartbeatHandler, reach, commands, loader::isLoaded)
+    private val directReachability = DirectReachability(ctx, fleet, failureDetector, sessionPlanner)
+    private val leadershipTransfer = LeadershipTransfer(ctx, leadership, fleet, failureDetector, directReachability)
+    private val loader = StateLoader(ctx, store, schedulerState, fleet, autoscaler, versionUpgrade)
+    private val workerCommands = WorkerCommands(ctx, leadership, store, fleet, heartbeatHandler, directReachability)
+    private val termHeartbeats =
+        TermHeartbeats(
+            ctx,
+            leadership,
+            store,
+            fleet,
+            heartbeatHandler,
+            directReachability,
+            workerCommands,
+            loader::isLoaded,
+        )
 
     /** Starts to read the stored state. */
     fun begin() = loader.load()
 
-    /** From now on no answer of the store to this term has any effect. */
+    /** Ends the term: replies of the store that arrive later have no effect. */
     fun end() = store.close()
 
-    /** Runs all parts once. */
+    /** Runs all parts once; to be called on each tick. */
     fun tick() {
         capacityView.catalog?.let { if (fleet.catalog == null) fleet.catalog = it }
         fleet.catalog?.let { capacityView.catalog = it }
-        sessions.tick()
+        sessionPlanner.tick()
         if (!loader.isLoaded) return
-        // A leader that may have been replaced gets no heartbeats for that reason, so it draws no conclusions.
-        if (leadership.mayWrite) decide()
+        // Workers send no heartbeats to a leader that has been replaced. So a leader whose lease may have expired must
+        // not conclude anything from missing heartbeats.
+        if (leadership.mayWrite) runSchedulingPass()
         autoscaler.tick()
-        commands.tick()
-        reach.tick()
-        transfer.tick()
+        workerCommands.tick()
+        directReachability.tick()
+        leadershipTransfer.tick()
     }
 
-    private fun decide() {
+    private fun runSchedulingPass() {
         heartbeatHandler.releaseExpired()
         schedulerState.tick()
         placer.plan()
         schedulerState.flush()
-        upgrade.tick()
+        versionUpgrade.tick()
         fleet.catalog?.let(catalogWriter::save)
     }
 
-    /** Takes [heartbeat], which came to the node [through]. */
-    fun onHeartbeat(heartbeat: HeartbeatStatus, through: String): HeartbeatOutcome =
-        heartbeats.onHeartbeat(heartbeat, through)
+    /** Handles [heartbeat], which the node [receivingNode] received from the worker. Returns how to respond to it. */
+    fun onHeartbeat(heartbeat: HeartbeatStatus, receivingNode: String): HeartbeatOutcome =
+        termHeartbeats.onHeartbeat(heartbeat, receivingNode)
 
-    /** Takes the [heartbeat] that a worker sent as its answer to a direct command. */
-    fun onCommandReply(heartbeat: HeartbeatStatus) = heartbeats.onCommandReply(heartbeat)
+    /** Handles the [heartbeat] that a worker sent as its answer to a direct command. */
+    fun onCommandReply(heartbeat: HeartbeatStatus) = termHeartbeats.onCommandReply(heartbeat)
 
     /** Resigns if [heartbeat] shows a newer leader's fencing token. */
     fun resignIfFenced(heartbeat: HeartbeatStatus) {
-        heartbeats.resignIfFenced(heartbeat)
+        termHeartbeats.resignIfFenced(heartbeat)
     }
 
-    /** The cancellation of [job] was confirmed to a user. */
+    /** Cancels [job]; called once for each stored cancellation that this node learns of. */
     fun onCancelled(job: String) = schedulerState.onCancelled(job)
 
-    /** The fencing token for [machine]: never lower than what it was shown. */
-    fun tokenFor(machine: String): Long = commands.tokenFor(machine)
+    /** Returns the fencing token for [machine], which is never lower than any token that its worker was shown. */
+    fun tokenFor(machine: String): Long = workerCommands.tokenFor(machine)
 
-    /** How each zone's machines are reached. */
-    fun zones(): List<ZoneReach> = reach.reachByZone()
+    /**
+     * Returns, for each zone, how many workers should send heartbeats directly to this node and how many of them are
+     * late.
+     */
+    fun reachByZone(): List<ZoneReach> = directReachability.reachByZone()
 
-    /** Which nodes serve workers' sessions; null while all come to the leader. */
-    val sessionPlan: SessionPlan? get() = sessions.plan
+    /** The nodes that serve the workers' sessions; null while all workers connect to the leader itself. */
+    val sessionPlan: SessionPlan? get() = sessionPlanner.plan
 
-    /** Where the cloud says [machine] is; null if it has not been listed yet. */
+    /** Returns the address of [machine] according to the cloud; null if the cloud has not listed the machine yet. */
     fun listedAddress(machine: String): String? = fleet.find(machine)?.listedAddress?.takeIf { it.isNotEmpty() }
 
-    /** What the access gateway may do in this term: it comes after all that somebody waits for. */
-    val authority: LeaseAuthority = object : LeaseAuthority {
+    /**
+     * The access gateway's authority to write during this term. Its writes have the lowest priority: they must leave at
+     * least [LeaderStore.scarceWrites] for changes that somebody waits for.
+     */
+    val leaseAuthority: LeaseAuthority = object : LeaseAuthority {
         override val epoch: Long get() = store.epoch
 
         override fun mayWrite(): Boolean = loader.isLoaded && store.availableWrites() > store.scarceWrites
     }
 
-    /** Null until the state is loaded, or if there is no such live job. */
+    /** Returns the progress of the live job [id]; null until the state is loaded, or if there is no such live job. */
     fun progressOf(id: String): JobProgress? = if (loader.isLoaded) schedulerState.find(id)?.progress else null
 
-    /** What is to be published about jobs now. */
+    /** Returns the job progress that is to be sent to the other nodes now. */
     fun progressUpdates(): List<ProgressUpdate> =
-        if (loader.isLoaded) progress.nextUpdates(store.epoch) else emptyList()
+        if (loader.isLoaded) progressPublisher.nextUpdates(store.epoch) else emptyList()
 }
--- a/src/main/kotlin/plankwall/core/StateLoader.kt
+++ b/src/main/kotlin/plankwall/core/StateLoader.kt
@@ -15,8 +15,8 @@
 import plankwall.wire.Stored
 
 /**
- * Reads all stored state into that of a newly elected leader, and then follows the job records as users submit and
- * cancel. Owns only how far that has come.
+ * Loads all stored state after this node's election, and then follows the job records as users submit and cancel jobs.
+ * Owns nothing but [isLoaded].
  */
 internal class StateLoader(
     private val ctx: Context,
@@ -28,11 +28,11 @@
 ) {
     private val log = LoggerFactory.getLogger("leadership")
 
-    /** All that was stored at the election has been read. */
+    /** Whether everything that was stored at the election has been read. */
     var isLoaded = false
         private set
 
-    /** Starts to read. */
+    /** Starts to read the stored state: first the fleet and the version level, then the jobs and their pages. */
     fun load() {
         store.readAll(Keys.FLEET) { items, _ ->
             autoscaler.restore(items)
@@ -49,7 +49,7 @@
     }
 
     private fun loadPages(pages: List<StateItem>, revision: Long) {
-        val orphans = pages.filterNot { restorePage(it) }.map { it.key }
+        val leftoverKeys = pages.filterNot { restorePage(it) }.map { it.key }
         schedulerState.finishRestore()
         isLoaded = true
         log.info(
@@ -58,11 +58,14 @@
             schedulerState.live.size,
             fleet.machines.size,
         )
-        schedulerState.removeLeftovers(orphans)
+        schedulerState.removeLeftovers(leftoverKeys)
         watchJobs(revision)
     }
 
-    /** False for a page without placements whose job is over: it is left over from the end of the job. */
+    /**
+     * Restores the page [item]. Returns false if the page is left over from a job that has ended: no live job has its
+     * id, and it holds no placements.
+     */
     private fun restorePage(item: StateItem): Boolean {
         val record = item.value as? PageRecord ?: return true
         val job = schedulerState.find(Keys.jobId(item.key)) ?: return record.placements.isNotEmpty()
@@ -70,19 +73,19 @@
         return true
     }
 
-    /** Follows submissions and cancellations after the revision [after]. */
-    private fun watchJobs(after: Long) {
-        store.watch(Keys.JOBS, after, WATCH_MS) { result ->
+    /** Follows the changes of job records after the revision [afterRevision]. */
+    private fun watchJobs(afterRevision: Long) {
+        store.watch(Keys.JOBS, afterRevision, MAX_WATCH_MS) { result ->
             when (result) {
                 is StateResult.News -> {
                     result.events.forEach { onRecord(it.key, it.value, it.version) }
-                    watchJobs(maxOf(after, result.revision))
+                    watchJobs(maxOf(afterRevision, result.revision))
                 }
                 StateResult.TooOld -> store.readAll(Keys.JOBS) { jobs, revision ->
                     jobs.forEach(::onItem)
                     watchJobs(revision)
                 }
-                else -> ctx.runAfter(RETRY_S) { if (store.active) watchJobs(after) }
+                else -> ctx.runAfter(WATCH_RETRY_S) { if (store.active) watchJobs(afterRevision) }
             }
         }
     }
@@ -94,7 +97,7 @@
     }
 
     private companion object {
-        const val WATCH_MS = 8_000L
-        const val RETRY_S = 0.3
+        const val MAX_WATCH_MS = 8_000L
+        const val WATCH_RETRY_S = 0.3
     }
 }
--- a/src/main/kotlin/plankwall/core/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/core/WorkerCommands.kt
@@ -13,7 +13,7 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * The direct commands of a leader to workers: urgent orders, announcements of its fencing token, and probes. Owns
+ * Sends the leader's direct commands to workers: urgent orders, announcements of its fencing token, and probes. Owns
  * [Machine.lastAnnounced] and [Machine.announceSession].
  */
 internal class WorkerCommands(
@@ -21,70 +21,85 @@
     private val leadership: Leadership,
     private val store: LeaderStore,
     private val fleet: Fleet,
-    private val heartbeats: HeartbeatHandler,
-    private val reach: DirectReachability,
+    private val heartbeatHandler: HeartbeatHandler,
+    private val directReachability: DirectReachability,
 ) {
-    /** The fencing token for [machine]: never lower than what it was shown. */
+    /** Returns the fencing token for [machine], which is never lower than any token that its worker was shown. */
     fun tokenFor(machine: String): Long = maxOf(store.epoch, fleet.find(machine)?.token ?: 0L)
 
-    /** Sends what is due: urgent orders, then announcements, then probes. */
+    /** Sends the commands that are due: urgent orders, then announcements, then probes. */
     fun tick() {
-        sendUrgent()
-        announceToken()
+        sendUrgentOrders()
+        announceTokens()
         sendProbes()
     }
 
-    /** Also without the state service: a stop needs nothing stored, and what is stored already may start. */
-    private fun sendUrgent() {
+    /**
+     * Sends urgent orders even while the state service can't be reached: a stop needs no stored record, and a start is
+     * only ordered once its placement is stored.
+     */
+    private fun sendUrgentOrders() {
         for (machine in fleet.machines) {
-            if (!machine.unsent || reach.isUnreachable(machine)) continue
-            val orders = heartbeats.urgentOrders(machine) ?: continue
+            if (!machine.unsent || directReachability.isUnreachable(machine)) continue
+            val orders = heartbeatHandler.urgentOrders(machine) ?: continue
             machine.token = maxOf(machine.token, store.lastRevision)
-            send(machine, machine.session, orders)
+            sendCommand(machine, machine.session, orders)
         }
     }
 
-    /** Shows machines the new token directly, so that they drop the answers of an older leader that goes on. */
-    private fun announceToken() {
+    /**
+     * Shows the new leader's token directly to machines, so that their workers reject an older leader that goes on
+     * answering them. Ends when every lease that an older leader can have renewed is surely over.
+     */
+    private fun announceTokens() {
         if (ctx.now > leadership.wonAt + ctx.outageGraceS + ctx.surelyOverS) return
-        var left = MAX_ANNOUNCED_PER_TICK
+        var remainingAnnouncements = MAX_ANNOUNCEMENTS_PER_TICK
         for (machine in fleet.machines) {
-            if (left == 0) return
-            if (!needsAnnouncement(machine) || ctx.now < leadership.wonAt + FIRST_ANNOUNCEMENT_S) continue
+            if (remainingAnnouncements == 0) return
+            if (!isAnnouncementDue(machine) || ctx.now < leadership.wonAt + FIRST_ANNOUNCEMENT_DELAY_S) continue
             machine.lastAnnounced = ctx.now
-            left--
+            remainingAnnouncements--
             val placedSession = machine.placements.values.firstOrNull()?.session ?: 1L
-            send(machine, maxOf(machine.session, machine.announceSession, placedSession), emptyList())
+            sendCommand(machine, maxOf(machine.session, machine.announceSession, placedSession), emptyList())
         }
     }
 
-    private fun needsAnnouncement(machine: Machine): Boolean = !machine.confirmed &&
+    private fun isAnnouncementDue(machine: Machine): Boolean = !machine.confirmed &&
         machine.address.isNotEmpty() &&
         !machine.deleting &&
-        ctx.now - machine.lastAnnounced >= ANNOUNCE_S
+        ctx.now - machine.lastAnnounced >= ANNOUNCEMENT_INTERVAL_S
 
-    /** A worker refused an announcement, and [heartbeat] names the session to use: the next one follows at once. */
-    fun onRefusedAnnouncement(machine: Machine, heartbeat: HeartbeatStatus) {
+    /**
+     * Adopts the session that [heartbeat], the worker's answer to an announcement that it refused, names for [machine].
+     * The next announcement is then sent on the next tick.
+     */
+    fun retryRefusedAnnouncement(machine: Machine, heartbeat: HeartbeatStatus) {
         if (machine.confirmed || heartbeat.token >= leadership.epoch) return
         if (heartbeat.session <= machine.announceSession) return
         machine.announceSession = heartbeat.session
         machine.lastAnnounced = Machine.NEVER
     }
 
-    /** Machines whose heartbeats come through other nodes are tried with a command without orders. */
-    private fun sendProbes() = reach.machinesToProbe().forEach { send(it, it.session, emptyList()) }
+    /**
+     * Sends a command without orders to machines whose heartbeats come through other nodes. An answer shows that the
+     * leader reaches the worker directly.
+     */
+    private fun sendProbes() = directReachability.machinesToProbe().forEach { sendCommand(it, it.session, emptyList()) }
 
-    private fun send(machine: Machine, session: Long, orders: List<Order>) {
-        reach.onCommandSent(machine)
+    private fun sendCommand(machine: Machine, session: Long, orders: List<Order>) {
+        directReachability.onCommandSent(machine)
         val body = WorkerCodec.commands(tokenFor(machine.id), session, orders)
         ctx.out.add(Effect.WorkerPost(machine.id, machine.address, body))
     }
 
     private companion object {
-        const val MAX_ANNOUNCED_PER_TICK = 6
-        const val ANNOUNCE_S = 2.0
+        const val MAX_ANNOUNCEMENTS_PER_TICK = 6
+        const val ANNOUNCEMENT_INTERVAL_S = 2.0
 
-        /** After the election most workers send a heartbeat by themselves first. */
-        const val FIRST_ANNOUNCEMENT_S = 2.0
+        /**
+         * The time after the election within which most workers send a heartbeat by themselves and need no
+         * announcement.
+         */
+        const val FIRST_ANNOUNCEMENT_DELAY_S = 2.0
     }
 }
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -7,83 +7,99 @@
 import plankwall.wire.PeerStatus
 
 /**
- * The cancelled jobs that this node knows, and up to when it knows them all. Whoever renews a worker's lease keeps its
- * tasks running, among them those of a job whose cancellation was confirmed to a user. So a leader has to learn of it
- * in time even if the state service refuses calls, and has to withhold answers when it can't be sure to have done so
- * ([isAware]).
+ * The cancelled jobs that this node knows of, and the moments up to which it knows all of them. A node that renews a
+ * worker's lease keeps the worker's tasks running, among them those of a job whose cancellation was confirmed to a
+ * user. So a leader has to learn of the cancellation in time even if the state service refuses its calls, and has to
+ * withhold answers while it can't be sure that it has ([isUpToDate]).
  *
- * Two moments by this node's own clock, neither of which ever goes back:
- * - [storedUpTo]: every cancellation that was stored before it is known here: a read of the store began then, by this
- * node or a peer.
- * - [knownUpTo]: every cancellation that was confirmed to a user before it is known here. What is confirmed was stored
- * before, so it is at least [storedUpTo]. Beyond that each peer has to confirm that its list is complete
- * ([PeerCancellations]), with an echo of a frame of this node that bounds the age of its update. A peer that is silent
- * or was restarted confirms nothing.
+ * Two moments by this node's own clock, neither of which ever moves back:
+ * - [storedKnownUpTo]: every cancellation that was stored before it is known here, since this node or a peer began a
+ * read of the store at that moment.
+ * - [confirmedKnownUpTo]: every cancellation that was confirmed to a user before it is known here. A cancellation is
+ * stored before it is confirmed, so this moment is at least [storedKnownUpTo]. It is later if each peer confirms that
+ * its list of cancellations is complete ([PeerCancellations]), with an echo of a frame of this node that bounds the age
+ * of its update. A peer that is silent or was restarted confirms nothing.
  *
- * Owns the set of known cancellations; nothing of it is stored, since the jobs' records are.
+ * Owns the set of known cancellations. The set is not stored, since the jobs' records are.
  */
 class Cancellations(private val ctx: Context, private val reachability: ReachabilityMatrix) {
     private val log = LoggerFactory.getLogger("cancellations")
-    private val local = LocalCancellations(ctx)
+    private val localCancellations = LocalCancellations(ctx)
     private val peers = HashMap<String, PeerCancellations>()
     private var startedAt = Double.NaN
 
-    private val known = object : LinkedHashMap<String, Unit>() {
+    private val knownJobs = object : LinkedHashMap<String, Unit>() {
         override fun removeEldestEntry(eldest: Map.Entry<String, Unit>): Boolean = size > MAX_KNOWN
     }
 
-    /** Called for each cancellation once, from whatever source. */
+    /** Called once for each cancellation that this node learns of, from whatever source. */
     var onLearned: (job: String) -> Unit = {}
 
-    /** Every cancellation stored before is known here; seconds of the steady clock. */
-    var storedUpTo = Double.NEGATIVE_INFINITY
+    /** The moment up to which every stored cancellation is known here, in seconds of the steady clock. */
+    var storedKnownUpTo = Double.NEGATIVE_INFINITY
         private set
 
-    /** Every cancellation confirmed to a user before is known here; seconds of the steady clock. */
-    var knownUpTo = Double.NEGATIVE_INFINITY
+    /**
+     * The moment up to which every cancellation that was confirmed to a user is known here, in seconds of the steady
+     * clock.
+     */
+    var confirmedKnownUpTo = Double.NEGATIVE_INFINITY
         private set
 
     /**
-     * How far [knownUpTo] may lag while workers are answered: an answer given now keeps tasks for a lease, and a user
-     * who got the confirmation just after [knownUpTo] must not see them longer than `cancel_s`. Where that leaves
-     * nothing, no answer at all could keep the rule, and a machine that merely can't be reached would break it too; a
-     * node that is connected to its peers goes on then.
+     * The maximum age of [confirmedKnownUpTo], in seconds, at which workers are still answered. An answer given now
+     * lets tasks run for a lease, and a user whose cancellation was confirmed just after [confirmedKnownUpTo] must not
+     * see them for longer than `cancel_s`. Where `cancel_s` is too short for that, no answer at all could keep the
+     * rule, and a machine that merely can't be reached would break it too; the minimum then lets a node go on that is
+     * connected to its peers.
      */
     val toleratedLagS: Double =
         (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
 
-    /** No cancellation that is unknown here can exceed `cancel_s` if a worker's lease is renewed now. */
-    val isAware: Boolean get() = ctx.now - knownUpTo <= toleratedLagS
+    /**
+     * Whether a worker's lease may be renewed now: no cancellation that is unknown here can take longer than `cancel_s`
+     * because of it.
+     */
+    val isUpToDate: Boolean get() = ctx.now - confirmedKnownUpTo <= toleratedLagS
 
-    /** Whether [job] is known as cancelled. */
-    fun isKnown(job: String): Boolean = job in known
+    /** Whether [job] is known to be cancelled. */
+    fun isKnown(job: String): Boolean = job in knownJobs
 
-    /** [job] is stored as cancelled. To be called before any user gets the confirmation, and as the store is read. */
+    /**
+     * Records that [job] is stored as cancelled. Must be called before any user gets the confirmation, and for each
+     * cancelled job that a read of the store returns.
+     */
     fun learn(job: String) {
-        if (add(job)) advance()
+        if (add(job)) advanceKnownMoments()
     }
 
     private fun add(job: String): Boolean {
-        if (known.put(job, Unit) != null) return false
-        // Also what a peer sent: this node's list is complete only if it names everything that the node may later read
-        // or confirm as known already.
-        local.add(job)
+        if (knownJobs.put(job, Unit) != null) return false
+        // Entries from peers are added too: this node's list is complete only if it names everything that this node may
+        // later read from the store, or confirm to a user, as known already.
+        localCancellations.add(job)
         onLearned(job)
         return true
     }
 
-    /** The store was read as of [begunAt] or later, and all that it holds of live jobs was passed to [learn]. */
+    /**
+     * Records that the store was read as of [begunAt] or later, and that all its cancelled live jobs were passed to
+     * [learn].
+     */
     fun readUpTo(begunAt: Double) {
-        storedUpTo = maxOf(storedUpTo, begunAt)
-        advance()
+        storedKnownUpTo = maxOf(storedKnownUpTo, begunAt)
+        advanceKnownMoments()
     }
 
-    /** [job] has ended: nothing of it is on any machine. */
+    /** Forgets [job], which has ended: none of its tasks is on any machine. */
     fun onJobEnded(job: String) {
-        known.remove(job)
+        knownJobs.remove(job)
     }
 
-    /** Takes each [status] that is the newest of its node; an older one holds nothing that the newest does not. */
+    /**
+     * Handles the newest [status] of its node. Older ones need not be handled, since they hold nothing that the newest
+     * does not.
+     */
     fun onStatus(status: PeerStatus) {
         val update = status.cancellations
         val links = status.links
@@ -91,52 +107,57 @@
             peers.remove(status.node)
             return
         }
-        // What has arrived there need not be sent again.
-        links.echoes[ctx.settings.node]?.let { local.onArrived(status.node, it) }
+        // Entries that have arrived at the peer need not be sent to it again.
+        links.echoes[ctx.settings.node]?.let { localCancellations.onArrived(status.node, it) }
         update.jobs.forEach { if (add(it)) log.info("cancellation learned from peer job={} peer={}", it, status.node) }
         peers.getOrPut(status.node) { PeerCancellations() }
             .onUpdate(status.incarnation, update, reachability.echoedAt(status.node), ctx.now)
-        advance()
+        advanceKnownMoments()
     }
 
-    /** What this node sends in the frame numbered [seq]. */
+    /** Returns the update that this node sends in the frame numbered [seq]. */
     fun nextUpdate(seq: Long): CancellationUpdate =
-        local.nextUpdate(seq, millisSince(storedUpTo), ((ctx.now - startedAt) * 1000).toLong())
+        localCancellations.nextUpdate(seq, millisSince(storedKnownUpTo), ((ctx.now - startedAt) * 1000).toLong())
 
-    /** Rounded up, so that the peer does not take the read for newer than it is; -1 if there was none. */
-    private fun millisSince(at: Double): Long =
-        if (at == Double.NEGATIVE_INFINITY) -1 else ((ctx.now - at) * 1000).toLong() + 1
+    /**
+     * Returns the milliseconds since [moment], or -1 if there is none. Rounds up, so that the peer does not take the
+     * read to be newer than it is.
+     */
+    private fun millisSince(moment: Double): Long =
+        if (moment == Double.NEGATIVE_INFINITY) -1 else ((ctx.now - moment) * 1000).toLong() + 1
 
-    private fun advance() {
-        // A peer's read proves as much as one of this node's own, if all that the peer read since and knew before has
-        // arrived here. One peer's read may make that true of another.
+    private fun advanceKnownMoments() {
+        // A read of the store by a peer proves as much as a read by this node, if everything that the peer learned
+        // since then has arrived here and everything that it knew before is known here. The read of one peer may make
+        // this true for another peer.
         do {
-            val before = storedUpTo
+            val previous = storedKnownUpTo
             for (peer in peers.values) {
-                if (peer.completeSince <= storedUpTo) storedUpTo = maxOf(storedUpTo, peer.storedUpTo)
+                if (peer.completeSince <= storedKnownUpTo) storedKnownUpTo = maxOf(storedKnownUpTo, peer.storeReadAt)
             }
-        } while (storedUpTo > before)
-        val confirmed = ctx.settings.peers.minOfOrNull { confirmedUpTo(it.node) } ?: ctx.now
-        knownUpTo = maxOf(knownUpTo, storedUpTo, confirmed)
+        } while (storedKnownUpTo > previous)
+        val confirmedByAllPeers = ctx.settings.peers.minOfOrNull { peerConfirmedUpTo(it.node) } ?: ctx.now
+        confirmedKnownUpTo = maxOf(confirmedKnownUpTo, storedKnownUpTo, confirmedByAllPeers)
     }
 
-    private fun confirmedUpTo(node: String): Double =
-        peers[node]?.takeIf { it.completeSince <= storedUpTo }?.sentAt ?: Double.NEGATIVE_INFINITY
+    private fun peerConfirmedUpTo(node: String): Double =
+        peers[node]?.takeIf { it.completeSince <= storedKnownUpTo }?.sentAt ?: Double.NEGATIVE_INFINITY
 
-    /** The peers without a recent confirmation, for the log. */
+    /** Returns the names of the peers without a recent confirmation, for the log. */
     fun unconfirmedPeers(): String = ctx.settings.peers.filter {
-        ctx.now - confirmedUpTo(it.node) > ReachabilityMatrix.FRESH_S
+        ctx.now - peerConfirmedUpTo(it.node) > ReachabilityMatrix.FRESH_S
     }.joinToString(",") { it.node }.ifEmpty { "none" }
 
-    /** To be called regularly. */
+    /** To be called on each tick. */
     fun tick() {
         if (startedAt.isNaN()) startedAt = ctx.now
-        // A node without peers knows all that it confirmed; with peers this changes only with their updates.
-        if (ctx.settings.peers.isEmpty()) advance()
+        // A node without peers knows all cancellations that were confirmed, since it confirmed them itself. With peers
+        // the moments change only with their updates.
+        if (ctx.settings.peers.isEmpty()) advanceKnownMoments()
     }
 
     private companion object {
-        /** More than are ever live at once by far. */
+        /** Far more than are ever live at the same time. */
         const val MAX_KNOWN = 10_000
     }
 }
--- a/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/LocalCancellations.kt
@@ -4,22 +4,25 @@
 import plankwall.wire.CancellationUpdate
 
 /**
- * The cancellations that this node learned of, in that order: each is sent to the peers until it is known to have
- * arrived. Entries are numbered from 1 since the node's start; those dropped keep their numbers.
+ * The cancellations that this node has learned of, in the order in which it learned of them. Each is sent to the peers
+ * until it is known to have arrived at all of them. Entries are numbered from 1 since the node's start; the numbers of
+ * dropped entries are not used again.
  */
 internal class LocalCancellations(private val ctx: Context) {
     private class Entry(val job: String, val learnedAt: Double)
 
     private val entries = ArrayDeque<Entry>()
-    private var dropped = 0L
 
-    /** By frame: the number of the last entry when it was made. */
+    /** The number of entries that were dropped from the beginning of [entries]. */
+    private var droppedCount = 0L
+
+    /** The number of the last entry that existed when a frame was made, by the frame's sequence number. */
     private val lastEntryByFrame = LinkedHashMap<Long, Long>()
 
-    /** By node: the number of the last entry that has arrived there. */
+    /** The number of the last entry that has arrived at a node, by node. */
     private val arrivedByNode = HashMap<String, Long>()
 
-    /** [job] is known as cancelled from now on. */
+    /** Adds [job], which is known to be cancelled. */
     fun add(job: String) {
         entries.addLast(Entry(job, ctx.now))
         if (entries.size > MAX_ENTRIES) dropFirst()
@@ -27,34 +30,38 @@
 
     private fun dropFirst() {
         entries.removeFirst()
-        dropped++
+        droppedCount++
     }
 
-    /** The frame numbered [seq] has arrived at [node], and with it all entries up to its last. */
+    /**
+     * Records that the frame numbered [seq] has arrived at [node], and with it all entries up to the last one at that
+     * time.
+     */
     fun onArrived(node: String, seq: Long) {
-        lastEntryByFrame[seq]?.let { last -> arrivedByNode[node] = maxOf(arrivedByNode[node] ?: 0L, last) }
+        lastEntryByFrame[seq]?.let { number -> arrivedByNode[node] = maxOf(arrivedByNode[node] ?: 0L, number) }
     }
 
     /**
-     * The update for the frame numbered [seq]: the entries that some peer may lack. A peer that nothing has reached for
-     * `cancel_s` is not waited for: by then it has either stopped answering workers or learned of them from the store.
-     * [readAgeMs] is the age of the newest read of the store, [upMs] for how long this node has run.
+     * Returns the update for the frame numbered [seq]: the entries that some peer may lack. Entries older than
+     * `cancel_s` are dropped even if a peer has received nothing since then: by that time it has either stopped
+     * answering workers or learned of them from the store. [readAgeMs] is the age of the newest read of the store and
+     * [upMs] the time since this node started, both in milliseconds.
      */
     fun nextUpdate(seq: Long, readAgeMs: Long, upMs: Long): CancellationUpdate {
         while (entries.isNotEmpty() && ctx.now - entries.first().learnedAt > ctx.settings.workers.cancelS) dropFirst()
-        lastEntryByFrame[seq] = dropped + entries.size
-        if (lastEntryByFrame.size > MAX_FRAMES) lastEntryByFrame.remove(lastEntryByFrame.keys.first())
+        lastEntryByFrame[seq] = droppedCount + entries.size
+        if (lastEntryByFrame.size > MAX_REMEMBERED_FRAMES) lastEntryByFrame.remove(lastEntryByFrame.keys.first())
         val arrivedEverywhere = ctx.settings.peers.minOfOrNull { arrivedByNode[it.node] ?: 0L } ?: 0L
-        val acknowledged = maxOf(dropped, arrivedEverywhere)
-        val jobs = entries.drop((acknowledged - dropped).toInt()).map { it.job }
-        return CancellationUpdate(acknowledged + 1, jobs, readAgeMs, upMs)
+        val lastAcknowledged = maxOf(droppedCount, arrivedEverywhere)
+        val jobs = entries.drop((lastAcknowledged - droppedCount).toInt()).map { it.job }
+        return CancellationUpdate(lastAcknowledged + 1, jobs, readAgeMs, upMs)
     }
 
     private companion object {
-        /** A frame has 64 KiB; each entry takes some 14 bytes of it. */
+        /** A frame has 64 KiB, and each entry takes about 14 bytes of it. */
         const val MAX_ENTRIES = 1_000
 
-        /** For how many frames the last entry is kept. */
-        const val MAX_FRAMES = 120
+        /** The number of frames whose last entry is remembered. */
+        const val MAX_REMEMBERED_FRAMES = 120
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
@@ -4,73 +4,86 @@
 import plankwall.wire.PeerStatus
 
 /**
- * Which node should acquire leadership when it is free. A candidate must reach the store, since nothing can be stored
- * without it; among those that do, nodes that workers reach come first. A node that workers don't reach leads all the
- * same if it is the only candidate: their heartbeats are relayed by the others.
+ * Decides which node should acquire leadership when no node holds it. A candidate must reach the store, since nothing
+ * can be stored without it; among the nodes that do, those that workers reach come first. A node that workers don't
+ * reach leads nevertheless if it is the only candidate: the other nodes relay the heartbeats to it.
+ *
+ * @param recentWorkers returns how many workers sent heartbeats to this node lately
  */
 class CandidatePriority(
     private val ctx: Context,
     private val reachability: ReachabilityMatrix,
     private val recentWorkers: () -> Int,
 ) {
-    private var freeSince = Double.NaN
+    private var vacantSince = Double.NaN
     private var workersLostAt = Double.NEGATIVE_INFINITY
     private var successor: String? = null
-    private var successorNamedAt = Double.NEGATIVE_INFINITY
+    private var successorProposedAt = Double.NEGATIVE_INFINITY
 
-    /** This node resigned because workers did not reach it: until one does, others come first. */
+    /**
+     * Records that this node resigned because workers did not reach it. Until one does, other nodes come first, for at
+     * most the lease of a worker.
+     */
     fun onWorkersLost() {
         workersLostAt = ctx.now
     }
 
     /**
-     * Takes note of the successor that a resigning leader names. Returns whether it is this node, which should then
-     * acquire leadership without delay.
+     * Records the successor that a resigning leader proposes in [status]. Returns whether it is this node, which should
+     * then acquire leadership without delay.
      */
     fun onStatus(status: PeerStatus): Boolean {
-        val named = status.links?.successor ?: return false
-        successor = named
-        successorNamedAt = ctx.now
-        return named == ctx.settings.node
+        val proposedNode = status.links?.successor ?: return false
+        successor = proposedNode
+        successorProposedAt = ctx.now
+        return proposedNode == ctx.settings.node
     }
 
-    /** Whether this node should try to acquire leadership now; to be called each time that it is found free. */
+    /**
+     * Whether this node should try to acquire leadership now; to be called each time that no node is found to hold it.
+     */
     fun mayAcquire(): Boolean {
-        if (freeSince.isNaN() || ctx.now - freeSince > VACANCY_EXPIRES_S) freeSince = ctx.now
-        return ctx.now - freeSince >= delayS()
+        if (vacantSince.isNaN() || ctx.now - vacantSince > VACANCY_EXPIRY_S) vacantSince = ctx.now
+        return ctx.now - vacantSince >= acquisitionDelayS()
     }
 
-    /** Leadership is held by some node. */
+    /** Records that some node holds leadership. */
     fun onLeaderSeen() {
-        freeSince = Double.NaN
+        vacantSince = Double.NaN
     }
 
-    /** Short and always bounded: a time without a leader costs more than a leader that is the second best. */
-    private fun delayS(): Double {
+    /**
+     * Returns how long this node leaves a vacant leadership to others, in seconds. The delay is short and always
+     * bounded, since a time without a leader costs more than a leader that is the second best.
+     */
+    private fun acquisitionDelayS(): Double {
         val candidates = reachability.freshPeers().filter { it.stateReachable }
-        val workersHere = recentWorkers()
-        val named = successor?.takeIf { ctx.now - successorNamedAt < VACANCY_EXPIRES_S }
+        val recentWorkerCount = recentWorkers()
+        val proposedSuccessor = successor?.takeIf { ctx.now - successorProposedAt < VACANCY_EXPIRY_S }
         return when {
-            candidates.isEmpty() || named == ctx.settings.node -> 0.0
-            named != null && candidates.any { it.node == named } -> MAX_DELAY_S
-            workersHere == 0 && ctx.now - workersLostAt < ctx.settings.workers.leaseS -> MAX_DELAY_S
-            workersHere == 0 && candidates.any { it.recentWorkers > 0 } -> MAX_DELAY_S / 2
+            candidates.isEmpty() || proposedSuccessor == ctx.settings.node -> 0.0
+            proposedSuccessor != null && candidates.any { it.node == proposedSuccessor } -> MAX_ACQUISITION_DELAY_S
+            recentWorkerCount == 0 && ctx.now - workersLostAt < ctx.settings.workers.leaseS -> MAX_ACQUISITION_DELAY_S
+            recentWorkerCount == 0 && candidates.any { it.recentWorkers > 0 } -> MAX_ACQUISITION_DELAY_S / 2
             else -> 0.0
         }
     }
 
-    /** The node to name as successor when this one resigns: it reaches the store, and most workers reach it. */
+    /**
+     * Returns the node to propose as successor when this one resigns: of those that reach the store, the one that most
+     * workers reach; null if no worker reaches any of them.
+     */
     fun preferredSuccessor(): PeerStatus? =
         reachability.freshPeers().filter { it.stateReachable && it.recentWorkers > 0 }.maxByOrNull { it.recentWorkers }
 
     private companion object {
-        /** Two polls of the leader's key by a node that does not wait. */
-        const val MAX_DELAY_S = 1.3
+        /** The time of two polls of the leader's key by a node that does not wait. */
+        const val MAX_ACQUISITION_DELAY_S = 1.3
 
         /**
-         * Longer than a lease of the leader's key and the longest delay together: what is older concerned another
-         * vacancy.
+         * Longer than the lease of the leader's key and the maximum delay together: what was observed longer ago
+         * concerned an earlier vacancy.
          */
-        const val VACANCY_EXPIRES_S = 5.0
+        const val VACANCY_EXPIRY_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
@@ -4,42 +4,51 @@
 import plankwall.wire.PeerStatus
 
 /**
- * Who leads, by the freshest evidence: the leader's key in the store, a status frame of the leader's own, or what a
- * peer knows by one of the two. The highest epoch counts. A node that knows of a higher epoch than any claim names no
- * leader; so the epochs that a worker is redirected to only rise, and it can't go in circles.
+ * Determines the leader by the freshest evidence: the leader's key in the store, a status frame from the leader itself,
+ * or what a peer knows by one of these two. The claim with the highest epoch counts. A node that knows of a higher
+ * epoch than that of any claim names no leader; so the epochs to which a worker is redirected only rise, and the worker
+ * can't go in circles.
+ *
+ * @param leaseS the time to live of the lease on the leader's key, in seconds
  */
 class LeaderRouting(
     private val ctx: Context,
     private val reachability: ReachabilityMatrix,
     private val leaseS: Double,
 ) {
-    private var stored: LeadershipClaim? = null
+    private var storedClaim: LeadershipClaim? = null
 
-    /** The highest epoch known of, from whatever source. */
+    /** The highest epoch that this node knows of, from whatever source. */
     var epochSeen = 0L
         private set
 
-    /** Takes note that [epoch] exists. */
+    /** Records that [epoch] exists. */
     fun onEpoch(epoch: Long) {
         epochSeen = maxOf(epochSeen, epoch)
     }
 
-    /** A read of the leader's key that began at [askedAt] found [node] and [epoch]; null: the key is not held. */
+    /**
+     * Handles a read of the leader's key that began at [askedAt]. [node] holds the key with the revision [epoch]; it is
+     * null if no node holds the key.
+     */
     fun onLeaderKeyRead(node: String?, epoch: Long, askedAt: Double) {
-        stored = node?.let { LeadershipClaim(it, epoch, askedAt) }
+        storedClaim = node?.let { LeadershipClaim(it, epoch, askedAt) }
         onEpoch(epoch)
     }
 
-    /** The claim for which this node has evidence of its own, as it may be passed on to peers. */
+    /**
+     * Returns the claim for which this node has evidence of its own, which it may pass on to peers; null if there is
+     * none.
+     */
     fun provenLeader(): LeadershipClaim? {
         val leadingPeers = reachability.freshPeers().filter { it.leading }
         val claims =
             leadingPeers.map { LeadershipClaim(it.node, it.epochSeen, reachability.provenAt(it.node)) } +
-                listOfNotNull(freshStored())
+                listOfNotNull(freshStoredClaim())
         return claims.filter { isCurrent(it) }.maxByOrNull { it.epoch }
     }
 
-    /** The current leader, or null if it is not known or is this node. */
+    /** Returns the current leader, or null if it is not known or is this node. */
     fun leader(): LeadershipClaim? {
         val claims = listOfNotNull(provenLeader()) + reachability.freshPeers().mapNotNull(::claimFrom)
         val newest = claims.maxByOrNull { it.epoch } ?: return null
@@ -47,28 +56,32 @@
     }
 
     /**
-     * The claim by the leader's key. A read from long ago counts only if no peer is connected; otherwise one of them
-     * would know. A leader that lost the store goes on answering for the outage grace, so its key may be valid for as
-     * long.
+     * Returns the claim by the last read of the leader's key, if the read is recent enough. An old read counts only
+     * while no peer is connected: a connected peer would know the leader. A leader that lost the store goes on
+     * answering for the outage grace, so for an isolated node the read counts that long.
      */
-    private fun freshStored(): LeadershipClaim? {
+    private fun freshStoredClaim(): LeadershipClaim? {
         val isIsolated = reachability.livePeers().isEmpty()
         val maxAgeS = if (isIsolated) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
-        return stored?.takeIf { ctx.now - it.at < maxAgeS }
+        return storedClaim?.takeIf { ctx.now - it.provenAt < maxAgeS }
     }
 
+    /**
+     * Returns the claim that [peer] reports about the leader, or null if it reports none or its evidence is too old.
+     */
     private fun claimFrom(peer: PeerStatus): LeadershipClaim? {
         val sighting = peer.links?.leader ?: return null
-        val at = reachability.provenAt(peer.node) - sighting.ageMs / 1000.0
-        val isFresh = ctx.now - at < leaseS + ReachabilityMatrix.FRESH_S * 2
-        return if (isFresh) LeadershipClaim(sighting.node, sighting.epoch, at) else null
+        val sightedAt = reachability.provenAt(peer.node) - sighting.ageMs / 1000.0
+        val isFresh = ctx.now - sightedAt < leaseS + ReachabilityMatrix.FRESH_S * 2
+        return if (isFresh) LeadershipClaim(sighting.node, sighting.epoch, sightedAt) else null
     }
 
+    /** Whether nothing that this node knows contradicts [claim]. */
     private fun isCurrent(claim: LeadershipClaim): Boolean {
         if (claim.epoch < epochSeen) return false
         val status = reachability.statusOf(claim.node) ?: return true
-        // Exact, however old the status is: an epoch that was resigned is over, and a node that knows of the epoch
-        // without leading does not lead in it.
+        // This is certain however old the status is: an epoch from which the node resigned is over, and a node that
+        // knows of the epoch without leading does not lead in it.
         return status.resignedEpoch < claim.epoch && (status.leading || status.epochSeen < claim.epoch)
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/LeadershipClaim.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeadershipClaim.kt
@@ -2,8 +2,11 @@
 
 import plankwall.wire.LeaderSighting
 
-/** Evidence that [node] led in [epoch] at the moment [at] (seconds of this node's steady clock) or later. */
-data class LeadershipClaim(val node: String, val epoch: Long, val at: Double) {
-    /** The claim as it is sent to peers: with its age, since each node has a clock of its own. */
-    fun toSighting(now: Double) = LeaderSighting(node, epoch, ((now - at) * 1000).toInt().coerceAtLeast(0))
+/** Evidence that [node] led in [epoch] at the moment [provenAt] or later, in seconds of this node's steady clock. */
+data class LeadershipClaim(val node: String, val epoch: Long, val provenAt: Double) {
+    /**
+     * Returns the claim in the form that is sent to peers: with its age instead of a moment, since each node has its
+     * own clock.
+     */
+    fun toSighting(now: Double) = LeaderSighting(node, epoch, ((now - provenAt) * 1000).toInt().coerceAtLeast(0))
 }
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -10,28 +10,35 @@
 import plankwall.wire.StoreUse
 
 /**
- * What this node knows of its own and its peers' links, and how old that is. It only chooses whom to ask and where to
- * redirect a worker; no task counts as gone and no leader as replaced because of it.
+ * What this node knows about its own links and those of its peers, and how old that knowledge is. It only serves to
+ * choose which node to ask and where to redirect a worker; no task is considered gone and no leader replaced because of
+ * it.
  *
  * A partition can hold frames back for minutes and then deliver them all at once. Therefore each frame echoes the
- * sequence number of the newest frame that its sender has received from this node: it was made after this node sent
- * that one, which bounds its age by this node's clock alone. This is called proven freshness here.
+ * sequence number of the newest frame that its sender has received from this node. The frame was made after this node
+ * sent the echoed one, which bounds the frame's age by this node's clock alone. This is called proven freshness here.
  */
 class ReachabilityMatrix(private val ctx: Context) {
-    /** The newest status of a peer; all moments in seconds of this node's clock. */
+    /** The newest status of a peer. All moments are in seconds of this node's clock. */
     private class Peer(val status: PeerStatus, val receivedAt: Double, val provenAt: Double, val echoedAt: Double)
 
     private val peers = HashMap<String, Peer>()
     private val store = StoreReachability(ctx)
+
+    /**
+     * When each kind of call to the state service last succeeded, by the ordinal of [StoreUse]; NaN if it never did.
+     */
     private val storeSucceededAt = DoubleArray(StoreUse.entries.size) { Double.NaN }
+
+    /** When the cloud last answered a call; NaN if it never did. */
     private var cloudSucceededAt = Double.NaN
 
-    // A restarted process begins beyond all numbers that it can have sent before: it sends one frame a second, and the
-    // incarnation grows by a thousand a second.
-    private var seq = ctx.incarnation
+    // The sequence number of the newest frame. A restarted process begins above all numbers that it can have sent
+    // before: it sends one frame a second, while the incarnation grows by a thousand a second.
+    private var lastSentSeq = ctx.incarnation
     private val sentAtBySeq = LinkedHashMap<Long, Double>()
 
-    /** The newest session plan that any leader has published, also one that no longer leads. */
+    /** The session plan of the highest epoch that any leader has published, including a leader that no longer leads. */
     var lastSessionPlan: SessionPlan? = null
         private set
 
@@ -40,10 +47,10 @@
         ctx.out.onCloud = { if (it != CloudResult.Trouble) cloudSucceededAt = ctx.now }
     }
 
-    /** Takes in a peer's status; false if it is older than the known one and must be ignored. */
+    /** Records the [status] of a peer. Returns false if it is older than the known one and must be ignored. */
     fun onStatus(status: PeerStatus): Boolean {
-        val known = peers[status.node]
-        if (known != null && isOlder(status, known.status)) return false
+        val knownPeer = peers[status.node]
+        if (knownPeer != null && isOlder(status, knownPeer.status)) return false
         val echo = status.links?.echoes?.get(ctx.settings.node)
         val echoedAt = echo?.let { sentAtBySeq[it] } ?: Double.NEGATIVE_INFINITY
         val provenAt = if (echo == null) ctx.now else echoedAt
@@ -58,47 +65,50 @@
         return if (newSeq != null && knownSeq != null) newSeq <= knownSeq else status.incarnation < known.incarnation
     }
 
-    /** The newest status of [node], however old; null if none has come. */
+    /** Returns the newest status of [node], however old it is; null if none has arrived. */
     fun statusOf(node: String): PeerStatus? = peers[node]?.status
 
-    /** The statuses received within the last few seconds, whenever they were made. */
+    /** Returns the statuses that arrived within the last [FRESH_S] seconds, whenever they were made. */
     fun livePeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.receivedAt < FRESH_S }.map { it.status }
 
     /**
-     * A moment, in seconds of this node's clock, after which the newest status of [node] was surely made; negative
-     * infinity if none is known. A status without an echo counts from when it was received.
+     * Returns a moment, in seconds of this node's clock, after which the newest status of [node] was surely made;
+     * negative infinity if there is none. A status without an echo counts as made when it arrived.
      */
     fun provenAt(node: String): Double = peers[node]?.provenAt ?: Double.NEGATIVE_INFINITY
 
-    /** Like [provenAt], but only by an echo: a status without one may be of any age. */
+    /** Returns a moment like [provenAt], but proven only by an echo: a status without an echo may be of any age. */
     fun echoedAt(node: String): Double = peers[node]?.echoedAt ?: Double.NEGATIVE_INFINITY
 
-    /** Whether the newest status of [node] is surely new. */
+    /** Whether the newest status of [node] was surely made within the last [FRESH_S] seconds. */
     fun isFresh(node: String): Boolean = ctx.now - provenAt(node) < FRESH_S
 
-    /** The statuses that are surely new, which takes a link that is open in both directions. */
+    /** Returns the statuses that are surely fresh. This requires a link to the peer that is open in both directions. */
     fun freshPeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.provenAt < FRESH_S }.map { it.status }
 
-    /** The sequence number of the newest frame of [node], to be echoed to it; 0 if it sends no numbers. */
+    /** Returns the sequence number of the newest frame of [node], to be echoed to it; 0 if it sends no numbers. */
     fun lastSeqFrom(node: String): Long = peers[node]?.status?.links?.seq ?: 0L
 
-    /** Seconds since this node sent the frame numbered [echo]; infinite if it is not remembered. */
+    /**
+     * Returns the seconds since this node sent the frame numbered [echo]; infinity if that frame is no longer
+     * remembered.
+     */
     fun echoAgeS(echo: Long): Double = sentAtBySeq[echo]?.let { ctx.now - it } ?: Double.POSITIVE_INFINITY
 
-    /** Whether [node] understands relayed heartbeats: one that sends sequence numbers does. */
+    /** Whether [node] understands relayed heartbeats, which every version does that sends sequence numbers. */
     fun supportsRelay(node: String): Boolean = statusOf(node)?.links != null
 
-    /** Whether the state service serves this node, by the calls that it makes regularly. */
+    /** Whether the state service serves this node, judged by the calls that the node makes regularly. */
     val storeReachable: Boolean get() = store.isReachable
 
-    /** Whether the state service serves other nodes but not this one, so that users should go to those. */
+    /** Whether the state service serves other nodes but not this one, so that users should use those nodes. */
     fun onlyOthersHaveStore(): Boolean = !storeReachable && livePeers().any { it.stateReachable }
 
-    /** A regular call to the state service was sent. */
-    fun storeAsked() = store.onCallSent()
+    /** Records that a regular call to the state service was sent. */
+    fun onStoreCallSent() = store.onCallSent()
 
-    /** A regular call to the state service ended with [result]. */
-    fun storeAnswered(result: StateResult) = store.onResult(result)
+    /** Records that a regular call to the state service ended with [result]. */
+    fun onStoreCallEnded(result: StateResult) = store.onResult(result)
 
     private fun onStateResult(op: StateOp, result: StateResult) {
         if (!StoreReachability.isFailure(result)) storeSucceededAt[useOf(op).ordinal] = ctx.now
@@ -112,15 +122,15 @@
     }
 
     /**
-     * Starts this node's next status frame: takes a sequence number and reports its links. The zones are left empty for
-     * the leader to fill in.
+     * Creates the report for this node's next status frame, with a new sequence number and the state of its links. The
+     * zones are left empty, to be filled in by the leader.
      */
     fun report(recentWorkers: Int, leader: LeadershipClaim?, successor: String?): ReachabilityReport {
-        sentAtBySeq[++seq] = ctx.now
+        sentAtBySeq[++lastSentSeq] = ctx.now
         if (sentAtBySeq.size > MAX_REMEMBERED_FRAMES) sentAtBySeq.remove(sentAtBySeq.keys.first())
         val echoes = peers.mapNotNull { (node, peer) -> peer.status.links?.let { node to it.seq } }.toMap()
         return ReachabilityReport(
-            seq,
+            lastSentSeq,
             echoes,
             storeSucceededAt.map(::ageMs),
             ageMs(cloudSucceededAt),
@@ -131,10 +141,10 @@
         )
     }
 
-    private fun ageMs(at: Double): Int = if (at.isNaN()) -1 else ((ctx.now - at) * 1000).toInt()
+    private fun ageMs(moment: Double): Int = if (moment.isNaN()) -1 else ((ctx.now - moment) * 1000).toInt()
 
     companion object {
-        /** A status comes once a second; two or three may be lost or late. */
+        /** A status is sent once a second, and two or three may be lost or late. */
         const val FRESH_S = 4.0
         private const val MAX_REMEMBERED_FRAMES = 120
     }
--- a/src/main/kotlin/plankwall/core/election/LeaderKey.kt
+++ b/src/main/kotlin/plankwall/core/election/LeaderKey.kt
@@ -9,48 +9,54 @@
 import plankwall.wire.Write
 
 /**
- * The calls to the state service about the key `leader` and the lease that it is attached to. Decides nothing and keeps
- * nothing: [Leadership] does.
+ * The calls to the state service that concern the key `leader` and the lease that it is attached to. Makes no decisions
+ * and keeps no state; [Leadership] does both.
  */
 internal class LeaderKey(private val ctx: Context, private val ttlS: Double) {
-    /** What became of an attempt to take the key. */
+    /** The outcome of an attempt to acquire the key. */
     sealed interface Acquisition {
-        /** This node holds the key. The revision of that write is the [epoch]; [lease] is the key's. */
-        class Won(val lease: Long, val epoch: Long) : Acquisition
-
-        /** Another node holds the key, or the outcome is unknown or came too late. Nothing of the attempt remains. */
+        /**
+         * This node holds the key, which is attached to the lease [leaseId]. The [epoch] is the revision of the write.
+         */
+        class Won(val leaseId: Long, val epoch: Long) : Acquisition
+
+        /**
+         * Another node holds the key, or the outcome is unknown or arrived too late. The lease of the attempt was given
+         * up, so that nothing of it remains.
+         */
         data object Lost : Acquisition
 
-        /** No lease was granted, so the key was not tried. */
+        /** No lease was granted, so no attempt to write the key was made. */
         data object NoLease : Acquisition
     }
 
-    /** Reads who holds the key. */
-    fun read(then: (StateResult) -> Unit) = ctx.out.state(StateOp.Get(Keys.LEADER), then)
+    /** Reads the record of the node that holds the key. */
+    fun read(onResult: (StateResult) -> Unit) = ctx.out.state(StateOp.Get(Keys.LEADER), onResult)
 
-    /** Renews [lease] for its full time to live. */
-    fun renew(lease: Long, then: (StateResult) -> Unit) = ctx.out.state(StateOp.Renew(lease), then)
+    /** Renews [leaseId] for its full time to live. */
+    fun renew(leaseId: Long, onResult: (StateResult) -> Unit) = ctx.out.state(StateOp.Renew(leaseId), onResult)
 
-    /** Ends [lease] and removes the key with it, whatever comes back. */
-    fun drop(lease: Long) = ctx.out.state(StateOp.Drop(lease)) {}
+    /** Ends [leaseId], which also removes the key. The result of the call does not matter. */
+    fun endLease(leaseId: Long) = ctx.out.state(StateOp.Drop(leaseId)) {}
 
-    /** Asks for a lease, and with it for the key, which must be free. */
-    fun acquire(then: (Acquisition) -> Unit) {
+    /** Requests a lease and, with it, the key, which must be free. */
+    fun acquire(onResult: (Acquisition) -> Unit) {
         val sentAt = ctx.now
-        ctx.out.state(StateOp.Grant((ttlS * 1000).toLong())) { granted ->
-            if (granted is StateResult.Granted) put(granted.lease, sentAt, then) else then(Acquisition.NoLease)
+        ctx.out.state(StateOp.Grant((ttlS * 1000).toLong())) { reply ->
+            if (reply is StateResult.Granted) putKey(reply.lease, sentAt, onResult) else onResult(Acquisition.NoLease)
         }
     }
 
-    private fun put(lease: Long, sentAt: Double, then: (Acquisition) -> Unit) {
-        val write = Write.Put(Keys.LEADER, LeaderRecord(ctx.settings.node, ctx.incarnation), lease)
+    private fun putKey(leaseId: Long, sentAt: Double, onResult: (Acquisition) -> Unit) {
+        val write = Write.Put(Keys.LEADER, LeaderRecord(ctx.settings.node, ctx.incarnation), leaseId)
         ctx.out.state(StateOp.Txn(listOf(Guard(Keys.LEADER, 0)), listOf(write))) { result ->
             if (result is StateResult.Committed && ctx.now < sentAt + ttlS) {
-                then(Acquisition.Won(lease, result.revision))
+                onResult(Acquisition.Won(leaseId, result.revision))
             } else {
-                // Lost the race, or the outcome is unknown: whatever was written must not outlive this attempt.
-                drop(lease)
-                then(Acquisition.Lost)
+                // The race is lost or its outcome is unknown: a key that was written nevertheless must not outlive this
+                // attempt.
+                endLease(leaseId)
+                onResult(Acquisition.Lost)
             }
         }
     }
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -21,12 +21,14 @@
 import plankwall.wire.StateResult
 
 /**
- * The leader election. The leader holds the key `leader`, attached to a short lease of the state service; the revision
- * that wrote the key is the epoch. It is the fencing token for the workers and the guard of every write, so whatever an
- * old leader still has under way fails by itself.
+ * The leader election. The leader holds the key `leader`, which is attached to a short lease of the state service. The
+ * revision that wrote the key is the epoch: it is the fencing token for the workers and the guard of every write, so
+ * all writes that an old leader still has in flight fail by themselves.
  *
- * Owns this node's epoch and lease. While it leads it renews the lease; otherwise it polls the key and, once the key is
- * free and its turn has come, is a candidate for it.
+ * Owns this node's epoch and lease. While it leads it renews the lease; otherwise it polls the key and tries to acquire
+ * it once the key is free and [CandidatePriority] lets this node go ahead.
+ *
+ * @param recentWorkers returns how many workers sent heartbeats to this node lately
  */
 class Leadership(
     private val ctx: Context,
@@ -42,30 +44,30 @@
         (ctx.settings.workers.leaseS / 6).coerceIn(MIN_LEASE_S, MAX_LEASE_S)
     }
 
-    /** What this node and its peers know of the links between nodes. */
+    /** The links between the nodes, as far as this node and its peers know them. */
     val reachability = ReachabilityMatrix(ctx)
 
-    /** Who leads, as far as this node knows. */
+    /** The current leader, as far as this node knows it. */
     val routing = LeaderRouting(ctx, reachability, ttlS)
 
-    /** When this node may be a candidate. */
+    /** Decides when this node may try to acquire the leader's key. */
     val candidatePriority = CandidatePriority(ctx, reachability, recentWorkers)
 
-    /** The cancelled jobs that this node knows. */
+    /** The cancelled jobs that this node knows of. */
     val cancellations = Cancellations(ctx, reachability)
 
-    private val key = LeaderKey(ctx, ttlS)
+    private val leaderKey = LeaderKey(ctx, ttlS)
     private val olderLeaders = OlderLeaders(ctx)
     private val withheldAnswers = WithheldAnswers(ctx, cancellations)
 
     /** The highest epoch that any worker, peer or read of the store has shown. */
     val epochSeen: Long get() = routing.epochSeen
 
-    /** This node's epoch while it leads, else 0. */
+    /** This node's epoch while it leads, otherwise 0. */
     var epoch = 0L
         private set
 
-    /** The epoch that this node last resigned, or 0. */
+    /** The last epoch in which this node led and from which it resigned, or 0 if there is none. */
     var resignedEpoch = 0L
         private set
 
@@ -73,58 +75,66 @@
     var wonAt = 0.0
         private set
 
-    private var lease = 0L
+    private var leaseId = 0L
     private var leaseExpiresAt = 0.0
     private var nextPollAt = 0.0
-    private var isPolling = false
-    private var isCandidate = false
 
-    /** Whom this node proposes as the next leader: in every status until there is one. */
+    /** Whether a renewal of the lease or a read of the key is in flight. */
+    private var isCallInFlight = false
+
+    /** Whether an attempt of this node to acquire the key is in flight. */
+    private var isAcquiring = false
+
+    /**
+     * The node that this one proposed as the next leader when it resigned. Every status repeats it until a leader is
+     * seen.
+     */
     private var successor: String? = null
 
-    /** This node leads. Its lease may have run out meanwhile: see [mayWrite] and [mayAnswer]. */
+    /** Whether this node leads. Its lease may have expired meanwhile: see [mayWrite] and [mayAnswer]. */
     val leading: Boolean get() = epoch != 0L
 
-    /** Whether this node may store: the lease surely has not expired. */
+    /** Whether this node may write to the store: it leads, and its lease has surely not expired. */
     val mayWrite: Boolean get() = leading && ctx.now < leaseExpiresAt
 
     /**
-     * Whether this node may answer workers: bounded in time, so that a successor can tell when this node has surely
-     * stopped, and so that no task outlives a cancellation that is unknown here.
+     * Whether this node may answer workers. It stops a fixed time after the lease expired, so that a successor can tell
+     * when no more answers are surely given. It also stops while cancellations may be unknown here, so that no task
+     * goes on after its job was cancelled.
      */
-    val mayAnswer: Boolean get() = leading && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isAware
+    val mayAnswer: Boolean get() = leading && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isUpToDate
 
-    /** Every other node has shown that it runs this version or a later one. */
+    /** Whether every other node has shown that it runs this version or a later one. */
     val allNodesCurrent: Boolean get() = ctx.settings.peers.all {
         (reachability.statusOf(it.node)?.level ?: 0) >= PeerCodec.LEVEL
     }
 
-    /** A node of an older version runs: it will be replaced soon, so it should not be elected. */
+    /** Whether a live node runs an older version. It will be replaced soon, so it should not be elected. */
     private val isOlderNodeLive: Boolean get() = reachability.livePeers().any { it.level < PeerCodec.LEVEL }
 
-    /** No leader before this one can have renewed a worker's lease after this moment. */
+    /** The moment after which no earlier leader can have renewed a worker's lease, in seconds of the steady clock. */
     val olderLeadersSilentAt: Double get() = olderLeaders.silentAt(wonAt)
 
-    /** The guard of every write: the leader's key is still as this node wrote it. */
-    fun guard(): Guard = Guard(Keys.LEADER, epoch)
+    /** Returns the guard that every write carries: the leader's key is unchanged since this node wrote it. */
+    fun leaderKeyGuard(): Guard = Guard(Keys.LEADER, epoch)
 
-    /** Renews the lease or polls the key, whichever is due. */
+    /** Renews the lease or polls the key if that is due; to be called on each tick. */
     fun tick() {
         cancellations.tick()
         withheldAnswers.logChange(epoch)
-        if (isPolling || isCandidate || ctx.now < nextPollAt) return
-        isPolling = true
-        reachability.storeAsked()
+        if (isCallInFlight || isAcquiring || ctx.now < nextPollAt) return
+        isCallInFlight = true
+        reachability.onStoreCallSent()
         if (leading) renewLease() else pollKey()
     }
 
     private fun renewLease() {
         val sentAt = ctx.now
-        val renewed = lease
-        key.renew(renewed) { result ->
-            isPolling = false
-            reachability.storeAnswered(result)
-            if (!leading || lease != renewed) return@renew
+        val renewedLeaseId = leaseId
+        leaderKey.renew(renewedLeaseId) { result ->
+            isCallInFlight = false
+            reachability.onStoreCallEnded(result)
+            if (!leading || leaseId != renewedLeaseId) return@renew
             nextPollAt = ctx.now + if (result == StateResult.Renewed) ttlS / RENEWALS_PER_LEASE else RENEWAL_RETRY_S
             when (result) {
                 StateResult.Renewed -> leaseExpiresAt = maxOf(leaseExpiresAt, sentAt + ttlS)
@@ -136,11 +146,11 @@
 
     private fun pollKey() {
         val askedAt = ctx.now
-        key.read { result ->
-            isPolling = false
-            reachability.storeAnswered(result)
+        leaderKey.read { result ->
+            isCallInFlight = false
+            reachability.onStoreCallEnded(result)
             nextPollAt =
-                ctx.now + if (isOlderNodeLive) EAGER_POLL_S else POLL_S + ctx.random.nextDouble() * POLL_JITTER_S
+                ctx.now + if (isOlderNodeLive) UPGRADE_POLL_S else POLL_S + ctx.random.nextDouble() * POLL_JITTER_S
             if (result is StateResult.Item) onLeaderRecord(result.item, askedAt)
         }
     }
@@ -151,82 +161,95 @@
         if (item != null && record != null) {
             candidatePriority.onLeaderSeen()
             successor = null
-        } else if (!leading && !isCandidate && candidatePriority.mayAcquire()) {
-            standForElection()
+        } else if (!leading && !isAcquiring && candidatePriority.mayAcquire()) {
+            acquireKey()
         }
     }
 
-    private fun standForElection() {
-        isCandidate = true
+    private fun acquireKey() {
+        isAcquiring = true
         val sentAt = ctx.now
-        key.acquire { acquisition ->
-            isCandidate = false
+        leaderKey.acquire { acquisition ->
+            isAcquiring = false
             when (acquisition) {
-                is Acquisition.Won -> lead(acquisition, sentAt)
-                // Another node has won, and workers already ask for it here: who it is should be known at once.
+                is Acquisition.Won -> becomeLeader(acquisition, sentAt)
+                // Another node has probably won. Workers already ask this node for the leader, so the key is read again
+                // at once.
                 Acquisition.Lost -> nextPollAt = minOf(nextPollAt, ctx.now)
                 Acquisition.NoLease -> Unit
             }
         }
     }
 
-    private fun lead(won: Acquisition.Won, leaseFrom: Double) {
-        lease = won.lease
+    private fun becomeLeader(won: Acquisition.Won, leaseStartedAt: Double) {
+        leaseId = won.leaseId
         epoch = won.epoch
         routing.onEpoch(epoch)
         successor = null
-        leaseExpiresAt = leaseFrom + ttlS
+        leaseExpiresAt = leaseStartedAt + ttlS
         wonAt = ctx.now
         olderLeaders.reset()
         nextPollAt = ctx.now + ttlS / RENEWALS_PER_LEASE
-        log.info("leader elected epoch={} lease={}", epoch, lease)
+        log.info("leader elected epoch={} lease={}", epoch, leaseId)
         onElected()
     }
 
-    /** A fencing token or epoch shown by [source]: a higher one than this node's ends its leadership. */
-    fun onEpoch(shown: Long, source: String) {
-        routing.onEpoch(shown)
-        if (leading && shown > epoch) resign("epoch $shown shown by $source")
+    /**
+     * Records that [source] has shown [shownEpoch], an epoch or fencing token. If it is higher than the epoch of this
+     * node, there is a newer leader, and this node resigns.
+     */
+    fun onEpoch(shownEpoch: Long, source: String) {
+        routing.onEpoch(shownEpoch)
+        if (leading && shownEpoch > epoch) resign("epoch $shownEpoch shown by $source")
     }
 
-    /** Epochs prove the same however late they arrive; what else [status] says counts only while it is the newest. */
+    /**
+     * Handles [status]. The epochs that it shows are proof however late it arrives; everything else in it counts only
+     * if it is the newest status of its node.
+     */
     fun onPeerStatus(status: PeerStatus) {
         onEpoch(status.epochSeen, "peer ${status.node}")
         if (leading) olderLeaders.onPeerStatus(status, epoch)
         if (!reachability.onStatus(status)) return
         cancellations.onStatus(status)
-        // The proposed successor asks for the key at once, instead of at its next poll.
+        // This node is the proposed successor: it polls the key at once.
         if (candidatePriority.onStatus(status) && !leading) nextPollAt = minOf(nextPollAt, ctx.now)
     }
 
-    /** Steps down. [dropLease] lets the next leader start at once. */
-    fun resign(reason: String, dropLease: Boolean = false) {
+    /**
+     * Resigns if this node leads. With [releaseKey] it also gives up the key, so that the next leader can be elected at
+     * once.
+     */
+    fun resign(reason: String, releaseKey: Boolean = false) {
         if (!leading) return
         log.info("leadership resigned epoch={} reason=\"{}\"", epoch, reason)
         resignedEpoch = epoch
         epoch = 0
-        nextPollAt = ctx.now + if (dropLease) ttlS else RESIGNED_POLL_S
-        if (dropLease) key.drop(lease)
+        nextPollAt = ctx.now + if (releaseKey) ttlS else RESIGNED_POLL_DELAY_S
+        if (releaseKey) leaderKey.endLease(leaseId)
         onResigned()
     }
 
-    /** Steps down since workers can't reach this node, and proposes the peer that most of them reach. */
+    /** Resigns because workers can't reach this node, and proposes as successor the peer that most of them reach. */
     fun resignForWorkers(reason: String) {
         successor = candidatePriority.preferredSuccessor()?.node
         candidatePriority.onWorkersLost()
-        resign("$reason; proposed successor: ${successor ?: "any"}", dropLease = true)
-        // Sent before the key is found free, or the first to poll would take it.
-        ctx.out.add(Effect.PeerSend(status(0, reachabilityReport(0))))
+        resign("$reason; proposed successor: ${successor ?: "any"}", releaseKey = true)
+        // Sent before any node can find the key free: otherwise the first node to poll the key would acquire it.
+        ctx.out.add(Effect.PeerSend(createStatus(0, createReachabilityReport(0))))
     }
 
-    /** What this node reports to its peers about its links, machines aside. */
-    fun reachabilityReport(recentWorkers: Int): ReachabilityReport {
+    /**
+     * Creates the report of this node's links for its next status; each report takes a new sequence number. Its zones
+     * are empty, to be filled in by the leader.
+     */
+    fun createReachabilityReport(recentWorkers: Int): ReachabilityReport {
         val leader = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.provenLeader()
         return reachability.report(recentWorkers, leader, successor)
     }
 
-    /** This node's status for its peers, to be sent with the [links] that [reachabilityReport] made. */
-    fun status(unservedWorkers: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
+    /** Creates this node's status for its peers, with the [links] that [createReachabilityReport] returned. */
+    fun createStatus(unservedWorkers: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
         ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, reachability.storeReachable,
         unservedWorkers,
         PeerCodec.LEVEL, links,
@@ -236,13 +259,18 @@
     private companion object {
         const val MIN_LEASE_S = 1.5
         const val MAX_LEASE_S = 2.5
+
+        /** The interval at which the key is polled, to which a random time of up to [POLL_JITTER_S] is added. */
         const val POLL_S = 0.35
         const val POLL_JITTER_S = 0.3
 
-        /** Below the older version's poll, so that this version is elected at the first change of leaders. */
-        const val EAGER_POLL_S = 0.12
+        /**
+         * The poll interval while a live node runs an older version. It is below the interval of that version, so that
+         * this version is elected at the first change of leaders.
+         */
+        const val UPGRADE_POLL_S = 0.12
         const val RENEWALS_PER_LEASE = 4
         const val RENEWAL_RETRY_S = 0.3
-        const val RESIGNED_POLL_S = 0.2
+        const val RESIGNED_POLL_DELAY_S = 0.2
     }
 }
--- a/src/main/kotlin/plankwall/core/election/OlderLeaders.kt
+++ b/src/main/kotlin/plankwall/core/election/OlderLeaders.kt
@@ -5,22 +5,22 @@
 import plankwall.wire.PeerStatus
 
 /**
- * From when on no older leader can have renewed a worker's lease. By the clock that is an outage grace after the
- * election; earlier once every peer has shown that it knows the new epoch and does not lead. Owns the set of peers that
- * have, for the current epoch of this node.
+ * Determines the moment after which no older leader can have renewed a worker's lease. By the clock alone that is one
+ * outage grace after the election; it comes earlier if every peer has shown that it knows the new epoch and does not
+ * lead. Owns the set of peers that have shown this for the current epoch of this node.
  */
 internal class OlderLeaders(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("leadership")
     private val confirmedPeers = HashSet<String>()
     private var confirmedSilentAt: Double? = null
 
-    /** This node was elected: nothing is confirmed yet. */
+    /** Forgets all confirmations; called when this node is elected. */
     fun reset() {
         confirmedSilentAt = null
         confirmedPeers.clear()
     }
 
-    /** Takes [status] while this node leads as [epoch]. */
+    /** Handles [status], which arrived while this node leads in [epoch]. */
     fun onPeerStatus(status: PeerStatus, epoch: Long) {
         if (confirmedSilentAt != null || status.epochSeen < epoch || status.leading) return
         confirmedPeers.add(status.node)
@@ -30,6 +30,6 @@
         }
     }
 
-    /** The moment for a leader elected at [electedAt], in seconds of the steady clock. */
+    /** Returns that moment for a leader that was elected at [electedAt]; both are in seconds of the steady clock. */
     fun silentAt(electedAt: Double): Double = confirmedSilentAt ?: (electedAt + ctx.outageGraceS)
 }
--- a/src/main/kotlin/plankwall/core/election/WithheldAnswers.kt
+++ b/src/main/kotlin/plankwall/core/election/WithheldAnswers.kt
@@ -4,21 +4,26 @@
 import plankwall.core.cancellations.Cancellations
 import plankwall.core.statemachine.Context
 
-/** Logs when this leader begins to withhold answers from workers, since cancellations may be unknown, and its end. */
+/**
+ * Logs when this leader begins and when it ceases to withhold answers from workers because it may not know all
+ * cancellations.
+ */
 internal class WithheldAnswers(private val ctx: Context, private val cancellations: Cancellations) {
     private val log = LoggerFactory.getLogger("leadership")
-    private var isLogged = false
+    private var wasWithholding = false
 
-    /** [epoch] is this node's while it leads, else 0. */
+    /**
+     * Logs the change if there is one since the last call. [epoch] is this node's epoch while it leads, otherwise 0.
+     */
     fun logChange(epoch: Long) {
-        val isWithholding = epoch != 0L && !cancellations.isAware
-        if (isWithholding == isLogged) return
-        isLogged = isWithholding
+        val isWithholding = epoch != 0L && !cancellations.isUpToDate
+        if (isWithholding == wasWithholding) return
+        wasWithholding = isWithholding
         if (isWithholding) {
             log.warn(
                 "answers withheld, cancellations may be unknown epoch={} store_read_age_s={} unconfirmed_by={}",
                 epoch,
-                (ctx.now - cancellations.storedUpTo).toLong(),
+                (ctx.now - cancellations.storedKnownUpTo).toLong(),
                 cancellations.unconfirmedPeers(),
             )
         } else {
--- a/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -10,46 +10,53 @@
 import plankwall.wire.Write
 
 /**
- * Values that may outgrow one key: the first chunk says how many further keys hold the rest, and all are written in one
- * transaction. Further keys that the first does not count are left from an earlier write and mean nothing.
+ * Values that may be too large for one key and are then split into chunks under several keys. The first chunk holds the
+ * number of further chunks, and all are written in one transaction. Further keys beyond that number are left over from
+ * an earlier write and are ignored.
  */
 object ChunkedValue {
-    /** [whole] in at most [maxChunks] chunks of at most [maxBytes] each, or null if it does not fit. */
-    fun fleet(whole: FleetRecord, maxChunks: Int, maxBytes: Int): List<FleetRecord>? =
+    /** Splits [record] into at most [maxChunks] chunks of at most [maxBytes] bytes each; null if it does not fit. */
+    fun fleet(record: FleetRecord, maxChunks: Int, maxBytes: Int): List<FleetRecord>? =
         fewestChunks(maxChunks, maxBytes) { count ->
-            listOfNotNull(evenChunks(whole, count), scaleOutsApart(whole, count))
+            listOfNotNull(evenChunks(record, count), separateScaleOuts(record, count))
         }
 
-    /** The scale-out requests share the first chunk with machines. */
-    private fun evenChunks(whole: FleetRecord, count: Int): List<FleetRecord> {
-        val chunks = slices(whole, count)
-        return listOf(chunks.first().copy(rentals = whole.rentals, more = count - 1)) + chunks.drop(1)
+    /** Splits the machines evenly among all [count] chunks; the first chunk also holds the scale-out requests. */
+    private fun evenChunks(record: FleetRecord, count: Int): List<FleetRecord> {
+        val chunks = slices(record, count)
+        return listOf(chunks.first().copy(rentals = record.rentals, more = count - 1)) + chunks.drop(1)
     }
 
-    /** The scale-out requests, where they are many, have the first chunk to themselves; null for a single chunk. */
-    private fun scaleOutsApart(whole: FleetRecord, count: Int): List<FleetRecord>? {
+    /**
+     * Puts the scale-out requests into the first chunk and the machines into the others, for the case that there are
+     * many requests; null for a single chunk.
+     */
+    private fun separateScaleOuts(record: FleetRecord, count: Int): List<FleetRecord>? {
         if (count == 1) return null
-        return listOf(FleetRecord(whole.rentals, emptyList(), emptyList(), count - 1)) + slices(whole, count - 1)
+        return listOf(FleetRecord(record.rentals, emptyList(), emptyList(), count - 1)) + slices(record, count - 1)
     }
 
-    private fun slices(whole: FleetRecord, count: Int): List<FleetRecord> {
-        val returning = whole.returning.sorted()
+    private fun slices(record: FleetRecord, count: Int): List<FleetRecord> {
+        val returning = record.returning.sorted()
         return (0 until count).map { index ->
-            FleetRecord(emptyList(), slice(whole.arrivals, index, count), slice(returning, index, count))
+            FleetRecord(emptyList(), slice(record.arrivals, index, count), slice(returning, index, count))
         }
     }
 
-    /** [whole] in at most [maxChunks] chunks of at most [maxBytes] each, or null if it does not fit. */
-    fun catalog(whole: Catalog, maxChunks: Int, maxBytes: Int): List<CatalogRecord>? =
+    /** Splits [catalog] into at most [maxChunks] chunks of at most [maxBytes] bytes each; null if it does not fit. */
+    fun catalog(catalog: Catalog, maxChunks: Int, maxBytes: Int): List<CatalogRecord>? =
         fewestChunks(maxChunks, maxBytes) { count ->
             listOf(
                 (0 until count).map { index ->
-                    CatalogRecord(Catalog(slice(whole.types, index, count)), if (index == 0) count - 1 else 0)
+                    CatalogRecord(Catalog(slice(catalog.types, index, count)), if (index == 0) count - 1 else 0)
                 },
             )
         }
 
-    /** The first that fits of the ways in which [waysToSplit] splits the value into each number of chunks. */
+    /**
+     * Returns the first split that fits, beginning with the smallest number of chunks. [waysToSplit] returns the
+     * possible splits into a number of chunks, in order of preference.
+     */
     private fun <R : Stored> fewestChunks(
         maxChunks: Int,
         maxBytes: Int,
@@ -60,34 +67,43 @@
         }
     }
 
-    private fun <T> slice(all: List<T>, index: Int, count: Int): List<T> =
-        all.subList(all.size * index / count, all.size * (index + 1) / count)
+    private fun <T> slice(items: List<T>, index: Int, count: Int): List<T> =
+        items.subList(items.size * index / count, items.size * (index + 1) / count)
 
-    /** The changes of one transaction: [chunks], and the removal of further keys up to [had] that are obsolete. */
-    fun writes(key: String, chunks: List<Stored>, had: Int): List<Write> =
+    /**
+     * Returns the changes of one transaction: it stores [chunks] under [key] and its further keys, and removes the
+     * obsolete ones of the [oldFurtherKeys] further keys that an earlier write may have used.
+     */
+    fun writes(key: String, chunks: List<Stored>, oldFurtherKeys: Int): List<Write> =
         chunks.mapIndexed { index, chunk -> Write.Put(if (index == 0) key else Keys.more(key, index), chunk) } +
-            (chunks.size..had).map { Write.Remove(Keys.more(key, it)) }
+            (chunks.size..oldFurtherKeys).map { Write.Remove(Keys.more(key, it)) }
 
-    /** How many further keys of [key] are among [items], counted by the first or not. */
+    /**
+     * Returns the highest number of a further key of [key] among [items], whether or not the first chunk counts it; 0
+     * if there is none.
+     */
     fun further(key: String, items: List<StateItem>): Int =
         items.maxOfOrNull { it.key.removePrefix("$key/").toIntOrNull() ?: 0 } ?: 0
 
-    /** The whole fleet record that is stored as [items], or null if there is none. */
+    /** Returns the complete fleet record that is stored as [items], or null if there is none. */
     fun fleet(items: List<StateItem>): FleetRecord? {
         val first = items.firstOrNull { it.key == Keys.FLEET }?.value as? FleetRecord ?: return null
-        val all = listOf(first) + rest(Keys.FLEET, first.more, items).filterIsInstance<FleetRecord>()
-        return FleetRecord(first.rentals, all.flatMap { it.arrivals }, all.flatMap { it.returning })
+        val chunks = listOf(first) + furtherValues(Keys.FLEET, first.more, items).filterIsInstance<FleetRecord>()
+        return FleetRecord(first.rentals, chunks.flatMap { it.arrivals }, chunks.flatMap { it.returning })
     }
 
-    /** Null unless all of it is there: with a part of the types a job might be rejected that could run. */
+    /**
+     * Returns the complete catalog that is stored as [items]. Null unless all chunks are there: with only some of the
+     * machine types a job that could run might be rejected.
+     */
     fun catalog(items: List<StateItem>): Catalog? {
         val first = items.firstOrNull { it.key == Keys.CATALOG }?.value as? CatalogRecord ?: return null
-        val rest = rest(Keys.CATALOG, first.more, items).filterIsInstance<CatalogRecord>()
-        return if (rest.size == first.more) Catalog((listOf(first) + rest).flatMap { it.catalog.types }) else null
+        val others = furtherValues(Keys.CATALOG, first.more, items).filterIsInstance<CatalogRecord>()
+        return if (others.size == first.more) Catalog((listOf(first) + others).flatMap { it.catalog.types }) else null
     }
 
-    private fun rest(key: String, more: Int, items: List<StateItem>): List<Stored> {
+    private fun furtherValues(key: String, count: Int, items: List<StateItem>): List<Stored> {
         val itemsByKey = items.associateBy { it.key }
-        return (1..more).mapNotNull { itemsByKey[Keys.more(key, it)]?.value }
+        return (1..count).mapNotNull { itemsByKey[Keys.more(key, it)]?.value }
     }
 }
--- a/src/main/kotlin/plankwall/core/store/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -13,63 +13,73 @@
 import plankwall.wire.Write
 
 /**
- * A leader's access to the state service. Every write carries the guard on the leader's key, and answers that come
- * after the end of the term are dropped. Owns the budgets of calls and changes, and the limits of the store.
+ * A leader's access to the state service. Every write carries the guard on the leader's key, and replies that arrive
+ * after the end of the term are dropped. Owns the rate budgets for calls and changes, and the store's limits.
  */
 class LeaderStore(private val ctx: Context, private val leadership: Leadership) {
     /** The epoch of this term. */
     val epoch = leadership.epoch
 
-    /** The term has not ended. */
+    /** Whether the term has not ended. */
     var active = true
         private set
 
     private val log = LoggerFactory.getLogger("store")
 
-    /** How much one write may hold. */
+    /** The limits on the size of one write. */
     val limits = StoreLimits(ctx.settings)
 
-    private val writes = TokenBucket(ctx.time, ctx.settings.stateTight.writeRps * WRITE_SHARE)
-    private val calls = TokenBucket(ctx.time, ctx.settings.stateTight.rps * CALL_SHARE)
+    private val changeBudget = TokenBucket(ctx.time, ctx.settings.stateTight.writeRps * WRITE_SHARE)
+    private val callBudget = TokenBucket(ctx.time, ctx.settings.stateTight.rps * CALL_SHARE)
 
-    /** The newest revision that a write of this leader made; no other leader can have, or later get, that token. */
+    /**
+     * The revision of this leader's newest write. As a fencing token it belongs to this leader alone: no other leader
+     * has it or can get it later.
+     */
     var lastRevision = epoch
         private set
 
-    /** Ends the term: no answer has any effect from now on. */
+    /** Ends the term: replies that arrive later have no effect. */
     fun close() {
         active = false
     }
 
-    /** Below this [availableWrites] only what somebody waits for is written. */
+    /** The number of [availableWrites] below which only changes that somebody waits for are written. */
     val scarceWrites: Int = (ctx.settings.stateTight.writeRps * SCARCE_SHARE).toInt()
 
-    /** Whether what is decided now could be stored at all: a leader that may have been replaced decides nothing. */
+    /** Whether decisions made now could be stored at all. A leader that may have been replaced decides nothing. */
     val mayWrite: Boolean get() = leadership.mayWrite
 
-    /** How many puts and deletes may be sent now. */
-    fun availableWrites(): Int = if (leadership.mayWrite && calls.available() >= 1) writes.available().toInt() else 0
+    /** Returns how many changes (puts and removals) may be sent now. */
+    fun availableWrites(): Int =
+        if (leadership.mayWrite && callBudget.available() >= 1) changeBudget.available().toInt() else 0
 
     /** Whether a read may be sent now. */
-    fun mayRead(): Boolean = calls.available() >= 1
+    fun mayRead(): Boolean = callBudget.available() >= 1
 
-    /** Sends [changes] as one transaction that is applied only if all [guards] hold and this node still leads. */
-    fun write(guards: List<Guard>, changes: List<Write>, then: (StateResult) -> Unit) {
-        writes.spend(changes.size)
-        calls.spend(1)
-        ctx.out.state(StateOp.Txn(listOf(leadership.guard()) + guards, changes)) { result ->
+    /**
+     * Sends [changes] as one transaction that is applied only if all [guards] hold and this node still leads.
+     * [onResult] is not called if the term has ended or if the leader's key has changed, which makes this node resign.
+     */
+    fun write(guards: List<Guard>, changes: List<Write>, onResult: (StateResult) -> Unit) {
+        changeBudget.spend(changes.size)
+        callBudget.spend(1)
+        ctx.out.state(StateOp.Txn(listOf(leadership.leaderKeyGuard()) + guards, changes)) { result ->
             if (!active) return@state
             if (result is StateResult.Conflict && Keys.LEADER in result.failed) {
                 leadership.resign("the leader key has changed")
             } else {
                 if (result is StateResult.Committed) lastRevision = maxOf(lastRevision, result.revision)
                 if (result == StateResult.Rejected) onRejected(changes)
-                then(result)
+                onResult(result)
             }
         }
     }
 
-    /** What was rejected is not sent again as it is: the writers adapt to the new limits. */
+    /**
+     * Lowers the limits after a rejected write. The write is not sent again unchanged: the writers adapt to the new
+     * limits.
+     */
     private fun onRejected(rejected: List<Write>) {
         val sizes = rejected.filterIsInstance<Write.Put>().associate { it.key to StateCodec.sizeOf(it.value) }
         val largest = sizes.maxByOrNull { it.value }
@@ -85,51 +95,56 @@
     }
 
     /** Reads one key. */
-    fun read(key: String, then: (StateResult) -> Unit) {
-        calls.spend(1)
-        ctx.out.state(StateOp.Get(key)) { if (active) then(it) }
+    fun read(key: String, onResult: (StateResult) -> Unit) {
+        callBudget.spend(1)
+        ctx.out.state(StateOp.Get(key)) { if (active) onResult(it) }
     }
 
-    /** Waits up to [waitMs] milliseconds for changes of keys with [prefix] after the revision [after]. */
-    fun watch(prefix: String, after: Long, waitMs: Long, then: (StateResult) -> Unit) =
-        ctx.out.state(StateOp.Watch(prefix, after, waitMs)) { if (active) then(it) }
+    /** Waits up to [waitMs] milliseconds for changes after the revision [afterRevision] of keys with [prefix]. */
+    fun watch(prefix: String, afterRevision: Long, waitMs: Long, onResult: (StateResult) -> Unit) =
+        ctx.out.state(StateOp.Watch(prefix, afterRevision, waitMs)) { if (active) onResult(it) }
 
     /**
-     * Reads all keys with [prefix], some at a time, until that succeeds or the term ends. [then] gets the items and the
-     * revision from which on changes are to be watched.
+     * Reads all keys with [prefix], a limited number at a time, and retries until it succeeds or the term ends.
+     * [onItems] gets the items and the revision after which changes have to be watched.
      */
-    fun readAll(prefix: String, then: (List<StateItem>, Long) -> Unit) = readFrom(prefix, null, ArrayList(), 0L, then)
+    fun readAll(prefix: String, onItems: (List<StateItem>, Long) -> Unit) =
+        readFrom(prefix, null, ArrayList(), 0L, onItems)
 
     private fun readFrom(
         prefix: String,
-        after: String?,
-        found: ArrayList<StateItem>,
-        firstRevision: Long,
-        then: (List<StateItem>, Long) -> Unit,
+        afterKey: String?,
+        items: ArrayList<StateItem>,
+        firstPageRevision: Long,
+        onItems: (List<StateItem>, Long) -> Unit,
     ) {
-        ctx.out.state(StateOp.Range(prefix, after, ITEMS_PER_READ)) { result ->
+        ctx.out.state(StateOp.Range(prefix, afterKey, ITEMS_PER_READ)) { result ->
             if (!active) return@state
             if (result !is StateResult.Items) {
-                ctx.runAfter(RETRY_S) { if (active) readFrom(prefix, after, found, firstRevision, then) }
+                ctx.runAfter(READ_RETRY_S) { if (active) readFrom(prefix, afterKey, items, firstPageRevision, onItems) }
                 return@state
             }
-            found.addAll(result.items)
-            // Changes are to be watched from the first page on: later pages may be newer than that.
-            val revision = if (after == null) result.revision else firstRevision
+            items.addAll(result.items)
+            // Changes have to be watched from the revision of the first page on, since later pages may be newer than
+            // that.
+            val revision = if (afterKey == null) result.revision else firstPageRevision
             if (result.more && result.items.isNotEmpty()) {
-                readFrom(prefix, result.items.last().key, found, revision, then)
+                readFrom(prefix, result.items.last().key, items, revision, onItems)
             } else {
-                then(found, revision)
+                onItems(items, revision)
             }
         }
     }
 
     private companion object {
-        /** The other nodes' submissions and cancellations need a part of the common rate. */
+        /**
+         * The shares of the state service's rate limits that the leader uses. The other nodes' submissions and
+         * cancellations need the remainder.
+         */
         const val WRITE_SHARE = 0.75
         const val CALL_SHARE = 0.4
         const val SCARCE_SHARE = 0.25
         const val ITEMS_PER_READ = 200
-        const val RETRY_S = 0.3
+        const val READ_RETRY_S = 0.3
     }
 }
--- a/src/main/kotlin/plankwall/core/store/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/store/StoreLimits.kt
@@ -3,57 +3,62 @@
 import plankwall.model.Settings
 
 /**
- * How much one write may hold. The smaller of the limits in force and of those announced applies from the first write,
- * so that the change, which comes without notice, finds nothing too large under way. A rejected write lowers the limits
- * further. Nothing of this is stored.
+ * The limits on the size of one write. The smaller of the limits in force and the announced ones applies from the first
+ * write on: the change comes without notice, and must not find a write in flight that is too large. A rejected write
+ * lowers the limits further. None of this is stored.
  */
 class StoreLimits(private val settings: Settings) {
-    /** The most changes of one transaction. */
+    /** The maximum number of changes in one transaction. */
     var txnOps = settings.stateTight.txnOps
         private set
 
-    /** The largest value, in bytes. */
-    var valueBytes = bytes(settings.stateTight.valueKb)
+    /** The maximum size of a value, in bytes. */
+    var valueBytes = toBytes(settings.stateTight.valueKb)
         private set
 
     /**
-     * Whether values may be split among keys that the first version does not read. Only once no process of that version
-     * can lead any more, or it would continue with a part: see [VersionUpgrade].
+     * Whether a value may be split among several keys, which the first version does not read. Set only once no process
+     * of that version can lead any more, since it would go on with a part of the value: see [VersionUpgrade].
      */
     var mayDivide = false
 
-    /** The largest value of one key, in bytes. Until values may be split, only the limit in force can bound it. */
-    val wholeBytes: Int get() = if (mayDivide) valueBytes else bytes(settings.state.valueKb)
+    /**
+     * The maximum size of the value of one key, in bytes. While values can't be split, only the limit in force applies
+     * to it, not the announced one.
+     */
+    val wholeBytes: Int get() = if (mayDivide) valueBytes else toBytes(settings.state.valueKb)
 
-    /** How many tasks a page, or a part of one, may hold so that it surely fits. */
+    /** The number of tasks that a page, or a part of one, may hold so that it surely fits into a value. */
     val pageTasks: Int get() = pageSize(valueBytes / 1024.0)
 
     /**
-     * The store rejected a write of [ops] changes whose largest value has [largestBytes]. Beyond the announced limits
-     * that shows that they are in force, which they are only after the upgrade; within them, that the limits are lower
-     * than announced.
+     * Adapts the limits to the rejection of a write of [changeCount] changes whose largest value takes [largestBytes].
+     * A write beyond the announced limits shows that these are in force, which they are only after the upgrade. A write
+     * within them shows that the limits are even lower than announced.
      */
-    fun onRejected(ops: Int, largestBytes: Int) {
-        val exceedsAnnounced = ops > txnOps || largestBytes > valueBytes
+    fun onRejected(changeCount: Int, largestBytes: Int) {
+        val exceedsAnnounced = changeCount > txnOps || largestBytes > valueBytes
         mayDivide = true
         if (exceedsAnnounced) return
-        if (largestBytes > LEAST_BYTES) valueBytes = maxOf(LEAST_BYTES, minOf(valueBytes, largestBytes) / 2)
-        if (ops > LEAST_OPS) txnOps = maxOf(LEAST_OPS, minOf(txnOps, ops) / 2)
+        if (largestBytes > MIN_VALUE_BYTES) valueBytes = maxOf(MIN_VALUE_BYTES, minOf(valueBytes, largestBytes) / 2)
+        if (changeCount > MIN_TXN_OPS) txnOps = maxOf(MIN_TXN_OPS, minOf(txnOps, changeCount) / 2)
     }
 
-    private fun bytes(kb: Double) = (kb * 1024).toInt()
+    private fun toBytes(kb: Double) = (kb * 1024).toInt()
 
     companion object {
-        private const val LEAST_BYTES = 1024
-        private const val LEAST_OPS = 4
+        private const val MIN_VALUE_BYTES = 1024
+        private const val MIN_TXN_OPS = 4
 
-        /** What a page takes beside its tasks, and what a task takes in it, both in bytes. */
+        /** The size of a page without its tasks, in bytes. */
         private const val PAGE_OVERHEAD_BYTES = 256
+
+        /** The size of one task in a page, in bytes. */
         private const val TASK_BYTES = 64
         private const val MIN_PAGE_TASKS = 8
         private const val MAX_PAGE_TASKS = 256
 
-        /** How many tasks share a page so that the page surely fits a value. */
+        /** Returns how many tasks may share a page so that the page surely fits into a value of [valueKb] KiB. */
         fun pageSize(valueKb: Double): Int =
             ((valueKb * 1024 - PAGE_OVERHEAD_BYTES) / TASK_BYTES).toInt().coerceIn(MIN_PAGE_TASKS, MAX_PAGE_TASKS)
     }
--- a/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -98,12 +98,12 @@
     )
     fun `up to when cancellations are known`(events: String, behindS: String) {
         applyEvents(events)
-        val behind = ctx.now - cancellations.knownUpTo
+        val behind = ctx.now - cancellations.confirmedKnownUpTo
         assertEquals(behindS, if (behind.isInfinite()) "-" else "%.1f".format(behind))
-        assertEquals(behind <= cancellations.toleratedLagS, cancellations.isAware)
+        assertEquals(behind <= cancellations.toleratedLagS, cancellations.isUpToDate)
         // The known moment does not advance by time alone.
         wait(cancellations.toleratedLagS + 0.1)
-        assertEquals(false, cancellations.isAware)
+        assertEquals(false, cancellations.isUpToDate)
     }
 
     @ParameterizedTest(name = "{0}")
@@ -149,6 +149,9 @@
         applyEvents("read")
         wait(60.0)
         receive("n1", completeList(upS = 100.0, readAgeS = 40.0))
-        assertTrue(cancellations.storedUpTo in ctx.now - 40.1..ctx.now - 40.04, "${ctx.now - cancellations.storedUpTo}")
+        assertTrue(
+            cancellations.storedKnownUpTo in ctx.now - 40.1..ctx.now - 40.04,
+            "${ctx.now - cancellations.storedKnownUpTo}",
+        )
     }
 }
