--- a/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
@@ -6,9 +6,10 @@
 import java.util.PriorityQueue
 
 /**
- * The machines for the tasks of one job within one pass, best first: the same choices as [FreeCapacity.best] for each
- * task, but the machines are filtered and scored once for all of them. Placing a task changes only the machine that it
- * goes to, and a machine that can't take a task any more can't take a later one of the same pass.
+ * The machines that can take tasks of one job within one placement pass, best first. It makes the same choices as
+ * [FreeCapacity.findBest] for each task, but filters and scores the machines once for all of them. This is sound
+ * because placing a task changes only the machine that it goes to, and a machine that can't take a task can't take a
+ * later one of the same pass either.
  */
 class CandidateQueue(
     private val capacity: FreeCapacity,
@@ -16,32 +17,40 @@
     machines: List<Machine>,
     zones: ZoneConstraint,
 ) {
-    /** [order]: among equals the first of the list wins. */
-    private class Candidate(val machine: Machine, val order: Int, val score: Double)
+    /**
+     * A machine with its [score], lower is better. Of machines with equal scores the one with the lowest [listIndex],
+     * its position in the list, wins.
+     */
+    private class Candidate(val machine: Machine, val listIndex: Int, val score: Double)
 
-    private val queue = PriorityQueue(compareBy<Candidate> { it.score }.thenBy { it.order })
+    private val queue = PriorityQueue(compareBy<Candidate> { it.score }.thenBy { it.listIndex })
 
     init {
-        machines.forEachIndexed { order, machine -> if (capacity.canPlace(job, machine, zones)) add(machine, order) }
+        machines.forEachIndexed { listIndex, machine ->
+            if (capacity.canPlace(job, machine, zones)) add(machine, listIndex)
+        }
     }
 
-    private fun add(machine: Machine, order: Int) {
+    private fun add(machine: Machine, listIndex: Int) {
         val score = capacity.score(job, machine)
-        if (score < Double.MAX_VALUE) queue.add(Candidate(machine, order, score))
+        if (score < Double.MAX_VALUE) queue.add(Candidate(machine, listIndex, score))
     }
 
-    /** The best machine for the next task, or null if no machine can take it. */
-    fun best(zones: ZoneConstraint): Machine? {
+    /**
+     * Returns the best machine for the next task, or null if no machine can take it. [zones]: the zone constraint with
+     * all tasks placed so far.
+     */
+    fun findBest(zones: ZoneConstraint): Machine? {
         while (true) {
-            val first = queue.peek() ?: return null
-            if (capacity.canPlace(job, first.machine, zones)) return first.machine
+            val candidate = queue.peek() ?: return null
+            if (capacity.canPlace(job, candidate.machine, zones)) return candidate.machine
             queue.poll()
         }
     }
 
-    /** A task was placed on the machine that [best] returned last. */
+    /** Scores anew the machine that [findBest] returned last; to be called once a task was placed on it. */
     fun onPlaced() {
         val candidate = queue.remove()
-        add(candidate.machine, candidate.order)
+        add(candidate.machine, candidate.listIndex)
     }
 }
--- a/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -10,15 +10,19 @@
 import plankwall.model.Shape
 
 /**
- * The filter and the score of a placement: on which machines a task of a job may run and has room, and which of them is
- * the best. Keeps the reservations of room that is being made by preemption.
+ * The filter and the score of a placement: on which machines a task of a job may run and has enough free capacity, and
+ * which of them is the best. Keeps the reservations of capacity that is being freed by preemption.
  */
 class FreeCapacity(private val ctx: Context, private val fleet: Fleet) {
-    private val reserved = HashMap<Job, Int>()
+    /** The number of tasks of each job for which capacity is reserved. */
+    private val reservedTasksByJob = HashMap<Job, Int>()
 
-    /** Reservations end when their job needs them no more, or when the room did not come in time. */
+    /**
+     * Begins a placement pass: forgets what was held for gangs, and ends the reservations that have timed out, those of
+     * cancelled jobs, and those that exceed the number of the job's waiting tasks.
+     */
     fun beginPass() {
-        reserved.clear()
+        reservedTasksByJob.clear()
         for (machine in fleet.machines) {
             if (machine.held !== Resources.NONE) machine.held = Resources.NONE
             if (machine.reservations.isEmpty()) continue
@@ -26,26 +30,27 @@
                 val job = reservation.job
                 val isOver =
                     ctx.now >= reservation.until || job.cancelled || reservedTasks(job) >= job.waiting.size
-                if (!isOver) reserved.merge(job, 1, Int::plus)
+                if (!isOver) reservedTasksByJob.merge(job, 1, Int::plus)
                 isOver
             }
         }
     }
 
-    /** For how many tasks of [job] room is reserved. */
-    fun reservedTasks(job: Job): Int = reserved[job] ?: 0
+    /** Returns the number of tasks of [job] for which capacity is reserved. */
+    fun reservedTasks(job: Job): Int = reservedTasksByJob[job] ?: 0
 
-    /** Reserves room for one task of [job] on [machine] until [untilS] of the steady clock. */
+    /** Reserves capacity for one task of [job] on [machine] until [untilS], in seconds of the steady clock. */
     fun reserve(job: Job, machine: Machine, untilS: Double) {
         machine.reservations.add(Machine.Reservation(job, untilS))
-        reserved.merge(job, 1, Int::plus)
+        reservedTasksByJob.merge(job, 1, Int::plus)
     }
 
     /**
-     * What tasks of [job] may take on [machine]. Room that was made for another job of no lower priority is not its
-     * own, nor is what this pass has kept for a gang, which comes first in the queue.
+     * Returns the capacity of [machine] that tasks of [job] may take. It excludes capacity reserved for other jobs of
+     * the same or a higher priority, and capacity that this pass holds for a gang, since a gang that holds capacity
+     * comes earlier in the queue.
      */
-    fun freeFor(job: Job, machine: Machine): Resources {
+    fun freeCapacityFor(job: Job, machine: Machine): Resources {
         if (machine.reservations.isEmpty() && machine.held === Resources.NONE) return machine.free
         var free = machine.free - machine.held
         for (reservation in machine.reservations) {
@@ -54,49 +59,56 @@
         return free
     }
 
-    /** Filter, room aside: whether a task of [job] may run on [machine]. */
+    /** Whether a task of [job] may run on [machine], free capacity aside. */
     fun isEligible(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = Placer.allowed(job.spec, machine) &&
         zones.allows(machine) &&
         machine.fitsReport &&
         machine.ix.value !in job.failedOn &&
-        !(job.bestEffort && wouldKeep(job, machine))
+        !(job.bestEffort && wouldDelayScaleIn(job, machine))
 
     /**
-     * Whether an ordinary machine could soon be scaled in but for a best-effort task put there: none of its tasks is to
-     * stay. Spot machines cost a third, and beside replicas the machine stays anyway; jobs that may not use spot
-     * machines have no other place.
+     * Whether a task of the best-effort [job] would keep [machine] from being scaled in. This holds for an on-demand
+     * machine that is surplus or that runs no replicas: a machine with replicas stays anyway. The job can run on spot
+     * machines instead, which cost a third; a job that may not use them has no other place, and a starving job may use
+     * any machine that is not surplus.
      */
-    private fun wouldKeep(job: Job, machine: Machine): Boolean = job.spec.spot &&
+    private fun wouldDelayScaleIn(job: Job, machine: Machine): Boolean = job.spec.spot &&
         machine.group?.spot == false &&
         (machine.surplus || (machine.lastingShare == 0.0 && !job.starving))
 
-    /** Filter: whether a task of [job] may run on [machine] and has room there. */
+    /** Whether a task of [job] may run on [machine] and there is enough free capacity for it. */
     fun canPlace(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = job.spec.need.fitsIn(machine.free) &&
         isEligible(job, machine, zones) &&
-        job.spec.need.fitsIn(freeFor(job, machine))
+        job.spec.need.fitsIn(freeCapacityFor(job, machine))
 
-    /** The first of [candidates] with the lowest score, of those on which a task of [job] can be placed. */
-    fun best(job: Job, candidates: List<Machine>, zones: ZoneConstraint): Machine? {
+    /**
+     * Returns the machine with the lowest score of those [candidates] on which a task of [job] can be placed, the first
+     * one among equals; null if there is none.
+     */
+    fun findBest(job: Job, candidates: List<Machine>, zones: ZoneConstraint): Machine? {
         var best: Machine? = null
-        var lowest = Double.MAX_VALUE
+        var lowestScore = Double.MAX_VALUE
         for (machine in candidates) {
             if (!canPlace(job, machine, zones)) continue
             val score = score(job, machine)
-            if (score < lowest) {
-                lowest = score
+            if (score < lowestScore) {
+                lowestScore = score
                 best = machine
             }
         }
         return best
     }
 
-    /** Seconds until one task of [job] should fit on [machine], if nothing else comes; null if that is not known. */
+    /**
+     * Returns the seconds until one task of [job] should fit on [machine] if no other task is placed there; null if
+     * that is not known.
+     */
     fun secondsUntilFree(job: Job, machine: Machine): Double? {
         var free = machine.free
-        val ends = machine.placements.values
+        val expectedEnds = machine.placements.values
             .mapNotNull { placement -> placement.endsIn(ctx.now)?.let { it to placement.job.spec.need } }
             .sortedBy { (endsInS, _) -> endsInS }
-        for ((endsInS, need) in ends) {
+        for ((endsInS, need) in expectedEnds) {
             free += need
             if (job.spec.need.fitsIn(free)) return endsInS
         }
@@ -104,51 +116,64 @@
     }
 
     /**
-     * Score of [machine] for a task of [job], lower is better: seconds until the image is there, then tight fit (bin
-     * packing), then spot machines for those who may use them.
+     * Returns the score of [machine] for a task of [job], in seconds of waiting; lower is better. It adds up the time
+     * until the image is on the machine, the delay of other tasks' fetches, the capacity that would stay idle (bin
+     * packing), and penalties for on-demand machines if the job may use spot machines, for surplus machines, and for
+     * mixing replicas with tasks that end.
      */
     fun score(job: Job, machine: Machine): Double {
         val type = machine.type ?: return Double.MAX_VALUE
-        val after = machine.free - job.spec.need
-        val idle = partOf(after.gpus, type.capacity.gpus) + partOf(after.cpus, type.capacity.cpus)
-        val kindS = if (job.spec.spot && machine.group?.spot == false) SPOT_PREFERENCE_S else 0.0
-        val waitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+        val remaining = machine.free - job.spec.need
+        val idleShare = shareOf(remaining.gpus, type.capacity.gpus) + shareOf(remaining.cpus, type.capacity.cpus)
+        val spotPreferenceS = if (job.spec.spot && machine.group?.spot == false) SPOT_PREFERENCE_S else 0.0
+        val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
         val surplusS = if (machine.surplus) surplusPenaltyS(job, type) else 0.0
-        return waitS + machine.fetchDelay(job.image, job.spec.imageGb, ctx.now) + idle * TIGHT_FIT_S + kindS +
-            surplusS + mixPenaltyS(job, machine)
+        return fetchWaitS + machine.fetchDelay(job.image, job.spec.imageGb, ctx.now) +
+            idleShare * TIGHT_FIT_WEIGHT_S + spotPreferenceS + surplusS + replicaMixPenaltyS(job, machine)
     }
 
     /**
-     * Replicas side by side leave other machines to tasks that end, and those machines can be scaled in when they have.
-     * For a replica that only breaks ties: it is wanted at once, and a fetch takes longer.
+     * Returns the penalty for running replicas beside tasks that end. Replicas packed together leave other machines to
+     * tasks that end, and those machines can be scaled in afterwards. For a replica the penalty only breaks ties: it is
+     * needed at once, and a fetch takes longer.
      */
-    private fun mixPenaltyS(job: Job, machine: Machine): Double = if (job.spec.shape == Shape.SERVICE) {
-        (1.0 - machine.lastingShare) * REPLICA_TIE_S
+    private fun replicaMixPenaltyS(job: Job, machine: Machine): Double = if (job.spec.shape == Shape.SERVICE) {
+        (1.0 - machine.lastingShare) * REPLICA_TIE_BREAK_S
     } else {
-        machine.lastingShare * BESIDE_REPLICAS_S
+        machine.lastingShare * BESIDE_REPLICAS_PENALTY_S
     }
 
     /**
-     * How much later a task may start so that a surplus machine runs empty: as much as another fetch costs, unless that
-     * is much of what the task itself takes. Replicas are wanted at once.
+     * Returns the penalty for a surplus machine: how much later a task may start so that the machine runs empty. It is
+     * the time of fetching the image onto another machine, but at most a part of the task's estimated run time. For a
+     * replica it is small, since replicas are needed at once.
      */
     private fun surplusPenaltyS(job: Job, type: MachineType): Double = if (job.spec.shape == Shape.SERVICE) {
-        SURPLUS_FOR_REPLICA_S
+        REPLICA_SURPLUS_PENALTY_S
     } else {
-        minOf(type.fetchS(job.spec.imageGb) + 1.0, job.spec.estimateS * SURPLUS_RUN_PART)
+        minOf(type.fetchS(job.spec.imageGb) + 1.0, job.spec.estimateS * MAX_SURPLUS_PENALTY_PART)
     }
 
-    private fun partOf(part: Long, whole: Long): Double = if (whole <= 0) 0.0 else part.toDouble() / whole
+    private fun shareOf(amount: Long, total: Long): Double = if (total <= 0) 0.0 else amount.toDouble() / total
 
-    /** Weights, in seconds of waiting that they are worth. */
+    /** The weights of the score, in seconds of waiting that they are worth. */
     private companion object {
-        const val TIGHT_FIT_S = 4.0
-        const val BESIDE_REPLICAS_S = 6.0
-        const val REPLICA_TIE_S = 1.5
-        const val SURPLUS_FOR_REPLICA_S = 1.0
+        /** For a machine whose GPUs would all stay idle, and as much for its CPUs. */
+        const val TIGHT_FIT_WEIGHT_S = 4.0
+
+        /** For a task that ends, on a machine full of replicas. */
+        const val BESIDE_REPLICAS_PENALTY_S = 6.0
+
+        /** For a replica, on a machine without replicas. */
+        const val REPLICA_TIE_BREAK_S = 1.5
+
+        /** For a replica, on a surplus machine. */
+        const val REPLICA_SURPLUS_PENALTY_S = 1.0
+
+        /** For an on-demand machine, if the job may use spot machines. */
         const val SPOT_PREFERENCE_S = 6.0
 
-        /** Of a task's own run. */
-        const val SURPLUS_RUN_PART = 0.15
+        /** The largest penalty for a surplus machine, as a part of the task's estimated run time. */
+        const val MAX_SURPLUS_PENALTY_PART = 0.15
     }
 }
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -15,8 +15,9 @@
 import plankwall.model.TeamIndex
 
 /**
- * Makes room for waiting tasks by preempting tasks of lower standing: for each the machine on which the least work is
- * lost. The room is reserved until the preempted tasks have ended.
+ * Frees capacity for waiting tasks by preempting tasks of other jobs: of lower priority, or of teams that exceed their
+ * guarantees. For each waiting task it chooses the machine on which the least work is lost. The freed capacity is
+ * reserved until the preempted tasks have ended.
  */
 class Preemptor(
     private val ctx: Context,
@@ -26,28 +27,36 @@
 ) {
     private val log = LoggerFactory.getLogger("placement")
 
-    /** Kinds of task for which this pass found no machine. */
+    /** Equivalence classes of tasks for which this pass found no machine with enough victims. */
     private val unsatisfiable = HashSet<EquivalenceClass>()
+
+    /** How many more searches over all machines this pass may make. */
     private var searchesLeft = 0
 
-    /** Preempting [victims] makes room for one task on [machine]. */
+    /**
+     * Frees capacity for one task on [machine] if the [victims] are stopped; none, if enough is being freed already.
+     */
     private class Preemption(val machine: Machine, val victims: List<Placement>)
 
-    /** Begins a pass, with its own bound on searches. */
+    /** Begins a pass, with a new limit on the number of searches. */
     fun beginPass() {
         unsatisfiable.clear()
         searchesLeft = MAX_SEARCHES_PER_PASS
     }
 
-    /** Preempts tasks on [usable] machines for the waiting tasks of [job], as far as it may. */
-    fun makeRoom(job: Job, usable: List<Machine>) {
+    /**
+     * Preempts tasks on the [usable] machines for the waiting tasks of [job], as far as it may: jobs of low priority
+     * that no guarantee covers never preempt.
+     */
+    fun preemptFor(job: Job, usable: List<Machine>) {
         if (job.priority <= Priority.LOW && !job.guaranteed) return
         if (job.isGang && job.placements.isNotEmpty()) return
-        if (job.isGangOfSeveral) makeRoomForGang(job, usable) else makeRoomForTasks(job, usable)
+        if (job.isGangOfSeveral) preemptForGang(job, usable) else preemptForTasks(job, usable)
     }
 
-    private fun makeRoomForTasks(job: Job, usable: List<Machine>) {
-        val zones = zonesWithReservations(job, usable)
+    /** Preempts for each waiting task that has no reservation yet, within the team's quota. */
+    private fun preemptForTasks(job: Job, usable: List<Machine>) {
+        val zones = zonesIncludingReservations(job, usable)
         while (job.waiting.size > capacity.reservedTasks(job)) {
             if (!schedulerState.withinLimit(job.team, job.spec.need * (1 + capacity.reservedTasks(job)))) return
             val preemption = findPreemption(job, usable, zones, emptySet()) ?: return
@@ -56,37 +65,46 @@
         }
     }
 
-    /** For a gang room is made for all that is missing, in one zone if it must be, or for nothing. */
-    private fun makeRoomForGang(job: Job, usable: List<Machine>) {
-        if (ctx.now - job.gatherSince < GANG_WAIT_S || capacity.reservedTasks(job) > 0) return
+    /**
+     * Preempts for all missing tasks of the gang [job] or for none, in one zone if the gang must run in one. A gang
+     * gathers free capacity for a while before it preempts.
+     */
+    private fun preemptForGang(job: Job, usable: List<Machine>) {
+        if (ctx.now - job.gatherSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
         if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return
-        val choices = if (!job.spec.oneZone) {
+        val machineSets = if (!job.spec.oneZone) {
             listOf(usable)
         } else {
             usable.groupBy { it.group?.zone }
                 .filterKeys { job.gatherZone == null || it == job.gatherZone }
                 .values
         }
-        val preemptions = choices.firstNotNullOfOrNull { preemptionsForGang(job, it) } ?: return
+        val preemptions = machineSets.firstNotNullOfOrNull { findPreemptionsForGang(job, it) } ?: return
         preemptions.forEach { preempt(job, it) }
     }
 
-    private fun preemptionsForGang(job: Job, machines: List<Machine>): List<Preemption>? {
+    /**
+     * Returns the preemptions that make all tasks of the gang [job] fit on [machines] together with what is free there;
+     * null if preemption does not suffice.
+     */
+    private fun findPreemptionsForGang(job: Job, machines: List<Machine>): List<Preemption>? {
         val zones = ZoneConstraint(job)
-        val taken = HashSet<Machine>()
+        val chosen = HashSet<Machine>()
         val preemptions = ArrayList<Preemption>()
-        // Room that is open needs no victims; what a pass keeps for a gang is its own.
-        val open = machines.filter { capacity.isEligible(job, it, zones) && job.spec.need.fitsIn(it.free) }
-        taken.addAll(open)
-        repeat(job.waiting.size - open.sumOf { it.free.holds(job.spec.need) }) {
-            val preemption = findPreemption(job, machines, zones, taken) ?: return null
+        // Machines with free capacity need no victims. What this pass holds counts as free, as it is held for this
+        // gang.
+        val withFreeCapacity = machines.filter { capacity.isEligible(job, it, zones) && job.spec.need.fitsIn(it.free) }
+        chosen.addAll(withFreeCapacity)
+        repeat(job.waiting.size - withFreeCapacity.sumOf { it.free.holds(job.spec.need) }) {
+            val preemption = findPreemption(job, machines, zones, chosen) ?: return null
             preemptions.add(preemption)
-            taken.add(preemption.machine)
+            chosen.add(preemption.machine)
         }
         return preemptions
     }
 
-    private fun zonesWithReservations(job: Job, usable: List<Machine>): ZoneConstraint {
+    /** Returns the zone constraint of [job], with the tasks counted for which capacity is reserved. */
+    private fun zonesIncludingReservations(job: Job, usable: List<Machine>): ZoneConstraint {
         val zones = ZoneConstraint(job)
         if (capacity.reservedTasks(job) == 0 || !zones.isBinding) return zones
         for (machine in usable) {
@@ -96,8 +114,9 @@
         return zones
     }
 
+    /** Reserves for [job] the capacity that [preemption] frees, and stops the victims with time for a checkpoint. */
     private fun preempt(job: Job, preemption: Preemption) {
-        capacity.reserve(job, preemption.machine, ctx.now + RESERVATION_S)
+        capacity.reserve(job, preemption.machine, ctx.now + RESERVATION_TIMEOUT_S)
         log.info(
             "tasks preempted job={} machine={} victims={}",
             job.spec.id,
@@ -110,43 +129,53 @@
         }
     }
 
-    /** The machine, of those not [taken], on which room for a task of [job] costs the least work. */
+    /**
+     * Returns the preemption for one task of [job] that loses the least work, on one of [machines] that is not [chosen]
+     * yet; null if there is none or this pass has no searches left.
+     */
     private fun findPreemption(
         job: Job,
         machines: List<Machine>,
         zones: ZoneConstraint,
-        taken: Set<Machine>,
+        chosen: Set<Machine>,
     ): Preemption? {
-        if (isFutile(job)) return null
+        if (isSearchFutile(job)) return null
         searchesLeft--
-        var best: Preemption? = null
-        var lowestS = Double.MAX_VALUE
+        var cheapest: Preemption? = null
+        var lowestCostS = Double.MAX_VALUE
         for (machine in machines) {
-            if (machine in taken || machine.placements.isEmpty() || !capacity.isEligible(job, machine, zones)) continue
-            val waitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
-            if (waitS >= lowestS) continue
-            val victims = victimsOn(machine, job) ?: continue
-            val costS = victims.sumOf { lostWorkS(it) } + waitS
-            if (costS < lowestS) {
-                lowestS = costS
-                best = Preemption(machine, victims)
+            if (machine in chosen || machine.placements.isEmpty() || !capacity.isEligible(job, machine, zones)) continue
+            val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+            if (fetchWaitS >= lowestCostS) continue
+            val victims = selectVictims(machine, job) ?: continue
+            val costS = victims.sumOf { lostWorkS(it) } + fetchWaitS
+            if (costS < lowestCostS) {
+                lowestCostS = costS
+                cheapest = Preemption(machine, victims)
             }
         }
-        if (best == null && isTrueForAllAlike(job, zones, taken)) unsatisfiable.add(job.equivalenceClass)
-        return best
+        if (cheapest == null && holdsForEquivalenceClass(job, zones, chosen)) unsatisfiable.add(job.equivalenceClass)
+        return cheapest
     }
 
-    private fun isFutile(job: Job): Boolean = searchesLeft <= 0 || job.equivalenceClass in unsatisfiable
+    /** Whether no search is left in this pass, or one for the same equivalence class found nothing. */
+    private fun isSearchFutile(job: Job): Boolean = searchesLeft <= 0 || job.equivalenceClass in unsatisfiable
 
-    /** Whether what was found for [job] holds for all jobs of its equivalence class. */
-    private fun isTrueForAllAlike(job: Job, zones: ZoneConstraint, taken: Set<Machine>): Boolean =
-        !zones.isBinding && taken.isEmpty() && !job.guaranteed
+    /** Whether a search that found nothing for [job] would find nothing for any job of its equivalence class either. */
+    private fun holdsForEquivalenceClass(job: Job, zones: ZoneConstraint, chosen: Set<Machine>): Boolean =
+        !zones.isBinding && chosen.isEmpty() && !job.guaranteed
 
-    /** Seconds of work that stopping [victim] would lose; a gang goes with all its tasks. */
+    /**
+     * Returns the seconds of work that stopping [victim] would lose. A gang loses that for each of its tasks, since
+     * they all stop.
+     */
     private fun lostWorkS(victim: Placement): Double =
         lostWorkOfTaskS(victim) * if (victim.job.isGang) victim.job.placements.size else 1
 
-    /** The work since the last checkpoint, and the cost of starting again. */
+    /**
+     * Returns the seconds since the last checkpoint, or since the start without checkpoints, plus the cost of a
+     * restart.
+     */
     private fun lostWorkOfTaskS(victim: Placement): Double {
         if (victim.runningSince <= 0.0) return RESTART_COST_S
         val ranS = ctx.now - victim.runningSince
@@ -154,8 +183,12 @@
         return RESTART_COST_S + if (spec.checkpointS > 0) minOf(ranS, spec.saveS) else ranS
     }
 
-    /** The tasks to be stopped on [machine] for one of [job], none if room is coming already; null if that can't do. */
-    private fun victimsOn(machine: Machine, job: Job): List<Placement>? {
+    /**
+     * Selects the tasks to stop on [machine] so that one task of [job] fits there: those of low priority first, then
+     * best-effort ones, then those that lose little work. The list is empty if tasks that are being stopped free
+     * enough; null if stopping all that may be preempted would not free enough.
+     */
+    private fun selectVictims(machine: Machine, job: Job): List<Placement>? {
         var free = if (job.isGang) machine.free else machine.free - machine.held
         var candidates: ArrayList<Placement>? = null
         for (placement in machine.placements.values) {
@@ -175,7 +208,10 @@
         return takeUntilFits(job.spec.need, free, candidates)
     }
 
-    /** The first of [candidates] that make room for [need] beside what is [free]; null if all of them do not. */
+    /**
+     * Returns the first of [candidates] whose capacity, added to what is [free], suffices for [need]; null if all of
+     * them do not suffice.
+     */
     private fun takeUntilFits(need: Resources, free: Resources, candidates: List<Placement>): List<Placement>? {
         var available = free
         val victims = ArrayList<Placement>()
@@ -187,22 +223,25 @@
         return if (need.fitsIn(available)) victims else null
     }
 
+    /** Whether [job] may preempt tasks of [victim]. */
     private fun mayPreempt(job: Job, victim: Job): Boolean {
-        // A gang of several would be lost as a whole; it is left to those who have no other way.
+        // Stopping one task of a gang stops the whole gang, so only jobs of production priority, which have no other
+        // way, may do so.
         if (victim.isGangOfSeveral && job.priority < Priority.PRODUCTION) return false
         if (victim.priority < job.priority) {
             return job.priority == Priority.PRODUCTION || job.guaranteed || !pendingQueue.isProtected(victim)
         }
-        // A guarantee is owed, but not at the cost of higher priority: two jobs would preempt each other in turns.
+        // A job that its team's guarantee covers may also preempt jobs of equal priority whose teams exceed theirs. It
+        // may not preempt jobs of higher priority: the two would preempt each other in turns.
         return job.guaranteed &&
             !victim.guaranteed &&
             victim.team != job.team &&
             victim.priority == job.priority &&
-            isBeyondGuarantee(victim.team)
+            exceedsGuarantee(victim.team)
     }
 
-    /** Whatever a team without a guarantee runs is beyond it. */
-    private fun isBeyondGuarantee(teamIndex: TeamIndex): Boolean {
+    /** Whether the team uses more than its guarantee; without a guarantee, whatever it uses exceeds it. */
+    private fun exceedsGuarantee(teamIndex: TeamIndex): Boolean {
         val team = ctx.settings.teams[teamIndex.value]
         if (!team.hasGuarantee) return true
         val used = schedulerState.used(teamIndex)
@@ -210,9 +249,16 @@
     }
 
     private companion object {
+        /** Bounds the time of a pass: each search looks at all usable machines. */
         const val MAX_SEARCHES_PER_PASS = 16
-        const val GANG_WAIT_S = 2.0
+
+        /** For how long a gang gathers free capacity before it preempts. */
+        const val GANG_GATHERING_TIME_S = 2.0
+
+        /** What a restart costs a preempted task, in seconds of work. */
         const val RESTART_COST_S = 5.0
-        const val RESERVATION_S = 12.0
+
+        /** For how long freed capacity is reserved at most. */
+        const val RESERVATION_TIMEOUT_S = 12.0
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
+++ b/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
@@ -6,48 +6,58 @@
 import plankwall.model.Resources
 
 /**
- * Which limit holds waiting jobs back: a team's quota or the cloud's capacity. Each is logged from time to time as long
- * as it binds, with since when and how much waits.
+ * Tracks which limit holds waiting jobs back: a team's quota, or the machines that the cloud has. As long as a limit
+ * binds it is logged every [LOG_INTERVAL_S], with the time since which it binds and the number of waiting jobs and
+ * tasks.
  */
 class BindingLimit(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("queue")
-    private val bindings = HashMap<String, Binding>()
-    private val boundNow = HashSet<String>()
+
+    /** The limits that bind now, by the scope that log lines name. */
+    private val bindingsByScope = HashMap<String, Binding>()
+
+    /** Scopes whose limits were found to bind since the current round of quota checks began. */
+    private val scopesBoundInRound = HashSet<String>()
     private val teamsAtQuota = HashSet<Int>()
 
+    /** A limit that binds [since] a time and was last logged at [loggedAt], both in seconds of the steady clock. */
     private class Binding(val since: Double, var loggedAt: Double)
 
-    /** Indices of the teams whose quotas allow less than they ask for. */
-    val teams: Set<Int> get() = teamsAtQuota
+    /** Indices of the teams whose quotas allow less than their jobs ask for. */
+    val limitedTeams: Set<Int> get() = teamsAtQuota
 
     /** Begins a round of checks of all teams' quotas. */
-    fun beginTeams() {
+    fun beginQuotaChecks() {
         teamsAtQuota.clear()
-        boundNow.clear()
+        scopesBoundInRound.clear()
     }
 
-    /** The quota of [team], of which [used] is in use, holds back some of its waiting [jobs]. */
-    fun onQuotaReached(team: Int, jobs: List<Job>, used: Resources) {
-        teamsAtQuota.add(team)
-        val settings = ctx.settings.teams[team]
-        logBinding(TEAM + settings.name, jobs) {
-            "limit=quota gpus=${used.gpus / MILLI} gpus_max=${settings.gpusMax / MILLI} " +
-                "cpus=${used.cpus / MILLI} cpus_max=${settings.cpusMax / MILLI}"
+    /** Records that the quota of the team [teamIndex], which uses [used], holds back some of its waiting [jobs]. */
+    fun onQuotaReached(teamIndex: Int, jobs: List<Job>, used: Resources) {
+        teamsAtQuota.add(teamIndex)
+        val teamSettings = ctx.settings.teams[teamIndex]
+        logBinding(TEAM_SCOPE_PREFIX + teamSettings.name, jobs) {
+            "limit=quota gpus=${used.gpus / MILLI} gpus_max=${teamSettings.gpusMax / MILLI} " +
+                "cpus=${used.cpus / MILLI} cpus_max=${teamSettings.cpusMax / MILLI}"
         }
     }
 
-    /** Ends a round of checks: quotas that were not reached in it bind no more. */
-    fun endTeams() {
-        bindings.keys.filter { it.startsWith(TEAM) && it !in boundNow }.forEach(::logReleased)
+    /** Ends a round of checks: quotas that were not reached in it no longer bind. */
+    fun endQuotaChecks() {
+        bindingsByScope.keys.filter { it.startsWith(TEAM_SCOPE_PREFIX) && it !in scopesBoundInRound }
+            .forEach(::logReleased)
     }
 
-    /** The cloud has no machine for the [scarce] jobs, or none are scarce. */
+    /**
+     * Logs that the cloud has no machines for the [scarce] jobs, or that it no longer holds any job back if there are
+     * none.
+     */
     fun logScarcity(scarce: List<Job>, feasibilities: Map<Job, Feasibility>, minimumShare: MinimumShare) {
         if (scarce.isEmpty()) {
-            logReleased(FLEET)
+            logReleased(FLEET_SCOPE)
             return
         }
-        logBinding(FLEET, scarce) {
+        logBinding(FLEET_SCOPE, scarce) {
             val outOfReach = feasibilities.values.count { it == Feasibility.OUT_OF_REACH }
             val belowMinimum = minimumShare.classesBelowMinimum().joinToString {
                 "${it.jobClass} (%.2f of %.2f)".format(it.used, it.minimum)
@@ -56,32 +66,37 @@
         }
     }
 
-    private fun logBinding(scope: String, jobs: List<Job>, limit: () -> String) {
-        boundNow.add(scope)
-        val binding = bindings.getOrPut(scope) { Binding(ctx.now, ctx.now - LOG_EVERY_S) }
-        if (ctx.now - binding.loggedAt < LOG_EVERY_S) return
+    /**
+     * Records that the limit of [scope] holds [jobs] back, and logs it if that is due. [describeLimit] returns the text
+     * that tells the limit.
+     */
+    private fun logBinding(scope: String, jobs: List<Job>, describeLimit: () -> String) {
+        scopesBoundInRound.add(scope)
+        val binding = bindingsByScope.getOrPut(scope) { Binding(ctx.now, ctx.now - LOG_INTERVAL_S) }
+        if (ctx.now - binding.loggedAt < LOG_INTERVAL_S) return
         binding.loggedAt = ctx.now
         log.info(
             "jobs held back {} held_s={} {} jobs={} tasks={}",
             scope,
             (ctx.now - binding.since).toInt(),
-            limit(),
+            describeLimit(),
             jobs.size,
             jobs.sumOf { it.waiting.size },
         )
     }
 
+    /** Logs that the limit of [scope] no longer binds, if it did. */
     private fun logReleased(scope: String) {
-        val binding = bindings.remove(scope) ?: return
+        val binding = bindingsByScope.remove(scope) ?: return
         log.info("jobs no longer held back {} held_s={}", scope, (ctx.now - binding.since).toInt())
     }
 
     private companion object {
-        const val LOG_EVERY_S = 10.0
-        const val FLEET = "scope=fleet"
-        const val TEAM = "team="
+        const val LOG_INTERVAL_S = 10.0
+        const val FLEET_SCOPE = "scope=fleet"
+        const val TEAM_SCOPE_PREFIX = "team="
 
-        /** Resources are counted in thousandths. */
+        /** Units of [Resources] per CPU and per GPU. */
         const val MILLI = 1000
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
+++ b/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
@@ -7,50 +7,59 @@
 import plankwall.model.Shape
 
 /**
- * Room that many jobs share and that can't grow now: a team's quota, or all machines where the cloud has no more.
- * [whole] is all of it; a resource of 0 is not bounded. Replicas stay, so [placed] ones and [waitingReplicas] take
- * their part of it away for good.
+ * Capacity that many jobs share and that can't grow now: a team's quota, or the whole fleet where the cloud has no more
+ * machines. In [total] a resource of 0 is not limited. Replicas never end, so those that are [placed] and the
+ * [waitingReplicas] are subtracted from it. Work is measured in seconds for which it would occupy the whole pool.
  */
 class CapacityPool(
     private val ctx: Context,
-    whole: Resources,
+    total: Resources,
     placed: Sequence<Placement>,
     waitingReplicas: Resources,
 ) {
-    /** What is left of it beside replicas. */
-    val size: Resources
+    /** The capacity that replicas leave to other tasks. */
+    val taskCapacity: Resources
 
-    /** By class: seconds of the whole pool that the running tasks still take. */
-    private val runningWorkS = HashMap<String, Double>()
+    /** By job class: the remaining work of the running tasks, in seconds of the whole pool. */
+    private val runningWorkSByClass = HashMap<String, Double>()
 
     init {
         val (replicas, tasks) = placed.toList().partition { it.job.spec.shape == Shape.SERVICE }
-        val taken = replicas.fold(waitingReplicas) { sum, placement -> sum + placement.job.spec.need }
-        size = Resources(
-            beside(whole.cpus, taken.cpus),
-            beside(whole.gpus, taken.gpus),
-            beside(whole.memory, taken.memory),
+        val takenByReplicas = replicas.fold(waitingReplicas) { sum, placement -> sum + placement.job.spec.need }
+        taskCapacity = Resources(
+            subtractReplicas(total.cpus, takenByReplicas.cpus),
+            subtractReplicas(total.gpus, takenByReplicas.gpus),
+            subtractReplicas(total.memory, takenByReplicas.memory),
         )
         for (task in tasks) {
             val workS = partOf(task.job.spec.need) * remainingS(task)
-            runningWorkS.merge(task.job.spec.jobClass, workS, Double::plus)
+            runningWorkSByClass.merge(task.job.spec.jobClass, workS, Double::plus)
         }
     }
 
-    /** Where replicas fill a bounded resource, next to nothing is left of it; nothing would mean no bound at all. */
-    private fun beside(whole: Long, taken: Long): Long = if (whole == 0L) 0L else (whole - taken).coerceAtLeast(1L)
+    /**
+     * Subtracts what replicas take from a resource. At least 1 is left of a limited one, because 0 would mean no limit.
+     */
+    private fun subtractReplicas(total: Long, takenByReplicas: Long): Long =
+        if (total == 0L) 0L else (total - takenByReplicas).coerceAtLeast(1L)
 
+    /** Returns the seconds for which [task] should still run; its whole estimate if its end is not known. */
     private fun remainingS(task: Placement): Double = task.endsIn(ctx.now) ?: task.job.spec.estimateS
 
-    private fun partOf(need: Resources): Double = need.partOf(size)
+    private fun partOf(need: Resources): Double = need.partOf(taskCapacity)
 
-    /** Seconds of the whole pool that [tasks] of [job] take, each of which holds its place for [occupancyS]. */
+    /**
+     * Returns the work of [tasks] tasks of [job], in seconds of the whole pool, if each occupies its place for
+     * [occupancyS].
+     */
     fun workS(job: Job, tasks: Int, occupancyS: Double): Double = partOf(job.spec.need) * tasks * occupancyS
 
     /**
-     * Reports to [onLate] the jobs that can't meet all their service-level objectives any more, after all that runs
-     * already. [blocks]: those of higher standing first. [share]: the part of the pool that is theirs, of which tasks
-     * of [jobClass], or of all classes, use room now. [occupancyS]: how long a task of a job holds its place.
+     * Reports to [onLate] the waiting jobs that can no longer meet all their service-level objectives, given the work
+     * of the running tasks and of the jobs before them. [blocks] holds the jobs of equal standing together, the highest
+     * standing first. [share] is the part of the pool on which these jobs can count. Running tasks of [jobClass] use
+     * some of it, those of all classes if that is null. [occupancyS] returns for how long, in seconds, a task of a job
+     * occupies its place.
      */
     fun classify(
         blocks: List<List<Job>>,
@@ -59,23 +68,31 @@
         occupancyS: (Job) -> Double,
         onLate: (Job, Feasibility) -> Unit,
     ) {
-        fun workOf(job: Job) = workS(job, job.waiting.size, occupancyS(job)) / share
-        fun pendingWork(jobs: List<Job>, deadlineOf: (Job) -> Deadline) = jobs.map {
-            PendingWork(it, workOf(it), deadlineOf(it).secondsLeft(ctx.time.wallMs, it.spec.estimateS))
+        fun waitingWorkS(job: Job) = workS(job, job.waiting.size, occupancyS(job)) / share
+        fun toPendingWork(jobs: List<Job>, deadlineOf: (Job) -> Deadline) = jobs.map {
+            PendingWork(it, waitingWorkS(it), deadlineOf(it).secondsLeft(ctx.time.wallMs, it.spec.estimateS))
         }
-        var busyS = (if (jobClass == null) runningWorkS.values.sum() else runningWorkS[jobClass] ?: 0.0) / share
+        var busyS =
+            (if (jobClass == null) runningWorkSByClass.values.sum() else runningWorkSByClass[jobClass] ?: 0.0) / share
         for (jobs in blocks) {
-            // A job without objectives is neither late nor in time; it only takes its room.
-            val (open, bound) = jobs.partition { Deadline.loosest(it, ctx.objectives).isOpen }
-            val inTime = DeadlineFeasibility.choose(pendingWork(bound) { Deadline.tightest(it, ctx.objectives) }, busyS)
+            // A job without objectives is neither late nor in time, but it takes its part of the capacity.
+            val (withoutObjectives, withObjectives) =
+                jobs.partition { Deadline.loosest(it, ctx.objectives).isUnbounded }
+            val inTime = DeadlineFeasibility.selectFeasible(
+                toPendingWork(withObjectives) { Deadline.tightest(it, ctx.objectives) },
+                busyS,
+            )
             busyS += inTime.sumOf { it.workS }
-            val served = inTime.mapTo(HashSet()) { it.job }
-            val rest = bound.filter { it !in served }
-            val late = DeadlineFeasibility.choose(pendingWork(rest) { Deadline.loosest(it, ctx.objectives) }, busyS)
-            busyS += late.sumOf { it.workS } + open.sumOf { workOf(it) }
+            val feasibleJobs = inTime.mapTo(HashSet()) { it.job }
+            val notInTime = withObjectives.filter { it !in feasibleJobs }
+            val late = DeadlineFeasibility.selectFeasible(
+                toPendingWork(notInTime) { Deadline.loosest(it, ctx.objectives) },
+                busyS,
+            )
+            busyS += late.sumOf { it.workS } + withoutObjectives.sumOf { waitingWorkS(it) }
             late.forEach { onLate(it.job, Feasibility.LATE) }
-            late.mapTo(served) { it.job }
-            bound.filter { it !in served }.forEach { onLate(it, Feasibility.OUT_OF_REACH) }
+            late.mapTo(feasibleJobs) { it.job }
+            withObjectives.filter { it !in feasibleJobs }.forEach { onLate(it, Feasibility.OUT_OF_REACH) }
         }
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/Deadline.kt
+++ b/src/main/kotlin/plankwall/core/queue/Deadline.kt
@@ -4,37 +4,38 @@
 import plankwall.model.ServiceLevelObjectives
 
 /**
- * By when a job must have started and have finished to meet its service-level objectives, in milliseconds of the time
- * of day. [eitherSuffices]: one of the two is enough.
+ * The times by which a job must have started and finished to meet its service-level objectives, in milliseconds of the
+ * time of day; [Long.MAX_VALUE] where there is no such objective. [eitherSuffices]: meeting one of the two is enough.
  */
 class Deadline private constructor(
-    private val startMs: Long,
-    private val endMs: Long,
+    private val latestStartMs: Long,
+    private val latestEndMs: Long,
     private val eitherSuffices: Boolean,
 ) {
-    /** The job has no objective: it is never late. */
-    val isOpen: Boolean get() = startMs == Long.MAX_VALUE && endMs == Long.MAX_VALUE
+    /** Whether the job has no objective and so is never late. */
+    val isUnbounded: Boolean get() = latestStartMs == Long.MAX_VALUE && latestEndMs == Long.MAX_VALUE
 
     /**
-     * The seconds from [nowMs] within which a job must be over whose tasks take [taskS] each: it counts as started in
-     * time only if what is left of it starts before the start is due.
+     * Returns the seconds from [nowMs] within which all tasks of the job must have ended if each takes [taskS]. The job
+     * counts as started in time only if its last task starts by the start deadline, so the last task may end [taskS]
+     * after it.
      */
     fun secondsLeft(nowMs: Long, taskS: Double): Double {
-        val byStart = secondsUntil(startMs, nowMs) + taskS
-        val byEnd = secondsUntil(endMs, nowMs)
-        val hasBoth = startMs != Long.MAX_VALUE && endMs != Long.MAX_VALUE
-        return if (eitherSuffices && hasBoth) maxOf(byStart, byEnd) else minOf(byStart, byEnd)
+        val startLimitS = secondsUntil(latestStartMs, nowMs) + taskS
+        val endLimitS = secondsUntil(latestEndMs, nowMs)
+        val hasBoth = latestStartMs != Long.MAX_VALUE && latestEndMs != Long.MAX_VALUE
+        return if (eitherSuffices && hasBoth) maxOf(startLimitS, endLimitS) else minOf(startLimitS, endLimitS)
     }
 
     private fun secondsUntil(ms: Long, nowMs: Long): Double =
         if (ms == Long.MAX_VALUE) UNBOUNDED_S else (ms - nowMs) / 1000.0
 
     companion object {
-        /** Beyond any wait, and small enough to be added to. */
+        /** Longer than any wait, but small enough to be added to. */
         private const val UNBOUNDED_S = 1e9
 
-        /** The deadline for all objectives of [job]. */
-        fun tightest(job: Job, objectives: ServiceLevelObjectives): Deadline = of(
+        /** Returns the deadline for meeting all objectives of [job]. */
+        fun tightest(job: Job, objectives: ServiceLevelObjectives): Deadline = create(
             job,
             objectives.startWithinS(job.spec.jobClass),
             objectives.finishWithinS(job.spec.jobClass),
@@ -42,8 +43,8 @@
             eitherSuffices = false,
         )
 
-        /** The deadline for the least of the objectives of [job]: after this none is left to be met. */
-        fun loosest(job: Job, objectives: ServiceLevelObjectives): Deadline = of(
+        /** Returns the deadline for meeting at least one objective of [job]: after it none can be met. */
+        fun loosest(job: Job, objectives: ServiceLevelObjectives): Deadline = create(
             job,
             objectives.lastStartWithinS(job.spec.jobClass),
             objectives.lastFinishWithinS(job.spec.jobClass),
@@ -51,24 +52,32 @@
             eitherSuffices = true,
         )
 
-        private fun of(
+        private fun create(
             job: Job,
-            startS: Double?,
-            finishS: Double?,
-            deadlineTimes: Double,
+            startWithinS: Double?,
+            finishWithinS: Double?,
+            deadlineFactor: Double,
             eitherSuffices: Boolean,
         ): Deadline {
-            val endMs = minOf(after(job, finishS), deadlineMs(job, deadlineTimes))
-            return Deadline(after(job, startS), endMs, eitherSuffices)
+            val latestEndMs = minOf(latestMs(job, finishWithinS), deadlineMs(job, deadlineFactor))
+            return Deadline(latestMs(job, startWithinS), latestEndMs, eitherSuffices)
         }
 
-        /** A DAG stage is due when the job that depends on it must start; that job may make up for a little. */
-        private fun deadlineMs(job: Job, times: Double): Long {
+        /**
+         * Returns the deadline of [job], with the time from its submission multiplied by [factor]; [Long.MAX_VALUE] if
+         * it has none. A DAG stage is due when the job that depends on it must start, and that job may make up for a
+         * short delay.
+         */
+        private fun deadlineMs(job: Job, factor: Double): Long {
             if (job.dueMs == Long.MAX_VALUE) return Long.MAX_VALUE
-            return job.submittedMs + ((job.dueMs - job.submittedMs) * times).toLong()
+            return job.submittedMs + ((job.dueMs - job.submittedMs) * factor).toLong()
         }
 
-        private fun after(job: Job, seconds: Double?): Long =
-            if (seconds == null) Long.MAX_VALUE else job.readyMs + (seconds * 1000).toLong()
+        /**
+         * Returns the time [withinS] seconds after [job] became ready, in milliseconds of the time of day;
+         * [Long.MAX_VALUE] if that is null.
+         */
+        private fun latestMs(job: Job, withinS: Double?): Long =
+            if (withinS == null) Long.MAX_VALUE else job.readyMs + (withinS * 1000).toLong()
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/FairShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/FairShare.kt
@@ -4,24 +4,24 @@
 import plankwall.model.Resources
 import plankwall.model.TeamIndex
 
-/** Fair shares of teams: a burst of one team is not to be at the cost of teams that ask for less. */
+/** Fair shares of teams: many jobs of one team must not delay the jobs of teams that ask for less. */
 object FairShare {
     /**
-     * The teams of [waiting] jobs that ask for no more than an equal part of [capacity], by what they wait for
-     * ([demandOf]) and what they use ([usedBy]); with one team, none.
+     * Returns the indices of those teams of the [waiting] jobs that use ([usedBy]) and wait for ([demandOf]) no more
+     * than an equal part of [capacity]; none if only one team has waiting jobs.
      */
-    fun modest(
+    fun teamsWithinFairShare(
         waiting: List<Job>,
         capacity: Resources,
         demandOf: (Job) -> Resources,
         usedBy: (TeamIndex) -> Resources,
     ): Set<Int> {
-        val demands = HashMap<Int, Resources>()
-        for (job in waiting) demands.merge(job.team.value, demandOf(job), Resources::plus)
-        if (demands.size < 2) return emptySet()
-        val fairShare = 1.0 / demands.size
-        return demands.filter { (team, demand) ->
-            (demand + usedBy(TeamIndex(team))).partOf(capacity) <= fairShare
+        val demandByTeam = HashMap<Int, Resources>()
+        for (job in waiting) demandByTeam.merge(job.team.value, demandOf(job), Resources::plus)
+        if (demandByTeam.size < 2) return emptySet()
+        val fairShare = 1.0 / demandByTeam.size
+        return demandByTeam.filter { (teamIndex, demand) ->
+            (demand + usedBy(TeamIndex(teamIndex))).partOf(capacity) <= fairShare
         }.keys
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/Feasibility.kt
+++ b/src/main/kotlin/plankwall/core/queue/Feasibility.kt
@@ -1,13 +1,15 @@
 package plankwall.core.queue
 
-/** What a waiting job can still meet of its service-level objectives, in the order in which such jobs are served. */
+/**
+ * Which of its service-level objectives a waiting job can still meet. Jobs are served in the order of the constants.
+ */
 enum class Feasibility {
-    /** All of them; so can every job where there is room enough. */
+    /** It can meet all of them, as every job can where there is enough capacity. */
     IN_TIME,
 
-    /** Too late for the tightest, but not for the loosest. */
+    /** It is too late for the tightest objective, but can meet the loosest. */
     LATE,
 
-    /** None any more, or only at the cost of more jobs than it is itself. */
+    /** It can meet none any more, or only if more jobs missed theirs instead. */
     OUT_OF_REACH,
 }
--- a/src/main/kotlin/plankwall/core/queue/Guarantees.kt
+++ b/src/main/kotlin/plankwall/core/queue/Guarantees.kt
@@ -5,31 +5,38 @@
 import plankwall.core.statemachine.Context
 import plankwall.model.Resources
 
-/** Marks the jobs that their teams' guarantees cover. */
+/** Marks the jobs that their teams' guarantees cover ([Job.guaranteed]). */
 internal class Guarantees(private val ctx: Context, private val schedulerState: SchedulerState) {
+    /** When the marks were last set, in seconds of the steady clock. */
     private var refreshedAt = Machine.NEVER
-    private var refreshedChanges = -1
+
+    /** The value of [SchedulerState.changes] when the marks were last set. */
+    private var changesAtRefresh = -1
 
     /**
-     * Marks each team's jobs as guaranteed in the order of their submission, as long as they fit into its guarantee
-     * together. Does nothing if nothing changed since, shortly after the last time.
+     * Marks each team's jobs as guaranteed in the order of their submission, as long as together they fit into the
+     * team's guarantee. Does nothing if it ran less than [REFRESH_INTERVAL_S] ago and no job was added, became ready or
+     * ended since.
      */
     fun refresh() {
-        if (ctx.now < refreshedAt + REFRESH_S && schedulerState.changes == refreshedChanges) return
+        if (ctx.now < refreshedAt + REFRESH_INTERVAL_S && schedulerState.changes == changesAtRefresh) return
         refreshedAt = ctx.now
-        refreshedChanges = schedulerState.changes
-        val sums = HashMap<Int, Resources>()
+        changesAtRefresh = schedulerState.changes
+        val demandByTeam = HashMap<Int, Resources>()
         for (job in schedulerState.live.sortedBy { it.submittedMs }) {
             val team = ctx.settings.teams[job.team.value]
-            // A job that waits for its dependencies holds no part of it.
+            // A job that waits for its dependencies takes no part of the guarantee.
             if (!team.hasGuarantee || !job.ready) continue
-            val sum = (sums[job.team.value] ?: Resources.NONE) + job.spec.need * (job.spec.tasks - job.doneCount)
-            sums[job.team.value] = sum
-            job.guaranteed = (team.cpus == 0L || sum.cpus <= team.cpus) && (team.gpus == 0L || sum.gpus <= team.gpus)
+            val demand =
+                (demandByTeam[job.team.value] ?: Resources.NONE) + job.spec.need * (job.spec.tasks - job.doneCount)
+            demandByTeam[job.team.value] = demand
+            job.guaranteed =
+                (team.cpus == 0L || demand.cpus <= team.cpus) &&
+                (team.gpus == 0L || demand.gpus <= team.gpus)
         }
     }
 
     private companion object {
-        const val REFRESH_S = 1.0
+        const val REFRESH_INTERVAL_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
@@ -7,110 +7,130 @@
 import plankwall.model.Shape
 import kotlin.math.ceil
 
-/** What [jobClass] uses of all room and the minimum that it is due, as parts of 1. */
+/**
+ * The capacity that [jobClass] uses and its minimum share, both as parts (0 to 1) of the capacity that replicas leave
+ * to other tasks.
+ */
 class ClassShare(val jobClass: String, val used: Double, val minimum: Double)
 
 /**
- * A minimum share for each class while there is less room than work: as long as its tasks use less than a part of what
- * the class asks for on average, its jobs go before those of higher priority, and these do not preempt its tasks. Live
- * services and guarantees are never put behind it. Going by the room used, not by what became of the jobs, it does not
- * oscillate: what is given is not taken back a second later.
+ * A minimum share of the capacity for each job class while there is less capacity than work. As long as the tasks of a
+ * class use less than its minimum share, a part of what the class asks for on average, its jobs go before jobs of
+ * higher priority, and those do not preempt its tasks. Jobs of production priority (live services) and guaranteed jobs
+ * always go first. The rule looks at the capacity in use, not at how jobs fared, and so does not oscillate: what a
+ * class is given is not taken back a second later.
  */
 class MinimumShare(private val ctx: Context) {
     private val offeredLoad = OfferedLoad(ctx)
 
-    /** By class, as parts of [pool]: the minimum shares, the room used, and the room that a class can count on. */
-    private val minimums = HashMap<String, Double>()
-    private val used = HashMap<String, Double>()
-    private val shares = HashMap<String, Double>()
+    /** The minimum share of each class, as a part of [pool]. */
+    private val minimumByClass = HashMap<String, Double>()
+
+    /**
+     * The capacity that running tasks of each class use, as a part of [pool]; empty while there is enough capacity for
+     * all.
+     */
+    private val usage = HashMap<String, Double>()
+
+    /** The capacity on which each class can count, as a part of [pool]. */
+    private val shareByClass = HashMap<String, Double>()
+
+    /** The capacity that replicas leave to other tasks. */
     private var pool = Resources.NONE
 
     /**
-     * Computes the shares anew, of the [live] jobs' classes. [isScarce]: whether there is less room than work; else no
-     * class has to give anything up. [pool]: the room that is not used by replicas. [occupancyS]: how long a task of a
-     * job holds its place.
+     * Computes the shares anew, for the classes of the [live] jobs. [isScarce]: whether there is less capacity than
+     * work; otherwise no class has to give up any. [pool]: the capacity that replicas leave to other tasks.
+     * [occupancyS] returns for how long, in seconds, a task of a job occupies its place.
      */
     fun refresh(live: Collection<Job>, isScarce: Boolean, pool: Resources, occupancyS: (Job) -> Double) {
         offeredLoad.record(live, occupancyS)
         this.pool = pool
-        minimums.clear()
-        used.clear()
-        shares.clear()
+        minimumByClass.clear()
+        usage.clear()
+        shareByClass.clear()
         if (!isScarce) return
         val priorities = HashMap<String, Priority>()
         for (job in live) {
             if (job.spec.shape == Shape.SERVICE) continue
             val running = job.placements.values.count { it.stopping == null }
-            used.merge(job.spec.jobClass, job.spec.need.partOf(pool) * running, Double::plus)
+            usage.merge(job.spec.jobClass, job.spec.need.partOf(pool) * running, Double::plus)
             priorities.merge(job.spec.jobClass, job.priority, ::maxOf)
         }
-        val offered = used.keys.associateWith { offeredLoad.partOf(pool, it) }
-        offered.mapValuesTo(minimums) { (_, part) -> part * MINIMUM_PART }
-        val sum = minimums.values.sum()
-        if (sum > 1.0) minimums.replaceAll { _, part -> part / sum }
-        divideRest(offered, priorities)
+        val offeredByClass = usage.keys.associateWith { offeredLoad.averageShareOf(pool, it) }
+        offeredByClass.mapValuesTo(minimumByClass) { (_, part) -> part * MINIMUM_PART_OF_OFFERED }
+        val minimumSum = minimumByClass.values.sum()
+        if (minimumSum > 1.0) minimumByClass.replaceAll { _, part -> part / minimumSum }
+        divideRemainder(offeredByClass, priorities)
     }
 
-    /** Beside the minimum shares all room goes by priority, to as much as each class asks for. */
-    private fun divideRest(offered: Map<String, Double>, priorities: Map<String, Priority>) {
-        shares.putAll(minimums)
-        var left = 1.0 - minimums.values.sum()
+    /**
+     * Divides the capacity beyond the minimum shares by priority, giving each class at most what it asks for on
+     * average.
+     */
+    private fun divideRemainder(offeredByClass: Map<String, Double>, priorities: Map<String, Priority>) {
+        shareByClass.putAll(minimumByClass)
+        var remainder = 1.0 - minimumByClass.values.sum()
         for (jobClass in priorities.keys.sortedByDescending { priorities[it] }) {
-            val missing = (offered[jobClass] ?: 0.0) - (minimums[jobClass] ?: 0.0)
-            val more = missing.coerceIn(0.0, left.coerceAtLeast(0.0))
-            shares.merge(jobClass, more, Double::plus)
-            left -= more
+            val missing = (offeredByClass[jobClass] ?: 0.0) - (minimumByClass[jobClass] ?: 0.0)
+            val extra = missing.coerceIn(0.0, remainder.coerceAtLeast(0.0))
+            shareByClass.merge(jobClass, extra, Double::plus)
+            remainder -= extra
         }
-        // Room that no class asks for on average serves all when they ask for more.
-        val given = shares.values.sum()
-        if (given > 0.0) shares.replaceAll { _, part -> part / given }
+        // Capacity that no class asks for on average is divided among all, for the times when they ask for more.
+        val totalShare = shareByClass.values.sum()
+        if (totalShare > 0.0) shareByClass.replaceAll { _, part -> part / totalShare }
     }
 
-    /** The part of all room on which [jobClass] can count. */
-    fun shareOf(jobClass: String): Double = (shares[jobClass] ?: 1.0).coerceAtLeast(MIN_DIVISOR)
+    /** Returns the part of the capacity on which [jobClass] can count; all of it while there is enough for all. */
+    fun shareOf(jobClass: String): Double = (shareByClass[jobClass] ?: 1.0).coerceAtLeast(MIN_SHARE)
 
     /**
-     * Accounts for [tasks] of [job] that were placed since, or preempted where the number is negative: within one pass
-     * a minimum share could be overrun both ways.
+     * Accounts for [tasks] tasks of [job] that were placed since the last refresh; a negative number stands for
+     * preempted tasks. Otherwise one pass could place too many tasks of a class, or preempt too many.
      */
     fun onPlaced(job: Job, tasks: Int) {
-        if (job.spec.jobClass in used) used.merge(job.spec.jobClass, job.spec.need.partOf(pool) * tasks, Double::plus)
+        if (job.spec.jobClass in usage) usage.merge(job.spec.jobClass, job.spec.need.partOf(pool) * tasks, Double::plus)
     }
 
     /** Whether the class of [job] uses less than its minimum share. */
     fun isBelowMinimum(job: Job): Boolean {
-        val classUses = used[job.spec.jobClass] ?: return false
-        return classUses < minimumOf(job)
+        val classUsed = usage[job.spec.jobClass] ?: return false
+        return classUsed < minimumOf(job)
     }
 
     /**
      * Whether the class of [job] would fall below its minimum share if one of its tasks were preempted: the next pass
-     * would only place it again.
+     * would only place the task again.
      */
     fun isProtected(job: Job): Boolean {
-        val classUses = used[job.spec.jobClass] ?: return false
-        return classUses - job.spec.need.partOf(pool) < minimumOf(job)
+        val classUsed = usage[job.spec.jobClass] ?: return false
+        return classUsed - job.spec.need.partOf(pool) < minimumOf(job)
     }
 
-    private fun minimumOf(job: Job): Double = minimums[job.spec.jobClass] ?: 0.0
+    private fun minimumOf(job: Job): Double = minimumByClass[job.spec.jobClass] ?: 0.0
 
     /**
-     * How many tasks of [job] may be placed in a pass: as many as reach the minimum share, so that the next pass sorts
-     * the rest by their own priority; any number if the share is reached.
+     * Returns how many tasks of [job] may be placed in one pass: as many as bring its class up to the minimum share, so
+     * that the next pass sorts the others by their own priority. [Int.MAX_VALUE] if the class has reached its share or
+     * has none.
      */
     fun maxPlacements(job: Job): Int {
-        val minimum = minimums[job.spec.jobClass] ?: return Int.MAX_VALUE
-        val missing = minimum - (used[job.spec.jobClass] ?: 0.0)
+        val minimum = minimumByClass[job.spec.jobClass] ?: return Int.MAX_VALUE
+        val missing = minimum - (usage[job.spec.jobClass] ?: 0.0)
         val perTask = job.spec.need.partOf(pool)
         return if (missing <= 0.0 || perTask <= 0.0) Int.MAX_VALUE else ceil(missing / perTask).toInt()
     }
 
-    /** The classes below their minimum shares. */
-    fun classesBelowMinimum(): List<ClassShare> = minimums
-        .map { (jobClass, minimum) -> ClassShare(jobClass, used[jobClass] ?: 0.0, minimum) }
+    /** Returns the classes that use less than their minimum shares. */
+    fun classesBelowMinimum(): List<ClassShare> = minimumByClass
+        .map { (jobClass, minimum) -> ClassShare(jobClass, usage[jobClass] ?: 0.0, minimum) }
         .filter { it.used < it.minimum }
 
-    /** Higher goes first: those below their minimum shares, by priority, then all others, by priority. */
+    /**
+     * Returns the rank of [job] in the queue, higher goes first: jobs of production priority, then jobs of classes
+     * below their minimum shares by priority, then all others by priority.
+     */
     fun rank(job: Job): Int = when {
         job.priority == Priority.PRODUCTION -> Priority.entries.size * 2
         isBelowMinimum(job) -> Priority.entries.size + job.priority.ordinal
@@ -118,10 +138,12 @@
     }
 
     private companion object {
-        /** Of what a class asks for on average: the half that must be served, and a margin. */
-        const val MINIMUM_PART = 0.55
+        /**
+         * The minimum share as a part of what a class asks for on average: the half that must be served, and a margin.
+         */
+        const val MINIMUM_PART_OF_OFFERED = 0.55
 
-        /** Shares are divided by. */
-        const val MIN_DIVISOR = 0.001
+        /** The smallest share returned, since callers divide by it. */
+        const val MIN_SHARE = 0.001
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/OverdueShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/OverdueShare.kt
@@ -1,33 +1,37 @@
 package plankwall.core.queue
 
 /**
- * The part of a class's room that goes to its jobs that are out of reach, oldest first: put behind everything that can
- * still be served, they would wait for ever where new jobs never end. The room given to the others is counted, and
- * [PART] of it is owed to those behind.
+ * The part of a job class's capacity that goes to its jobs that are out of reach, the oldest first. They come after all
+ * jobs that can still meet an objective, so they would wait forever where new jobs never stop arriving. For the
+ * capacity given to other jobs, the jobs out of reach are owed so much that they get [OVERDUE_PART] of all.
  */
 class OverdueShare {
+    /** What jobs out of reach are owed, in seconds of the whole pool; negative if they got more than their part. */
     private var owedS = 0.0
 
     /**
-     * Accounts for room worth [workS] seconds of the pool that went to a job of this [feasibility]. [anyOverdue]:
-     * whether any job is out of reach.
+     * Accounts for capacity worth [workS] seconds of the whole pool that went to a job of this [feasibility].
+     * [anyOverdue]: whether any job of the class is out of reach; otherwise nothing is owed.
      */
     fun onPlaced(feasibility: Feasibility, workS: Double, anyOverdue: Boolean) {
         owedS = when {
             !anyOverdue -> 0.0
             feasibility == Feasibility.OUT_OF_REACH -> owedS - workS
-            else -> minOf(owedS + workS * PART / (1.0 - PART), MAX_OWED_S)
+            else -> minOf(owedS + workS * OVERDUE_PART / (1.0 - OVERDUE_PART), MAX_OWED_S)
         }
     }
 
-    /** Whether the oldest of those behind goes before all others now. */
+    /** Whether the oldest job that is out of reach goes before all others of its standing now. */
     val isDue: Boolean get() = owedS > 0.0
 
     companion object {
-        /** The part of the class's room that is owed to jobs out of reach. */
-        const val PART = 0.125
+        /** The part of the class's capacity that is owed to jobs out of reach. */
+        const val OVERDUE_PART = 0.125
 
-        /** Seconds of the whole pool: what has been owed for long is not made up for all at once. */
+        /**
+         * The most that is owed, in seconds of the whole pool, so that a debt of a long time is not paid back all at
+         * once.
+         */
         private const val MAX_OWED_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
+++ b/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
@@ -4,35 +4,42 @@
 import plankwall.core.state.Job
 import plankwall.core.statemachine.Context
 
-/** How long tasks should hold their places, by their estimates and by the images that machines have. */
+/**
+ * Estimates for how long tasks occupy their places, from the estimates of their run times and the images that machines
+ * have cached.
+ */
 internal class TaskOccupancy(private val ctx: Context, private val fleet: Fleet) {
-    private var machinesByImage = HashMap<Int, Int>()
+    /** How many machines have each image cached, by the image's index. */
+    private var machineCountByImage = HashMap<Int, Int>()
+
+    /** The number of machines that are not being returned to the cloud. */
     private var fleetSize = 0
 
-    /** Counts anew which machines have which image. */
+    /** Counts anew how many machines have each image. */
     fun refresh() {
-        machinesByImage = HashMap()
+        machineCountByImage = HashMap()
         fleetSize = 0
         for (machine in fleet.machines) {
             if (machine.returning) continue
             fleetSize++
-            machine.images.keys.forEach { machinesByImage.merge(it, 1, Int::plus) }
+            machine.images.keys.forEach { machineCountByImage.merge(it, 1, Int::plus) }
         }
     }
 
     /**
-     * Seconds for which one task of [job] should hold its place: its run, the fetch of its image as far as machines
-     * lack it, and the time until its worker has reported the end.
+     * Returns the seconds for which one task of [job] should occupy its place: its run time, the fetch of its image
+     * weighted by the part of the machines that lack it, and half a heartbeat interval, the mean time until its worker
+     * reports the end.
      */
     fun secondsOf(job: Job): Double {
         val fetchS = fleet.catalog?.types?.minOfOrNull { it.fetchS(job.spec.imageGb) } ?: 0.0
-        val lacking =
-            if (fleetSize == 0) 1.0 else 1.0 - (machinesByImage[job.image.value] ?: 0).toDouble() / fleetSize
-        return maxOf(job.spec.estimateS, MIN_RUN_S) + fetchS * lacking + ctx.settings.workers.reportS / 2
+        val lackingShare =
+            if (fleetSize == 0) 1.0 else 1.0 - (machineCountByImage[job.image.value] ?: 0).toDouble() / fleetSize
+        return maxOf(job.spec.estimateS, MIN_RUN_S) + fetchS * lackingShare + ctx.settings.workers.reportS / 2
     }
 
     private companion object {
-        /** Estimates may be nothing at all. */
+        /** The shortest run time assumed, since an estimate may be 0. */
         const val MIN_RUN_S = 1.0
     }
 }
--- a/src/test/kotlin/plankwall/core/placement/CachedImageCapacityTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CachedImageCapacityTest.kt
@@ -42,11 +42,12 @@
         busy.recordImage(checkNotNull(core.schedulerState.find("job-000001")).image, gb, ctx.now - 1)
         val cold = core.machine("i-2")
         val job = learn(2, shape, 2, gb, waitedS)
-        assertEquals(held, cachedImages.comesSooner(job, cold, listOf(busy, cold), ZoneConstraint(job)), name)
+        assertEquals(held, cachedImages.promiseSoonerMachine(job, cold, listOf(busy, cold), ZoneConstraint(job)), name)
         // One room is promised once.
         assertEquals(
             false,
-            cachedImages.comesSooner(learn(3, shape, 2, gb), cold, listOf(busy, cold), ZoneConstraint(job)) && held,
+            cachedImages.promiseSoonerMachine(learn(3, shape, 2, gb), cold, listOf(busy, cold), ZoneConstraint(job)) &&
+                held,
         )
     }
 }
--- a/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
@@ -47,8 +47,8 @@
         var placed = 0
         while (job.waiting.isNotEmpty()) {
             val zones = ZoneConstraint(job)
-            val expected = capacity.best(job, machines, zones)
-            assertSame(expected, queue.best(zones), "task $placed")
+            val expected = capacity.findBest(job, machines, zones)
+            assertSame(expected, queue.findBest(zones), "task $placed")
             core.schedulerState.place(job, job.waiting.first(), expected ?: break, 1_000L + placed)
             queue.onPlaced()
             placed++
--- a/src/test/kotlin/plankwall/core/queue/DeadlineFeasibilityTest.kt
+++ b/src/test/kotlin/plankwall/core/queue/DeadlineFeasibilityTest.kt
@@ -27,7 +27,7 @@
     ) {
         fun numbers(text: String) = text.split(' ').filter { it.isNotEmpty() }.map { it.toDouble() }
         val lots = numbers(works).zip(numbers(dues)).mapIndexed { i, (work, due) -> PendingWork(i, work, due) }
-        assertEquals(expected, DeadlineFeasibility.choose(lots, loadS).joinToString(" ") { it.job.toString() })
+        assertEquals(expected, DeadlineFeasibility.selectFeasible(lots, loadS).joinToString(" ") { it.job.toString() })
     }
 
     /** Every subset of up to nine jobs, in the best order there is for it, against the choice made. */
@@ -48,7 +48,7 @@
                     sum <= it.dueS
                 }
             }.maxOf { Integer.bitCount(it) }
-            assertEquals(most, DeadlineFeasibility.choose(lots, loadS).size, "round $round")
+            assertEquals(most, DeadlineFeasibility.selectFeasible(lots, loadS).size, "round $round")
         }
     }
 
@@ -64,7 +64,7 @@
             overdueShare.onPlaced(if (behind) Feasibility.OUT_OF_REACH else Feasibility.LATE, workS, anyOverdue = true)
             given[if (behind) 1 else 0] += workS
         }
-        assertEquals(OverdueShare.PART, given[1] / given.sum(), 0.01)
+        assertEquals(OverdueShare.OVERDUE_PART, given[1] / given.sum(), 0.01)
         overdueShare.onPlaced(Feasibility.IN_TIME, 100.0, anyOverdue = false)
         assertEquals(false, overdueShare.isDue, "nothing is owed to nobody")
     }
