--- a/src/main/kotlin/plankwall/core/api/CancelHandler.kt
+++ b/src/main/kotlin/plankwall/core/api/CancelHandler.kt
@@ -25,9 +25,12 @@
 ) {
     private val log = LoggerFactory.getLogger("api")
 
-    /** Cancels job [id] and answers [request]. A job that is over or cancelled already is answered as it is. */
+    /**
+     * Cancels job [id] and answers [request]. A job that is over or cancelled already is left unchanged, and its state
+     * is the answer.
+     */
     fun handle(request: RequestId, id: String, caller: Caller?) {
-        lookup.knownFinal(id)?.let {
+        lookup.cachedFinalRecord(id)?.let {
             answerEnded(admission.open(request, caller), id, it)
             return
         }
@@ -75,8 +78,9 @@
     }
 
     /**
-     * [record] marked as cancelled. One that was stored while larger values were allowed must still be written; what
-     * only a start would need is then left out.
+     * Returns [record] marked as cancelled now. A record that was stored while the state service allowed larger values
+     * has to be written all the same: if it no longer fits, the machine types and dependencies are left out, which only
+     * a start of the job would need.
      */
     private fun cancelledRecord(record: JobRecord): JobRecord {
         val cancelled = record.copy(cancelledMs = ctx.time.wallMs)
@@ -86,6 +90,7 @@
     }
 
     private companion object {
+        /** Transactions tried for one request; another write of the job's record makes one fail. */
         const val MAX_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/plankwall/core/api/CapacityView.kt
+++ b/src/main/kotlin/plankwall/core/api/CapacityView.kt
@@ -10,22 +10,22 @@
 import plankwall.wire.StateResult
 
 /**
- * The machine types, which each node needs to check submissions. They are read from the store first, so that jobs are
- * accepted during an outage of the cloud, and from the cloud if the store has none yet.
+ * This node's copy of the catalog of machine types, which every node needs to check submissions. It is read from the
+ * store first, so that jobs are accepted during an outage of the cloud, and from the cloud if the store has none yet.
  */
 class CapacityView(private val ctx: Context) {
-    /** The machine types; null until they are read. */
+    /** The machine types; null until they have been read. While this node leads, its term replaces them by its own. */
     var catalog: Catalog? = null
 
-    /** Names of the types in the stored copy; null if none has been read. */
+    /** The names of the machine types that the store holds, as last read or written by this node; null if unknown. */
     var storedTypes: List<String>? = null
-    private var reading = false
+    private var isReading = false
     private var nextReadAt = 0.0
 
-    /** Reads the types until they are known; to be called regularly. */
+    /** Starts a read of the machine types unless they are known; to be called on each tick. */
     fun tick() {
-        if (catalog != null || reading || ctx.now < nextReadAt) return
-        reading = true
+        if (catalog != null || isReading || ctx.now < nextReadAt) return
+        isReading = true
         ctx.out.state(StateOp.Range(Keys.CATALOG, null, MAX_KEYS)) { result ->
             val stored = (result as? StateResult.Items)?.let { ChunkedValue.catalog(it.items) }
             if (stored != null) {
@@ -43,13 +43,17 @@
         if (result is CloudResult.CatalogRead && catalog == null) catalog = result.catalog
     }
 
+    /** Ends a read; another follows only if the types are still unknown, after a random delay. */
     private fun finishRead() {
-        reading = false
+        isReading = false
         nextReadAt = ctx.now + MIN_RETRY_S + ctx.random.nextDouble()
     }
 
     private companion object {
+        /** The most keys over which the stored catalog may be split. */
         const val MAX_KEYS = 200
+
+        /** The shortest delay between two reads; up to one second of jitter is added. */
         const val MIN_RETRY_S = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/api/DependencyCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/DependencyCheck.kt
@@ -6,7 +6,7 @@
 import plankwall.model.JobFacts
 import plankwall.model.JobSpec
 
-/** Whether a job may depend on the jobs that it names. */
+/** The result of checking whether a submitted job may depend on the jobs that it names. */
 internal sealed interface DependencyCheckResult {
     /** All dependencies were accepted, and the caller may see them. */
     data object Allowed : DependencyCheckResult
@@ -17,10 +17,10 @@
     /** The reads that the check needs exceed the rate limit. */
     data object RateLimited : DependencyCheckResult
 
-    /** The caller may not see [job], by [verdict]. */
+    /** The access policy does not let the caller see the dependency [job]; [verdict] names the rule. */
     class Denied(val job: String, val verdict: Verdict) : DependencyCheckResult
 
-    /** [job] was never accepted. */
+    /** The dependency [job] was never accepted. */
     class NeverAccepted(val job: String) : DependencyCheckResult
 }
 
@@ -31,9 +31,10 @@
     private val admission: RequestAdmission,
 ) {
     /**
-     * Checks the dependencies of [spec], which [caller] submits. This node's cache may be behind an acceptance by
-     * another node, so a job counts as never accepted only after reads that began later than the request: one of the
-     * live jobs, shared with all requests that wait for it, then one of the final record of each that is not live.
+     * Checks the dependencies of [spec], which [caller] submits; [caller] is null without access control. This node's
+     * cache may lag behind an acceptance by another node, so a job counts as never accepted only after two reads that
+     * began after the request: of the live jobs, shared by all requests that wait for it, and then of the final record
+     * of each dependency that is not live.
      */
     fun check(caller: Caller?, spec: JobSpec, onResult: (DependencyCheckResult) -> Unit) {
         if (lookup.notKnownAccepted(spec.dependencies).isEmpty()) {
@@ -41,11 +42,11 @@
             return
         }
         jobCache.whenFresh { fresh ->
-            val unknown = lookup.notKnownAccepted(spec.dependencies)
+            val unknownIds = lookup.notKnownAccepted(spec.dependencies)
             when {
                 !fresh -> onResult(DependencyCheckResult.Unreadable)
-                !admission.tryTakeOrBorrow(unknown.size) -> onResult(DependencyCheckResult.RateLimited)
-                else -> lookup.readFinals(unknown) { absent ->
+                !admission.tryTakeOrBorrowCalls(unknownIds.size) -> onResult(DependencyCheckResult.RateLimited)
+                else -> lookup.readFinalRecords(unknownIds) { absent ->
                     onResult(
                         if (absent == null) DependencyCheckResult.Unreadable else checkVisible(caller, spec, absent),
                     )
@@ -55,8 +56,9 @@
     }
 
     /**
-     * Depending on a job reveals when and how it ends, so it requires the right to see it. Its owner is not asked:
-     * whoever lets a job depend on another's accepts that it is cancelled with it.
+     * Checks that [caller] may see each dependency of [spec], since depending on a job reveals when and how it ends.
+     * The dependency's owner need not consent: whoever lets a job depend on somebody else's job accepts that it is
+     * cancelled together with that. [neverAccepted]: the dependencies that turned out never to have been accepted.
      */
     private fun checkVisible(caller: Caller?, spec: JobSpec, neverAccepted: List<String>): DependencyCheckResult {
         if (caller != null) {
@@ -69,5 +71,5 @@
             ?: DependencyCheckResult.Allowed
     }
 
-    private fun factsOf(id: String): JobFacts? = lookup.knownFinal(id)?.facts ?: jobCache.factsOf(id)
+    private fun factsOf(id: String): JobFacts? = lookup.cachedFinalRecord(id)?.facts ?: jobCache.factsOf(id)
 }
--- a/src/main/kotlin/plankwall/core/api/JobApi.kt
+++ b/src/main/kotlin/plankwall/core/api/JobApi.kt
@@ -8,12 +8,13 @@
 import plankwall.wire.JobProgress
 
 /**
- * The users' API, served by every node directly from the state service: each answer rests on what was stored after the
- * request arrived, except for the outcomes of jobs, which never change.
+ * The users' API, served by every node directly from the state service. Each answer is based on a read that began after
+ * the request arrived, except for the outcomes of jobs, which never change and are cached, and the progress of live
+ * jobs, which may lag.
  *
- * @param progressOf the progress of a live job by its id, null if unknown
+ * @param progressOf returns the progress of a live job by its id, or null if it is unknown
  * @param onJobOver called with the id of a job that is no longer live
- * @param keepFacts whether to keep what authorization rules look at for each live job
+ * @param keepFacts whether to keep for each live job the facts that authorization rules evaluate
  */
 class JobApi(
     ctx: Context,
@@ -47,19 +48,22 @@
         cancelHandler = CancelHandler(ctx, admission, lookup, recordSize, views)
     }
 
-    /** Whether job [id] is live as far as this node has read; the node may be behind. */
+    /** Whether job [id] is live as of this node's last read of the store, which may lag behind. */
     fun isLive(id: String): Boolean = jobCache.isLive(id)
 
-    /** Accepts a job; a repeated submission of one accepted before is answered with its state. */
+    /**
+     * Checks and accepts the job [spec] and answers [request]. A repeated submission of a job that was accepted before
+     * is answered with its state. [caller] is null without access control, here and below.
+     */
     fun submit(request: RequestId, spec: JobSpec, caller: Caller? = null) = submitHandler.handle(request, spec, caller)
 
-    /** Answers with the status of job [id]. */
+    /** Answers [request] with the status of job [id]. */
     fun show(request: RequestId, id: String, caller: Caller? = null) = statusHandler.handle(request, id, caller)
 
-    /** Cancels job [id]. */
+    /** Cancels job [id] and answers [request]. */
     fun cancel(request: RequestId, id: String, caller: Caller? = null) = cancelHandler.handle(request, id, caller)
 
-    /** Reads what has changed in the store and adapts the rate limit; to be called regularly. */
+    /** Reads the changes of live jobs from the store and adapts the rate limit; to be called on each tick. */
     fun tick() {
         jobCache.tick()
         admission.tick()
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -14,12 +14,13 @@
 import plankwall.wire.StateResult
 
 /**
- * Each node's copy of which jobs are live. It is refreshed before each use: a request waits for a read of the store's
- * changes that begins after the request arrived, so an answer is as new as if the job's own key had been read. One
- * such read serves all requests that wait for it. A read for each poll would take the state service's whole rate as
- * soon as a few hundred users poll, and the rate of the leader's writes with it.
+ * This node's copy of the set of live jobs. It is refreshed before each use: a request waits for a read of the store's
+ * changes that begins after the request arrived, so its answer is as new as if the job's own key had been read. One
+ * such read serves all requests that wait for it. With a read for each request, a few hundred polling users would use
+ * up the state service's whole rate limit, and the leader could not write.
  *
- * @param keepFacts whether to keep what authorization rules look at for each live job
+ * @param keepFacts whether to keep for each live job the facts that authorization rules evaluate
+ * @param cancellations is told of each cancelled job that is read; null in tests only
  * @param onJobOver called with the id of each job that is no longer live
  */
 class JobCache(
@@ -31,15 +32,24 @@
     private val log = LoggerFactory.getLogger("api")
     private val liveJobs = HashSet<String>()
     private val dependencies = DependencyGraph()
-    private val facts = HashMap<String, JobFacts>()
+    private val factsByJob = HashMap<String, JobFacts>()
+
+    /** The store's revision that this copy shows, or [UNREAD]. */
     private var revision = UNREAD
+
+    /** The callbacks of the requests that wait for the next read to begin. */
     private var waiters = ArrayList<(Boolean) -> Unit>()
-    private var reading = false
+    private var isReading = false
     private var nextReadAt = 0.0
+
+    /** The shortest interval between the beginnings of two reads. */
     private val readIntervalS =
         maxOf(MIN_READ_INTERVAL_S, ctx.settings.nodes / (ctx.settings.state.rps * SHARE_OF_STORE_RATE))
 
-    /** Calls [onFresh] once the copy is newer than this moment, with false if the store could not be read. */
+    /**
+     * Calls [onFresh] after the next read that begins from now on: with true if the copy now shows all that was stored
+     * before this call, or with false if the store could not be read.
+     */
     fun whenFresh(onFresh: (fresh: Boolean) -> Unit) {
         waiters.add(onFresh)
         startRead()
@@ -48,55 +58,59 @@
     /** Whether job [id] is live as of the last read. */
     fun isLive(id: String): Boolean = id in liveJobs
 
-    /** What authorization rules look at for the live job [id]; null for any other, and without access control. */
-    fun factsOf(id: String): JobFacts? = facts[id]
+    /** The facts of the live job [id] that authorization rules evaluate; null if not live or without access control. */
+    fun factsOf(id: String): JobFacts? = factsByJob[id]
 
     /**
-     * Whether a live job is cancelled, by its user or through one of its dependencies, as far as their outcomes are
-     * known here.
+     * Whether the live job [id] is cancelled, by its user or through a job that it depends on, as far as the outcomes
+     * of those are known here.
      */
     fun isCancelled(id: String): Boolean = dependencies.isCancelled(id)
 
-    /** Dependencies of [id] that are over with an unknown outcome, which decides whether [id] is cancelled. */
+    /**
+     * Returns the jobs that [id] depends on, directly or through others, that are over with an outcome unknown here.
+     * Whether [id] is cancelled can't be told before these outcomes are known.
+     */
     fun unresolvedDependencies(id: String): Set<String> = dependencies.unresolved(id) { it !in liveJobs }
 
-    /** The dependencies that the live job [id] still waits for, as far as known here. */
+    /** Returns the ids of the dependencies that the live job [id] still waits for, as far as known here. */
     fun openDependencies(id: String): List<String> = dependencies.unfinishedOf(id).toList()
 
-    /** Records with which [stage] the job [id], a dependency of others, has ended. */
+    /** Records that job [id], on which others depend, has ended with [stage]. */
     fun onOutcome(id: String, stage: JobStage) {
         if (stage == JobStage.DONE) dependencies.markDone(id) else dependencies.markCancelled(id)
         dependencies.forget(id)
     }
 
-    /** Starts a read that is due; to be called regularly. */
+    /** Starts a read that is due; to be called on each tick. */
     fun tick() {
-        // Without regular reads the store may have dropped the changes since the last one when the next request comes.
+        // Reads now and then also without requests: else the store might have compacted the changes since the last read
+        // by the time of the next request, and all live jobs would have to be read again.
         if (waiters.isEmpty() && ctx.now >= nextReadAt + IDLE_READ_INTERVAL_S) whenFresh {} else startRead()
     }
 
     private fun startRead() {
-        if (reading || waiters.isEmpty() || ctx.now < nextReadAt) return
-        reading = true
+        if (isReading || waiters.isEmpty() || ctx.now < nextReadAt) return
+        isReading = true
         nextReadAt = ctx.now + readIntervalS
-        val served = waiters
+        val servedWaiters = waiters
         waiters = ArrayList()
-        if (revision == UNREAD) readAll(null, ArrayList(), 0L, served) else readChanges(served)
+        if (revision == UNREAD) readAll(null, ArrayList(), 0L, servedWaiters) else readChanges(servedWaiters)
     }
 
-    private fun readChanges(served: List<(Boolean) -> Unit>) {
+    private fun readChanges(servedWaiters: List<(Boolean) -> Unit>) {
         val startedAt = ctx.now
-        ctx.out.state(StateOp.Changes(Keys.JOBS, revision)) { result -> onChanges(result, startedAt, served) }
+        ctx.out.state(StateOp.Changes(Keys.JOBS, revision)) { result -> onChanges(result, startedAt, servedWaiters) }
     }
 
-    private fun onChanges(result: StateResult, startedAt: Double, served: List<(Boolean) -> Unit>) {
+    private fun onChanges(result: StateResult, startedAt: Double, servedWaiters: List<(Boolean) -> Unit>) {
         if (result is StateResult.News) {
             for (event in result.events) {
                 val record = event.value as? JobRecord
                 if (record != null) {
-                    put(Keys.jobId(event.key), record)
+                    addJob(Keys.jobId(event.key), record)
                 } else if (event.value == null) {
-                    remove(Keys.jobId(event.key))
+                    removeJob(Keys.jobId(event.key))
                 }
             }
             revision = maxOf(revision, result.revision)
@@ -104,12 +118,12 @@
         } else if (result == StateResult.TooOld) {
             revision = UNREAD
         }
-        finishRead(served, fresh = result is StateResult.News)
+        finishRead(servedWaiters, fresh = result is StateResult.News)
     }
 
-    private fun put(id: String, record: JobRecord) {
+    private fun addJob(id: String, record: JobRecord) {
         liveJobs.add(id)
-        if (keepFacts) facts[id] = record.spec.factsFor(record.owner)
+        if (keepFacts) factsByJob[id] = record.spec.factsFor(record.owner)
         dependencies.add(id, record.spec.dependencies)
         if (record.cancelledMs > 0) {
             dependencies.markCancelled(id)
@@ -117,54 +131,67 @@
         }
     }
 
-    private fun remove(id: String) {
+    private fun removeJob(id: String) {
         dependencies.forget(id)
-        facts.remove(id)
+        factsByJob.remove(id)
         cancellations?.onJobEnded(id)
         if (liveJobs.remove(id)) onJobOver(id)
     }
 
     /**
-     * Reads all live jobs page by page, from the key [after] on. The pages show different moments; reading the changes
-     * since the [first] page's revision makes them consistent.
+     * Reads all live jobs page by page, from the key after [afterKey] on, or from the first if that is null, and
+     * collects them in [foundItems]. The pages show different revisions of the store; reading the changes since
+     * [firstRevision], that of the first page, makes them consistent.
      */
-    private fun readAll(after: String?, found: ArrayList<StateItem>, first: Long, served: List<(Boolean) -> Unit>) {
-        ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE_SIZE)) { result ->
+    private fun readAll(
+        afterKey: String?,
+        foundItems: ArrayList<StateItem>,
+        firstRevision: Long,
+        servedWaiters: List<(Boolean) -> Unit>,
+    ) {
+        ctx.out.state(StateOp.Range(Keys.JOBS, afterKey, PAGE_SIZE)) { result ->
             if (result !is StateResult.Items) {
-                finishRead(served, fresh = false)
+                finishRead(servedWaiters, fresh = false)
                 return@state
             }
-            found.addAll(result.items)
-            val from = if (after == null) result.revision else first
+            foundItems.addAll(result.items)
+            val fromRevision = if (afterKey == null) result.revision else firstRevision
             if (result.more && result.items.isNotEmpty()) {
-                readAll(result.items.last().key, found, from, served)
+                readAll(result.items.last().key, foundItems, fromRevision, servedWaiters)
             } else {
-                replaceAll(found, from)
-                readChanges(served)
+                replaceAllJobs(foundItems, fromRevision)
+                readChanges(servedWaiters)
             }
         }
     }
 
-    private fun replaceAll(items: List<StateItem>, asOf: Long) {
+    private fun replaceAllJobs(items: List<StateItem>, itemsRevision: Long) {
         liveJobs.clear()
-        facts.clear()
+        factsByJob.clear()
         dependencies.clear()
-        items.forEach { item -> (item.value as? JobRecord)?.let { put(Keys.jobId(item.key), it) } }
-        revision = asOf
-        log.debug("live jobs read jobs={} revision={}", liveJobs.size, asOf)
+        items.forEach { item -> (item.value as? JobRecord)?.let { addJob(Keys.jobId(item.key), it) } }
+        revision = itemsRevision
+        log.debug("live jobs read jobs={} revision={}", liveJobs.size, itemsRevision)
     }
 
-    private fun finishRead(served: List<(Boolean) -> Unit>, fresh: Boolean) {
-        reading = false
-        served.forEach { onFresh -> onFresh(fresh) }
+    private fun finishRead(servedWaiters: List<(Boolean) -> Unit>, fresh: Boolean) {
+        isReading = false
+        servedWaiters.forEach { onFresh -> onFresh(fresh) }
         startRead()
     }
 
     private companion object {
+        /** Stands for the [revision] while the live jobs have to be read as a whole. */
         const val UNREAD = -1L
+
+        /** Keys in each page of a read of all live jobs. */
         const val PAGE_SIZE = 400
         const val MIN_READ_INTERVAL_S = 0.1
+
+        /** The share of the state service's request rate that the reads of all nodes take together at most. */
         const val SHARE_OF_STORE_RATE = 0.2
+
+        /** Seconds after which a read that was possible is made although no request waits for it. */
         const val IDLE_READ_INTERVAL_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/core/api/JobLookup.kt
+++ b/src/main/kotlin/plankwall/core/api/JobLookup.kt
@@ -9,36 +9,36 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
-/** What the store holds of a job. */
+/** The result of looking a job up in the store. */
 sealed interface JobLookupResult {
     /** The state service could not be read. */
     data object Unreadable : JobLookupResult
 
-    /** The job was not accepted before the look-up began. */
+    /** The store holds no record of the job: it had not been accepted when the look-up began. */
     data object Absent : JobLookupResult
 
-    /** The job is live; [version] is that of its record's key. */
+    /** The job is live; [version] is that of its record's key, for the guard of a write. */
     class Live(val record: JobRecord, val version: Long) : JobLookupResult {
-        /** What authorization rules look at. */
+        /** The facts of the job that authorization rules evaluate. */
         val facts: JobFacts get() = record.spec.factsFor(record.owner)
     }
 
-    /** The job is over. */
+    /** The job is over; [record] says how it ended. */
     class Final(val record: FinalRecord) : JobLookupResult
 }
 
 /** Looks jobs up in the store. Only final records are cached, since they never change. */
 class JobLookup(private val ctx: Context, private val jobCache: JobCache) {
-    private val finals = object : LinkedHashMap<String, FinalRecord>(16, 0.75f, true) {
-        override fun removeEldestEntry(eldest: Map.Entry<String, FinalRecord>): Boolean = size > MAX_FINALS
+    private val finalRecords = object : LinkedHashMap<String, FinalRecord>(16, 0.75f, true) {
+        override fun removeEldestEntry(eldest: Map.Entry<String, FinalRecord>): Boolean = size > MAX_CACHED_RECORDS
     }
 
-    /** The final record of job [id] if it is cached; null says nothing about the job. */
-    fun knownFinal(id: String): FinalRecord? = finals[id]
+    /** Returns the final record of job [id] if it is cached; null says nothing about the job. */
+    fun cachedFinalRecord(id: String): FinalRecord? = finalRecords[id]
 
     /**
-     * Reads the live record, then the final one. A job moves from the first to the second in one transaction, so one
-     * that is in neither when read in this order had not been accepted when the first read was made.
+     * Reads the live record of job [id] and, if there is none, its final record. One transaction replaces the former by
+     * the latter, so a job for which this order of reads finds neither had not been accepted at the first read.
      */
     fun lookUp(id: String, onResult: (JobLookupResult) -> Unit) = ctx.out.state(StateOp.Get(Keys.job(id))) { result ->
         val item = (result as? StateResult.Item)?.item
@@ -46,15 +46,15 @@
         when {
             result !is StateResult.Item -> onResult(JobLookupResult.Unreadable)
             item != null && record != null -> onResult(JobLookupResult.Live(record, item.version))
-            else -> readFinal(id, onResult)
+            else -> readFinalRecord(id, onResult)
         }
     }
 
-    /** Reads the final record of job [id]; [JobLookupResult.Absent] if it has none. */
-    fun readFinal(id: String, onResult: (JobLookupResult) -> Unit) =
+    /** Reads the final record of job [id] and caches it. The result is [JobLookupResult.Absent] if there is none. */
+    fun readFinalRecord(id: String, onResult: (JobLookupResult) -> Unit) =
         ctx.out.state(StateOp.Get(Keys.final(id))) { result ->
             val record = (result as? StateResult.Item)?.item?.value as? FinalRecord
-            if (record != null) finals[id] = record
+            if (record != null) finalRecords[id] = record
             onResult(
                 when {
                     result !is StateResult.Item -> JobLookupResult.Unreadable
@@ -64,39 +64,39 @@
             )
         }
 
-    /** Those of [ids] that are not known as accepted from what this node has read so far. */
-    fun notKnownAccepted(ids: List<String>): List<String> = ids.filter { !jobCache.isLive(it) && it !in finals }
+    /** Returns those of [ids] that nothing read by this node so far shows as accepted. */
+    fun notKnownAccepted(ids: List<String>): List<String> = ids.filter { !jobCache.isLive(it) && it !in finalRecords }
 
     /**
-     * The dependencies whose final records must be read before it is known whether the live job [id] is cancelled.
-     * Outcomes that are cached here are passed on to the job cache first.
+     * Returns the ids of the jobs whose final records have to be read to tell whether the live job [id] is cancelled
+     * through its dependencies. First passes the outcomes that are cached here on to the job cache.
      */
     fun unresolvedDependencies(id: String): List<String> {
         if (jobCache.isCancelled(id)) return emptyList()
-        val (known, unknown) = jobCache.unresolvedDependencies(id).partition { it in finals }
-        known.forEach { dependency -> finals[dependency]?.let { jobCache.onOutcome(dependency, it.stage) } }
+        val (known, unknown) = jobCache.unresolvedDependencies(id).partition { it in finalRecords }
+        known.forEach { dependency -> finalRecords[dependency]?.let { jobCache.onOutcome(dependency, it.stage) } }
         return if (jobCache.isCancelled(id)) emptyList() else unknown
     }
 
     /**
-     * Reads the final records of [ids], all at once. [onResult] gets those that have none, or null if one could not be
-     * read.
+     * Reads the final records of all [ids] concurrently. Calls [onResult] with the ids that have none, or with null if
+     * the store could not be read for one of them.
      */
-    fun readFinals(ids: List<String>, onResult: (absent: List<String>?) -> Unit) {
-        var outstanding = ids.size
+    fun readFinalRecords(ids: List<String>, onResult: (absentIds: List<String>?) -> Unit) {
+        var outstandingReads = ids.size
         var allReadable = true
-        val absent = ArrayList<String>()
+        val absentIds = ArrayList<String>()
         for (id in ids) {
-            readFinal(id) { found ->
-                if (found is JobLookupResult.Unreadable) allReadable = false
-                if (found is JobLookupResult.Absent) absent.add(id)
-                if (--outstanding == 0) onResult(if (allReadable) absent else null)
+            readFinalRecord(id) { result ->
+                if (result is JobLookupResult.Unreadable) allReadable = false
+                if (result is JobLookupResult.Absent) absentIds.add(id)
+                if (--outstandingReads == 0) onResult(if (allReadable) absentIds else null)
             }
         }
-        if (ids.isEmpty()) onResult(absent)
+        if (ids.isEmpty()) onResult(absentIds)
     }
 
     private companion object {
-        const val MAX_FINALS = 5_000
+        const val MAX_CACHED_RECORDS = 5_000
     }
 }
--- a/src/main/kotlin/plankwall/core/api/PendingRequest.kt
+++ b/src/main/kotlin/plankwall/core/api/PendingRequest.kt
@@ -17,11 +17,12 @@
  * node's answers have superseded since, and the user has given up waiting; an answer after the deadline is therefore
  * replaced by a 503.
  *
- * @property caller the authenticated caller; null without access control: everything is allowed, nothing recorded
+ * @property caller the authenticated caller; null without access control, where all actions are allowed and no
+ *   decision is recorded
  * @param timeoutS seconds from now to the deadline
- * @param onlyOthersCanServe whether other nodes reach the state service and this one does not; the caller of a
- *   rejected request is then asked to reconnect through the load balancer instead of reusing the connection to here
- * @param onAnswered called once, just before the answer goes out
+ * @param onlyOthersCanServe returns whether other nodes reach the state service and this one does not; the caller of a
+ *   request answered with 503 is then asked to reconnect through the load balancer instead of reusing its connection
+ * @param onAnswered called once, just before the answer is sent
  */
 internal class PendingRequest(
     private val ctx: Context,
@@ -32,12 +33,12 @@
     private val onAnswered: () -> Unit,
 ) {
     private val startedAt = ctx.now
-    private var answered = false
+    private var isAnswered = false
 
-    /** Answers without recording a decision; calls after the first answer do nothing. */
+    /** Sends an answer without recording a decision; does nothing if the request has been answered already. */
     fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) {
-        if (answered) return
-        answered = true
+        if (isAnswered) return
+        isAnswered = true
         onAnswered()
         if (ctx.now - startedAt > timeoutS) {
             ctx.out.answer(request, 503, DEADLINE_EXCEEDED, 1, close = true)
@@ -49,15 +50,18 @@
     /** Answers 429: the rate limit is reached. */
     fun rejectRateLimited() = answer(429, JobCodec.error("too many requests"), 1)
 
-    /** Answers 503 with [reason]: the caller is to retry. */
+    /** Answers 503 with [reason]: the caller should retry. */
     fun rejectTemporarily(reason: String) = answer(503, JobCodec.error(reason), 1)
 
     /** Answers 503: a read of the state service failed. */
     fun rejectUnreadable() = rejectTemporarily("the state service can't be read")
 
-    /** Records the decision on [requested] in the audit log and answers once it is stored. */
+    /**
+     * Records the decision on [requested] in the audit log and answers with [status] and [body] once it is stored, or
+     * with 503 if it could not be stored.
+     */
     fun recordAndAnswer(requested: RequestedAction, status: Int, body: ByteArray) {
-        val decision = requested.decide(status)
+        val decision = requested.decisionFor(status)
         if (caller == null || decision == null) {
             answer(status, body)
             return
@@ -67,14 +71,14 @@
         }
     }
 
-    /** Records the decision on [requested] and answers with the state of its job. */
+    /** Records the decision on [requested] and answers with [view], the state of its job. */
     fun recordAndAnswer(requested: RequestedAction, status: Int, view: JobView) =
         recordAndAnswer(requested, status, JobCodec.accepted(view))
 
     /**
-     * Checks whether the caller may do [action] on [job], whose [facts] the rules look at. Returns null if it is
-     * denied; the denial is then recorded and answered. [facts] is null for a job that does not exist or whose owner
-     * is unknown, so that a denial does not reveal which of the two it is.
+     * Authorizes the caller for [action] on [job] by the rules of the access policy, which evaluate [facts]. Returns
+     * null if the action is denied; the denial is then recorded and answered. [facts] is null for a job that does
+     * not exist or whose owner is unknown, so that a denial does not reveal which of the two it is.
      */
     fun authorize(action: Action, job: String, facts: JobFacts?): RequestedAction? {
         if (caller == null) return RequestedAction(action, job, null)
@@ -85,11 +89,12 @@
     }
 
     /**
-     * Stores [txn], the change that [requested] stands for, in one transaction with the decision where there is access
-     * control. [status] is what the caller will be answered if it commits.
+     * Stores [txn], which makes the change that [requested] asks for, and with access control also the decision on it,
+     * in one transaction. [status] is what the caller will be answered if it commits; the answer itself is left to
+     * [onResult].
      */
     fun commit(requested: RequestedAction, status: Int, txn: StateOp.Txn, onResult: (StateResult) -> Unit) {
-        val decision = requested.decide(status)
+        val decision = requested.decisionFor(status)
         if (caller == null || decision == null) {
             ctx.out.state(txn, onResult)
         } else {
@@ -98,10 +103,10 @@
     }
 
     companion object {
-        /** How long users wait for the status of a job (PROTOCOL). */
+        /** How long users wait for the status of a job, by the protocol. */
         const val STATUS_TIMEOUT_S = 2.0
 
-        /** How long users wait for a submission or a cancellation (PROTOCOL). */
+        /** How long users wait for a submission or a cancellation, by the protocol. */
         const val CHANGE_TIMEOUT_S = 5.0
         private val DEADLINE_EXCEEDED = JobCodec.error("the answer would come too late")
     }
--- a/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
+++ b/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
@@ -8,32 +8,39 @@
 import plankwall.core.statemachine.TokenBucket
 
 /**
- * Admission control for users' requests: bounds the number in flight and limits the rate of state service calls made
- * for them to this node's share of the common rate.
+ * Admission control for users' requests: bounds the number in flight, and limits the rate of state service calls made
+ * for them to this node's share of the rate that all nodes have for users' requests.
  */
 internal class RequestAdmission(private val ctx: Context, private val reachability: ReachabilityMatrix) {
     private val log = LoggerFactory.getLogger("api")
     private var inFlight = 0
-    private var nextRateUpdate = 0.0
+    private var nextRateUpdateAt = 0.0
+
+    /** How many peers reported at the last update of the rate that they don't reach the state service. */
     private var nodesWithoutStore = 0
-    private val storeCalls = TokenBucket(ctx.time, rateAmong(ctx.settings.nodes))
+
+    /** The rate limit of the state service calls that this node makes for users' requests. */
+    private val storeCalls = TokenBucket(ctx.time, ratePerNode(ctx.settings.nodes))
 
     /**
-     * Calls per second of one of [nodes] that share the common rate. Users are not spread evenly over the nodes, so it
-     * is more than an equal share.
+     * Returns the state service calls per second for each of [nodeCount] nodes that serve users. That is more than an
+     * equal share of the common rate, since users are not spread evenly over the nodes.
      */
-    private fun rateAmong(nodes: Int): Double =
-        ctx.settings.state.rps * SHARE_OF_STORE_RATE / nodes * UNEVEN_LOAD_FACTOR
+    private fun ratePerNode(nodeCount: Int): Double =
+        ctx.settings.state.rps * SHARE_OF_STORE_RATE / nodeCount * UNEVEN_LOAD_FACTOR
 
-    /** Opens a request that needs no admission, since it can be answered from what this node holds. */
+    /**
+     * Opens a request that is in flight until it is answered, without admission control: for requests that this node
+     * can answer from its caches. [timeoutS]: seconds until the deadline.
+     */
     fun open(request: RequestId, caller: Caller?, timeoutS: Double = PendingRequest.CHANGE_TIMEOUT_S): PendingRequest {
         inFlight++
         return PendingRequest(ctx, request, caller, timeoutS, reachability::onlyOthersHaveStore) { inFlight-- }
     }
 
     /**
-     * Opens a request that needs [calls] calls of the state service. Returns null if there is no capacity for it or
-     * the state service can't be reached; the request is then answered.
+     * Opens a request that needs [calls] calls of the state service. Returns null if too many requests are in flight,
+     * the rate limit is reached or this node can't reach the state service; the request has then been rejected.
      */
     fun admit(
         request: RequestId,
@@ -54,28 +61,34 @@
         return pending
     }
 
-    /** Takes [calls] further calls of the state service for an admitted request; false if the rate is used up. */
-    fun tryTake(calls: Int): Boolean = storeCalls.tryTake(calls)
+    /** Takes [calls] further calls of the state service for an admitted request; returns false at the rate limit. */
+    fun tryTakeCalls(calls: Int): Boolean = storeCalls.tryTake(calls)
 
-    /** Like [tryTake], but more calls than the burst allows are granted when the burst is unused. */
-    fun tryTakeOrBorrow(calls: Int): Boolean = storeCalls.tryTakeOrBorrow(calls)
+    /** Takes [calls] like [tryTakeCalls], but grants more than the burst allows while the burst is unused. */
+    fun tryTakeOrBorrowCalls(calls: Int): Boolean = storeCalls.tryTakeOrBorrow(calls)
 
     /**
-     * Divides the common rate among the nodes that reach the state service: where only one does, all users come to it.
+     * Adapts this node's rate to the number of nodes that reach the state service: if only one does, all users come to
+     * it. To be called on each tick.
      */
     fun tick() {
-        if (ctx.now < nextRateUpdate) return
-        nextRateUpdate = ctx.now + RATE_UPDATE_INTERVAL_S
-        // A silent peer may be serving users; only one that reports the state service as unreachable leaves its share.
-        val unable = reachability.freshPeers().count { !it.stateReachable }
-        if (unable == nodesWithoutStore) return
-        nodesWithoutStore = unable
-        storeCalls.setRate(rateAmong((ctx.settings.nodes - unable).coerceAtLeast(1)))
+        if (ctx.now < nextRateUpdateAt) return
+        nextRateUpdateAt = ctx.now + RATE_UPDATE_INTERVAL_S
+        // A silent peer may still be serving users; only a peer that reports the state service as unreachable gives up
+        // its share.
+        val peersWithoutStore = reachability.freshPeers().count { !it.stateReachable }
+        if (peersWithoutStore == nodesWithoutStore) return
+        nodesWithoutStore = peersWithoutStore
+        storeCalls.setRate(ratePerNode((ctx.settings.nodes - peersWithoutStore).coerceAtLeast(1)))
     }
 
     private companion object {
         const val MAX_IN_FLIGHT = 200
+
+        /** The share of the state service's request rate that all nodes have for users' requests. */
         const val SHARE_OF_STORE_RATE = 0.3
+
+        /** How many equal shares of the common rate each node gets. */
         const val UNEVEN_LOAD_FACTOR = 2.0
         const val RATE_UPDATE_INTERVAL_S = 1.0
     }
--- a/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
+++ b/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
@@ -3,14 +3,14 @@
 import plankwall.core.statemachine.Action
 import plankwall.wire.FinalRecord
 
-/** Answers submissions of jobs that were accepted before: a repeated submission is idempotent. */
+/** Answers submissions of jobs that were accepted before, with the job's state: submissions are idempotent. */
 internal class ResubmissionResponder(
     private val jobCache: JobCache,
     private val lookup: JobLookup,
     private val cancellationResolver: CancellationResolver,
     private val views: JobViews,
 ) {
-    /** Answers [pending] with the state of job [id], which was [found] when it was looked up. */
+    /** Answers [pending] with the state of job [id], for which a look-up returned [found]. */
     fun answer(pending: PendingRequest, id: String, found: JobLookupResult) {
         when (found) {
             is JobLookupResult.Final -> answerEnded(pending, id, found.record)
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Another node may already have answered that the live job is cancelled because of a dependency, so a job with
-     * dependencies is answered from a read that began after the request.
+     * Answers [pending] with the state of a live job. Another node may already have answered a user that the job is
+     * cancelled because of a dependency, so for a job with dependencies this uses a read that began after the request.
      */
     private fun answerLive(pending: PendingRequest, id: String, found: JobLookupResult.Live) {
         val requested = pending.authorize(Action.RESUBMIT, id, found.facts) ?: return
@@ -39,11 +39,11 @@
         jobCache.whenFresh { fresh ->
             when {
                 !fresh -> pending.rejectUnreadable()
-                jobCache.isLive(id) -> cancellationResolver.resolve(pending, id) { cancelled ->
-                    pending.recordAndAnswer(requested, 200, views.ofAccepted(id, cancelled))
+                jobCache.isLive(id) -> cancellationResolver.resolve(pending, id) { isCancelledNow ->
+                    pending.recordAndAnswer(requested, 200, views.ofAccepted(id, isCancelledNow))
                 }
-                else -> lookup.readFinal(id) { final ->
-                    if (final is JobLookupResult.Final) answer(pending, id, final) else pending.rejectUnreadable()
+                else -> lookup.readFinalRecord(id) { result ->
+                    if (result is JobLookupResult.Final) answer(pending, id, result) else pending.rejectUnreadable()
                 }
             }
         }
--- a/src/main/kotlin/plankwall/core/api/StatusHandler.kt
+++ b/src/main/kotlin/plankwall/core/api/StatusHandler.kt
@@ -16,10 +16,11 @@
 ) {
     /** Answers [request] with the status of job [id]. */
     fun handle(request: RequestId, id: String, caller: Caller?) {
-        lookup.knownFinal(id)?.let {
+        lookup.cachedFinalRecord(id)?.let {
             answerEnded(admission.open(request, caller), id, it)
             return
         }
+        // Counts as no call of the state service: the read of the live jobs is shared by all requests that wait for it.
         val pending = admission.admit(request, 0, caller, PendingRequest.STATUS_TIMEOUT_S) ?: return
         jobCache.whenFresh { fresh ->
             when {
@@ -32,22 +33,22 @@
 
     private fun answerLive(pending: PendingRequest, id: String) {
         val requested = pending.authorize(Action.SHOW, id, jobCache.factsOf(id)) ?: return
-        cancellationResolver.resolve(pending, id) { cancelled ->
-            val view = if (cancelled) views.ofCancelled(id) else views.ofLive(id)
+        cancellationResolver.resolve(pending, id) { isCancelled ->
+            val view = if (isCancelled) views.ofCancelled(id) else views.ofLive(id)
             pending.recordAndAnswer(requested, 200, JobCodec.view(view))
         }
     }
 
     /**
-     * A job that is over or never existed. A job leaves the live ones in the transaction that stores its final record,
-     * so that record can be read by now.
+     * Answers [pending] for a job that is over or was never accepted. The transaction that deletes a job's live record
+     * stores its final one, so that a job that is over has a final record by now.
      */
     private fun answerNotLive(pending: PendingRequest, id: String) {
-        val known = lookup.knownFinal(id)
+        val cachedRecord = lookup.cachedFinalRecord(id)
         when {
-            known != null -> answerEnded(pending, id, known)
-            !admission.tryTake(1) -> pending.rejectRateLimited()
-            else -> lookup.readFinal(id) { found ->
+            cachedRecord != null -> answerEnded(pending, id, cachedRecord)
+            !admission.tryTakeCalls(1) -> pending.rejectRateLimited()
+            else -> lookup.readFinalRecord(id) { found ->
                 when (found) {
                     is JobLookupResult.Final -> answerEnded(pending, id, found.record)
                     JobLookupResult.Absent -> answerUnknown(pending, id)
--- a/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
@@ -6,10 +6,10 @@
 import plankwall.model.Shape
 import plankwall.wire.JobRecord
 
-/** Why a submission is rejected whatever is stored of other jobs: an HTTP [status] and the [reason] for the user. */
+/** The HTTP [status] of a rejected submission, and the [reason] as the user is told. */
 internal data class SubmissionRejection(val status: Int, val reason: String) {
     companion object {
-        /** The record exceeds what the state service stores. */
+        /** The job's record is larger than a value that the state service stores. */
         val TOO_LARGE = SubmissionRejection(400, "the description is too long to be kept")
     }
 }
@@ -20,29 +20,29 @@
     private val capacityView: CapacityView,
     private val recordSize: JobRecordSize,
 ) {
-    /** Why [record] is rejected, judged by the machine types known now; null if it is not. */
+    /** Returns why the submission of [record] is rejected, by the machine types known now, or null if it is valid. */
     fun rejectionOf(record: JobRecord): SubmissionRejection? {
         val catalog = capacityView.catalog
         return when {
             catalog == null -> SubmissionRejection(503, "the machine types are not known yet")
             !recordSize.fits(record) -> SubmissionRejection.TOO_LARGE
-            else -> whyUnsatisfiable(record.spec, catalog)?.let { SubmissionRejection(422, it) }
+            else -> findUnsatisfiableReason(record.spec, catalog)?.let { SubmissionRejection(422, it) }
         }
     }
 
-    /** Why a job can never run, or null. */
-    private fun whyUnsatisfiable(spec: JobSpec, catalog: Catalog): String? {
+    /** Returns why a job with [spec] can never run, or null if it can. */
+    private fun findUnsatisfiableReason(spec: JobSpec, catalog: Catalog): String? {
         val team = ctx.settings.teams.find { it.name == spec.team } ?: return "unknown team"
         val fittingTypes = catalog.fitting(spec)
         if (fittingTypes.isEmpty()) return "a task fits no allowed machine type"
         val isPinnedToZone = spec.oneZone || spec.zone != null
         val zones = if (isPinnedToZone) 1 else fittingTypes.flatMap { it.zones }.distinct().size
-        // Tasks of an array may run one after another, those of other shapes can't.
-        val runsAtOnce = spec.shape != Shape.ARRAY
-        if (spec.spread && runsAtOnce && spec.tasks > 1 && zones < 2) {
+        // The tasks of an array may run one after another; those of other shapes have to run at the same time.
+        val runsConcurrently = spec.shape != Shape.ARRAY
+        if (spec.spread && runsConcurrently && spec.tasks > 1 && zones < 2) {
             return "its tasks may not share the only zone that they may have"
         }
-        val neededAtOnce = if (runsAtOnce) spec.need * spec.tasks else spec.need
-        return if (team.allows(neededAtOnce)) null else "needs more than the team's limit"
+        val minConcurrentNeed = if (runsConcurrently) spec.need * spec.tasks else spec.need
+        return if (team.allows(minConcurrentNeed)) null else "needs more than the team's limit"
     }
 }
--- a/src/main/kotlin/plankwall/core/api/SubmitHandler.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmitHandler.kt
@@ -19,22 +19,22 @@
 import plankwall.wire.StateResult
 import plankwall.wire.Write
 
-/** Accepts jobs: checks a submission and stores it. */
+/** Handles submissions: checks a job and stores its record, which makes it an accepted job. */
 internal class SubmitHandler(
     private val ctx: Context,
     private val admission: RequestAdmission,
     private val lookup: JobLookup,
     private val submissionCheck: SubmissionCheck,
     private val dependencyCheck: DependencyCheck,
-    private val resubmissions: ResubmissionResponder,
+    private val resubmissionResponder: ResubmissionResponder,
     private val views: JobViews,
 ) {
     private val log = LoggerFactory.getLogger("api")
 
-    /** Accepts the job [spec] and answers [request], or answers why it is not accepted. */
+    /** Accepts the job [spec] and answers [request], or rejects it with the reason. */
     fun handle(request: RequestId, spec: JobSpec, caller: Caller?) {
-        lookup.knownFinal(spec.id)?.let {
-            resubmissions.answerEnded(admission.open(request, caller), spec.id, it)
+        lookup.cachedFinalRecord(spec.id)?.let {
+            resubmissionResponder.answerEnded(admission.open(request, caller), spec.id, it)
             return
         }
         val pending = admission.admit(request, 1, caller) ?: return
@@ -50,8 +50,8 @@
         }
         val owner = pending.caller?.let { Ownership(it.name, verdict?.cancelOnRevoke == true) }
         val record = JobRecord(spec, ctx.time.wallMs, 0, StoreLimits.pageSize(ctx.settings.stateTight.valueKb), owner)
-        // Decided once, by the machine types known now: ones that arrive during the look-up must not turn "not known
-        // yet" into "can never run".
+        // Checked once, by the machine types known now. Types that become known during the look-up must not turn the
+        // temporary rejection "not known yet" into the permanent one that the job can never run.
         val rejection = submissionCheck.rejectionOf(record)
         if (rejection != null) {
             reject(pending, requested, rejection)
@@ -59,29 +59,35 @@
         }
         dependencyCheck.check(pending.caller, spec) { result ->
             if (result == DependencyCheckResult.Allowed) {
-                store(pending, requested, record, attemptsLeft)
+                storeRecord(pending, requested, record, attemptsLeft)
             } else {
                 answerDependencyFailure(pending, requested, result)
             }
         }
     }
 
-    /** A caller that may not submit the job may still ask again after a submission that was accepted. */
+    /**
+     * Answers a submission that the access policy denies. If the job was accepted before, it is treated as a repeated
+     * submission, which the caller may be allowed although the job could not be submitted anew.
+     */
     private fun answerDenied(pending: PendingRequest, requested: RequestedAction) =
         lookup.lookUp(requested.job) { found ->
             if (found == JobLookupResult.Absent) {
                 val error = JobCodec.error("you may not submit ${requested.job}")
                 pending.recordAndAnswer(requested, 403, error)
             } else {
-                resubmissions.answer(pending, requested.job, found)
+                resubmissionResponder.answer(pending, requested.job, found)
             }
         }
 
-    /** Rejects a submission, unless the job was accepted before: an accepted job stays so, whatever has changed. */
+    /**
+     * Rejects a submission, unless the job was accepted before. An accepted job stays accepted, even if its submission
+     * would be rejected now, and is answered with its state.
+     */
     private fun reject(pending: PendingRequest, requested: RequestedAction, rejection: SubmissionRejection) =
         lookup.lookUp(requested.job) { found ->
             when {
-                found != JobLookupResult.Absent -> resubmissions.answer(pending, requested.job, found)
+                found != JobLookupResult.Absent -> resubmissionResponder.answer(pending, requested.job, found)
                 rejection.status == 503 -> pending.rejectTemporarily(rejection.reason)
                 else -> pending.recordAndAnswer(requested, rejection.status, JobCodec.error(rejection.reason))
             }
@@ -104,7 +110,7 @@
         DependencyCheckResult.Allowed -> error("an allowed dependency is no failure")
     }
 
-    private fun store(pending: PendingRequest, requested: RequestedAction, record: JobRecord, attemptsLeft: Int) {
+    private fun storeRecord(pending: PendingRequest, requested: RequestedAction, record: JobRecord, attemptsLeft: Int) {
         val spec = record.spec
         val guards = listOf(Guard(Keys.job(spec.id), 0), Guard(Keys.final(spec.id), 0))
         val txn = StateOp.Txn(guards, listOf(Write.Put(Keys.job(spec.id), record)))
@@ -116,12 +122,14 @@
                 } else {
                     pending.rejectTemporarily("the rights change too often")
                 }
-                // The job is known already, or an earlier attempt of this submission went through unconfirmed.
-                result is StateResult.Conflict -> lookup.lookUp(spec.id) { resubmissions.answer(pending, spec.id, it) }
+                // The job was accepted before, or an earlier attempt of this submission was stored unconfirmed.
+                result is StateResult.Conflict -> lookup.lookUp(spec.id) {
+                    resubmissionResponder.answer(pending, spec.id, it)
+                }
                 result == StateResult.Rejected -> {
                     log.warn("job record rejected by store job={} bytes={}", spec.id, StateCodec.sizeOf(record))
-                    // The state service checks the size before the guards: an earlier submission may have been
-                    // accepted while larger values were allowed.
+                    // The state service checks the size before the guards, so the job may exist all the same: accepted
+                    // by an earlier submission, while larger values were allowed.
                     reject(pending, requested, SubmissionRejection.TOO_LARGE)
                 }
                 else -> pending.rejectTemporarily("the state service did not confirm")
@@ -137,11 +145,15 @@
         pending.answer(201, JobCodec.accepted(views.ofPending(spec.id)))
     }
 
-    /** The access policy that allowed the change was replaced before it was stored: it has to be authorized anew. */
+    /**
+     * Whether the record was not stored because the access policy that allowed the submission has been replaced since.
+     * The submission has to be authorized again then.
+     */
     private fun isAccessPolicyConflict(result: StateResult): Boolean =
         result is StateResult.Conflict && AccessKeys.HEAD in result.failed
 
     private companion object {
+        /** Attempts for one request; each but the first follows a replacement of the access policy. */
         const val MAX_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -10,54 +10,65 @@
 
 /**
  * Attributes task failures to a faulty machine, which fails whatever it runs, or to a faulty job, which fails wherever
- * it runs. A single failure does not distinguish the two; other tasks do: a job that ran well elsewhere is evidence
- * against the machine, a machine on which other jobs run well is evidence against the job.
+ * it runs. A single failure does not distinguish the two, but other tasks do: if the job runs well on other machines,
+ * that is evidence against the machine; if other jobs run well on the machine, that is evidence against the job.
  *
- * Nothing of it is stored. A new leader starts without evidence, which costs one round of tasks for each faulty job;
- * storing a change for each failure would cost more.
+ * The evidence is not stored. A new leader starts without any, which costs one round of tasks for each faulty job;
+ * a write for each failure would cost more.
  */
 class FaultAttribution(private val ctx: Context, private val schedulerState: SchedulerState, private val fleet: Fleet) {
     private val log = LoggerFactory.getLogger("heartbeat")
 
-    /** The task of [placement] failed with an error. */
+    /**
+     * Records that the task of [placement] failed with an error. May mark its machine as faulty, or delay the retry of
+     * its job if that is suspected.
+     */
     fun onTaskFailed(placement: Placement) {
         val machine = placement.machine
         val job = placement.job
         machine.failedJobs.add(job.ix.value)
         if (!machine.faulty) job.failedOn.add(machine.ix.value)
-        updateMachine(machine)
+        markFaultyIfProven(machine)
         if (job.suspect) delayRetry(job)
     }
 
-    /** The task of [placement] succeeded: neither its job nor its machine is faulty. */
+    /**
+     * Records that the task of [placement] succeeded: its job is proven sound, and earlier failures on its machine no
+     * longer count against the machine.
+     */
     fun onTaskSucceeded(placement: Placement) {
         placement.machine.failedJobs.clear()
         placement.job.failedOn.remove(placement.machine.ix.value)
-        markSound(placement.job, "a task succeeded on ${placement.machine.id}")
+        markJobSound(placement.job, "a task succeeded on ${placement.machine.id}")
     }
 
-    /** The task of [placement] is running: after a while that is as good as its success, many minutes earlier. */
+    /**
+     * Records that a heartbeat shows the task of [placement] as running. Once it has run for [PROVEN_AFTER_HEARTBEATS]
+     * heartbeat intervals, and for twice as long as any task of the job that failed, that proves the job as sound as a
+     * success would, many minutes earlier.
+     */
     fun onTaskRunning(placement: Placement) {
         val job = placement.job
         if (job.provenSound || job.failedOn.isEmpty() || placement.runningSince <= 0.0) return
         val provenAfterS = maxOf(ctx.settings.workers.reportS * PROVEN_AFTER_HEARTBEATS, job.longestFailS * 2)
         if (ctx.now - placement.runningSince > provenAfterS) {
-            markSound(job, "task ${placement.id} keeps running on ${placement.machine.id}")
+            markJobSound(job, "task ${placement.id} keeps running on ${placement.machine.id}")
         }
     }
 
-    private fun markSound(job: Job, reason: String) {
+    /** Ends the suspicion against [job]; from now on its failures are attributed to machines. */
+    private fun markJobSound(job: Job, reason: String) {
         if (job.provenSound) return
         val wasSuspected = job.suspect
         job.provenSound = true
         job.failedProbes = 0
         job.backoffUntil = 0.0
         if (wasSuspected) log.info("job no longer suspected job={} reason={}", job.spec.id, reason)
-        // Its failures weigh more against the machines from now on.
-        fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::updateMachine)
+        // Failures of a sound job are stronger evidence, so machines on which it failed may now count as faulty.
+        fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::markFaultyIfProven)
     }
 
-    /** Exponential backoff between the retries of a suspected job. */
+    /** Delays the next retry of the suspected [job]; each failed retry doubles the delay, up to [MAX_BACKOFF_S]. */
     private fun delayRetry(job: Job) {
         val delayS = minOf(MAX_BACKOFF_S, MIN_BACKOFF_S * (1 shl minOf(job.failedProbes++, MAX_DOUBLINGS)))
         job.backoffUntil = ctx.now + delayS
@@ -69,11 +80,14 @@
         )
     }
 
-    /** Marks [machine] as faulty once the failures on it are evidence enough. */
-    private fun updateMachine(machine: Machine) {
+    /**
+     * Marks [machine] as faulty if the jobs that failed on it add up to enough evidence, see [FAULTY_EVIDENCE]. Its
+     * failures then no longer count against those jobs.
+     */
+    private fun markFaultyIfProven(machine: Machine) {
         if (machine.faulty || machine.failedJobs.isEmpty()) return
         val failedJobs = schedulerState.live.filter { it.ix.value in machine.failedJobs }
-        if (failedJobs.sumOf { evidenceOf(it) } < FAULTY_EVIDENCE) return
+        if (failedJobs.sumOf { evidenceWeightOf(it) } < FAULTY_EVIDENCE) return
         machine.faulty = true
         log.info("machine marked as faulty machine={} failed_jobs={}", machine.id, failedJobs.map { it.spec.id })
         // Failures on a faulty machine are no evidence against the jobs.
@@ -87,20 +101,23 @@
         }
     }
 
-    /** How strong a failure of [job] is as evidence against the machine it failed on. */
-    private fun evidenceOf(job: Job): Int = when {
+    /** Returns the weight of a failure of [job] as evidence against the machine on which it failed. */
+    private fun evidenceWeightOf(job: Job): Int = when {
         job.provenSound -> 2
         job.suspect -> 0
         else -> 1
     }
 
     private companion object {
+        /** The sum of the evidence weights of its failed jobs from which a machine counts as faulty. */
         const val FAULTY_EVIDENCE = 2
         const val MIN_BACKOFF_S = 3.0
         const val MAX_BACKOFF_S = 120.0
+
+        /** Bounds the exponent of the backoff, so that the shift can't overflow. */
         const val MAX_DOUBLINGS = 10
 
-        /** Heartbeat intervals after which a running task proves its job sound. */
+        /** The least number of heartbeat intervals for which a task has to run to prove its job sound. */
         const val PROVEN_AFTER_HEARTBEATS = 2.0
     }
 }
--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -13,7 +13,7 @@
 
 /**
  * Handles workers' heartbeats on the leader: checks the session, reconciles the reported tasks with the scheduler's
- * state, releases what is proven gone, and answers with orders.
+ * state, releases placements whose tasks are proven gone, and answers with orders.
  */
 class HeartbeatHandler(
     private val ctx: Context,
@@ -26,51 +26,59 @@
     private val orderPlanner = OrderPlanner(ctx)
     private val leaseExpiry = LeaseExpiry(ctx, leadership, schedulerState, fleet)
 
-    /** The orders that answer [heartbeat], or null if it is an old one that must change nothing. */
+    /**
+     * Applies [heartbeat] to the leader's state and returns the orders for its answer. Returns null, and changes
+     * nothing, if the worker's session or sequence number shows that a newer heartbeat has been handled already.
+     */
     fun onHeartbeat(heartbeat: HeartbeatStatus): List<Order>? {
         val machine = fleet.machine(heartbeat.machine)
-        if (!isAfter(heartbeat, machine.session, machine.heartbeatSeq)) return null
-        // The answer to a direct command overtook it: what it shows may be out of date, but what it lacks is as absent
-        // as in any other heartbeat.
-        val overtaken = heartbeat.session == machine.session && heartbeat.seq < machine.seq
+        if (!isNewerThan(heartbeat, machine.session, machine.heartbeatSeq)) return null
+        // The worker's answer to a direct command was made after this heartbeat but arrived first. What the heartbeat
+        // shows may thus be out of date, but the absence of a task proves as much as in any other heartbeat.
+        val isOvertaken = heartbeat.session == machine.session && heartbeat.seq < machine.seq
         updateSession(machine, heartbeat)
         register(machine)
         machine.confirmed = heartbeat.token >= leadership.epoch
         if (machine.confirmed) machine.unresponsive = false
         handleTerminationNotice(machine, heartbeat.noticeS)
-        val reconciliationOrders = reconciler.reconcile(machine, heartbeat.tasks, overtaken)
-        return (reconciliationOrders + orderPlanner.ordersForAnswer(machine)).take(MAX_ORDERS)
+        val reconciliationOrders = reconciler.reconcile(machine, heartbeat.tasks, isOvertaken)
+        return (reconciliationOrders + orderPlanner.ordersForAnswer(machine)).take(MAX_ORDERS_PER_ANSWER)
     }
 
     /**
-     * Handles the heartbeat in a worker's answer to a direct command: the tasks that it shows exist, the absence of
-     * others proves nothing.
+     * Applies the [heartbeat] in a worker's answer to a direct command. The tasks that it shows exist, but the absence
+     * of others proves nothing. A session that no heartbeat has shown yet is left to the next heartbeat.
      */
     fun onRelayedHeartbeat(heartbeat: HeartbeatStatus) {
         val machine = fleet.find(heartbeat.machine) ?: return
-        if (!isAfter(heartbeat, machine.session, machine.seq)) return
+        if (!isNewerThan(heartbeat, machine.session, machine.seq)) return
         if (machine.group == null) fleet.describe(machine, heartbeat)
         if (heartbeat.session > machine.session) return
         machine.seq = heartbeat.seq
-        reconciler.applyShown(machine, heartbeat.tasks)
+        reconciler.applyShownTasks(machine, heartbeat.tasks)
     }
 
-    /** The orders that are worth a direct command to [machine], or null if there is no need for one. */
+    /**
+     * Returns the orders to send to [machine] in a direct command, or null if it needs none now. An empty list stands
+     * for a command that only makes the worker send a heartbeat at once.
+     */
     fun urgentOrders(machine: Machine): List<Order>? = orderPlanner.urgentOrders(machine)
 
     /**
-     * Releases the tasks of workers whose lease has surely expired, and unstarted ones of workers that missed a
-     * heartbeat.
+     * Releases the tasks of workers whose lease has surely expired, and of workers that missed a heartbeat those whose
+     * start was never sent. Called on each tick of a leader that may write.
      */
     fun releaseExpired() = leaseExpiry.releaseExpired()
 
-    private fun isAfter(heartbeat: HeartbeatStatus, session: Long, seq: Long): Boolean =
+    /** Whether [heartbeat] was made after the status number [seq] of [session]. */
+    private fun isNewerThan(heartbeat: HeartbeatStatus, session: Long, seq: Long): Boolean =
         heartbeat.session > session || (heartbeat.session == session && heartbeat.seq > seq)
 
+    /** Records the session, sequence number and arrival of [heartbeat]. */
     private fun updateSession(machine: Machine, heartbeat: HeartbeatStatus) {
         val isNewSession = heartbeat.session > machine.session
         if (isNewSession && machine.session >= 1 && ctx.now - machine.lastAnswered < ctx.settings.workers.leaseS) {
-            blockUnanswered(machine, heartbeat)
+            blockPlacements(machine, heartbeat)
         }
         machine.awaitingHeartbeat = false
         fleet.describe(machine, heartbeat)
@@ -82,13 +90,15 @@
     }
 
     /**
-     * The worker's lease expired although its heartbeats were answered: the answers do not reach it, and what is placed
-     * there would not start. A worker that has shown our token received an answer once, perhaps none since, and is
-     * blocked for a lease. Any other is blocked until it shows the token, which proves that it receives answers; its
-     * first heartbeat may have been an old one, held back until this node led, so that nothing is held against the
-     * machine.
+     * Blocks placements on [machine], whose worker began a new session, and so lost its lease, although its heartbeats
+     * were answered: the answers do not reach it, and tasks placed there would not start.
+     *
+     * A worker that has shown this leader's token received an answer once, but perhaps none since, and is blocked until
+     * a lease has surely expired. Any other worker is blocked only until it shows the token, which proves that it
+     * receives answers: its first heartbeat here may have been an old one that the network held back until this node
+     * led, which is no fault of the machine.
      */
-    private fun blockUnanswered(machine: Machine, heartbeat: HeartbeatStatus) {
+    private fun blockPlacements(machine: Machine, heartbeat: HeartbeatStatus) {
         if (heartbeat.token >= leadership.epoch) {
             machine.blockedUntil = ctx.now + ctx.surelyOverS
         } else {
@@ -108,8 +118,9 @@
     }
 
     /**
-     * On a spot machine's termination notice, tasks that would not end in time are stopped, with a checkpoint if they
-     * write any, and started elsewhere.
+     * Handles a spot machine's first termination notice: stops tasks that would not end in time, with a checkpoint if
+     * they write any, so that they can start elsewhere. [noticeS]: seconds until the machine is preempted, or null
+     * without a notice.
      */
     private fun handleTerminationNotice(machine: Machine, noticeS: Double?) {
         if (noticeS == null || machine.noticeAt != Machine.NEVER) return
@@ -120,14 +131,15 @@
             val hasKnownEnd = placement.runningSince > 0 && spec.shape != Shape.SERVICE
             val remainingS =
                 if (hasKnownEnd) spec.estimateS - (ctx.now - placement.runningSince) else Double.MAX_VALUE
-            if (remainingS > noticeS * USABLE_NOTICE) schedulerState.stopWithSave(placement, StopCause.DRAINED)
+            if (remainingS > noticeS * USABLE_NOTICE_SHARE) schedulerState.stopWithSave(placement, StopCause.DRAINED)
         }
     }
 
     private companion object {
-        const val MAX_ORDERS = 400
+        /** Orders beyond this number are left to the answers to later heartbeats. */
+        const val MAX_ORDERS_PER_ANSWER = 400
 
-        /** The part of the notice within which a task has to end to be left running. */
-        const val USABLE_NOTICE = 0.5
+        /** A task is left running only if it should end within this share of the time up to the preemption. */
+        const val USABLE_NOTICE_SHARE = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
@@ -6,7 +6,7 @@
 import plankwall.core.state.SchedulerState
 import plankwall.core.statemachine.Context
 
-/** Releases the tasks of workers that send no heartbeats. */
+/** Releases the tasks of workers whose heartbeats stopped. */
 internal class LeaseExpiry(
     private val ctx: Context,
     private val leadership: Leadership,
@@ -14,22 +14,23 @@
     private val fleet: Fleet,
 ) {
     /**
-     * Releases the tasks of workers whose lease has surely expired, and those never commanded of workers that missed a
-     * heartbeat.
+     * Releases the tasks of workers whose lease has surely expired, and of workers that missed a heartbeat those whose
+     * start was never sent.
      */
     fun releaseExpired() {
         for (machine in fleet.machines) {
             if (machine.placements.isEmpty()) continue
             if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersSilentAt)) {
-                releaseAll(machine)
+                releaseAllTasks(machine)
             } else if (machine.registered && ctx.now - machine.lastHeard > ctx.settings.workers.missedS) {
-                releaseUncommanded(machine)
+                releaseUncommandedTasks(machine)
             }
         }
     }
 
-    private fun releaseAll(machine: Machine) {
-        // Each is looked at when its turn comes: releasing one task of a gang may stop the others.
+    private fun releaseAllTasks(machine: Machine) {
+        // Loops over a copy and checks each placement in its turn: releasing one task of a gang stops the others, which
+        // releases those that were never commanded.
         for (placement in machine.placements.values.toList()) {
             if (!placement.stored && !placement.commanded) continue
             schedulerState.release(placement, "lease of ${machine.id} expired")
@@ -37,11 +38,11 @@
     }
 
     /**
-     * A task whose start was in no answer can't have started, so it may be placed elsewhere without further proof. All
-     * that is known of the machine may be one old heartbeat that was held back until this node led, of a machine long
-     * gone; waiting for its lease to expire would be in vain.
+     * Releases the tasks on [machine] whose start was in no answer: they can't have started, so they may be placed
+     * elsewhere without further proof. The machine may be long gone, and all that is known of it may be one old
+     * heartbeat that the network held back until this node led; waiting for its lease to expire would gain nothing.
      */
-    private fun releaseUncommanded(machine: Machine) {
+    private fun releaseUncommandedTasks(machine: Machine) {
         for (placement in machine.placements.values.filter { it.stored && !it.commanded }) {
             machine.awaitingHeartbeat = true
             schedulerState.release(placement, "never commanded, and ${machine.id} missed a heartbeat")
--- a/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
@@ -8,11 +8,14 @@
 
 /** Derives the orders for workers from the placements on their machines. */
 internal class OrderPlanner(private val ctx: Context) {
-    /** The starts and stops for the answer to a heartbeat of [machine]; starts count as commanded from now on. */
+    /**
+     * Returns the starts and stops for the answer to a heartbeat of [machine], and marks the tasks to be started as
+     * commanded. Orders are repeated in each answer until a heartbeat shows their effect.
+     */
     fun ordersForAnswer(machine: Machine): List<Order> = machine.placements.values.mapNotNull { placement ->
         when {
             placement.ended -> null
-            placement.stopping != null -> if (placement.commanded) stop(placement) else null
+            placement.stopping != null -> if (placement.commanded) stopOrderFor(placement) else null
             mayStart(machine, placement) -> {
                 placement.commanded = true
                 Order(OrderOp.START, placement.job.spec.id, placement.task, placement.attempt)
@@ -22,41 +25,44 @@
     }
 
     /**
-     * The orders that are worth a direct command to [machine]: stops, which do no harm when late. If a start is due,
-     * the command's higher fencing token alone makes the worker send a heartbeat within half a second, and the start
-     * goes into the answer; the list may be empty then. Null if there is neither.
+     * Returns the orders to send to [machine] in a direct command, or null if it needs none now. Only stops are sent
+     * that way, since they do no harm when they arrive late, and each is sent once. If a start is due, the higher
+     * fencing token of the command makes the worker send a heartbeat within half a second, and the answer to it carries
+     * the start; the returned list may then be empty.
      */
     fun urgentOrders(machine: Machine): List<Order>? {
         if (!machine.unsent || !machine.registered || machine.address.isEmpty() || machine.deleting) return null
         val stops = machine.placements.values.filter { isStopUnsent(it) }
         stops.forEach { it.stopPosted = true }
         val isStartDue = machine.placements.values.any { isStartDue(machine, it) }
-        val requestHeartbeat =
+        val shouldRequestHeartbeat =
             isStartDue && ctx.now - machine.lastWokenAt > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
-        if (requestHeartbeat) machine.lastWokenAt = ctx.now
-        machine.unsent = isStartDue && !requestHeartbeat
-        return if (stops.isEmpty() && !requestHeartbeat) null else stops.map(::stop)
+        if (shouldRequestHeartbeat) machine.lastWokenAt = ctx.now
+        machine.unsent = isStartDue && !shouldRequestHeartbeat
+        return if (stops.isEmpty() && !shouldRequestHeartbeat) null else stops.map(::stopOrderFor)
     }
 
     private fun isStopUnsent(placement: Placement): Boolean =
         placement.stopping != null && placement.commanded && !placement.stopPosted && !placement.ended
 
+    /** Whether no answer has carried the start of [placement] yet, and the next one to [machine] may. */
     private fun isStartDue(machine: Machine, placement: Placement): Boolean = placement.stored &&
         !placement.commanded &&
         placement.stopping == null &&
         placement.session == machine.session
 
+    /** Whether an answer to [machine] may carry the start of [placement]; also true after one did, until it is seen. */
     private fun mayStart(machine: Machine, placement: Placement): Boolean = placement.stored &&
         !placement.seen &&
         !placement.job.cancelled &&
         !machine.returning &&
         placement.session == machine.session
 
-    private fun stop(placement: Placement) =
+    private fun stopOrderFor(placement: Placement) =
         Order(OrderOp.STOP, placement.job.spec.id, placement.task, placement.attempt, placement.graceS)
 
     private companion object {
-        /** The least interval between two requests for a heartbeat, as a part of the worker's lease. */
+        /** The shortest interval between two requests for a heartbeat, as a fraction of the worker's lease. */
         const val REQUEST_INTERVAL_LEASES = 0.55
     }
 }
--- a/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
@@ -21,55 +21,70 @@
     private val log = LoggerFactory.getLogger("heartbeat")
 
     /**
-     * Takes in all [tasks] that a heartbeat of [machine] shows, and releases placements that it proves to be gone.
-     * Returns the orders that follow. [overtaken]: an answer to a direct command, made later, arrived before it.
+     * Applies the [tasks] that a heartbeat of [machine] shows, which are all that its worker has, and releases the
+     * placements whose tasks it proves to be gone. Returns the orders that follow. [isOvertaken]: the worker's answer
+     * to a direct command was made later but arrived first, so what the heartbeat shows may be out of date.
      */
-    fun reconcile(machine: Machine, tasks: List<TaskStatus>, overtaken: Boolean): List<Order> {
+    fun reconcile(machine: Machine, tasks: List<TaskStatus>, isOvertaken: Boolean): List<Order> {
         machine.unknownTasks = 0
         machine.exitsShown = tasks.count { it.stage == TaskStage.EXITED }
         val orders = ArrayList<Order>()
-        val shown = HashSet<Placement>()
+        val shownPlacements = HashSet<Placement>()
         for (task in tasks) {
             val placement = placementOf(machine, task)
-            if (placement != null) shown.add(placement)
-            applyStatus(machine, task, placement, overtaken)?.let { orders.add(it) }
+            if (placement != null) shownPlacements.add(placement)
+            applyStatus(machine, task, placement, isOvertaken)?.let { orders.add(it) }
         }
-        releaseAbsent(machine, shown)
+        releaseAbsentTasks(machine, shownPlacements)
         return orders
     }
 
-    /** Takes in [tasks] that [machine] shows without concluding anything from what is absent, and without orders. */
-    fun applyShown(machine: Machine, tasks: List<TaskStatus>) = tasks.forEach { task ->
-        applyStatus(machine, task, placementOf(machine, task), overtaken = false)
+    /**
+     * Applies the [tasks] that [machine] shows in its answer to a direct command. Concludes nothing from the absence of
+     * others, and gives no orders.
+     */
+    fun applyShownTasks(machine: Machine, tasks: List<TaskStatus>) = tasks.forEach { task ->
+        applyStatus(machine, task, placementOf(machine, task), isOvertaken = false)
     }
 
+    /** Returns the placement of the attempt that [task] reports, or null if this leader knows of none on [machine]. */
     private fun placementOf(machine: Machine, task: TaskStatus): Placement? =
         schedulerState.find(task.jobId)?.let { machine.placement(it, task.task) }?.takeIf { it.attempt == task.attempt }
 
-    /** Takes in one reported [task], whose [placement] is null if it is unknown; returns the order that follows. */
-    private fun applyStatus(machine: Machine, task: TaskStatus, placement: Placement?, overtaken: Boolean): Order? {
+    /**
+     * Applies one reported [task] and returns the order that follows from it, or null. [placement] is that of the
+     * reported attempt, null if there is none.
+     */
+    private fun applyStatus(machine: Machine, task: TaskStatus, placement: Placement?, isOvertaken: Boolean): Order? {
         if (placement == null) {
-            return if (task.stage == TaskStage.EXITED) clearUnknownExit(task) else stopUnknown(machine, task, overtaken)
+            return if (task.stage == TaskStage.EXITED) forgetExit(task) else stopUnknownTask(machine, task, isOvertaken)
         }
         placement.seen = true
         placement.commanded = true
         when {
             task.stage != TaskStage.EXITED -> updateStage(machine, placement, task.stage)
-            isRestartable(placement, task) -> return restart(placement, overtaken)
+            isRestartable(placement, task) -> return restartGangTask(placement, isOvertaken)
             else -> onExit(placement, task.cause)
         }
         return null
     }
 
-    private fun stopUnknown(machine: Machine, task: TaskStatus, overtaken: Boolean): Order? {
-        if (overtaken) return null
+    /**
+     * Returns a stop for a reported [task] without a placement, and counts it in [Machine.unknownTasks]. Does neither
+     * after an overtaken heartbeat, which may be out of date.
+     */
+    private fun stopUnknownTask(machine: Machine, task: TaskStatus, isOvertaken: Boolean): Order? {
+        if (isOvertaken) return null
         machine.unknownTasks++
         log.info("stop unknown task task={}/{}#{} machine={}", task.jobId, task.task, task.attempt, machine.id)
         return Order(OrderOp.STOP, task.jobId, task.task, task.attempt, 0.0)
     }
 
-    /** An exit may only be cleared once what it reports is stored. */
-    private fun clearUnknownExit(task: TaskStatus): Order? {
+    /**
+     * Returns the order to forget an exited [task] without a placement, or null while it reports a success that is not
+     * stored yet: the worker must keep the exit until then.
+     */
+    private fun forgetExit(task: TaskStatus): Order? {
         val job = schedulerState.find(task.jobId)
         if (job != null && task.cause == ExitCause.DONE) {
             if (!job.done[task.task.coerceIn(0, job.spec.tasks - 1)]) schedulerState.complete(job, task.task)
@@ -91,9 +106,9 @@
     }
 
     /**
-     * A gang task that gave up because the images of the gang's other tasks took longer than it may wait. Those still
-     * wait or fetch, and the same attempt, started here again, completes the gang; giving it up would throw away every
-     * fetch under way.
+     * Whether [task] is a gang task that gave up because fetching the images of the gang's other tasks took longer than
+     * it may wait, while those tasks are all still placed and thus wait or fetch. Starting the same attempt here again
+     * completes the gang; ending the attempt would throw away every fetch under way.
      */
     private fun isRestartable(placement: Placement, task: TaskStatus): Boolean {
         val job = placement.job
@@ -107,16 +122,18 @@
             job.placements.values.none { it.stopping != null }
     }
 
-    private fun restart(placement: Placement, overtaken: Boolean): Order? {
-        // Only the answer to a heartbeat is never executed late, and only the newest status shows that the exit still
-        // stands.
-        if (overtaken) return null
+    /** Returns the order to forget the exit of [placement], so that the same attempt can be started again. */
+    private fun restartGangTask(placement: Placement, isOvertaken: Boolean): Order? {
+        // The exit is known to still stand only if no newer status has arrived. The order goes into the answer to a
+        // heartbeat, since that alone is never executed late.
+        if (isOvertaken) return null
         log.info("restart task: gang was not complete in time task={} machine={}", placement.id, placement.machine.id)
         placement.seen = false
         placement.stage = null
         return Order(OrderOp.FORGET, placement.job.spec.id, placement.task, placement.attempt)
     }
 
+    /** Handles the first report that the task of [placement] exited, and releases the placement. */
     private fun onExit(placement: Placement, cause: ExitCause?) {
         if (placement.ended) return
         placement.ended = true
@@ -142,16 +159,18 @@
     }
 
     /**
-     * Releases the placements that a heartbeat does not show where that proves that they are gone. A worker has one
-     * heartbeat in flight at a time, so every earlier answer has been received or dropped; and since the worker has
-     * seen our token, no older leader's answer can follow. The end of a session is proof without the token: what ran in
-     * it was killed, and no answer to a heartbeat of it is accepted any more. This matters for a worker whose
-     * heartbeats arrive but that gets no answers: it never shows our token, and its tasks would wait for as long as
-     * that lasts.
+     * Releases the placements on [machine] that are not among the [shownPlacements] of a heartbeat, where their absence
+     * proves that the tasks are gone. A worker has one heartbeat in flight at a time, so it has received or dropped
+     * every earlier answer; and once it has shown this leader's token ([Machine.confirmed]), no older leader's answer
+     * can follow.
+     *
+     * The end of a session is proof without the token: the tasks of that session were killed, and no answer to one of
+     * its heartbeats is accepted any more. This matters for a worker whose heartbeats arrive but that gets no answers:
+     * it never shows this leader's token, and its tasks would have to wait for as long as that lasts.
      */
-    private fun releaseAbsent(machine: Machine, shown: Set<Placement>) {
+    private fun releaseAbsentTasks(machine: Machine, shownPlacements: Set<Placement>) {
         for (placement in machine.placements.values.toList()) {
-            if (placement in shown || !placement.stored) continue
+            if (placement in shownPlacements || !placement.stored) continue
             val reason = when {
                 placement.session < machine.session -> "session ${machine.session} began"
                 !machine.confirmed -> continue
@@ -166,7 +185,10 @@
     }
 
     private companion object {
+        /** How long no task is placed on a machine that refused to start one. */
         const val MACHINE_BACKOFF_S = 5.0
+
+        /** How long no task of a job is placed after one exited for an unknown cause. */
         const val JOB_BACKOFF_S = 2.0
     }
 }
