--- a/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
@@ -13,7 +13,7 @@
     /** The highest [Job.demandIx] recorded so far. */
     private var newestIndex = -1
 
-    /** The resources [need]ed by the jobs that arrived in the interval that began at [openedAt]. */
+    /** An interval that began at [openedAt]; [need] is the sum of what the jobs that arrived in it need. */
     private class Bucket(val openedAt: Double, var need: Resources)
 
     /**
--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -146,8 +146,8 @@
 
     /**
      * Step 2, "Check if a cluster is, in general, in good health ... If not, alert the user, skip the iteration and
-     * wait 10 seconds" (UC8, S1), and forget the times of step 8. The wait is the setting `haltRetryS`. It differs from
-     * the paper only in [scaleOutDuringHalt]. Returns true while autoscaling is halted.
+     * wait 10 seconds" (UC8, S1), and forget the times of step 8. The wait is the setting `haltRetryS`. The
+     * only difference from the paper is [scaleOutDuringHalt]. Returns true while autoscaling is halted.
      */
     private fun haltIfUnhealthy(): Boolean {
         if (ctx.now >= haltedUntil && !registry.inGoodShape) {
@@ -170,8 +170,7 @@
     private fun scaleOutDuringHalt(catalog: Catalog, usable: List<Machine>, isHalted: Boolean) {
         val runningOrReconnecting = usable + fleet.machines.filter { it.type != null && failureDetector.isAwaited(it) }
         scaleOut.expand(catalog, runningOrReconnecting, DemandForecast.NONE) {
-            !isHalted ||
-                it.spec.shape == Shape.SERVICE
+            !isHalted || it.spec.shape == Shape.SERVICE
         }
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -7,11 +7,11 @@
 import plankwall.model.GroupKey
 
 /**
- * Finds delayed groups, of whose new machines many boot late or not at all. A single overdue machine is replaced at
- * once. But where a third of a group is overdue, each replacement would become overdue too, and machines for one wave
- * of demand would be requested again and again. So in a delayed group an overdue machine is not taken for lost: some of
- * the overdue machines still count as capacity about to arrive, they are given up only after a longer time, and other
- * groups are expanded first.
+ * Finds delayed groups: those in which many new machines boot late or not at all. A single overdue machine is replaced
+ * at once. But where a third of a group is overdue, each replacement would become overdue too, and machines for one
+ * wave of demand would be requested again and again. So in a delayed group an overdue machine is not taken for lost:
+ * some of the overdue machines still count as capacity about to arrive, they are given up only after a longer time, and
+ * other groups are expanded first.
  *
  * It needs no stored state of its own: the stored fleet record tells when each machine was requested, so a new leader
  * finds the same groups at once.
@@ -31,7 +31,7 @@
     /** The names of the overdue machines that no longer count as capacity about to arrive. */
     private var uncountedMachines: Set<String> = emptySet()
 
-    /** The groups of whose machines many boot late, as of the last [refresh]. */
+    /** The groups in which many new machines boot late, as of the last [refresh]. */
     var delayedGroups: Set<GroupKey> = emptySet()
         private set
 
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDurations.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDurations.kt
@@ -9,7 +9,7 @@
  * slowly the limit rises with their times, so nothing is requested twice.
  */
 class BootDurations {
-    /** Boot times in milliseconds: the [recent] histogram being filled, and the full one [previous] it. */
+    /** Boot times in milliseconds: [recent] is the histogram being filled, [previous] the full one before it. */
     private class Durations(var recent: Histogram = histogram(), var previous: Histogram = histogram())
 
     private val durationsByType = HashMap<String, Durations>()
--- a/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
@@ -32,7 +32,7 @@
     /** A task that should end in [endsInS] seconds and so free the capacity [freed]. */
     private class TaskEnd(val endsInS: Double, val freed: Resources)
 
-    // `free` starts at zero and so is the negative sum of what has been packed here.
+    // `free` starts at zero, so it is the negative sum of what has been packed here.
     override val freeNow: Resources get() = machine.free - machine.held + free
 
     override fun freeFor(job: Job): Resources {
@@ -42,8 +42,8 @@
         if (taskEnds.isEmpty() || job.isGangOfSeveral) return currentlyFree
         val newMachineStartS = newMachineStartS(job, type)
         // Run time estimates are often too low, and smaller tasks may take the freed capacity first. A task that needs
-        // several others to end would then wait for such capacity for ever, so it is not considered for a job that has
-        // waited for a while.
+        // several others to end could then wait for such capacity for ever. So a job that has waited for a while is
+        // packed only into capacity that is free now.
         if (ctx.time.wallMs - job.readyMs > newMachineStartS * 1000 * MAX_WAIT_PART) return currentlyFree
         val limitS = newMachineStartS - machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
         var expectedFree = currentlyFree
--- a/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
@@ -47,7 +47,7 @@
             return minOf(paceLimit, shareLimit).coerceAtLeast(0)
         }
 
-        /** Machines for best-effort jobs that may be arriving at a time: one for this many machines of the fleet. */
+        /** One machine may be arriving at a time for this many machines of the fleet. */
         private const val PACE_DIVISOR = 4
 
         /** The lower bound of both limits, so that a small fleet can grow. */
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -48,8 +48,8 @@
 
     /**
      * Step 9: removes machines that have been unneeded for long enough, unless their group was scaled out recently.
-     * Ordinary machines are removed only while the free capacity of the others covers [forecast]. Spot machines may not
-     * be used by all work, so their removal is not limited in this way.
+     * Ordinary machines are removed only while the free capacity of the others covers [forecast]. Spot machines are
+     * removed regardless: not all work may use them, so they are not counted on.
      */
     fun remove(usable: List<Machine>, forecast: DemandForecast) {
         var spareCapacity = computeSpareCapacity(usable, forecast)
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -135,7 +135,7 @@
         .mapValues { it.value.toSet() }
 
     private companion object {
-        /** A heartbeat is late after this many heartbeat intervals. */
+        /** The heartbeat of a machine is late after this many heartbeat intervals. */
         const val LATE_HEARTBEATS = 1.7
 
         /** The part of a zone's machines that must be affected for the zone to count as affected nearly whole. */
@@ -153,7 +153,7 @@
         /** The time that a worker then takes to try one node after another. */
         const val RECONNECT_HOPS_S = 4.0
 
-        /** The time for an attempt at a node that is down, and for one at a node that only relays to the leader. */
+        /** The time for an attempt at a node that is down, and for one at a node that only knows which node leads. */
         const val HEARTBEAT_HOPS_S = 2.0
     }
 }
