--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -9,9 +9,11 @@
 import plankwall.wire.ZoneReach
 
 /**
- * Which workers reach the leader directly, and when those whose heartbeats are relayed are called back. A worker that
- * tries in vain loses several seconds of its lease and may end up anywhere, so none is called back on suspicion: the
- * leader first reaches the worker itself, which takes a path that is open in both directions.
+ * Tracks which workers reach the leader directly, and decides when a worker whose heartbeats are relayed by another
+ * node is called back, which means redirected to the leader. A worker that fails to connect loses several seconds of
+ * its lease and may connect to any other node next. Therefore a worker is called back only after direct contact with it
+ * or, if its whole zone was cut off, with another worker of the zone has shown that the network path is open. An answer
+ * to a direct command takes a path that is open in both directions.
  */
 class DirectReachability(
     private val ctx: Context,
@@ -19,66 +21,87 @@
     private val failureDetector: FailureDetector,
     private val sessions: SessionPlanner,
 ) {
-    /** What is known of one worker's path to the leader; moments in seconds. */
+    /**
+     * What this leader knows of the network path between it and one worker. Times are in seconds of this node's steady
+     * clock, or [Machine.NEVER].
+     */
     private class Path {
-        var directAt = Machine.NEVER
-        var relayedAt = Machine.NEVER
+        /** When a heartbeat of the worker last came directly. */
+        var directHeartbeatAt = Machine.NEVER
+
+        /** When a relayed heartbeat of the worker was last accepted. */
+        var relayedHeartbeatAt = Machine.NEVER
+
+        /** When the worker last answered a direct command; [Machine.NEVER] again once it is called back. */
         var commandAnsweredAt = Machine.NEVER
+
+        /** When the worker was last called back; [Machine.NEVER] again once that has failed. */
         var calledBackAt = Machine.NEVER
+
+        /** When the worker was last sent a probe. */
         var probedAt = Machine.NEVER
 
-        /** After being called back in vain it is not called back before this moment. */
-        var notBefore = Machine.NEVER
+        /** The time before which the worker is not called back again, since the last call back failed. */
+        var nextCallBackAt = Machine.NEVER
+
+        /** The current pause between two attempts to call the worker back; 0 if the last one did not fail. */
         var pauseS = 0.0
 
         /**
-         * At some time since its heartbeats are relayed, no worker of its zone reached the leader directly: the zone's
-         * link is at fault, not its own.
+         * Whether, at some time since this worker's heartbeats have been relayed, no worker of its zone had direct
+         * contact with the leader. The fault is then the link of the zone, not that of this worker.
          */
-        var isZoneWide = false
+        var isZoneCutOff = false
     }
 
     private val log = LoggerFactory.getLogger("relay")
     private val paths = HashMap<Int, Path>()
     private val zonePaths = ZonePaths(ctx)
     private val redirects = SessionRedirects(ctx, sessions)
-    private val times = ctx.settings.workers
+    private val workerTimes = ctx.settings.workers
     private var lastCommandAnsweredAt = Machine.NEVER
     private var lastRelayedAt = Machine.NEVER
     private var probeBudget = 0.0
-    private var probeBudgetAt = ctx.now
-    private var relayedBefore = 0
-    private var lastSummaryAt = Machine.NEVER
+    private var probeBudgetUpdatedAt = ctx.now
+    private var previousRelayedCount = 0
+    private var lastSummaryLoggedAt = Machine.NEVER
 
-    /** No heartbeat is relayed: there is nothing to look for among a thousand machines, ten times a second. */
-    private val isQuiet: Boolean get() = ctx.now - lastRelayedAt >= times.reportS * 2
+    /**
+     * Whether no heartbeat has been relayed within two heartbeat intervals. This saves a search of all machines, which
+     * may be a thousand, ten times a second.
+     */
+    private val hasNoRelayedWorkers: Boolean get() = ctx.now - lastRelayedAt >= workerTimes.reportS * 2
 
     private fun pathOf(machine: Machine): Path = paths.getOrPut(machine.ix.value) { Path() }
 
-    /** The node that the worker of [machine], whose heartbeat came to the node [through], is redirected to, or null. */
-    fun redirectTarget(machine: Machine, zone: String, through: String): String? =
-        redirects.targetFor(machine, zone, through)
+    /**
+     * Returns the node that the worker on [machine] is to be redirected to, or null if it is served where it is.
+     * [receivingNode] is the node that received its heartbeat.
+     */
+    fun redirectTarget(machine: Machine, zone: String, receivingNode: String): String? =
+        redirects.targetFor(machine, zone, receivingNode)
 
-    /** A heartbeat of [machine] came directly. */
+    /** Records that a heartbeat of [machine] came directly to this leader. */
     fun onDirectHeartbeat(machine: Machine) {
         val path = pathOf(machine)
-        path.directAt = ctx.now
+        path.directHeartbeatAt = ctx.now
         zonePaths.onDirectHeartbeat(machine)
-        if (path.pauseS > 0 && ctx.now - path.relayedAt > times.leaseS * 2) path.pauseS = 0.0
+        if (path.pauseS > 0 && ctx.now - path.relayedHeartbeatAt > workerTimes.leaseS * 2) path.pauseS = 0.0
     }
 
     /**
-     * A heartbeat of [machine] was relayed by another node. Returns whether the worker is called back: its heartbeat is
-     * then not taken in, and it is to come directly.
+     * Records that a heartbeat of [machine] was relayed by another node. Returns whether the worker is to be called
+     * back: the caller then ignores this heartbeat and redirects the worker to this leader.
      */
     fun onIndirectHeartbeat(machine: Machine, zone: String): Boolean {
-        // Relayed as planned: its own path to the leader does not matter.
+        // The session plan assigns this worker to another node, so its own path to the leader does not matter.
         if (sessions.assignedNode(machine.id, zone) != null) return false
         val path = pathOf(machine)
-        backOffAfterVainCall(path)
-        path.isZoneWide = !zonePaths.isOpen(machine) || (path.isZoneWide && path.relayedAt > path.directAt)
+        backOffAfterFailedCallBack(path)
+        path.isZoneCutOff = !zonePaths.isOpen(machine) ||
+            (path.isZoneCutOff && path.relayedHeartbeatAt > path.directHeartbeatAt)
         if (!mayCallBack(machine, path)) {
-            path.relayedAt = ctx.now
+            path.relayedHeartbeatAt = ctx.now
             lastRelayedAt = ctx.now
             return false
         }
@@ -88,55 +111,68 @@
         return true
     }
 
-    /** Called back before and not here since: the path that the leader found open is closed to the worker. */
-    private fun backOffAfterVainCall(path: Path) {
-        if (path.calledBackAt <= path.directAt || path.calledBackAt <= path.commandAnsweredAt) return
-        path.pauseS = (path.pauseS * 2).coerceIn(times.leaseS, times.leaseS * MAX_PAUSE_LEASES)
-        path.notBefore = ctx.now + path.pauseS
+    /**
+     * Doubles the pause before the next call back if the worker was called back and has neither sent a direct heartbeat
+     * nor answered a direct command since: the path that looked open to the leader is closed to the worker.
+     */
+    private fun backOffAfterFailedCallBack(path: Path) {
+        if (path.calledBackAt <= path.directHeartbeatAt || path.calledBackAt <= path.commandAnsweredAt) return
+        path.pauseS = (path.pauseS * 2).coerceIn(workerTimes.leaseS, workerTimes.leaseS * MAX_PAUSE_LEASES)
+        path.nextCallBackAt = ctx.now + path.pauseS
         path.calledBackAt = Machine.NEVER
     }
 
     private fun mayCallBack(machine: Machine, path: Path): Boolean {
-        if (ctx.now < path.notBefore) return false
-        val answeredLately = ctx.now - path.commandAnsweredAt < times.longestReportS
-        // Where a whole zone was cut off and one of its workers gets through again, all do; one by one they would take
-        // half a minute.
-        return answeredLately || (path.isZoneWide && zonePaths.isOpen(machine))
+        if (ctx.now < path.nextCallBackAt) return false
+        val answeredRecently = ctx.now - path.commandAnsweredAt < workerTimes.longestReportS
+        // If a whole zone was cut off and one of its workers gets through again, all of them can. Probing them one by
+        // one would take half a minute.
+        return answeredRecently || (path.isZoneCutOff && zonePaths.isOpen(machine))
     }
 
-    /** The worker on [machine] answered a direct command: the path is open in both directions. */
+    /** Records that the worker on [machine] answered a direct command, so the path is open in both directions. */
     fun onCommandAnswered(machine: Machine) {
         pathOf(machine).commandAnsweredAt = ctx.now
         zonePaths.onCommandAnswered(machine)
         lastCommandAnsweredAt = ctx.now
     }
 
-    /** A direct command was sent to [machine]. */
+    /**
+     * Records that a direct command was sent to [machine]. It counts for the zone's path only if another node serves
+     * the worker's session; the path to the other workers is judged by their heartbeats.
+     */
     fun onCommandSent(machine: Machine) {
         if (sessions.assignedNode(machine) != null) zonePaths.onCommandSent(machine)
     }
 
     /**
-     * Whether direct commands to [machine] would go nowhere and take the place of others: its heartbeats are relayed,
-     * and either no worker of its zone reaches the leader directly or it was called back in vain.
+     * Whether direct commands to [machine] would fail and only delay commands to other machines. That is so if its
+     * heartbeats are relayed, and either no worker of its zone reaches the leader directly or the last call back of
+     * this worker failed. If the session plan assigns the worker to another node, the unanswered commands to its zone
+     * decide instead.
      */
     fun isUnreachable(machine: Machine): Boolean {
         if (sessions.assignedNode(machine) != null) return zonePaths.areCommandsHeldBack(machine)
         val path = paths[machine.ix.value] ?: return false
-        return path.relayedAt > maxOf(path.directAt, path.commandAnsweredAt) &&
-            (ctx.now < path.notBefore || !zonePaths.isOpen(machine))
+        return path.relayedHeartbeatAt > maxOf(path.directHeartbeatAt, path.commandAnsweredAt) &&
+            (ctx.now < path.nextCallBackAt || !zonePaths.isOpen(machine))
     }
 
-    /** The machines to be probed now by a direct command: a few while none is answered, many once one is. */
+    /**
+     * Selects the machines to be probed now by a direct command without orders, those probed least recently first. The
+     * rate is low while no command is answered and high once one is.
+     */
     fun machinesToProbe(): List<Machine> {
-        if (isQuiet) return emptyList()
-        val isAnyAnswered = ctx.now - lastCommandAnsweredAt < times.reportS
-        val perSecond = if (isAnyAnswered) PROBES_PER_SECOND_OPEN else PROBES_PER_SECOND_SHUT
-        probeBudget = minOf(perSecond, probeBudget + (ctx.now - probeBudgetAt) * perSecond)
-        probeBudgetAt = ctx.now
+        if (hasNoRelayedWorkers) return emptyList()
+        val isAnyAnswered = ctx.now - lastCommandAnsweredAt < workerTimes.reportS
+        val probesPerSecond = if (isAnyAnswered) PROBES_PER_SECOND_ANSWERED else PROBES_PER_SECOND_UNANSWERED
+        probeBudget = minOf(probesPerSecond, probeBudget + (ctx.now - probeBudgetUpdatedAt) * probesPerSecond)
+        probeBudgetUpdatedAt = ctx.now
         if (probeBudget < 1) return emptyList()
-        val due = fleet.machines.filter { machine -> paths[machine.ix.value]?.let { isProbeDue(machine, it) } == true }
-        return due.sortedBy { pathOf(it).probedAt }.take(probeBudget.toInt()).onEach {
+        val dueMachines = fleet.machines.filter { machine ->
+            paths[machine.ix.value]?.let { isProbeDue(machine, it) } == true
+        }
+        return dueMachines.sortedBy { pathOf(it).probedAt }.take(probeBudget.toInt()).onEach {
             pathOf(it).probedAt = ctx.now
             probeBudget -= 1.0
         }
@@ -145,60 +181,65 @@
     private fun isProbeDue(machine: Machine, path: Path): Boolean = machine.address.isNotEmpty() &&
         !machine.deleting &&
         isRelayed(path) &&
-        ctx.now >= path.notBefore &&
-        ctx.now - path.commandAnsweredAt > times.reportS &&
-        ctx.now - path.probedAt > times.reportS * 2
+        ctx.now >= path.nextCallBackAt &&
+        ctx.now - path.commandAnsweredAt > workerTimes.reportS &&
+        ctx.now - path.probedAt > workerTimes.reportS * 2
 
     private fun isRelayed(path: Path): Boolean =
-        path.relayedAt > path.directAt && ctx.now - path.relayedAt < times.reportS * 2
+        path.relayedHeartbeatAt > path.directHeartbeatAt && ctx.now - path.relayedHeartbeatAt < workerTimes.reportS * 2
 
-    /** For the peers, by zone: how many workers should come directly, and how many of them are late. */
+    /**
+     * Counts, for each zone, the machines that are expected to send heartbeats directly to this leader, and how many of
+     * them are late. The counts are published to the peers.
+     */
     fun reachByZone(): List<ZoneReach> {
-        val known = HashMap<String, Int>()
-        val late = HashMap<String, Int>()
-        val lateAfterS = times.longestReportS + LATE_MARGIN_S
+        val knownByZone = HashMap<String, Int>()
+        val lateByZone = HashMap<String, Int>()
+        val lateAfterS = workerTimes.longestReportS + LATE_MARGIN_S
         for (machine in fleet.machines) {
             val zone = machine.group?.zone ?: continue
-            if (!shouldComeDirectly(machine)) continue
-            known.merge(zone, 1, Int::plus)
-            val directAt = paths[machine.ix.value]?.directAt ?: Machine.NEVER
-            if (ctx.now - directAt > lateAfterS) late.merge(zone, 1, Int::plus)
+            if (!isDirectHeartbeatExpected(machine)) continue
+            knownByZone.merge(zone, 1, Int::plus)
+            val directHeartbeatAt = paths[machine.ix.value]?.directHeartbeatAt ?: Machine.NEVER
+            if (ctx.now - directHeartbeatAt > lateAfterS) lateByZone.merge(zone, 1, Int::plus)
         }
-        return known.map { (zone, count) -> ZoneReach(zone, count, late[zone] ?: 0) }.sortedBy { it.zone }
+        return knownByZone.map { (zone, count) -> ZoneReach(zone, count, lateByZone[zone] ?: 0) }.sortedBy { it.zone }
     }
 
-    private fun shouldComeDirectly(machine: Machine): Boolean = !machine.returning &&
+    private fun isDirectHeartbeatExpected(machine: Machine): Boolean = !machine.returning &&
         sessions.assignedNode(machine) == null &&
         (machine.registered || (failureDetector.heartbeatRoundElapsed && failureDetector.isAwaited(machine)))
 
-    /** How many workers' heartbeats were relayed within two heartbeat intervals. */
-    val relayedWorkers: Int get() = if (isQuiet) 0 else paths.values.count(::isRelayed)
+    /** The number of workers whose newest heartbeat was relayed and is at most two heartbeat intervals old. */
+    val relayedWorkers: Int get() = if (hasNoRelayedWorkers) 0 else paths.values.count(::isRelayed)
 
-    /** Drops state of removed machines and logs a summary; to be called regularly. */
+    /** Drops the state of removed machines and logs a summary. Called regularly by the leader. */
     fun tick() {
-        if (ctx.now - lastSummaryAt < SUMMARY_INTERVAL_S) return
-        lastSummaryAt = ctx.now
+        if (ctx.now - lastSummaryLoggedAt < SUMMARY_INTERVAL_S) return
+        lastSummaryLoggedAt = ctx.now
         if (paths.size > fleet.machines.size * 2) {
             paths.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
         }
         redirects.prune(fleet)
-        val relayed = relayedWorkers
-        if (relayed > 0 || relayedBefore > 0) {
+        val relayedCount = relayedWorkers
+        if (relayedCount > 0 || previousRelayedCount > 0) {
             log.info(
                 "workers reached only through other nodes count={} before={} zones={}",
-                relayed,
-                relayedBefore,
+                relayedCount,
+                previousRelayedCount,
                 reachByZone(),
             )
         }
-        relayedBefore = relayed
+        previousRelayedCount = relayedCount
     }
 
     private companion object {
         const val MAX_PAUSE_LEASES = 8.0
-        const val PROBES_PER_SECOND_SHUT = 2.0
-        const val PROBES_PER_SECOND_OPEN = 40.0
+        const val PROBES_PER_SECOND_UNANSWERED = 2.0
+        const val PROBES_PER_SECOND_ANSWERED = 40.0
         const val SUMMARY_INTERVAL_S = 5.0
+
+        /** A margin for network delay, added to the longest heartbeat interval before a worker counts as late. */
         const val LATE_MARGIN_S = 0.5
     }
 }
--- a/src/main/kotlin/plankwall/core/relay/HeartbeatForwarder.kt
+++ b/src/main/kotlin/plankwall/core/relay/HeartbeatForwarder.kt
@@ -18,18 +18,18 @@
 import plankwall.wire.RelayedHeartbeat
 import plankwall.wire.SessionPlan
 
-/** Answers a worker's [request] with 503 and [reason]; the worker retries. */
+/** Answers a worker's [request] with status 503 and [reason]; the worker retries after a second. */
 internal fun Outbox.rejectHeartbeat(request: RequestId, reason: String) =
     answer(request, 503, JobCodec.error(reason), 1)
 
-/** The session plan that [leader] published in its epoch, or null if all workers come to it. */
+/** Returns the session plan that [leader] published in its epoch, or null if all workers connect to the leader. */
 internal fun ReachabilityMatrix.sessionPlanOf(leader: LeadershipClaim): SessionPlan? =
     statusOf(leader.node)?.sessions?.plan?.takeIf { it.epoch == leader.epoch }
 
 /**
- * Relays heartbeats to the leader and its answers back to the workers. An answer is the leader's, fencing token
- * included, and is passed only to the request that it belongs to and only while that waits; for the worker and for the
- * leader's proofs it is an answer like any other.
+ * Relays heartbeats to the leader and its answers back to the workers. An answer is passed on unchanged, with the
+ * leader's fencing token, and only to the request that it belongs to, while that request is still open. Therefore both
+ * the worker and the leader can treat it like the answer to a direct heartbeat.
  */
 internal class HeartbeatForwarder(
     private val ctx: Context,
@@ -37,7 +37,8 @@
     private val routing: LeaderRouting,
     private val workers: SeenWorkers,
 ) {
-    private class Relayed(
+    /** A heartbeat that was relayed to [leader] and whose [request] is not answered yet. */
+    private class PendingHeartbeat(
         val request: RequestId,
         val heartbeat: HeartbeatStatus,
         val address: String,
@@ -46,29 +47,32 @@
     ) {
         val machine: String get() = heartbeat.machine
 
-        /** It went in a batch, in full rather than as a reference to an earlier one. */
+        /** Whether the heartbeat was sent in a batch in full, rather than as a reference to an earlier one. */
         var sentInFull = false
     }
 
     private val log = LoggerFactory.getLogger("relay")
-    private val relayed = LinkedHashMap<Long, Relayed>()
+    private val pending = LinkedHashMap<Long, PendingHeartbeat>()
     private val batcher = HeartbeatBatcher(ctx, reachability)
-    private val maxRelayed = (ctx.settings.maxConnections / 4).coerceIn(16, 400)
+    private val maxPending = (ctx.settings.maxConnections / 4).coerceIn(16, 400)
     private var nextId = ctx.incarnation
     private var relayedSinceSummary = 0
     private var nextSummaryAt = 0.0
 
-    /** Relays a heartbeat to [leader]; false if that is not possible, which leaves its request unanswered. */
-    fun relay(input: Input.Heartbeat, leader: LeadershipClaim): Boolean {
+    /**
+     * Relays a heartbeat to [leader], in a batch if the leader has published a session plan. Returns false if it can't
+     * be relayed; the caller then has to answer the request.
+     */
+    fun relayHeartbeat(input: Input.Heartbeat, leader: LeadershipClaim): Boolean {
         if (!reachability.isFresh(leader.node) || !reachability.supportsRelay(leader.node)) return false
-        if (relayed.size >= maxRelayed) return false
+        if (pending.size >= maxPending) return false
         val id = nextId++
-        val entry = Relayed(input.request, input.report, input.from, leader, ctx.now)
-        relayed[id] = entry
+        val entry = PendingHeartbeat(input.request, input.report, input.from, leader, ctx.now)
+        pending[id] = entry
         relayedSinceSummary++
         if (reachability.sessionPlanOf(leader) != null) {
             entry.sentInFull = batcher.add(id, leader, input.from, input.report)
-            workers[entry.machine]?.inFlight = true
+            workers[entry.machine]?.isInFlight = true
         } else {
             val echo = reachability.lastSeqFrom(leader.node)
             val message = RelayedHeartbeat(ctx.settings.node, id, echo, input.from, input.report)
@@ -79,55 +83,59 @@
 
     /** Passes the leader's answer on to the worker. */
     fun onAnswer(answer: RelayedAnswer) {
-        // A request that timed out is answered already; its answer must not reach the worker's next request.
-        val entry = relayed[answer.id]?.takeIf { it.leader.node == answer.from } ?: return
-        passOn(answer.id, entry, answer.status, answer.body)
+        // A request that timed out has been answered with an error. Its late answer must not reach the worker's next
+        // request.
+        val entry = pending[answer.id]?.takeIf { it.leader.node == answer.from } ?: return
+        forwardAnswer(answer.id, entry, answer.status, answer.body)
     }
 
-    /** Passes the leader's answers on to the workers; only to heartbeats that were sent to its node in its epoch. */
+    /**
+     * Passes the leader's answers on to the workers. Answers to heartbeats that were sent to another node or for
+     * another epoch are ignored.
+     */
     fun onAnswer(batch: AnswerBatch) {
         for (answer in batch.answers) {
-            val entry = relayed[answer.id] ?: continue
+            val entry = pending[answer.id] ?: continue
             if (entry.leader.node != batch.from || entry.leader.epoch != batch.epoch) continue
             if (answer.status == BatchedAnswer.RESEND) {
                 entry.sentInFull =
-                    batcher.add(answer.id, entry.leader, entry.address, entry.heartbeat, inFull = true)
+                    batcher.add(answer.id, entry.leader, entry.address, entry.heartbeat, forceFull = true)
             } else {
                 if (entry.sentInFull) batcher.onAnswered(answer.id, batch.epoch, entry.heartbeat)
-                passOn(answer.id, entry, answer.status, answer.body)
+                forwardAnswer(answer.id, entry, answer.status, answer.body)
             }
         }
     }
 
-    private fun passOn(id: Long, entry: Relayed, status: Int, body: ByteArray) {
-        relayed.remove(id)
+    private fun forwardAnswer(id: Long, entry: PendingHeartbeat, status: Int, body: ByteArray) {
+        pending.remove(id)
         val worker = workers[entry.machine]
-        worker?.inFlight = false
+        worker?.isInFlight = false
         when (status) {
-            200 -> worker?.unserved = false
-            421 -> worker?.noteRedirect(entry.leader.node, entry.leader.epoch, ctx.now)
+            200 -> worker?.isUnserved = false
+            421 -> worker?.recordRedirect(entry.leader.node, entry.leader.epoch, ctx.now)
         }
         ctx.out.answer(entry.request, status, body)
     }
 
-    /** Sends the batches that are due and times out what was not answered; to be called regularly. */
+    /** Sends the batches that are due and rejects requests that the leader did not answer in time. Called regularly. */
     fun tick() {
         sendBatches()
-        expire()
+        rejectTimedOutHeartbeats()
         logSummary()
     }
 
     private fun sendBatches() {
         val leader = routing.leader() ?: return
-        batcher.takeDue(leader.epoch) { it in relayed }.forEach { ctx.out.add(Effect.PeerSend(it, leader.node)) }
+        batcher.takeDue(leader.epoch) { it in pending }.forEach { ctx.out.add(Effect.PeerSend(it, leader.node)) }
     }
 
-    private fun expire() {
-        while (relayed.isNotEmpty()) {
-            val (id, entry) = relayed.entries.first()
+    private fun rejectTimedOutHeartbeats() {
+        while (pending.isNotEmpty()) {
+            val (id, entry) = pending.entries.first()
             if (ctx.now - entry.sentAt < ANSWER_TIMEOUT_S) break
-            relayed.remove(id)
-            workers[entry.machine]?.inFlight = false
+            pending.remove(id)
+            workers[entry.machine]?.isInFlight = false
             log.debug("relayed heartbeat timed out machine={} leader={}", entry.machine, entry.leader.node)
             ctx.out.rejectHeartbeat(entry.request, "the leader did not answer")
         }
@@ -139,23 +147,23 @@
             "heartbeats relayed count={} leader={} waiting={} batched_full={} batched_unchanged={}",
             relayedSinceSummary,
             routing.leader()?.node ?: "none",
-            relayed.size,
-            batcher.fullSent,
-            batcher.unchangedSent,
+            pending.size,
+            batcher.fullSentCount,
+            batcher.unchangedSentCount,
         )
         relayedSinceSummary = 0
         nextSummaryAt = ctx.now + SUMMARY_INTERVAL_S
     }
 
-    /** Rejects all heartbeats that wait for an answer, and drops what was collected for batches. */
+    /** Rejects all heartbeats that wait for an answer, and drops the batch that is not sent yet. */
     fun rejectAll(reason: String) {
-        relayed.values.forEach { ctx.out.rejectHeartbeat(it.request, reason) }
-        relayed.clear()
+        pending.values.forEach { ctx.out.rejectHeartbeat(it.request, reason) }
+        pending.clear()
         batcher.clear()
     }
 
     private companion object {
-        /** Well below the 4 s that a worker waits, and far above what two frames take. */
+        /** Well below the 4 s that a worker waits for an answer, and far above the delay of two frames. */
         const val ANSWER_TIMEOUT_S = 1.5
         const val SUMMARY_INTERVAL_S = 5.0
     }
--- a/src/main/kotlin/plankwall/core/relay/LeaderZoneReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeaderZoneReach.kt
@@ -4,36 +4,39 @@
 import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.wire.ZoneReach
 
-/** Which zones' workers reach the leader directly, by what it has last published about that. */
+/** Tells which zones' workers reach the leader directly, according to the newest status that it has published. */
 internal class LeaderZoneReach(private val reachability: ReachabilityMatrix) {
     /**
-     * No worker of [zone] is known to have reached this leader directly. A new leader may be out of reach of all of
-     * them, while the node that led before still has them all: redirected together they would lose half their lease
-     * together.
+     * Whether no worker of [zone] is known to have reached [leader] directly. All workers of a zone may be unable to
+     * reach a new leader, while they still reach the node that led before. If all of them were redirected at once, all
+     * would lose half of their lease.
      */
-    fun isUntried(leader: LeadershipClaim, zone: String): Boolean {
-        val reach = reachOf(leader, zone)
+    fun hasNoDirectWorker(leader: LeadershipClaim, zone: String): Boolean {
+        val reach = findReach(leader, zone)
         return reach == null || reach.late >= reach.known
     }
 
     /**
-     * The leader misses direct heartbeats of many workers of [zone]. A first try there would cost a worker several
-     * seconds of its lease, and it might end up anywhere; the leader redirects it once it can be reached again. Other
-     * zones that are cut off say nothing about this one.
+     * Whether more than half of the workers of [zone] are late with direct heartbeats to [leader]. A failed attempt to
+     * connect to the leader would cost a worker several seconds of its lease, and it might connect to any other node
+     * next. The leader calls the worker back once it can be reached again. Each zone is judged alone, since another
+     * zone that is cut off says nothing about this one.
      */
     fun isMostlyCutOff(leader: LeadershipClaim, zone: String): Boolean {
-        val reach = reachOf(leader, zone) ?: return false
+        val reach = findReach(leader, zone) ?: return false
         return reach.known > 1 && reach.late > reach.known * CUT_OFF_SHARE
     }
 
-    private fun reachOf(leader: LeadershipClaim, zone: String): ZoneReach? = reachability.statusOf(leader.node)
+    /** Returns the leader's newest counts for [zone]; null if its status is old or does not name the zone. */
+    private fun findReach(leader: LeadershipClaim, zone: String): ZoneReach? = reachability.statusOf(leader.node)
         ?.takeIf { it.leading && reachability.isFresh(leader.node) }
         ?.links?.zones?.find { it.zone == zone }
 
     private companion object {
         /**
-         * Above the quarter of a zone and more that is late after machines died, below the whole that is late behind a
-         * partition before the first worker is redirected.
+         * The share of late workers above which a zone counts as cut off. It is above the quarter or more of a zone
+         * that is late after machines have failed, and below the whole zone that is late behind a partition before the
+         * first worker is redirected.
          */
         const val CUT_OFF_SHARE = 0.5
     }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -6,66 +6,73 @@
 import plankwall.core.statemachine.Context
 
 /**
- * Decides when a leader that reaches the store resigns because of where the workers are. Relayed heartbeats are as good
- * as direct ones, so a link that is cut for a while moves nothing; a change of leaders costs everything that a leader
- * has learned.
+ * Decides when a leader that reaches the state service resigns because workers reach other nodes but not this one.
+ * Relayed heartbeats count as much as direct ones, so a link that is cut for a short time does not move the leadership:
+ * with a change of leaders, all that the leader has learned from heartbeats is lost.
  */
 class LeadershipTransfer(
     private val ctx: Context,
     private val leadership: Leadership,
     private val fleet: Fleet,
     private val failureDetector: FailureDetector,
-    private val reach: DirectReachability,
+    private val directReachability: DirectReachability,
 ) {
-    private val times = ctx.settings.workers
+    private val workerTimes = ctx.settings.workers
+
+    /** Since when the heartbeats of most workers have been relayed, in seconds; NaN while they are not. */
     private var mostlyRelayedSince = Double.NaN
 
-    /** Resigns if that is due; to be called regularly. */
+    /** Resigns if too many workers are silent or have been relayed for too long. Called regularly by the leader. */
     fun tick() {
-        // Machines that a new leader knows of and has never heard from count too: one that can't be reached from the
-        // start must not stay leader, nor may a lease expire meanwhile.
-        val known = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
-        if (known.size < 2 || !leadership.mayWrite || !failureDetector.heartbeatRoundElapsed) return
-        val silent = known.count { ctx.now - it.lastHeard > times.missedS }
-        if (silent * 2 > known.size) {
-            resignIfOthersReachWorkers(silent, known.size, known.count { it.registered })
+        // Machines that a new leader knows of but has not yet had a heartbeat from count too. Otherwise a leader that
+        // no worker ever reached would stay leader, and the workers' leases would expire.
+        val knownMachines = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
+        if (knownMachines.size < 2 || !leadership.mayWrite || !failureDetector.heartbeatRoundElapsed) return
+        val silentCount = knownMachines.count { ctx.now - it.lastHeard > workerTimes.missedS }
+        if (silentCount * 2 > knownMachines.size) {
+            resignIfOthersReachWorkers(silentCount, knownMachines.size, knownMachines.count { it.registered })
         } else {
-            resignIfMostlyRelayed(known.size)
+            resignIfMostlyRelayed(knownMachines.size)
         }
     }
 
     /**
-     * Most workers have missed a heartbeat here, direct and relayed. If they turn up at peers that surely reach them
-     * ([WorkerRelay.unservedWorkers]), a node that can answer them should lead, and soon, for their leases are about to
-     * expire. If no peer is connected that could report it, all workers must be silent: a leader whose peers and most
-     * of whose machines are in another zone, which is cut off, has to go on with the rest.
+     * Handles the case that most workers have missed a heartbeat here, both direct and relayed. The leader resigns if
+     * peers that reach the state service report that they could serve more than half of the known workers
+     * ([WorkerRelay.unservedWorkers]). A node that can answer these workers has to lead soon, since their leases are
+     * about to expire. If no peer is connected that could report this, the leader resigns only if all workers are
+     * silent: if the peers and most machines are in another zone, which is cut off, the leader has to continue with the
+     * remaining machines.
      */
-    private fun resignIfOthersReachWorkers(silent: Int, known: Int, registered: Int) {
+    private fun resignIfOthersReachWorkers(silentCount: Int, knownCount: Int, registeredCount: Int) {
         val peers = leadership.reachability.livePeers()
         val unservedWorkers = peers.filter { it.stateReachable }.sumOf { it.unservedWorkers }
-        val isIsolated = peers.isEmpty() && ctx.settings.peers.isNotEmpty() && silent == known && registered >= 2
-        if (!isIsolated && unservedWorkers * 2 <= known) return
-        val elsewhere = if (isIsolated) "no peer is connected" else "$unservedWorkers turn up at peers"
-        leadership.resignForWorkers("$silent of $known machines silent here, $elsewhere")
+        val isIsolated = peers.isEmpty() &&
+            ctx.settings.peers.isNotEmpty() &&
+            silentCount == knownCount &&
+            registeredCount >= 2
+        if (!isIsolated && unservedWorkers * 2 <= knownCount) return
+        val peersReason = if (isIsolated) "no peer is connected" else "$unservedWorkers turn up at peers"
+        leadership.resignForWorkers("$silentCount of $knownCount machines silent here, $peersReason")
     }
 
     /**
-     * Most heartbeats have been relayed for longer than any passing cut: the leader resigns in favour of a node that
-     * most workers reach, if there is one.
+     * Resigns in favour of a node that most workers reach, if there is one, once the heartbeats of most workers have
+     * been relayed for longer than a short link failure lasts.
      */
-    private fun resignIfMostlyRelayed(known: Int) {
-        val relayed = reach.relayedWorkers
-        if (relayed * 2 <= known) {
+    private fun resignIfMostlyRelayed(knownCount: Int) {
+        val relayedCount = directReachability.relayedWorkers
+        if (relayedCount * 2 <= knownCount) {
             mostlyRelayedSince = Double.NaN
             return
         }
         if (mostlyRelayedSince.isNaN()) mostlyRelayedSince = ctx.now
         val relayedForS = ctx.now - mostlyRelayedSince
-        if (relayedForS < times.leaseS * MAX_RELAYED_LEASES) return
+        if (relayedForS < workerTimes.leaseS * MAX_RELAYED_LEASES) return
         val successor = leadership.candidatePriority.preferredSuccessor() ?: return
-        if (successor.recentWorkers * 2 <= known) return
+        if (successor.recentWorkers * 2 <= knownCount) return
         leadership.resignForWorkers(
-            "$relayed of $known machines relayed for ${relayedForS.toInt()} s, most reach ${successor.node}",
+            "$relayedCount of $knownCount machines relayed for ${relayedForS.toInt()} s, most reach ${successor.node}",
         )
     }
 
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -7,136 +7,153 @@
 import plankwall.wire.HeartbeatStatus
 import plankwall.wire.WorkerCodec
 
-/** What a node that does not lead remembers of a worker that sent it a heartbeat; moments in seconds. */
+/**
+ * What a node that does not lead remembers of a worker that sent it a heartbeat. Times are in seconds of this node's
+ * steady clock.
+ */
 internal class SeenWorker(var lastSeenAt: Double) {
-    /** The node that it was last redirected to, which need not be the leader, for which leader's epoch, and when. */
+    /**
+     * The node that the worker was last redirected to, which need not be the leader; the leader itself while the
+     * heartbeats are relayed because the worker can't reach it; empty at first.
+     */
     var redirectedTo = ""
         private set
+
+    /** The epoch of the leader that the worker was redirected for. */
     var redirectedEpoch = 0L
         private set
+
+    /** When the worker was last redirected. */
     var redirectedAt = Double.NEGATIVE_INFINITY
         private set
 
-    /** Its last heartbeat was not answered with 200, as far as is known. */
-    var unserved = true
+    /** Whether no answer with status 200 to the worker's last heartbeat is known. */
+    var isUnserved = true
 
-    /** Its heartbeats are relayed until the leader redirects it. */
-    var relayed = false
+    /** Whether the worker's heartbeats are relayed until the leader redirects it. */
+    var isRelayed = false
         private set
 
-    /** Its heartbeat is on its way to the leader, in a batch. */
-    var inFlight = false
+    /** Whether a heartbeat of the worker was sent to the leader in a batch and is not answered yet. */
+    var isInFlight = false
+
+    /** The address that direct commands go to, as the worker gives it in its heartbeats; empty if it gives none. */
     var address = ""
+
+    /** The agent epoch in the worker's last heartbeat, which a direct command has to name. */
     var session = 0L
 
-    /** When this node last sent it a direct command to find out whether it can be reached. */
+    /** When this node last sent the worker a direct command to find out whether it can be reached. */
     var probedAt = Double.NEGATIVE_INFINITY
 
-    /** It has answered the last probe. */
-    var answeredProbe = false
+    /** Whether the worker has answered a direct command since the last probe was sent. */
+    var hasAnsweredProbe = false
 
-    /** It is redirected to [node] for the leader of [epoch]. */
-    fun noteRedirect(node: String, epoch: Long, now: Double) {
+    /** Records that the worker is redirected to [node] for the leader of [epoch]. */
+    fun recordRedirect(node: String, epoch: Long, now: Double) {
         redirectedTo = node
         redirectedEpoch = epoch
         redirectedAt = now
-        relayed = false
+        isRelayed = false
     }
 
-    /** It can't reach [leader]: its heartbeats are relayed from now on. */
-    fun keepRelaying(leader: LeadershipClaim) {
+    /** Records that the worker can't reach [leader] and that its heartbeats are relayed from now on. */
+    fun markAsRelayed(leader: LeadershipClaim) {
         redirectedTo = leader.node
         redirectedEpoch = leader.epoch
-        relayed = true
+        isRelayed = true
     }
 
-    /** Whether it was last redirected to [node], for the leader of [epoch]. */
+    /** Whether the worker was last redirected to [node] for the leader of [epoch]. */
     fun wasRedirectedTo(node: String, epoch: Long): Boolean = redirectedTo == node && redirectedEpoch == epoch
 }
 
-/** The workers that sent this node a heartbeat within a lease, and which of them no node serves. */
+/** The workers that sent this node a heartbeat within the duration of a lease, and which of them no node serves. */
 internal class SeenWorkers(private val ctx: Context) {
     private val workers = LinkedHashMap<String, SeenWorker>()
     private val probes = TokenBucket(ctx.time, PROBES_PER_SECOND)
-    private val times = ctx.settings.workers
+    private val workerTimes = ctx.settings.workers
 
-    /** How many workers sent a heartbeat within a heartbeat interval, however it was answered. */
-    val recentWorkers: Int get() = workers.values.count { ctx.now - it.lastSeenAt < times.longestReportS }
+    /** The number of workers that sent a heartbeat within the longest heartbeat interval, however it was answered. */
+    val recentWorkers: Int get() = workers.values.count { ctx.now - it.lastSeenAt < workerTimes.longestReportS }
 
     /**
-     * How many workers lately were served neither here nor, as far as is known, by the leader, and could be served by
-     * this node. A worker whose heartbeats arrive but that gets no answer goes round all nodes like one that can't
-     * reach the leader; leadership that moved for its sake would serve none more. Therefore only workers count that
-     * answered a direct command, and of those not probed yet the same share.
+     * An estimate of the number of workers that no node served recently, as far as is known, and that this node could
+     * serve. A worker whose heartbeats arrive but that receives no answer tries all nodes in turn, just like a worker
+     * that can't reach the leader; moving the leadership would not help it. Therefore only workers that answered a
+     * direct command count, and the same share of those whose probe has no result yet.
      */
-    val unserved: Int
+    val unservedCount: Int
         get() {
-            val unservedWorkers = workers.values.filter { isUnserved(it) }
-            val reached = unservedWorkers.count { it.answeredProbe }
-            val missed = unservedWorkers.count {
-                !it.answeredProbe && ctx.now - it.probedAt in PROBE_TIMEOUT_S..UNSERVED_S
+            val unservedWorkers = workers.values.filter { seemsUnserved(it) }
+            val reachedCount = unservedWorkers.count { it.hasAnsweredProbe }
+            val missedCount = unservedWorkers.count {
+                !it.hasAnsweredProbe && ctx.now - it.probedAt in PROBE_TIMEOUT_S..UNSERVED_S
             }
-            val probed = reached + missed
-            return if (probed == 0) 0 else unservedWorkers.size * reached / probed
+            val probedCount = reachedCount + missedCount
+            return if (probedCount == 0) 0 else unservedWorkers.size * reachedCount / probedCount
         }
 
     operator fun get(machine: String): SeenWorker? = workers[machine]
 
-    /** Takes note of [heartbeat], which counts as unserved until the leader's answer to it is passed on. */
+    /** Records that [heartbeat] arrived. Its worker is unserved until an answer with status 200 is passed on. */
     fun onHeartbeat(heartbeat: HeartbeatStatus): SeenWorker {
         val machine = heartbeat.machine
-        // The longest unseen first, so that the bound drops those.
+        // Moves the worker to the end, so that the limit drops the worker that has not been seen for longest.
         val worker = workers.remove(machine) ?: SeenWorker(ctx.now)
         workers[machine] = worker
         if (workers.size > MAX_WORKERS) workers.remove(workers.keys.first())
         worker.lastSeenAt = ctx.now
-        worker.unserved = true
+        worker.isUnserved = true
         worker.address = heartbeat.address
         worker.session = heartbeat.session
         return worker
     }
 
-    /** The worker on [machine] answered a direct command of this node. */
+    /** Records that the worker on [machine] answered a direct command of this node. */
     fun onCommandAnswered(machine: String) {
-        workers[machine]?.answeredProbe = true
+        workers[machine]?.hasAnsweredProbe = true
     }
 
-    /** Drops workers unseen for a lease and probes unserved ones; to be called regularly. */
+    /** Drops workers not seen for the duration of a lease, and probes unserved ones. Called regularly. */
     fun tick() {
-        while (workers.isNotEmpty() && ctx.now - workers.values.first().lastSeenAt > times.leaseS) {
+        while (workers.isNotEmpty() && ctx.now - workers.values.first().lastSeenAt > workerTimes.leaseS) {
             workers.remove(workers.keys.first())
         }
         probeUnserved()
     }
 
-    /** Forgets all workers. */
     fun clear() = workers.clear()
 
-    private fun isUnserved(worker: SeenWorker): Boolean =
-        worker.unserved && !worker.inFlight && ctx.now - worker.lastSeenAt < UNSERVED_S
+    private fun seemsUnserved(worker: SeenWorker): Boolean =
+        worker.isUnserved && !worker.isInFlight && ctx.now - worker.lastSeenAt < UNSERVED_S
 
     /**
-     * Sends commands without a fencing token. A worker refuses such a command and changes nothing, but its answer shows
-     * that the path is open in both directions.
+     * Probes unserved workers with commands that carry the fencing token 0. A worker refuses such a command and changes
+     * nothing, but its answer shows that the path is open in both directions.
      */
     private fun probeUnserved() {
         for ((machine, worker) in workers) {
-            if (!isUnserved(worker) || worker.address.isEmpty() || ctx.now - worker.probedAt < UNSERVED_S) continue
+            if (!seemsUnserved(worker) || worker.address.isEmpty() || ctx.now - worker.probedAt < UNSERVED_S) continue
             if (!probes.tryTake(1)) return
             worker.probedAt = ctx.now
-            worker.answeredProbe = false
+            worker.hasAnsweredProbe = false
             val command = WorkerCodec.commands(0, worker.session, emptyList())
             ctx.out.add(Effect.WorkerPost(machine, worker.address, command))
         }
     }
 
     private companion object {
+        /** How long a worker counts as unserved after its last heartbeat, and the interval between two probes of it. */
         const val UNSERVED_S = 5.0
 
-        /** A worker answers a command in some milliseconds; one that has not within this time is out of reach. */
+        /** A worker answers a command within milliseconds, so one that has not answered by then can't be reached. */
         const val PROBE_TIMEOUT_S = 1.0
 
-        /** A sample is enough to tell whether most can be reached; at each failover all workers come at once. */
+        /**
+         * A sample of the workers is enough to tell whether most of them can be reached. The limit matters at a
+         * failover, when all workers connect at once.
+         */
         const val PROBES_PER_SECOND = 8.0
         const val MAX_WORKERS = 20_000
     }
--- a/src/main/kotlin/plankwall/core/relay/SessionRedirects.kt
+++ b/src/main/kotlin/plankwall/core/relay/SessionRedirects.kt
@@ -7,26 +7,30 @@
 
 /** Decides which workers the leader redirects to the nodes that serve their sessions. */
 internal class SessionRedirects(private val ctx: Context, private val sessions: SessionPlanner) {
-    /** The node [assigned] to serve a worker's session, when it last did, and when the worker was redirected there. */
-    private class Assignment(val assigned: String, var pauseS: Double) {
+    /**
+     * The [node] that is assigned to serve a worker's session, when it last served it, and when the worker was last
+     * redirected there; times in seconds. After either, the worker is not redirected there again for [pauseS].
+     */
+    private class Assignment(val node: String, var pauseS: Double) {
         var servedAt = Machine.NEVER
         var redirectedAt = Machine.NEVER
     }
 
-    private val byMachine = HashMap<Int, Assignment>()
+    private val assignmentsByMachine = HashMap<Int, Assignment>()
     private val leaseS = ctx.settings.workers.leaseS
 
     /**
-     * The node that the worker of [machine] is to be redirected to, whose heartbeat came to the node [through]; null if
-     * it is to be served as it came. A worker that its node served less than a lease ago has left that for a reason,
-     * and one that was redirected there and is here did not get there: both are served as they come for a while, longer
-     * each time.
+     * Returns the node that the worker on [machine] is to be redirected to, or null if its heartbeat is to be answered
+     * without a redirect. [receivingNode] is the node that received the heartbeat, which may be the leader itself. A
+     * worker that its assigned node served less than a lease ago has left that node for a reason, and one that was
+     * redirected there and sends heartbeats elsewhere could not reach it. Both are served wherever they connect for a
+     * while; after a failed redirect that pause doubles, up to a limit.
      */
-    fun targetFor(machine: Machine, zone: String, through: String): String? {
-        val assigned = sessions.assignedNode(machine.id, zone) ?: return null
-        val assignment = byMachine[machine.ix.value]?.takeIf { it.assigned == assigned }
-            ?: Assignment(assigned, leaseS).also { byMachine[machine.ix.value] = it }
-        if (through == assigned) {
+    fun targetFor(machine: Machine, zone: String, receivingNode: String): String? {
+        val assignedNode = sessions.assignedNode(machine.id, zone) ?: return null
+        val assignment = assignmentsByMachine[machine.ix.value]?.takeIf { it.node == assignedNode }
+            ?: Assignment(assignedNode, leaseS).also { assignmentsByMachine[machine.ix.value] = it }
+        if (receivingNode == assignedNode) {
             assignment.servedAt = ctx.now
             assignment.pauseS = leaseS
             return null
@@ -36,13 +40,13 @@
             assignment.pauseS = (assignment.pauseS * 2).coerceAtMost(leaseS * MAX_PAUSE_LEASES)
         }
         assignment.redirectedAt = ctx.now
-        return assigned
+        return assignedNode
     }
 
-    /** Forgets machines that are no longer in [fleet], once they are many. */
+    /** Drops the assignments of machines that are no longer in [fleet] once there are twice as many as machines. */
     fun prune(fleet: Fleet) {
-        if (byMachine.size > fleet.machines.size * 2) {
-            byMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+        if (assignmentsByMachine.size > fleet.machines.size * 2) {
+            assignmentsByMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
         }
     }
 
--- a/src/main/kotlin/plankwall/core/relay/ZoneScouts.kt
+++ b/src/main/kotlin/plankwall/core/relay/TrialRedirects.kt
@@ -1,20 +1,20 @@
 package plankwall.core.relay
 
-/** Counts the workers of each zone that are redirected to a new leader first, to find out whether they reach it. */
-internal class ZoneScouts {
+/** Limits the number of workers of each zone that are redirected to a new leader on trial, to see if they reach it. */
+internal class TrialRedirects {
     private val sentByZone = HashMap<String, Int>()
     private var epoch = 0L
 
-    /** Counts one more worker of [zone] for the leader of [epoch]; true if it is to go as a scout. */
+    /** Counts a worker of [zone] for the leader of [epoch]. Returns whether it is among the first, to be redirected. */
     fun trySend(epoch: Long, zone: String): Boolean {
         if (this.epoch != epoch) sentByZone.clear()
         this.epoch = epoch
         val sent = (sentByZone[zone] ?: 0) + 1
         sentByZone[zone] = sent
-        return sent <= SCOUTS_PER_ZONE
+        return sent <= TRIALS_PER_ZONE
     }
 
     private companion object {
-        const val SCOUTS_PER_ZONE = 2
+        const val TRIALS_PER_ZONE = 2
     }
 }
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -13,8 +13,9 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Handles workers' heartbeats on a node that does not lead: redirects the workers to the leader, or, where they can't
- * reach it, relays their heartbeats and the leader's answers.
+ * Handles workers' heartbeats on a node that does not lead. It redirects the workers to the leader, or relays their
+ * heartbeats and the leader's answers. The heartbeats are relayed for workers that the leader's session plan assigns to
+ * a node, that can't reach the leader, or that wait until the leader is known to be reachable from their zone.
  */
 class WorkerRelay(
     private val ctx: Context,
@@ -24,19 +25,19 @@
     private val workers = SeenWorkers(ctx)
     private val forwarder = HeartbeatForwarder(ctx, reachability, routing, workers)
     private val zoneReach = LeaderZoneReach(reachability)
-    private val scouts = ZoneScouts()
-    private val times = ctx.settings.workers
+    private val trialRedirects = TrialRedirects()
+    private val workerTimes = ctx.settings.workers
 
-    /** How many workers sent a heartbeat here within a heartbeat interval, however it was answered. */
+    /** The number of workers that sent a heartbeat here within the longest heartbeat interval, however answered. */
     val recentWorkers: Int get() = workers.recentWorkers
 
-    /** How many workers no node serves, as far as this node could serve them ([SeenWorkers.unserved]). */
-    val unservedWorkers: Int get() = workers.unserved
+    /** The number of workers that no node serves and that this node could serve ([SeenWorkers.unservedCount]). */
+    val unservedWorkers: Int get() = workers.unservedCount
 
-    /** The worker on [machine] answered a direct command of this node. */
+    /** Records that the worker on [machine] answered a direct command of this node. */
     fun onCommandAnswered(machine: String) = workers.onCommandAnswered(machine)
 
-    /** Answers a heartbeat, now or once the leader's answer to the relayed heartbeat comes. */
+    /** Answers a heartbeat, either at once or, if it is relayed, when the leader's answer arrives. */
     fun onHeartbeat(input: Input.Heartbeat) {
         val worker = workers.onHeartbeat(input.report)
         val leader = routing.leader()
@@ -44,61 +45,73 @@
             ctx.out.rejectHeartbeat(input.request, "no leader is known")
             return
         }
-        val assigned = assignedNode(leader, input.report)
-        if (assigned != null) {
-            serveAssigned(input, worker, leader, assigned)
+        val assignedNode = findAssignedNode(leader, input.report)
+        if (assignedNode != null) {
+            serveAssigned(input, worker, leader, assignedNode)
         } else {
             serveUnassigned(input, worker, leader)
         }
     }
 
-    /** The node that the leader's plan assigns the worker's session to; null if it spreads none there. */
-    private fun assignedNode(leader: LeadershipClaim, heartbeat: HeartbeatStatus): String? =
+    /** Returns the node that the leader's session plan assigns the worker to; null if no plan covers its zone. */
+    private fun findAssignedNode(leader: LeadershipClaim, heartbeat: HeartbeatStatus): String? =
         reachability.sessionPlanOf(leader)?.let { SessionAssignment.nodeFor(it, heartbeat.machine, heartbeat.zone) }
 
     /**
-     * Where sessions are spread, the leader decides from the relayed heartbeat whether the worker should go elsewhere;
-     * its plan decides only if the heartbeat can't be relayed.
+     * Handles a heartbeat of a worker that the leader's plan assigns to a node. The heartbeat is relayed even if the
+     * worker is assigned to another node: the leader's answer then redirects the worker if needed. This node redirects
+     * the worker according to the plan only if the heartbeat can't be relayed.
      */
-    private fun serveAssigned(input: Input.Heartbeat, worker: SeenWorker, leader: LeadershipClaim, assigned: String) {
-        if (forwarder.relay(input, leader)) return
-        if (assigned != ctx.settings.node && !cameBack(worker, leader, assigned)) {
-            redirect(input.request, worker, leader, assigned)
+    private fun serveAssigned(
+        input: Input.Heartbeat,
+        worker: SeenWorker,
+        leader: LeadershipClaim,
+        assignedNode: String,
+    ) {
+        if (forwarder.relayHeartbeat(input, leader)) return
+        if (assignedNode != ctx.settings.node && !hasFailedToReach(worker, leader, assignedNode)) {
+            redirect(input.request, worker, leader, assignedNode)
         } else {
-            rejectOrRetry(input.request, worker, leader)
+            rejectOrRedirectAgain(input.request, worker, leader)
         }
     }
 
+    /** Handles a heartbeat of a worker that is to connect to the leader. */
     private fun serveUnassigned(input: Input.Heartbeat, worker: SeenWorker, leader: LeadershipClaim) {
         val zone = input.report.zone
-        if (cameBack(worker, leader, leader.node) || zoneReach.isMostlyCutOff(leader, zone)) {
-            if (forwarder.relay(input, leader)) {
-                worker.keepRelaying(leader)
+        if (hasFailedToReach(worker, leader, leader.node) || zoneReach.isMostlyCutOff(leader, zone)) {
+            if (forwarder.relayHeartbeat(input, leader)) {
+                worker.markAsRelayed(leader)
             } else {
-                rejectOrRetry(input.request, worker, leader)
+                rejectOrRedirectAgain(input.request, worker, leader)
             }
             return
         }
-        // Scouts of each zone go first; the other workers are served here until one of them has arrived.
-        val waitsForScouts = zoneReach.isUntried(leader, zone) && !scouts.trySend(leader.epoch, zone)
-        if (waitsForScouts && forwarder.relay(input, leader)) return
+        // The first workers of each zone are redirected on trial. The others are relayed here until the leader has had
+        // a direct heartbeat from one worker of the zone.
+        val waitsForTrials = zoneReach.hasNoDirectWorker(leader, zone) && !trialRedirects.trySend(leader.epoch, zone)
+        if (waitsForTrials && forwarder.relayHeartbeat(input, leader)) return
         redirect(input.request, worker, leader)
     }
 
-    /** The worker was redirected to [node] for this very leader and is here again: it can't get there. */
-    private fun cameBack(worker: SeenWorker, leader: LeadershipClaim, node: String): Boolean =
+    /**
+     * Whether the worker can't reach [node]: it was redirected there in this leader's epoch and is back within a lease,
+     * or its heartbeats have been relayed since.
+     */
+    private fun hasFailedToReach(worker: SeenWorker, leader: LeadershipClaim, node: String): Boolean =
         worker.wasRedirectedTo(node, leader.epoch) &&
-            (worker.relayed || ctx.now - worker.redirectedAt < times.leaseS)
+            (worker.isRelayed || ctx.now - worker.redirectedAt < workerTimes.leaseS)
 
     /**
-     * For a worker that the leader can't be reached for from here either: another node may do better. After a while it
-     * is redirected to the leader again: when a partition between zones heals, its own path may be open before that of
-     * the nodes is known to be.
+     * Answers a worker whose heartbeat can't be relayed, usually since this node does not reach the leader either. The
+     * request is rejected, so that the worker tries another node, which may reach the leader. After a while the worker
+     * is redirected to the leader again: when a partition between zones heals, the worker's own path may be open before
+     * the path between the nodes is known to be.
      */
-    private fun rejectOrRetry(request: RequestId, worker: SeenWorker, leader: LeadershipClaim) {
-        val triedLately =
-            worker.redirectedEpoch == leader.epoch && ctx.now - worker.redirectedAt < times.longestReportS
-        if (triedLately) {
+    private fun rejectOrRedirectAgain(request: RequestId, worker: SeenWorker, leader: LeadershipClaim) {
+        val wasRedirectedRecently =
+            worker.redirectedEpoch == leader.epoch && ctx.now - worker.redirectedAt < workerTimes.longestReportS
+        if (wasRedirectedRecently) {
             ctx.out.rejectHeartbeat(request, "the leader can't be reached from here")
         } else {
             redirect(request, worker, leader)
@@ -106,25 +119,28 @@
     }
 
     private fun redirect(request: RequestId, worker: SeenWorker, leader: LeadershipClaim, node: String = leader.node) {
-        worker.noteRedirect(node, leader.epoch, ctx.now)
+        worker.recordRedirect(node, leader.epoch, ctx.now)
         ctx.out.answer(request, 421, WorkerCodec.reportTo(node))
     }
 
-    /** The leader's answer to a relayed heartbeat. */
+    /** Passes on the leader's answer to a relayed heartbeat. */
     fun onAnswer(answer: RelayedAnswer) = forwarder.onAnswer(answer)
 
-    /** The leader's answers to heartbeats relayed in a batch. */
+    /** Passes on the leader's answers to heartbeats that were relayed in a batch. */
     fun onAnswer(batch: AnswerBatch) = forwarder.onAnswer(batch)
 
-    /** Sends batches, times out relayed heartbeats and probes unserved workers; to be called regularly. */
+    /** Sends batches, times out relayed heartbeats and probes unserved workers. Called regularly. */
     fun tick() {
         forwarder.tick()
         workers.tick()
     }
 
-    /** This node leads now: what waits for another leader is answered, and the workers are its own. */
+    /**
+     * Rejects the heartbeats that wait for another leader's answer and drops all workers, since this node was elected
+     * and answers the workers itself.
+     */
     fun onLeadershipGained() {
-        forwarder.rejectAll("the lead has passed on")
+        forwarder.rejectAll("this node was elected as the leader")
         workers.clear()
     }
 }
--- a/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
+++ b/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
@@ -3,19 +3,20 @@
 import plankwall.core.state.Machine
 import plankwall.core.statemachine.Context
 
-/** Which zones' workers can be reached directly, by what was received from any of them. */
+/** Tracks which zones' workers can be reached directly: a message from one worker counts for its whole zone. */
 internal class ZonePaths(private val ctx: Context) {
+    /** By zone, when a worker last sent a direct heartbeat or answered a direct command, in seconds. */
     private val lastOpenAt = HashMap<String, Double>()
 
-    /** Since when direct commands to a zone's machines, whose sessions other nodes serve, have gone unanswered. */
+    /** By zone, since when no direct command to a machine whose session another node serves has been answered. */
     private val unansweredSince = HashMap<String, Double>()
 
-    /** The worker on [machine] sent a heartbeat directly. */
+    /** Records that the worker on [machine] sent a heartbeat directly. */
     fun onDirectHeartbeat(machine: Machine) {
         machine.group?.let { lastOpenAt[it.zone] = ctx.now }
     }
 
-    /** The worker on [machine] answered a direct command. */
+    /** Records that the worker on [machine] answered a direct command. */
     fun onCommandAnswered(machine: Machine) {
         machine.group?.let {
             lastOpenAt[it.zone] = ctx.now
@@ -23,27 +24,30 @@
         }
     }
 
-    /** A direct command was sent to [machine], whose session another node serves. */
+    /** Records that a direct command was sent to [machine], whose session another node serves. */
     fun onCommandSent(machine: Machine) {
         machine.group?.let { unansweredSince.putIfAbsent(it.zone, ctx.now) }
     }
 
-    /** Some worker of the machine's zone sent a heartbeat directly or was reached within a heartbeat interval. */
+    /**
+     * Whether a worker of the machine's zone sent a direct heartbeat or answered a direct command within the longest
+     * heartbeat interval.
+     */
     fun isOpen(machine: Machine): Boolean =
         ctx.now - (lastOpenAt[machine.group?.zone] ?: Machine.NEVER) < ctx.settings.workers.longestReportS
 
     /**
-     * Commands to the machine's zone go unanswered. Half of the time they are let through all the same, to find out
-     * when the path is open again.
+     * Whether direct commands to the machine's zone are held back now, since they go unanswered. Sending and holding
+     * back alternate for equal periods, so that the leader finds out when the path is open again.
      */
     fun areCommandsHeldBack(machine: Machine): Boolean {
         val zone = machine.group?.zone ?: return false
         val since = unansweredSince[zone] ?: return false
-        return (ctx.now - since) % (HOLD_BACK_S * 2) >= HOLD_BACK_S
+        return (ctx.now - since) % (HOLD_BACK_PERIOD_S * 2) >= HOLD_BACK_PERIOD_S
     }
 
     private companion object {
-        /** A worker answers a command within 3 s, or its caller gives up. */
-        const val HOLD_BACK_S = 4.0
+        /** Longer than the 3 s after which the sender of an unanswered command gives up. */
+        const val HOLD_BACK_PERIOD_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBaselines.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBaselines.kt
@@ -6,37 +6,37 @@
 import plankwall.wire.UnchangedHeartbeat
 
 /**
- * The leader's copy of the newest full heartbeat of each worker, by the node that sent it: what an
- * [UnchangedHeartbeat] refers to. A reference that can't be resolved is not guessed: its sender is asked for the full
- * heartbeat.
+ * The leader's copies of the newest full heartbeat of each worker, by the node that relayed it. An [UnchangedHeartbeat]
+ * refers to such a copy, called its baseline. If the baseline is not known, the leader does not guess the content but
+ * asks the sender for the full heartbeat.
  */
 class HeartbeatBaselines {
     private class Baseline(val id: Long, val heartbeat: HeartbeatStatus)
 
-    private val byNode = HashMap<String, LinkedHashMap<String, Baseline>>()
+    private val baselinesByNode = HashMap<String, LinkedHashMap<String, Baseline>>()
 
-    /** The heartbeat that [sent] by [node] stands for, or null if the one that it refers to is not known here. */
-    fun resolve(node: String, sent: BatchedHeartbeat): HeartbeatStatus? = when (sent) {
-        is FullHeartbeat -> sent.report.also { keep(node, sent) }
+    /** Returns the full content of [batched], which [node] sent, or null if the baseline that it names is not known. */
+    fun resolve(node: String, batched: BatchedHeartbeat): HeartbeatStatus? = when (batched) {
+        is FullHeartbeat -> batched.report.also { storeBaseline(node, batched) }
         is UnchangedHeartbeat ->
-            byNode[node]?.get(sent.machine)
-                ?.takeIf { it.id == sent.baseId }
-                ?.heartbeat?.copy(seq = sent.seq, token = sent.token)
+            baselinesByNode[node]?.get(batched.machine)
+                ?.takeIf { it.id == batched.baseId }
+                ?.heartbeat?.copy(seq = batched.seq, token = batched.token)
     }
 
-    private fun keep(node: String, sent: FullHeartbeat) {
-        val baselines = byNode.getOrPut(node) { LinkedHashMap() }
-        val known = baselines[sent.report.machine]
-        // Frames may come late, and twice.
-        if (known != null && known.id >= sent.id) return
-        // Newest last, so that the bound drops what was not sent in full for longest.
-        baselines.remove(sent.report.machine)
-        baselines[sent.report.machine] = Baseline(sent.id, sent.report)
+    private fun storeBaseline(node: String, batched: FullHeartbeat) {
+        val baselines = baselinesByNode.getOrPut(node) { LinkedHashMap() }
+        val existing = baselines[batched.report.machine]
+        // Frames may arrive late or twice, so an older heartbeat must not replace a newer one.
+        if (existing != null && existing.id >= batched.id) return
+        // Moves the baseline to the end, so that the limit drops the one that was sent in full least recently.
+        baselines.remove(batched.report.machine)
+        baselines[batched.report.machine] = Baseline(batched.id, batched.report)
         if (baselines.size > MAX_BASELINES) baselines.remove(baselines.keys.first())
     }
 
     private companion object {
-        /** For each node: more sessions than a node has sockets for. */
+        /** The limit for each node, above the number of sessions that a node has sockets for. */
         const val MAX_BASELINES = 4_000
     }
 }
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -10,13 +10,18 @@
 import plankwall.wire.UnchangedHeartbeat
 
 /**
- * Collects the heartbeats of the workers whose sessions this node serves into few frames for the leader. A heartbeat
- * that only repeats one that the leader has received from this node is sent as a reference to that.
+ * Collects the heartbeats of the workers whose sessions this node serves into a few large frames for the leader. A
+ * heartbeat that only repeats one that the leader has received from this node, the baseline, is sent as a reference to
+ * it.
  */
 class HeartbeatBatcher(private val ctx: Context, private val reachability: ReachabilityMatrix) {
-    /** A full heartbeat that the leader of [epoch] has answered, so that it has it. */
+    /** A heartbeat that was sent in full as [id] and is known to the leader of [epoch], since that answered it. */
     private class Baseline(val id: Long, val epoch: Long, val heartbeat: HeartbeatStatus)
 
+    /**
+     * The heartbeats collected for [leader] and not sent yet. [echo] is the sequence number of the leader's newest
+     * frame when the batch was opened, at [openedAt] in seconds.
+     */
     private class OpenBatch(val leader: LeadershipClaim, val echo: Long, val openedAt: Double) {
         val heartbeats = ArrayList<BatchedHeartbeat>()
         var bytes = 0
@@ -26,29 +31,31 @@
     private val baselines = LinkedHashMap<String, Baseline>()
     private var openBatch: OpenBatch? = null
 
-    /** Heartbeats sent in full so far. */
-    var fullSent = 0L
+    /** The number of heartbeats sent in full so far. */
+    var fullSentCount = 0L
         private set
 
-    /** Heartbeats sent as references so far. */
-    var unchangedSent = 0L
+    /** The number of heartbeats sent as references so far. */
+    var unchangedSentCount = 0L
         private set
 
     /**
-     * Adds [heartbeat] under the number [id] to the batch for [leader]; what was collected for another leader is
-     * dropped. [inFull]: not as a reference. Returns whether it goes in full: its answer then proves that the leader
-     * has it.
+     * Adds [heartbeat] under the number [id] to the batch for [leader]; a batch that was collected for another leader
+     * is dropped. With [forceFull] the heartbeat is never sent as a reference. Returns whether it is sent in full: its
+     * answer then proves that the leader knows it, and the caller reports that to [onAnswered].
+     *
+     * @param address where the heartbeat came from, or empty
      */
     fun add(
         id: Long,
         leader: LeadershipClaim,
         address: String,
         heartbeat: HeartbeatStatus,
-        inFull: Boolean = false,
+        forceFull: Boolean = false,
     ): Boolean {
         val batch = openBatch?.takeIf { it.leader.epoch == leader.epoch }
             ?: OpenBatch(leader, reachability.lastSeqFrom(leader.node), ctx.now).also { openBatch = it }
-        val baseline = if (inFull) null else baselineFor(leader, heartbeat)
+        val baseline = if (forceFull) null else baselineFor(leader, heartbeat)
         val entry = if (baseline == null) {
             batch.hasChanges = true
             FullHeartbeat(id, address, heartbeat)
@@ -60,31 +67,33 @@
         return baseline == null
     }
 
+    /** Returns the baseline that [heartbeat] repeats, or null if it has to be sent to [leader] in full. */
     private fun baselineFor(leader: LeadershipClaim, heartbeat: HeartbeatStatus): Baseline? =
         baselines[heartbeat.machine]?.takeIf {
             it.epoch == leader.epoch && isRepeat(it.heartbeat, heartbeat)
         }
 
     /**
-     * Whether all but the sequence number and the token is the same. A termination notice counts down, so a heartbeat
-     * with one never is.
+     * Whether [heartbeat] equals [baseline] except for its sequence number and token. A heartbeat with a termination
+     * notice never counts as a repeat, since the remaining time in the notice counts down.
      */
     private fun isRepeat(baseline: HeartbeatStatus, heartbeat: HeartbeatStatus): Boolean =
         heartbeat.noticeS == null && baseline == heartbeat.copy(seq = baseline.seq, token = baseline.token)
 
-    /** The leader of [epoch] has answered [heartbeat], which was sent in full as [id]. */
+    /** Keeps [heartbeat] as a baseline: it was sent in full as [id], and the leader of [epoch] has answered it. */
     fun onAnswered(id: Long, epoch: Long, heartbeat: HeartbeatStatus) {
-        val known = baselines[heartbeat.machine]
-        if (known != null && known.epoch == epoch && known.id >= id) return
+        val existing = baselines[heartbeat.machine]
+        if (existing != null && existing.epoch == epoch && existing.id >= id) return
         baselines.remove(heartbeat.machine)
         baselines[heartbeat.machine] = Baseline(id, epoch, heartbeat)
         if (baselines.size > MAX_BASELINES) baselines.remove(baselines.keys.first())
     }
 
     /**
-     * Takes out the frames for the leader of [epoch] that are due: at once if something changed, otherwise after a
-     * while. What was collected for another leader is not sent, since its workers retry. [isAwaited]: whether the
-     * answer to a heartbeat is still waited for.
+     * Removes the collected heartbeats for the leader of [epoch] and returns them as frames, once they are due; empty
+     * before. They are due at once if one of them is sent in full or the batch is as large as a frame, otherwise after
+     * [UNCHANGED_DELAY_S]. Heartbeats collected for another leader are not sent, since their workers retry. Those for
+     * which [isAwaited] is false are left out: nobody waits for their answer any more.
      */
     fun takeDue(epoch: Long, isAwaited: (id: Long) -> Boolean): List<HeartbeatBatch> {
         val batch = openBatch?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
@@ -93,12 +102,12 @@
         if (!isDue) return emptyList()
         openBatch = null
         val awaited = batch.heartbeats.filter { isAwaited(it.id) }
-        awaited.forEach { if (it is FullHeartbeat) fullSent++ else unchangedSent++ }
+        awaited.forEach { if (it is FullHeartbeat) fullSentCount++ else unchangedSentCount++ }
         return splitIntoFrames(awaited).map { HeartbeatBatch(ctx.settings.node, batch.leader.epoch, batch.echo, it) }
     }
 
     private fun estimatedBytes(entry: BatchedHeartbeat): Int =
-        if (entry is FullHeartbeat) FULL_BYTES + entry.report.tasks.size * TASK_BYTES else UNCHANGED_BYTES
+        if (entry is FullHeartbeat) FULL_BYTES + entry.report.tasks.size * TASK_STATUS_BYTES else UNCHANGED_BYTES
 
     private fun splitIntoFrames(entries: List<BatchedHeartbeat>): List<List<BatchedHeartbeat>> {
         val frames = ArrayList<ArrayList<BatchedHeartbeat>>()
@@ -115,20 +124,22 @@
         return frames
     }
 
-    /** Drops what was collected and the baselines, since this node leads itself now. */
+    /** Drops the open batch and all baselines. Called when this node becomes the leader. */
     fun clear() {
         openBatch = null
         baselines.clear()
     }
 
     private companion object {
-        /** Rough sizes in a frame, rounded up. */
+        // The estimated sizes of a full heartbeat without tasks, a task in it, and a reference, rounded up.
         const val FULL_BYTES = 200
-        const val TASK_BYTES = 60
+        const val TASK_STATUS_BYTES = 60
         const val UNCHANGED_BYTES = 90
 
-        /** Below the largest frame, with a margin for what the rough sizes miss. */
+        /** Below the size limit of a frame, with a margin for the error of the estimated sizes. */
         const val MAX_FRAME_BYTES = 40_000
+
+        /** How long unchanged heartbeats wait for others to share a frame with. */
         const val UNCHANGED_DELAY_S = 0.2
         const val MAX_BASELINES = 4_000
     }
--- a/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionAssignment.kt
@@ -6,19 +6,19 @@
 import kotlin.math.ln
 
 /**
- * Assigns workers' sessions to nodes by weighted rendezvous hashing. Each node computes the same from the same plan,
- * and a node that joins or leaves moves only the workers that it gets or had.
+ * Assigns workers' sessions to nodes by weighted rendezvous hashing. All nodes compute the same assignment from the
+ * same plan. When a node joins or leaves, only the workers that are or were assigned to it are moved.
  */
 object SessionAssignment {
-    /** The node that serves the session of [machine]; null if [plan] has no entry for [zone]: the leader serves it. */
+    /** Returns the node that serves the session of [machine]; null if the leader does, as [plan] lacks its [zone]. */
     fun nodeFor(plan: SessionPlan, machine: String, zone: String): String? =
-        plan.zones[zone]?.maxByOrNull { score(it, machine) }?.node
+        plan.zones[zone]?.maxByOrNull { computeScore(it, machine) }?.node
 
-    private fun score(share: SessionShare, machine: String): Double {
+    private fun computeScore(share: SessionShare, machine: String): Double {
         val hash = Hashing.murmur3_128().hashString("${share.node}|$machine", Charsets.UTF_8).asLong()
-        // Evenly spread over (0, 1), without its ends.
-        val unit = ((hash ushr UNUSED_BITS) + 0.5) / (1L shl MANTISSA_BITS)
-        return share.weight / -ln(unit)
+        // Uniformly distributed over the open interval (0, 1), so that the logarithm is finite and not 0.
+        val uniform = ((hash ushr UNUSED_BITS) + 0.5) / (1L shl MANTISSA_BITS)
+        return share.weight / -ln(uniform)
     }
 
     private const val MANTISSA_BITS = 53
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -11,93 +11,101 @@
 import kotlin.math.abs
 
 /**
- * The leader's plan of which node serves which workers' sessions. While they fit on the leader, all workers come to it.
- * From [plankwall.model.Tuning.spreadSessionsAt] of its capacity on, the other nodes serve them, and the leader only
- * what exceeds their capacity, since its own processor is what all nodes depend on.
+ * Makes the leader's plan of which node serves which workers' sessions. Below the share
+ * [plankwall.model.Tuning.spreadSessionsAt] of the leader's capacity, all workers connect to the leader. From that
+ * share on, the sessions are spread over the other nodes, and the leader serves only those that exceed their capacity,
+ * since all nodes depend on the leader's processor. A share of 0 disables the plan.
  *
- * @param inherited the previous leader's plan, kept until this one knows its machines, so that a failover moves no
- *   worker
+ * @param inheritedPlan the previous leader's plan, which stays in force for the duration of a lease until this leader
+ *   knows its machines, so that a failover moves no worker; null if there is none
  */
 class SessionPlanner(
     private val ctx: Context,
     private val reachability: ReachabilityMatrix,
     private val fleet: Fleet,
     private val epoch: Long,
-    inherited: SessionPlan?,
+    inheritedPlan: SessionPlan?,
 ) {
     private val log = LoggerFactory.getLogger("sessions")
     private val startedAt = ctx.now
     private val ownCapacity = ctx.settings.sessionCapacity
-    private val enabled = ctx.tuning.spreadSessionsAt > 0
-    private val previousPlan = inherited?.takeIf { enabled }
-    private var spread = previousPlan != null
+    private val isEnabled = ctx.tuning.spreadSessionsAt > 0
+    private val previousPlan = inheritedPlan?.takeIf { isEnabled }
+    private var isSpread = previousPlan != null
     private val knownNodes = HashMap<String, KnownNode>()
     private val assignedNodes = HashMap<String, String?>()
-    private var plannedFor = PlanBasis(emptySet(), emptyMap(), false)
+    private var planBasis = PlanBasis(emptySet(), emptyMap(), false)
     private var nextCheckAt = ctx.now
 
-    /** Another node that has been fresh without a break [since] a moment, until [lastFreshAt]. */
-    private class KnownNode(val since: Double) {
-        var lastFreshAt = since
+    /**
+     * Another node that serves sessions. Its status has been fresh from [freshSince] to [lastFreshAt], with gaps of at
+     * most half a lease. Both times are in seconds.
+     */
+    private class KnownNode(val freshSince: Double) {
+        var lastFreshAt = freshSince
         var capacity = 0
     }
 
-    /** What a plan was made from: the nodes, the workers by zone, and whether shares were taken from [previousPlan]. */
-    private class PlanBasis(val nodes: Set<String>, val demand: Map<String, Int>, val inherited: Boolean)
+    /**
+     * The input of a plan: the names of the other nodes, the number of workers by zone, and whether the shares are
+     * taken from [previousPlan].
+     */
+    private class PlanBasis(val nodes: Set<String>, val demand: Map<String, Int>, val isInherited: Boolean)
 
-    /** The plan in force; null if all workers come to the leader. */
+    /** The plan in force; null if all workers connect to the leader. */
     var plan: SessionPlan? = null
         private set(value) {
             field = value
             assignedNodes.clear()
         }
 
-    /** The other node that serves the session of [machine], or null if the leader does. */
+    /** Returns the other node that serves the session of [machine], or null if the leader does. */
     fun assignedNode(machine: String, zone: String): String? {
-        val current = plan ?: return null
+        val currentPlan = plan ?: return null
         return assignedNodes.getOrPut(machine) {
-            SessionAssignment.nodeFor(current, machine, zone)?.takeIf { it != ctx.settings.node }
+            SessionAssignment.nodeFor(currentPlan, machine, zone)?.takeIf { it != ctx.settings.node }
         }
     }
 
-    /** The other node that serves the session of [machine], or null if the leader does or its zone is not known. */
+    /** Returns the other node that serves the session of [machine]; null if the leader does or the zone is unknown. */
     fun assignedNode(machine: Machine): String? = machine.group?.let { assignedNode(machine.id, it.zone) }
 
-    /** Adapts the plan to the nodes and workers there are; to be called regularly. */
+    /** Adapts the plan to the current nodes and workers. Called regularly by the leader. */
     fun tick() {
-        if (!enabled || ctx.now < nextCheckAt) return
+        if (!isEnabled || ctx.now < nextCheckAt) return
         nextCheckAt = ctx.now + CHECK_INTERVAL_S
         val nodes = availableNodes()
-        val demand = demandByZone()
+        val demand = countWorkersByZone()
         updateSpread(demand.values.sum(), nodes)
         val basis = PlanBasis(nodes.map { it.name }.toSet(), demand, isInheriting())
         when {
-            !spread -> if (plan != null) gather()
-            plan != null && !differs(basis) -> Unit
+            !isSpread -> if (plan != null) gatherSessions()
+            plan != null && !differsFromPlan(basis) -> Unit
             else -> makePlan(basis, nodes)
         }
     }
 
     /**
-     * Sessions are spread above the part of the capacity that the settings name, and gathered again well below it, so
-     * that a few machines more or less move no worker.
+     * Decides whether sessions are spread. They are spread from the configured share of the capacity on, and gathered
+     * on the leader only well below it, so that a few machines more or less move no worker.
      */
-    private fun updateSpread(machines: Int, nodes: List<SessionNode>) {
-        val limit = ownCapacity * ctx.tuning.spreadSessionsAt
-        spread = when {
+    private fun updateSpread(workerCount: Int, nodes: List<SessionNode>) {
+        val spreadLimit = ownCapacity * ctx.tuning.spreadSessionsAt
+        isSpread = when {
             nodes.isEmpty() -> false
             isInheriting() -> true
-            spread -> machines >= limit * GATHER_BELOW
-            else -> machines >= limit
+            isSpread -> workerCount >= spreadLimit * GATHER_BELOW_SHARE
+            else -> workerCount >= spreadLimit
         }
     }
 
+    /** Whether the previous leader's plan is still used: for the duration of a lease after the election. */
     private fun isInheriting(): Boolean = previousPlan != null && ctx.now < startedAt + ctx.settings.workers.leaseS
 
     /**
-     * Other nodes that are connected in both directions, serve sessions, and have done so for a while. A node that is
-     * silent stays for half a lease: its workers find another path by themselves, and if this node itself was paused
-     * for a moment, all workers would be moved for nothing.
+     * Returns the other nodes that are connected in both directions, serve sessions, and have done so for a while. A
+     * node that is silent is kept for half a lease. Its workers find another path by themselves meanwhile, and if only
+     * this process was paused for a moment, removing the node would move all workers for no reason.
      */
     private fun availableNodes(): List<SessionNode> {
         for (status in reachability.freshPeers()) {
@@ -112,16 +120,17 @@
         val stableForS = if (ctx.now < startedAt + JOIN_AFTER_S) 0.0 else JOIN_AFTER_S
         return ctx.settings.peers.mapNotNull { peer ->
             knownNodes[peer.node]
-                ?.takeIf { ctx.now - it.since >= stableForS }
+                ?.takeIf { ctx.now - it.freshSince >= stableForS }
                 ?.let { SessionNode(peer.node, peer.zone, it.capacity) }
         }.sortedBy { it.name }
     }
 
-    private fun demandByZone(): Map<String, Int> {
+    /** Counts the workers of each zone that are up or are expected to connect; those being scaled in do not count. */
+    private fun countWorkersByZone(): Map<String, Int> {
         val demand = HashMap<String, Int>()
         for (machine in fleet.machines) {
             val zone = machine.group?.zone ?: continue
-            // A machine that is up and has not come yet will, whichever node its worker tries first.
+            // A machine that is up but has not sent a heartbeat yet will do so, whichever node its worker tries first.
             val isUp =
                 machine.registered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
             if (isUp && !machine.returning) demand.merge(zone, 1, Int::plus)
@@ -129,23 +138,24 @@
         return demand
     }
 
-    private fun differs(basis: PlanBasis): Boolean = when {
-        basis.nodes != plannedFor.nodes || basis.inherited != plannedFor.inherited -> true
-        basis.inherited -> false
-        else -> (basis.demand.keys + plannedFor.demand.keys).any { zone ->
-            hasDrifted(now = basis.demand[zone] ?: 0, planned = plannedFor.demand[zone] ?: 0)
+    /** Whether [basis] differs enough from the input of the plan in force that a new plan has to be made. */
+    private fun differsFromPlan(basis: PlanBasis): Boolean = when {
+        basis.nodes != planBasis.nodes || basis.isInherited != planBasis.isInherited -> true
+        basis.isInherited -> false
+        else -> (basis.demand.keys + planBasis.demand.keys).any { zone ->
+            hasDrifted(currentCount = basis.demand[zone] ?: 0, plannedCount = planBasis.demand[zone] ?: 0)
         }
     }
 
-    private fun hasDrifted(now: Int, planned: Int): Boolean =
-        abs(now - planned) > maxOf(planned * MAX_DRIFT_PART, MAX_DRIFT_WORKERS)
+    private fun hasDrifted(currentCount: Int, plannedCount: Int): Boolean =
+        abs(currentCount - plannedCount) > maxOf(plannedCount * MAX_DRIFT_SHARE, MAX_DRIFT_WORKERS)
 
     private fun makePlan(basis: PlanBasis, nodes: List<SessionNode>) {
-        plannedFor = basis
-        val zones = if (basis.inherited) {
+        planBasis = basis
+        val zones = if (basis.isInherited) {
             inheritedShares(nodes)
         } else {
-            SessionShares.of(withAllZones(basis.demand), nodes + ownShare(basis.demand, nodes))
+            SessionShares.computeByZone(addSiteZones(basis.demand), nodes + ownNodeForExcess(basis.demand, nodes))
         }
         plan = SessionPlan(epoch, zones)
         log.info(
@@ -153,22 +163,26 @@
             epoch,
             basis.demand.values.sum(),
             nodes.size,
-            basis.inherited,
-            describe(zones),
+            basis.isInherited,
+            describeShares(zones),
         )
     }
 
-    /** Workers may come from any zone of the site at any time. */
-    private fun withAllZones(demand: Map<String, Int>): Map<String, Int> =
+    /** Adds the site's zones without workers to [demand], since workers may connect from any of them at any time. */
+    private fun addSiteZones(demand: Map<String, Int>): Map<String, Int> =
         ctx.settings.zones.associateWith { 0 } + demand
 
-    /** This node serves what exceeds the capacity of the others. */
-    private fun ownShare(demand: Map<String, Int>, nodes: List<SessionNode>): List<SessionNode> {
-        val excess = demand.values.sum() / SessionShares.PLANNED_PART - nodes.sumOf { it.capacity }
+    /** Returns this node with the number of sessions that exceed the other [nodes]' capacity; empty if none do. */
+    private fun ownNodeForExcess(demand: Map<String, Int>, nodes: List<SessionNode>): List<SessionNode> {
+        val excess = demand.values.sum() / SessionShares.PLANNED_CAPACITY_SHARE - nodes.sumOf { it.capacity }
         if (excess <= 0) return emptyList()
         return listOf(SessionNode(ctx.settings.node, ctx.settings.zone, excess.toInt().coerceIn(1, ownCapacity)))
     }
 
+    /**
+     * Returns the shares of the previous leader's plan without those of nodes that are not available now. A zone that
+     * has none left is served by all available [nodes].
+     */
     private fun inheritedShares(nodes: List<SessionNode>): Map<String, List<SessionShare>> {
         val names = nodes.map { it.name }.toSet() + ctx.settings.node
         return previousPlan?.zones.orEmpty().mapValues { (_, shares) ->
@@ -176,26 +190,29 @@
         }
     }
 
-    private fun gather() {
+    private fun gatherSessions() {
         log.info("sessions gathered on the leader epoch={}", epoch)
         plan = null
     }
 
-    private fun describe(zones: Map<String, List<SessionShare>>): String =
+    private fun describeShares(zones: Map<String, List<SessionShare>>): String =
         zones.entries.joinToString("; ") { (zone, shares) ->
             "$zone to ${shares.joinToString(" ") { "${it.node}:${it.weight}" }}"
         }
 
     private companion object {
         const val CHECK_INTERVAL_S = 1.0
-        const val GATHER_BELOW = 0.7
 
-        /** A node that comes and goes with a bad link gets no sessions. */
+        /** The share of the spread limit below which sessions are gathered on the leader again. */
+        const val GATHER_BELOW_SHARE = 0.7
+
+        /** A node must be connected for this long, so that one with an unstable link gets no sessions. */
         const val JOIN_AFTER_S = 5.0
         const val REMOVE_AFTER_LEASES = 0.5
 
-        /** How far a zone's workers may drift from what the plan was made for, as a part and as a number. */
-        const val MAX_DRIFT_PART = 0.2
+        // A new plan is made once the number of a zone's workers differs from the planned number by more than this
+        // share of it and by more than this number of workers.
+        const val MAX_DRIFT_SHARE = 0.2
         const val MAX_DRIFT_WORKERS = 20.0
     }
 }
--- a/src/test/kotlin/plankwall/core/sessions/SessionSharesTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/SessionSharesTest.kt
@@ -60,7 +60,7 @@
         val given = nodes.split(' ').filter {
             it.isNotEmpty()
         }.map { node -> node.split(':').let { SessionNode(it[0], it[1], it[2].toInt()) } }
-        val shares = SessionShares.of(workers, given)
+        val shares = SessionShares.computeByZone(workers, given)
         assertEquals(
             expected,
             shares.entries.joinToString(" ") { (zone, s) ->
