--- a/src/main/kotlin/plankwall/model/Address.kt
+++ b/src/main/kotlin/plankwall/model/Address.kt
@@ -7,7 +7,7 @@
     companion object {
         private val PORTS = 1..65_535
 
-        /** Null if [text] is not of the form `host:port`. */
+        /** Parses an address; returns null if [text] is not of the form `host:port`. */
         fun parse(text: String): Address? {
             val colon = text.lastIndexOf(':')
             val port = if (colon > 0) text.substring(colon + 1).toIntOrNull() else null
--- a/src/main/kotlin/plankwall/model/JobSpec.kt
+++ b/src/main/kotlin/plankwall/model/JobSpec.kt
@@ -1,12 +1,30 @@
 package plankwall.model
 
-/** How the tasks of a job belong together: independent, all at the same time, or running until cancelled. */
+/**
+ * The way in which the tasks of a job run: independently of each other (ARRAY), all at the same time (GANG), or without
+ * an end until the job is cancelled (SERVICE).
+ */
 enum class Shape { ARRAY, GANG, SERVICE }
 
-/** In ascending order: a later constant may preempt an earlier one. */
+/** The priority of a job, in ascending order: jobs of a later constant may preempt those of an earlier one. */
 enum class Priority { LOW, NORMAL, HIGH, PRODUCTION }
 
-/** A submitted job, whose form is valid; not yet checked against the catalogue and the team's limit. */
+/**
+ * The description of a submitted job. Its form has been checked, but not yet whether the catalogue has a machine type
+ * for it and whether the team's limit allows it. Names that end in S are in seconds, those in Gb in gigabytes.
+ *
+ * @property tasks the number of tasks
+ * @property need the resources that each task takes
+ * @property types the machine types on which the tasks may run; null if all are allowed
+ * @property zone the only zone in which the tasks may run; null if all are allowed
+ * @property oneZone whether all tasks have to run in the same zone
+ * @property spread whether the tasks have to be spread over zones: at most half of them, rounded up, run in one zone
+ * @property spot whether the tasks may run on spot machines
+ * @property estimateS how long a task takes, by the owner's estimate
+ * @property checkpointS the interval between the checkpoints of a task; 0 if it saves none
+ * @property saveS how long it takes to save a checkpoint
+ * @property deadlineS the time within which the job has to be done; null without a deadline
+ */
 data class JobSpec(
     val id: String,
     val jobClass: String,
@@ -26,11 +44,11 @@
     val checkpointS: Double,
     val saveS: Double,
     val deadlineS: Double?,
-    /** DAG dependencies: the jobs that have to be done before any task of this one starts. */
+    /** The ids of the jobs that have to be done before any task of this one starts. */
     val dependencies: List<String> = emptyList(),
 )
 
-/** What the policy may ask about a job. [owner]: null where callers are not authenticated. */
+/** The properties of a job that a rule of the policy may test. [owner]: null where callers are not authenticated. */
 data class JobFacts(
     val owner: String?,
     val jobClass: String,
@@ -39,13 +57,16 @@
     val shape: Shape,
 )
 
-/** The facts of this job if [owner] submitted it. */
+/** Returns the facts of this job, submitted by [owner]. */
 fun JobSpec.factsFor(owner: String?): JobFacts = JobFacts(owner, jobClass, team, priority, shape)
 
 /** The stage of a job in answers to its user. */
 enum class JobStage { PENDING, RUNNING, DONE, CANCELLED }
 
-/** The state of a job in answers to its user. [dependencies]: known only while the job is live. */
+/**
+ * The state of a job in answers to its user. [done], [running]: the number of tasks that are done and that run now.
+ * [dependencies]: the jobs that it depends on; known only until the job ends.
+ */
 data class JobView(
     val id: String,
     val stage: JobStage,
--- a/src/main/kotlin/plankwall/model/NameTable.kt
+++ b/src/main/kotlin/plankwall/model/NameTable.kt
@@ -1,6 +1,6 @@
 package plankwall.model
 
-/** Gives every name a small dense index, so that the core compares and counts integers. */
+/** A table that gives each name a small index, counted from 0, so that the core can compare and count integers. */
 class NameTable(initial: List<String> = emptyList()) {
     private val indices = HashMap<String, Int>()
     private val names = ArrayList<String>()
@@ -9,22 +9,23 @@
         initial.forEach { intern(it) }
     }
 
+    /** The number of names in the table. */
     val size: Int get() = names.size
 
-    /** The index of [name], which is added if it is new. */
+    /** Returns the index of [name], which is added if it is not in the table. */
     fun intern(name: String): Int = indices.getOrPut(name) {
         names.add(name)
         names.size - 1
     }
 
-    /** The index of [name]; null if it is not in the table. */
+    /** Returns the index of [name]; null if it is not in the table. */
     fun find(name: String): Int? = indices[name]
 
-    /** The name with the index [ix]. */
-    fun name(ix: Int): String = names[ix]
+    /** Returns the name with this [index]. */
+    fun name(index: Int): String = names[index]
 }
 
-/** The tables of one site. Teams are fixed by the settings; images are added when jobs name them. */
+/** The name tables of one site. The settings fix the teams; images are added when jobs name them. */
 class SiteNames(teams: List<String>) {
     val teams = NameTable(teams)
     val images = NameTable()
--- a/src/main/kotlin/plankwall/model/Resources.kt
+++ b/src/main/kotlin/plankwall/model/Resources.kt
@@ -4,57 +4,62 @@
 import java.math.RoundingMode
 
 /**
- * What a task needs or a machine has, in thousandths of a CPU, a GPU and a GB. Whole numbers, because sums of decimal
- * fractions drift, and a quota must not be exceeded by a rounding error either.
+ * The resources that a task needs or a machine has, in thousandths of a CPU, of a GPU and of a GB of memory. They are
+ * whole numbers, because rounding errors add up in sums of floating-point numbers, and a quota must not be exceeded by
+ * a rounding error either.
  */
 data class Resources(val cpus: Long, val gpus: Long, val memory: Long) {
-    /** Sum. */
+    /** Returns the sum of each resource. */
     operator fun plus(other: Resources) = Resources(cpus + other.cpus, gpus + other.gpus, memory + other.memory)
 
-    /** Difference; may be negative. */
+    /** Returns the difference of each resource, which may be negative. */
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memory - other.memory)
 
-    /** What [n] of it take. */
+    /** Returns each resource multiplied by [count]. */
     operator fun times(count: Int) = Resources(cpus * count, gpus * count, memory * count)
 
-    /** Whether every resource is at most that of [capacity]. */
+    /** Whether no resource exceeds that of [capacity]. */
     fun fitsIn(capacity: Resources): Boolean =
         cpus <= capacity.cpus && gpus <= capacity.gpus && memory <= capacity.memory
 
-    /** The dominant share: the largest of this one's shares of [whole]'s resources; negative ones count as 0. */
+    /**
+     * Returns the dominant share: the largest share of a resource of [whole] that these resources take. A negative
+     * amount counts as 0.
+     */
     fun partOf(whole: Resources): Double {
-        fun part(amount: Long, total: Long) = if (amount <= 0 || total <= 0) 0.0 else amount.toDouble() / total
-        return maxOf(part(cpus, whole.cpus), part(gpus, whole.gpus), part(memory, whole.memory))
+        fun share(amount: Long, total: Long) = if (amount <= 0 || total <= 0) 0.0 else amount.toDouble() / total
+        return maxOf(share(cpus, whole.cpus), share(gpus, whole.gpus), share(memory, whole.memory))
     }
 
-    /** With 0 for negative amounts. */
+    /** Returns these resources with every negative amount replaced by 0. */
     fun atLeastNothing() = Resources(cpus.coerceAtLeast(0), gpus.coerceAtLeast(0), memory.coerceAtLeast(0))
 
-    /** The smaller amount of each resource. */
+    /** Returns the smaller amount of each resource. */
     fun least(other: Resources) =
         Resources(minOf(cpus, other.cpus), minOf(gpus, other.gpus), minOf(memory, other.memory))
 
-    /** How many tasks that take [need] each fit at the same time. */
+    /** Returns the number of tasks that fit these resources at the same time if each takes [need]. */
     fun holds(need: Resources): Int {
-        fun part(have: Long, want: Long) = if (want <= 0) Long.MAX_VALUE else have / want
-        return minOf(part(cpus, need.cpus), part(gpus, need.gpus), part(memory, need.memory))
+        fun taskCount(available: Long, needed: Long) = if (needed <= 0) Long.MAX_VALUE else available / needed
+        return minOf(taskCount(cpus, need.cpus), taskCount(gpus, need.gpus), taskCount(memory, need.memory))
             .coerceIn(0, MAX_COUNT).toInt()
     }
 
     companion object {
+        /** No resources at all. */
         val NONE = Resources(0, 0, 0)
         private const val MAX_COUNT = 1_000_000L
 
-        /** Thousandths: the decimal point is moved by so many digits. */
+        /** The number of digits by which the decimal point moves when an amount is converted to thousandths. */
         private const val SCALE_DIGITS = 3
 
-        /** [value] in thousandths, rounded up, so that rounding never overfills a machine. */
-        fun need(value: BigDecimal): Long = scaled(value, RoundingMode.CEILING)
+        /** Returns a needed amount in thousandths, rounded up, so that rounding never overfills a machine. */
+        fun need(value: BigDecimal): Long = toThousandths(value, RoundingMode.CEILING)
 
-        /** [value] in thousandths, rounded down, so that rounding never overfills a machine. */
-        fun capacity(value: BigDecimal): Long = scaled(value, RoundingMode.FLOOR)
+        /** Returns an available amount in thousandths, rounded down, so that rounding never overfills a machine. */
+        fun capacity(value: BigDecimal): Long = toThousandths(value, RoundingMode.FLOOR)
 
-        private fun scaled(value: BigDecimal, rounding: RoundingMode): Long =
+        private fun toThousandths(value: BigDecimal, rounding: RoundingMode): Long =
             value.movePointRight(SCALE_DIGITS).setScale(0, rounding).longValueExact()
     }
 }
--- a/src/main/kotlin/plankwall/model/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/plankwall/model/ServiceLevelObjectives.kt
@@ -1,8 +1,13 @@
 package plankwall.model
 
 /**
- * One service-level objective of a job class: the [share] of its jobs for which [kind] has to hold. [withinS]: of
- * starts and ends, in seconds; [times]: of deadlines, how many times the job's own time it may take.
+ * One service-level objective.
+ *
+ * @property kind what the objective bounds: `wait`, `finished` or `deadline`
+ * @property jobClass the job class to which it applies; null if it is not about one class
+ * @property withinS for starts (`wait`) and ends (`finished`), the seconds within which they have to happen
+ * @property share the share of the jobs that have to meet the objective
+ * @property times for `deadline`, the multiple of the time until its own deadline that a job may take
  */
 data class Objective(
     val kind: String,
@@ -13,38 +18,50 @@
 )
 
 /**
- * The service-level objectives of each job class (`objectives` in the platform's settings). They distinguish latency-
- * sensitive jobs from best-effort jobs; where none is stated, no class is best-effort.
+ * The service-level objectives by job class (`objectives` in the platform's settings). Classes with objectives are
+ * latency-sensitive, classes without any are best-effort. If no class has an objective, none is best-effort.
  */
 class ServiceLevelObjectives(objectives: List<Objective>) {
     private val byClass: Map<String, List<Objective>> =
         objectives.filter { it.jobClass != null }.groupBy { it.jobClass.orEmpty() }
 
-    /** The job classes that have objectives. */
+    /** The job classes that have at least one objective. */
     val classes: Set<String> get() = byClass.keys
 
-    /** Whether there is an objective for jobs of [jobClass], or none for any class. */
+    /** Whether [jobClass] has an objective, or no class has one. If false, the class is best-effort. */
     fun isStated(jobClass: String): Boolean = byClass.isEmpty() || jobClass in byClass
 
-    /** Within how many seconds all tasks of such a job should have started; null without such an objective. */
+    /**
+     * Returns the shortest time, in seconds, within which all tasks of a job of [jobClass] should have started; null
+     * without such an objective.
+     */
     fun startWithinS(jobClass: String): Double? = tightest(jobClass, "wait")
 
-    /** Within how many seconds such a job should be done; null without such an objective. */
+    /**
+     * Returns the shortest time, in seconds, within which such a job should be done; null without such an objective.
+     */
     fun finishWithinS(jobClass: String): Double? = tightest(jobClass, "finished")
 
-    /** The longest time, in seconds, after which a start still meets an objective. */
+    /**
+     * Returns the longest time, in seconds, after which a start still meets one of the objectives; null without any.
+     */
     fun lastStartWithinS(jobClass: String): Double? = loosest(jobClass, "wait")
 
-    /** The longest time, in seconds, after which an end still meets an objective. */
+    /** Returns the longest time, in seconds, after which an end still meets one of the objectives; null without any. */
     fun lastFinishWithinS(jobClass: String): Double? = loosest(jobClass, "finished")
 
-    /** How many times its own time a job with a deadline may take and still meet an objective. */
-    fun lastDeadlineTimes(jobClass: String): Double = stated(jobClass, "deadline").maxOfOrNull { it.times } ?: 1.0
+    /**
+     * Returns the largest multiple of the time until its deadline that a job may take and still meet one of the
+     * objectives; 1 without any.
+     */
+    fun lastDeadlineTimes(jobClass: String): Double = objectivesOf(jobClass, "deadline").maxOfOrNull { it.times } ?: 1.0
 
-    private fun tightest(jobClass: String, kind: String): Double? = stated(jobClass, kind).minOfOrNull { it.withinS }
+    private fun tightest(jobClass: String, kind: String): Double? =
+        objectivesOf(jobClass, kind).minOfOrNull { it.withinS }
 
-    private fun loosest(jobClass: String, kind: String): Double? = stated(jobClass, kind).maxOfOrNull { it.withinS }
+    private fun loosest(jobClass: String, kind: String): Double? =
+        objectivesOf(jobClass, kind).maxOfOrNull { it.withinS }
 
-    private fun stated(jobClass: String, kind: String): List<Objective> =
+    private fun objectivesOf(jobClass: String, kind: String): List<Objective> =
         byClass[jobClass].orEmpty().filter { it.kind == kind }
 }
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -1,6 +1,15 @@
 package plankwall.model
 
-/** The settings that the platform provides. */
+/**
+ * The settings that the platform provides.
+ *
+ * @property node the name of this node
+ * @property zone the zone of this node
+ * @property front the address for users and workers
+ * @property internal the address for frames of other controllers
+ * @property timeBoundMs the bound on the error of the wall clocks, in milliseconds
+ * @property maxConnections the maximum number of open connections of this process
+ */
 data class Settings(
     val node: String,
     val zone: String,
@@ -17,28 +26,36 @@
     val state: StateLimits,
     val cloud: CloudLimits,
     val maxConnections: Int,
-    /** The limits that the state service will have from an unannounced time on. */
+    /** The limits of the state service from a time on that is not announced; null if they will not change. */
     val stateNext: StateLimits? = null,
 ) {
-    /** The limits to keep to from the start, since those of [stateNext] come into force without notice. */
+    /**
+     * The lower of the present limits and those of [stateNext], each. They have to be kept from the start, since the
+     * next ones come into force without notice.
+     */
     val stateTight: StateLimits = stateNext?.within(state) ?: state
 
-    /** How many controllers there are. */
+    /** The number of controllers, this node included. */
     val nodes: Int get() = peers.size + 1
 
-    /** Connections that workers and users may have here: all but those that this node opens and has with its peers. */
+    /**
+     * The maximum number of connections of workers and users to this node: those that remain after the ones that this
+     * node opens itself and has with its peers, but at least half of all.
+     */
     val frontConnections: Int
         get() = maxOf(maxConnections - OWN_CONNECTIONS - CONNECTIONS_PER_PEER * peers.size, maxConnections / 2)
 
-    /** How many workers' sessions this node can serve; the other connections are for users. */
+    /** The number of workers' sessions that this node can serve; the remaining connections are for users. */
     val sessionCapacity: Int get() = (frontConnections * SESSION_SHARE).toInt()
 
     private companion object {
-        /** To the state service, the cloud and workers. */
+        /** The connections that this node opens to the state service, the cloud and workers. */
         const val OWN_CONNECTIONS = 70
 
-        /** To and from a peer, with those that are being replaced. */
+        /** The connections to and from one peer, including those that are being replaced. */
         const val CONNECTIONS_PER_PEER = 6
+
+        /** The share of [frontConnections] that workers' sessions may take. */
         const val SESSION_SHARE = 0.85
     }
 }
@@ -46,7 +63,13 @@
 /** Another controller, with the address for frames between controllers. */
 data class Peer(val node: String, val zone: String, val host: String, val port: Int)
 
-/** The workers' intervals and timeouts, in seconds, by the platform's settings. */
+/**
+ * The workers' intervals and timeouts, in seconds, as the platform's settings state them.
+ *
+ * @property reportS the interval between two heartbeats
+ * @property leaseS the duration of a worker's lease, after which it stops its tasks if no heartbeat was answered
+ * @property cancelS the time after which no task of a cancelled job may run any more
+ */
 data class WorkerTimes(
     val reportS: Double,
     val leaseS: Double,
@@ -54,10 +77,10 @@
     val gangPeerS: Double,
     val cancelS: Double,
 ) {
-    /** The longest interval between heartbeats of a healthy worker: they are up to a quarter late by the protocol. */
+    /** The longest interval between two heartbeats of a healthy worker: the protocol lets them be late by a quarter. */
     val longestReportS: Double get() = reportS * LATEST_REPORT_FACTOR
 
-    /** A worker without a heartbeat for longer has missed one, whatever delay a network adds. */
+    /** The time since its last heartbeat after which a worker has missed one, whatever delay the network adds. */
     val missedS: Double get() = reportS * MISSED_REPORT_FACTOR + MISSED_REPORT_MARGIN_S
 
     private companion object {
@@ -67,9 +90,12 @@
     }
 }
 
-/** The limits of the state service: requests and writes a second, KiB of a value, operations of a transaction. */
+/**
+ * The limits of the state service: requests per second, writes per second, the size of a value in KiB, and the number
+ * of operations in one transaction.
+ */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int) {
-    /** The lower of both limits, each. */
+    /** Returns the lower one of each limit. */
     fun within(other: StateLimits) = StateLimits(
         rps = minOf(rps, other.rps),
         writeRps = minOf(writeRps, other.writeRps),
@@ -78,5 +104,5 @@
     )
 }
 
-/** The limits of the cloud: requests a second, and how many seconds its list may lag. */
+/** The limits of the cloud: requests per second, and the seconds by which its list of machines may be out of date. */
 data class CloudLimits(val rps: Double, val listLagS: Double)
