--- a/src/main/kotlin/plankwall/wire/AdminCodec.kt
+++ b/src/main/kotlin/plankwall/wire/AdminCodec.kt
@@ -1,51 +1,60 @@
 package plankwall.wire
 
 /**
- * Requests of administrators about the policy and the audit log, and their answers. Those that read throw
- * [MalformedMessageException].
+ * Codec of the administrators' requests about the policy and the audit log, and of their answers. Functions that read
+ * throw [MalformedMessageException].
  */
 object AdminCodec {
-    /** A policy to publish after version [base]: a new [text], or the text of the earlier version [to]. */
+    /**
+     * A request to publish a policy version: either the new [text], or the text of the earlier version [to] again.
+     * [base]: the version in force when the request was made, which the new one is to follow.
+     */
     class Publication(val base: Long, val text: String?, val to: Long?)
 
-    /** `{"base":3,"text":"…"}` publishes, `{"base":3,"to":1}` goes back to an earlier version's text. */
-    fun publication(bytes: ByteArray): Publication = parseJson(bytes) { p ->
+    /**
+     * Reads the request to publish a new policy text, `{"base":3,"text":"…"}`, or to publish the text of an earlier
+     * version again, `{"base":3,"to":1}`.
+     */
+    fun publication(bytes: ByteArray): Publication = parseJson(bytes) { parser ->
         var base: Long? = null
         var text: String? = null
         var to: Long? = null
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "base" -> base = whole(name)
-                "text" -> text = text(name)
-                "to" -> to = whole(name)
+                "base" -> base = readWholeNumber(name)
+                "text" -> text = readString(name)
+                "to" -> to = readWholeNumber(name)
             }
         }
         Publication(
-            base ?: throw MalformedMessageException("base", "missing: the version that this is to follow"),
+            base ?: throw MalformedMessageException("base", "missing: the policy version that the new one follows"),
             text,
             to,
         )
     }
 
+    /** Writes the request to publish the policy [text] as the version that follows [base]. */
     fun publish(base: Long, text: String): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeNumberField("base", base)
             writeStringField("text", text)
         }
     }
 
+    /** Writes the request to publish the text of version [to] again as the version that follows [base]. */
     fun rollback(base: Long, to: Long): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeNumberField("base", base)
             writeNumberField("to", to)
         }
     }
 
-    /** A published policy version. */
+    /** A published policy version with its [text]. [by]: the principal that published it, at wall-clock [atMs]. */
     class RightsView(val version: Long, val by: String, val atMs: Long, val text: String)
 
+    /** Writes the answer to a request for a policy version; see [RightsView] for the fields. */
     fun rights(version: Long, by: String, atMs: Long, text: String): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeNumberField("version", version)
             writeStringField("by", by)
             writeNumberField("at_ms", atMs)
@@ -53,35 +62,41 @@
         }
     }
 
-    fun readRights(bytes: ByteArray): RightsView = parseJson(bytes) { p ->
+    /** Reads what [rights] writes; a missing field is 0 or empty. */
+    fun readRights(bytes: ByteArray): RightsView = parseJson(bytes) { parser ->
         var version = 0L
         var by = ""
         var atMs = 0L
         var text = ""
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "version" -> version = whole(name)
-                "by" -> by = text(name)
-                "at_ms" -> atMs = whole(name)
-                "text" -> text = text(name)
+                "version" -> version = readWholeNumber(name)
+                "by" -> by = readString(name)
+                "at_ms" -> atMs = readWholeNumber(name)
+                "text" -> text = readString(name)
             }
         }
         RightsView(version, by, atMs, text)
     }
 
-    fun published(version: Long): ByteArray = writeJson { obj { writeNumberField("version", version) } }
+    /** Writes the answer to a publication, which names the new [version]. */
+    fun published(version: Long): ByteArray = writeJson { writeJsonObject { writeNumberField("version", version) } }
 
+    /** Writes the answer to a request for a segment of the audit log. */
     fun segment(segment: AuditSegment): ByteArray = writeJson { AccessRecordCodec.write(this, segment) }
 
+    /** Writes the answer to a request for a checkpoint of the audit log. */
     fun seal(seal: AuditSeal): ByteArray = writeJson { AccessRecordCodec.write(this, seal) }
 
+    /** Reads what [segment] writes. */
     fun readSegment(bytes: ByteArray): AuditSegment = parseJson(bytes) {
         AccessRecordCodec.read(AccessKeys.TRAIL, it) as? AuditSegment
-            ?: throw MalformedMessageException("no segment")
+            ?: throw MalformedMessageException("not a segment of the audit log")
     }
 
+    /** Reads what [seal] writes. */
     fun readSeal(bytes: ByteArray): AuditSeal = parseJson(bytes) {
         AccessRecordCodec.read(AccessKeys.SEALS, it) as? AuditSeal
-            ?: throw MalformedMessageException("no seal")
+            ?: throw MalformedMessageException("not a checkpoint of the audit log")
     }
 }
--- a/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
+++ b/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
@@ -6,16 +6,23 @@
 import plankwall.model.Catalog
 import plankwall.model.GroupKey
 
-/** A scale-out request, by its idempotency key [request], that the cloud has not answered yet. */
+/** A scale-out request that the cloud has not answered yet. [request]: its idempotency key. */
 data class StoredScaleOut(val request: String, val group: GroupKey, val count: Int)
 
-/** A machine that was scaled out and has not sent a heartbeat yet. [rentedMs]: wall-clock time of the request. */
+/**
+ * A machine that the cloud granted and that has not sent a heartbeat yet. [rentedMs]: the wall-clock time of the
+ * scale-out request.
+ */
 data class StoredBootingMachine(val machine: String, val group: GroupKey, val rentedMs: Long)
 
 /**
- * The autoscaler's state: [rentals] are scale-out requests without an answer, [arrivals] are booting machines,
- * [returning] are machines being scaled in. [more]: how many further keys hold the rest of it, written in the same
- * transaction; they count only while the first says so.
+ * The stored state of the autoscaler. If it does not fit one value, the record under the first key states in [more] how
+ * many further keys hold the remaining entries. All are written in one transaction. Further keys that [more] does not
+ * count are left over from an earlier write and are ignored.
+ *
+ * @property rentals the scale-out requests that the cloud has not answered yet
+ * @property arrivals the machines that were granted and have not sent a heartbeat yet
+ * @property returning the names of the machines that are being scaled in
  */
 data class FleetRecord(
     val rentals: List<StoredScaleOut>,
@@ -24,63 +31,66 @@
     val more: Int = 0,
 ) : Stored
 
-/** The cloud's machine types as last read. [more] as in [FleetRecord]. */
+/** The cloud's machine types as last read. [more]: the number of further keys, as in [FleetRecord]. */
 data class CatalogRecord(val catalog: Catalog, val more: Int = 0) : Stored
 
-/** The stored form of [FleetRecord] and [CatalogRecord]. */
+/** Codec of the stored form of [FleetRecord] and [CatalogRecord]. */
 internal object AutoscalingRecordCodec {
+    /** Writes [record] as one JSON object. */
     fun write(generator: JsonGenerator, record: CatalogRecord) =
         CloudCodec.writeCatalog(generator, record.catalog, record.more)
 
-    fun write(generator: JsonGenerator, record: FleetRecord) = generator.obj {
-        arr("rentals") { record.rentals.forEach { scaleOut(it) } }
-        arr("arrivals") {
-            record.arrivals.groupBy { it.group to it.rentedMs }.forEach { (scaleOut, machines) ->
-                val (group, rentedMs) = scaleOut
-                bootingMachines(group, rentedMs, machines.map { it.machine })
+    /** Writes [record] as one JSON object, with booting machines grouped by machine group and time of request. */
+    fun write(generator: JsonGenerator, record: FleetRecord) = generator.writeJsonObject {
+        writeJsonArray("rentals") { record.rentals.forEach { writeScaleOut(it) } }
+        writeJsonArray("arrivals") {
+            record.arrivals.groupBy { it.group to it.rentedMs }.forEach { (groupAndTime, machines) ->
+                val (group, rentedMs) = groupAndTime
+                writeBootingMachines(group, rentedMs, machines.map { it.machine })
             }
         }
-        arr("returning") { nameRuns(record.returning.sorted()) }
+        writeJsonArray("returning") { writeNameRuns(record.returning.sorted()) }
         if (record.more > 0) writeNumberField("more", record.more)
     }
 
-    private fun JsonGenerator.scaleOut(scaleOut: StoredScaleOut) {
+    private fun JsonGenerator.writeScaleOut(scaleOut: StoredScaleOut) {
         writeStartArray()
         writeString(scaleOut.request)
-        group(scaleOut.group)
+        writeGroup(scaleOut.group)
         writeNumber(scaleOut.count)
         writeEndArray()
     }
 
-    private fun JsonGenerator.bootingMachines(group: GroupKey, rentedMs: Long, machines: List<String>) {
+    private fun JsonGenerator.writeBootingMachines(group: GroupKey, rentedMs: Long, machines: List<String>) {
         writeStartArray()
-        group(group)
+        writeGroup(group)
         writeNumber(rentedMs)
-        nameRuns(machines)
+        writeNameRuns(machines)
         writeEndArray()
     }
 
-    private fun JsonGenerator.group(key: GroupKey) {
+    private fun JsonGenerator.writeGroup(key: GroupKey) {
         writeString(key.type)
         writeString(key.zone)
         writeBoolean(key.spot)
     }
 
-    private fun JsonGenerator.nameRuns(names: List<String>) = NameRuns.write(names) { first, following ->
+    private fun JsonGenerator.writeNameRuns(names: List<String>) = NameRuns.write(names) { first, following ->
         writeString(first)
         writeNumber(following)
     }
 
+    /** Reads what [write] writes for a [FleetRecord]. */
     fun readFleet(parser: JsonParser): FleetRecord {
         val rentals = ArrayList<StoredScaleOut>()
         val arrivals = ArrayList<StoredBootingMachine>()
         val returning = ArrayList<String>()
         var more = 0
-        parser.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "rentals" -> elements { rentals.add(readScaleOut(name)) }
-                "arrivals" -> elements { arrivals.addAll(readBootingMachines(name)) }
-                "returning" -> elements { returning.addAll(readNameRun(name)) }
+                "rentals" -> forEachElement { rentals.add(readScaleOut(name)) }
+                "arrivals" -> forEachElement { arrivals.addAll(readBootingMachines(name)) }
+                "returning" -> forEachElement { returning.addAll(readNameRun(name)) }
                 "more" -> more = intValue
             }
         }
@@ -89,7 +99,7 @@
 
     private fun JsonParser.readScaleOut(field: String): StoredScaleOut {
         nextToken()
-        val request = text(field)
+        val request = readString(field)
         val group = readNextGroup()
         nextToken()
         return StoredScaleOut(request, group, intValue).also { nextToken() }
@@ -108,15 +118,15 @@
 
     private fun JsonParser.readNextGroup(): GroupKey {
         nextToken()
-        val type = text("type")
+        val type = readString("type")
         nextToken()
-        val zone = text("zone")
+        val zone = readString("zone")
         nextToken()
-        return GroupKey(type, zone, flag("spot"))
+        return GroupKey(type, zone, readBoolean("spot"))
     }
 
     private fun JsonParser.readNameRun(field: String): List<String> {
-        val first = text(field)
+        val first = readString(field)
         nextToken()
         return NameRuns.read(first, intValue)
     }
--- a/src/main/kotlin/plankwall/wire/CancellationCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CancellationCodec.kt
@@ -2,31 +2,32 @@
 
 import okio.Buffer
 
-/** The part of a status frame that lists cancelled jobs. A later version adds to its end. */
+/** Codec of the section of a status frame that lists cancelled jobs. Later versions may add fields at the end only. */
 internal object CancellationCodec {
+    /** Appends [update] to [buffer]. */
     fun write(buffer: Buffer, update: CancellationUpdate) {
         buffer.writeLong(update.first).writeInt(update.jobs.size)
-        update.jobs.forEach { buffer.name(it) }
+        update.jobs.forEach { buffer.writeName(it) }
         buffer.writeLong(update.readAgeMs).writeLong(update.upMs)
     }
 
     /**
-     * Throws [MalformedMessageException] for a list that can't be read whole: the frame is dropped then, and its sender
-     * confirms nothing by it.
+     * Reads what [write] writes. Throws [MalformedMessageException] for a list that can't be read completely: the whole
+     * frame is then dropped, so the receiver does not take it as the sender's confirmation of its cancellations.
      */
     fun read(buffer: Buffer): CancellationUpdate {
         val first = buffer.readLong()
         val jobs = buffer.readList { readJobId(buffer) }
         val update = CancellationUpdate(first, jobs, buffer.readLong(), buffer.readLong())
         if (first < 1 || update.upMs < 0) {
-            throw MalformedMessageException("peer", "a list of withdrawn jobs that begins nowhere")
+            throw MalformedMessageException("peer", "list of withdrawn jobs with an invalid first number or uptime")
         }
         return update
     }
 
     private fun readJobId(buffer: Buffer): String {
         val id = buffer.readName()
-        if (!JobCodec.isJobId(id)) throw MalformedMessageException("peer", "no job's id")
+        if (!JobCodec.isJobId(id)) throw MalformedMessageException("peer", "not a job id")
         return id
     }
 }
--- a/src/main/kotlin/plankwall/wire/CloudCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CloudCodec.kt
@@ -7,29 +7,33 @@
 import plankwall.model.MachineType
 import plankwall.model.Resources
 
-/** Requests to the cloud, and its answers. Those that read throw [MalformedMessageException]. */
+/** Codec of the requests to the cloud and of its answers. Functions that read throw [MalformedMessageException]. */
 object CloudCodec {
+    /** Reads the answer with the machine types that the cloud offers. */
     fun catalog(bytes: ByteArray): Catalog = parseJson(bytes) { readCatalog(it) }
 
-    private fun readCatalog(p: JsonParser): Catalog {
+    private fun readCatalog(parser: JsonParser): Catalog {
         val types = ArrayList<MachineType>()
-        p.fields { name -> if (name == Fields.MACHINE_TYPES) elements { types.add(type()) } }
+        parser.forEachField { name ->
+            if (name == Fields.MACHINE_TYPES) forEachElement { types.add(readMachineType()) }
+        }
         return Catalog(types)
     }
 
-    internal fun readStoredCatalog(p: JsonParser): CatalogRecord {
+    /** Reads what [writeCatalog] writes, with the number of further keys. */
+    internal fun readStoredCatalog(parser: JsonParser): CatalogRecord {
         val types = ArrayList<MachineType>()
         var more = 0
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                Fields.MACHINE_TYPES -> elements { types.add(type()) }
+                Fields.MACHINE_TYPES -> forEachElement { types.add(readMachineType()) }
                 "more" -> more = intValue
             }
         }
         return CatalogRecord(Catalog(types), more)
     }
 
-    private fun JsonParser.type(): MachineType {
+    private fun JsonParser.readMachineType(): MachineType {
         var typeName = ""
         var capacity = Resources.NONE
         var cacheGb = 0.0
@@ -38,21 +42,21 @@
         var spotPrice = 0.0
         var bootS = 0.0
         val zones = ArrayList<String>()
-        fields { name ->
+        forEachField { name ->
             when (name) {
-                "name" -> typeName = text(name)
-                Fields.CPUS -> capacity = capacity.copy(cpus = Resources.capacity(decimal(name)))
-                Fields.GPUS -> capacity = capacity.copy(gpus = Resources.capacity(decimal(name)))
-                Fields.MEMORY_GB -> capacity = capacity.copy(memory = Resources.capacity(decimal(name)))
-                "cache_gb" -> cacheGb = double(name)
-                Fields.FETCH_GB_PER_S -> fetchGbPerS = double(name)
-                Fields.PRICE -> price = double(name)
-                Fields.SPOT_PRICE -> spotPrice = doubleOrNull(name) ?: 0.0
-                Fields.BOOT_S -> bootS = double(name)
-                Fields.ZONES -> elements { zones.add(text(name)) }
+                "name" -> typeName = readString(name)
+                Fields.CPUS -> capacity = capacity.copy(cpus = Resources.capacity(readDecimal(name)))
+                Fields.GPUS -> capacity = capacity.copy(gpus = Resources.capacity(readDecimal(name)))
+                Fields.MEMORY_GB -> capacity = capacity.copy(memory = Resources.capacity(readDecimal(name)))
+                "cache_gb" -> cacheGb = readDouble(name)
+                Fields.FETCH_GB_PER_S -> fetchGbPerS = readDouble(name)
+                Fields.PRICE -> price = readDouble(name)
+                Fields.SPOT_PRICE -> spotPrice = readNullableDouble(name) ?: 0.0
+                Fields.BOOT_S -> bootS = readDouble(name)
+                Fields.ZONES -> forEachElement { zones.add(readString(name)) }
             }
         }
-        if (typeName.isEmpty()) throw MalformedMessageException("catalogue", "a type without a name")
+        if (typeName.isEmpty()) throw MalformedMessageException("catalogue", "machine type without a name")
         return MachineType(
             typeName,
             capacity,
@@ -65,13 +69,13 @@
         )
     }
 
-    /** [more]: how many further keys hold the rest of a stored catalogue, see [CatalogRecord]. */
-    internal fun writeCatalog(generator: JsonGenerator, catalog: Catalog, more: Int) = generator.obj {
+    /** Writes [catalog] as one JSON object. [more]: the number of further keys of a stored one, see [CatalogRecord]. */
+    internal fun writeCatalog(generator: JsonGenerator, catalog: Catalog, more: Int) = generator.writeJsonObject {
         if (more > 0) writeNumberField("more", more)
-        arr(Fields.MACHINE_TYPES) { catalog.types.forEach { type(it) } }
+        writeJsonArray(Fields.MACHINE_TYPES) { catalog.types.forEach { writeMachineType(it) } }
     }
 
-    private fun JsonGenerator.type(type: MachineType) = obj {
+    private fun JsonGenerator.writeMachineType(type: MachineType) = writeJsonObject {
         writeStringField("name", type.name)
         writeNumberField(Fields.CPUS, type.capacity.cpus / 1000.0)
         writeNumberField(Fields.GPUS, type.capacity.gpus / 1000.0)
@@ -81,11 +85,12 @@
         writeNumberField(Fields.PRICE, type.price)
         writeNumberField(Fields.SPOT_PRICE, type.spotPrice)
         writeNumberField(Fields.BOOT_S, type.bootS)
-        arr(Fields.ZONES) { type.zones.forEach { writeString(it) } }
+        writeJsonArray(Fields.ZONES) { type.zones.forEach { writeString(it) } }
     }
 
+    /** Writes the request to create machines. */
     fun rent(op: CloudOp.Rent): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeStringField(Fields.REQUEST_ID, op.request)
             writeStringField(Fields.MACHINE_TYPE, op.group.type)
             writeStringField(Fields.ZONE, op.group.zone)
@@ -94,29 +99,32 @@
         }
     }
 
+    /** Writes the request to delete machines. */
     fun delete(op: CloudOp.Delete): ByteArray = writeJson {
-        obj { arr(Fields.MACHINES) { op.machines.forEach { writeString(it) } } }
+        writeJsonObject { writeJsonArray(Fields.MACHINES) { op.machines.forEach { writeString(it) } } }
     }
 
-    fun rented(bytes: ByteArray): CloudResult = parseJson(bytes) { p ->
+    /** Reads the answer to a [CloudOp.Rent] that was granted, wholly or in part: the new machines. */
+    fun rented(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
         val machines = ArrayList<String>()
-        p.fields { name -> if (name == Fields.MACHINES) elements { machines.add(text(name)) } }
+        parser.forEachField { name -> if (name == Fields.MACHINES) forEachElement { machines.add(readString(name)) } }
         CloudResult.Rented(machines)
     }
 
-    fun listed(bytes: ByteArray): CloudResult = parseJson(bytes) { p ->
+    /** Reads one page of the list of machines. */
+    fun listed(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
         val machines = ArrayList<ListedMachine>()
         var more = false
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                Fields.MACHINES -> elements { machines.add(machine()) }
-                Fields.HAS_MORE -> more = flag(name)
+                Fields.MACHINES -> forEachElement { machines.add(readMachine()) }
+                Fields.HAS_MORE -> more = readBoolean(name)
             }
         }
         CloudResult.Listed(machines, more)
     }
 
-    private fun JsonParser.machine(): ListedMachine {
+    private fun JsonParser.readMachine(): ListedMachine {
         var id = ""
         var address = ""
         var type = ""
@@ -124,25 +132,25 @@
         var spot = false
         var state = ListedState.BOOTING
         var ageS = 0.0
-        fields { name ->
+        forEachField { name ->
             when (name) {
-                "id" -> id = text(name)
-                "address" -> address = textOrNull(name).orEmpty()
-                Fields.MACHINE_TYPE -> type = text(name)
-                Fields.ZONE -> zone = text(name)
-                Fields.SPOT -> spot = flag(name)
-                "stage" -> state = when (text(name)) {
+                "id" -> id = readString(name)
+                "address" -> address = readNullableString(name).orEmpty()
+                Fields.MACHINE_TYPE -> type = readString(name)
+                Fields.ZONE -> zone = readString(name)
+                Fields.SPOT -> spot = readBoolean(name)
+                "stage" -> state = when (readString(name)) {
                     "running" -> ListedState.RUNNING
                     "failed" -> ListedState.FAILED
                     else -> ListedState.BOOTING
                 }
-                Fields.AGE_S -> ageS = double(name)
+                Fields.AGE_S -> ageS = readDouble(name)
             }
         }
-        if (id.isEmpty()) throw MalformedMessageException("list", "a machine without a name")
+        if (id.isEmpty()) throw MalformedMessageException("list", "machine without a name")
         return ListedMachine(id, address, GroupKey(type, zone, spot), state, ageS)
     }
 
-    /** Keeps fetch times finite. */
+    /** The lowest fetch rate that is taken over from a catalogue: a rate of 0 would make fetch times infinite. */
     private const val MIN_FETCH_GB_PER_S = 0.001
 }
--- a/src/main/kotlin/plankwall/wire/Fields.kt
+++ b/src/main/kotlin/plankwall/wire/Fields.kt
@@ -1,11 +1,12 @@
 package plankwall.wire
 
 /**
- * Field names of the protocols whose words differ from this program's. The codecs use these constants, so that the
- * protocols' vocabulary is mapped here and nowhere else; names that are the same on both sides stand in the codecs.
+ * The protocols' field names that differ from the terms used in this code. The codecs refer to them by these constants,
+ * so that this object alone maps the protocols' vocabulary. Field names that equal this code's terms are written out in
+ * the codecs.
  */
 internal object Fields {
-    // Jobs.
+    // Fields of job descriptions.
     const val JOB_CLASS = "docket"
     const val TEAM = "crew"
     const val PRIORITY = "urgency"
@@ -23,7 +24,7 @@
     const val DEADLINE_S = "due_s"
     const val DEPENDENCIES = "awaits"
 
-    // Machines, in jobs, heartbeats and the cloud's messages.
+    // Fields about machines in job descriptions, heartbeats and the cloud's messages.
     const val MACHINE = "berth"
     const val MACHINES = "berths"
     const val MACHINE_TYPE = "build"
@@ -32,7 +33,7 @@
     const val ZONES = "yards"
     const val SPOT = "loaners"
 
-    // Heartbeats and their answers.
+    // Fields of heartbeats and of the answers to them.
     const val AGENT_EPOCH = "watch"
     const val SEQUENCE_NUMBER = "tally"
     const val FENCING_TOKEN = "baton"
@@ -44,7 +45,7 @@
     const val GRACE_PERIOD_S = "wind_down_s"
     const val ASSIGNED_CONTROLLER = "foreman"
 
-    // The cloud.
+    // Fields of the cloud's messages.
     const val FETCH_GB_PER_S = "pull_gb_per_s"
     const val PRICE = "rate"
     const val SPOT_PRICE = "low_price"
@@ -54,7 +55,7 @@
     const val AGE_S = "held_s"
     const val HAS_MORE = "has_next"
 
-    // The state service; [HAS_MORE] too.
+    // Fields of the state service's messages, which use [HAS_MORE] too.
     const val VERSION = "stamp"
     const val LEASE = "permit"
     const val REVISION = "ledger"
--- a/src/main/kotlin/plankwall/wire/FrameParts.kt
+++ b/src/main/kotlin/plankwall/wire/FrameParts.kt
@@ -2,44 +2,50 @@
 
 import okio.Buffer
 
-private const val MAX_NAME = 200
-private const val MAX_TEXT = 1_000
+private const val MAX_NAME_BYTES = 200
+private const val MAX_TEXT_BYTES = 1_000
 
-/** A name of 1 to 200 bytes. */
-internal fun Buffer.name(name: String): Buffer = text(name)
+/** Writes a name, which must have 1 to [MAX_NAME_BYTES] bytes for [readName] to accept it. */
+internal fun Buffer.writeName(name: String): Buffer = writeText(name)
 
-/** A text that may be empty; null is written like an empty one. */
-internal fun Buffer.text(text: String?): Buffer {
+/** Writes the length of [text] in bytes, then the text in UTF-8. Null is written as an empty text. */
+internal fun Buffer.writeText(text: String?): Buffer {
     val bytes = text.orEmpty().encodeToByteArray()
     return writeInt(bytes.size).write(bytes)
 }
 
+/** Reads what [writeName] writes; throws [MalformedMessageException] for a name that is empty or too long. */
 internal fun Buffer.readName(): String {
     val size = readInt()
-    if (size !in 1..MAX_NAME) throw MalformedMessageException("peer", "bad name")
+    if (size !in 1..MAX_NAME_BYTES) throw MalformedMessageException("peer", "name is empty or too long")
     return readUtf8(size.toLong())
 }
 
+/** Reads what [writeText] writes; null for an empty text. */
 internal fun Buffer.readText(): String? {
     val size = readInt()
-    if (size !in 0..MAX_TEXT) throw MalformedMessageException("peer", "bad text")
+    if (size !in 0..MAX_TEXT_BYTES) throw MalformedMessageException("peer", "text is too long")
     return readUtf8(size.toLong()).ifEmpty { null }
 }
 
-internal fun Buffer.flag(value: Boolean): Buffer = writeByte(if (value) 1 else 0)
+/** Writes [value] as one byte, 1 or 0. */
+internal fun Buffer.writeFlag(value: Boolean): Buffer = writeByte(if (value) 1 else 0)
 
+/** Reads what [writeFlag] writes. */
 internal fun Buffer.readFlag(): Boolean = readByte().toInt() == 1
 
-/** A list after its length. The bound keeps a forged length from exhausting the memory. */
-internal inline fun <T> Buffer.readList(item: () -> T): List<T> {
+/**
+ * Reads a list that is preceded by its length. The length is bounded, so that a forged one can't exhaust the memory.
+ */
+internal inline fun <T> Buffer.readList(readItem: () -> T): List<T> {
     val count = readInt()
-    if (count !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer", "$count entries")
-    return List(count) { item() }
+    if (count !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer", "list of $count entries")
+    return List(count) { readItem() }
 }
 
-/** The ordinal; -1 for null. */
-internal fun <E : Enum<E>> E?.code(): Int = this?.ordinal ?: -1
+/** Returns the number that stands for this constant in a frame: its ordinal, or -1 for null. */
+internal fun <E : Enum<E>> E?.toFrameCode(): Int = this?.ordinal ?: -1
 
-/** The constant with the ordinal [code]; null for -1. */
-internal fun <E : Enum<E>> List<E>.ofCode(code: Int): E? =
-    if (code == -1) null else getOrNull(code) ?: throw MalformedMessageException("peer", "unknown word $code")
+/** Returns the constant that [code] stands for, as written by [toFrameCode]; null for -1. */
+internal fun <E : Enum<E>> List<E>.fromFrameCode(code: Int): E? =
+    if (code == -1) null else getOrNull(code) ?: throw MalformedMessageException("peer", "unknown enum code $code")
--- a/src/main/kotlin/plankwall/wire/FrameSeal.kt
+++ b/src/main/kotlin/plankwall/wire/FrameSeal.kt
@@ -1,19 +1,19 @@
 package plankwall.wire
 
-/** Authenticates frames between controllers, where the operators configured keys. */
+/** Authenticates the frames between controllers, if the operators have configured peer keys. */
 interface FrameSeal {
-    /** The most bytes that a seal adds to a frame. */
+    /** The maximum number of bytes that [seal] adds to a frame. */
     val overhead: Int
 
-    /** Signs [frame] at wall-clock [wallMs]. */
+    /** Returns [frame] with a signature and its time, the wall-clock time [wallMs]. */
     fun seal(frame: ByteArray, wallMs: Long): ByteArray
 
     /**
-     * The message in [sealed]; null if it is not authentic. Throws [MalformedMessageException] for an authentic frame
-     * that can't be read.
+     * Verifies the frame [sealed], received at wall-clock [wallMs], and returns its message; null if it is not
+     * authentic. Throws [MalformedMessageException] for an authentic frame that can't be read.
      */
     fun open(sealed: ByteArray, wallMs: Long): PeerMessage?
 
-    /** Whether [address] may open a connection at all. */
+    /** Whether a connection from the remote address [address] is accepted. */
     fun admits(address: String): Boolean
 }
--- a/src/main/kotlin/plankwall/wire/JobCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobCodec.kt
@@ -8,32 +8,36 @@
 import plankwall.model.Priority
 import plankwall.model.Shape
 
-/** Job descriptions and states under the protocol's names. */
+/** Codec of job descriptions and of the answers about jobs, in the users' protocol. */
 object JobCodec {
-    /** How many jobs one may depend on: with the longest usual ids they still fit a small stored value. */
+    /**
+     * The maximum number of jobs that one job may depend on. So many of the longest usual ids fit a small stored value.
+     */
     const val MAX_DEPENDENCIES = 100
 
     private val JOB_ID = Regex("job-[0-9]{1,18}")
 
-    /** The protocol's words for priorities. */
+    /** The priorities by the words that the protocol uses for them. */
     val priorityWords: Map<String, Priority> get() = JobWords.priorities
 
-    /** The protocol's words for shapes. */
+    /** The shapes by the words that the protocol uses for them. */
     val shapeWords: Map<String, Shape> get() = JobWords.shapes
 
+    /** Returns the protocol's word for [priority]. */
     fun priorityName(priority: Priority): String = JobWords.word(priority)
 
+    /** Returns the protocol's word for [shape]. */
     fun shapeName(shape: Shape): String = JobWords.word(shape)
 
-    /** Whether [id] has the form of a job's id. */
+    /** Whether [id] has the form of a job id, for example `job-000412`. */
     fun isJobId(id: String): Boolean = JOB_ID.matches(id)
 
     /**
-     * Reads a submission; throws [MalformedMessageException]. Limits beyond its form are checked here and not in the
-     * other [read], which must go on reading what is stored.
+     * Reads a submission; throws [MalformedMessageException]. The limit on dependencies is checked here and not in the
+     * other [read], since that one has to accept every description that is already stored.
      */
     fun read(bytes: ByteArray): JobSpec {
-        val spec = parseJson(bytes) { read(it, whole = true) }
+        val spec = parseJson(bytes) { read(it, complete = true) }
         if (spec.dependencies.size > MAX_DEPENDENCIES) {
             throw MalformedMessageException(Fields.DEPENDENCIES, "at most $MAX_DEPENDENCIES jobs")
         }
@@ -41,15 +45,15 @@
     }
 
     /**
-     * Reads the description that [p] stands on; throws [MalformedMessageException]. A submission has to be [whole],
-     * with every flag; see [JobSpecReader].
+     * Reads the job description at which [parser] stands; throws [MalformedMessageException]. [complete]: whether every
+     * flag must be given, as in a submission; see [JobSpecReader].
      */
-    fun read(p: JsonParser, whole: Boolean = false): JobSpec = JobSpecReader(complete = whole).read(p)
+    fun read(parser: JsonParser, complete: Boolean = false): JobSpec = JobSpecReader(complete = complete).read(parser)
 
-    /** A submission as users send it, with every flag. */
-    fun description(spec: JobSpec): ByteArray = writeJson { obj { write(this, spec) } }
+    /** Returns the submission that describes [spec], with every flag. */
+    fun description(spec: JobSpec): ByteArray = writeJson { writeJsonObject { write(this, spec) } }
 
-    /** Writes the fields of [spec] into the object that [generator] has open. */
+    /** Writes the fields of [spec] into the JSON object that [generator] has started. */
     fun write(generator: JsonGenerator, spec: JobSpec) = with(generator) {
         writeStringField("id", spec.id)
         writeStringField(Fields.JOB_CLASS, spec.jobClass)
@@ -62,7 +66,7 @@
         writeNumberField(Fields.MEMORY_GB, spec.need.memory / 1000.0)
         writeStringField(Fields.IMAGE, spec.image)
         writeNumberField(Fields.IMAGE_GB, spec.imageGb)
-        if (spec.types != null) arr(Fields.MACHINE_TYPES) { spec.types.forEach { writeString(it) } }
+        if (spec.types != null) writeJsonArray(Fields.MACHINE_TYPES) { spec.types.forEach { writeString(it) } }
         if (spec.zone != null) writeStringField(Fields.ZONE, spec.zone)
         writeBooleanField(Fields.ONE_ZONE, spec.oneZone)
         writeBooleanField(Fields.SPREAD, spec.spread)
@@ -71,50 +75,51 @@
         writeNumberField(Fields.CHECKPOINT_S, spec.checkpointS)
         writeNumberField(Fields.SAVE_S, spec.saveS)
         if (spec.deadlineS != null) writeNumberField(Fields.DEADLINE_S, spec.deadlineS)
-        dependencies(spec.dependencies)
+        writeDependencies(spec.dependencies)
     }
 
-    private fun JsonGenerator.dependencies(jobIds: List<String>) {
-        if (jobIds.isNotEmpty()) arr(Fields.DEPENDENCIES) { jobIds.forEach { writeString(it) } }
+    private fun JsonGenerator.writeDependencies(jobIds: List<String>) {
+        if (jobIds.isNotEmpty()) writeJsonArray(Fields.DEPENDENCIES) { jobIds.forEach { writeString(it) } }
     }
 
     /**
-     * The submission [description], checked, with the dependencies [more] added; throws [MalformedMessageException].
+     * Returns the submission [description] with the dependencies [added]; throws [MalformedMessageException] if either
+     * the description or the result is not valid.
      */
-    fun withDependencies(description: ByteArray, more: List<String>): ByteArray {
+    fun withDependencies(description: ByteArray, added: List<String>): ByteArray {
         val spec = read(description)
-        val extended = description(spec.copy(dependencies = (spec.dependencies + more).distinct()))
-        // Read again, so that the added dependencies are held to the same rules.
+        val extended = description(spec.copy(dependencies = (spec.dependencies + added).distinct()))
+        // Reading the result checks the added dependencies by the same rules.
         read(extended)
         return extended
     }
 
-    /** Whether [view], the answer to a status request, says that the job is over. */
-    fun isOver(view: ByteArray): Boolean = parseJson(view) { p ->
+    /** Whether the job is done or cancelled according to [view], the answer to a status request. */
+    fun isOver(view: ByteArray): Boolean = parseJson(view) { parser ->
         var stage = ""
-        p.fields { name -> if (name == "stage") stage = text(name) }
+        parser.forEachField { name -> if (name == "stage") stage = readString(name) }
         stage == JobWords.word(JobStage.DONE) || stage == JobWords.word(JobStage.CANCELLED)
     }
 
-    /** The answer to a submission. */
+    /** Writes the answer to a submission that was accepted. */
     fun accepted(view: JobView): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeStringField("id", view.id)
             writeStringField("stage", JobWords.word(view.stage))
         }
     }
 
-    /** The answer to a status request. */
+    /** Writes the answer to a status request. */
     fun view(view: JobView): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeStringField("id", view.id)
             writeStringField("stage", JobWords.word(view.stage))
             writeNumberField("done", view.done)
             writeNumberField("running", view.running)
-            dependencies(view.dependencies)
+            writeDependencies(view.dependencies)
         }
     }
 
-    /** The body of an answer to a request that failed. */
-    fun error(reason: String): ByteArray = writeJson { obj { writeStringField("error", reason) } }
+    /** Writes the body of the answer to a request that failed. */
+    fun error(reason: String): ByteArray = writeJson { writeJsonObject { writeStringField("error", reason) } }
 }
--- a/src/main/kotlin/plankwall/wire/JobFactsCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobFactsCodec.kt
@@ -6,9 +6,12 @@
 import plankwall.model.Priority
 import plankwall.model.Shape
 
-/** What the policy may ask about a job that is over, whose description is no longer stored. */
+/**
+ * Codec of the [JobFacts] in the record of a job that has ended. The policy decides by them on requests
+ * about the job, since its description is no longer stored.
+ */
 internal object JobFactsCodec {
-    /** Writes the fields of [facts] into the object that [generator] has open. */
+    /** Writes the fields of [facts] into the JSON object that [generator] has started. */
     fun write(generator: JsonGenerator, facts: JobFacts) {
         facts.owner?.let { generator.writeStringField(OWNER, it) }
         generator.writeStringField(Fields.JOB_CLASS, facts.jobClass)
@@ -17,7 +20,7 @@
         generator.writeStringField(Fields.PRIORITY, JobWords.word(facts.priority))
     }
 
-    /** Collects the fields that [write] writes from among those of a record. */
+    /** Collects the facts while the fields of a record, among which those written by [write] are, are read in turn. */
     class Reader {
         private var owner: String? = null
         private var jobClass = ""
@@ -25,21 +28,24 @@
         private var shape = Shape.ARRAY
         private var priority = Priority.LOW
 
-        /** Reads the value of field [name] if it is one that [write] writes; false, and nothing read, otherwise. */
+        /**
+         * Reads the value of the field [name] if [write] writes such a field; otherwise reads nothing and returns
+         * false.
+         */
         fun readField(parser: JsonParser, name: String): Boolean {
             when (name) {
-                OWNER -> owner = parser.text(name)
-                Fields.JOB_CLASS -> jobClass = parser.text(name)
-                Fields.TEAM -> team = parser.text(name)
-                "shape" -> shape = JobWords.shape(name, parser.text(name))
-                Fields.PRIORITY -> priority = JobWords.priority(name, parser.text(name))
+                OWNER -> owner = parser.readString(name)
+                Fields.JOB_CLASS -> jobClass = parser.readString(name)
+                Fields.TEAM -> team = parser.readString(name)
+                "shape" -> shape = JobWords.shape(name, parser.readString(name))
+                Fields.PRIORITY -> priority = JobWords.priority(name, parser.readString(name))
                 else -> return false
             }
             return true
         }
 
-        /** Null where the record names no owner. */
-        fun facts(): JobFacts? = owner?.let { JobFacts(it, jobClass, team, priority, shape) }
+        /** Returns the facts read so far; null if the record names no owner. */
+        fun buildFacts(): JobFacts? = owner?.let { JobFacts(it, jobClass, team, priority, shape) }
     }
 
     private const val OWNER = "own"
--- a/src/main/kotlin/plankwall/wire/JobRecords.kt
+++ b/src/main/kotlin/plankwall/wire/JobRecords.kt
@@ -8,8 +8,12 @@
 import java.util.BitSet
 
 /**
- * A live job. Written by the node that accepted it, and again when it is cancelled. Times are wall-clock; [cancelledMs]
- * is 0 while the job is not cancelled. [owned]: who submitted it, where callers are authenticated.
+ * The record of a job that has not ended. It is written by the node that accepted the job, and again when the job is
+ * cancelled. Times are wall-clock times.
+ *
+ * @property cancelledMs the time of the cancellation; 0 while the job is not cancelled
+ * @property pageSize the number of tasks in each [PageRecord] of the job; the last one may hold fewer
+ * @property owned who submitted the job; null where callers are not authenticated
  */
 data class JobRecord(
     val spec: JobSpec,
@@ -18,39 +22,51 @@
     val pageSize: Int,
     val owned: Ownership? = null,
 ) : Stored {
+    /** The principal that submitted the job; null where callers are not authenticated. */
     val owner: String? get() = owned?.owner
 }
 
 /**
- * The principal that submitted a job. [cancelOnRevoke]: whether the job is cancelled when its owner loses the right to
- * it, by the rule that allowed it. [revokedBy]: the policy version that revoked the right, or 0.
+ * The principal that submitted a job.
+ *
+ * @property cancelOnRevoke whether the rule that allowed the submission has the job cancelled when its owner loses the
+ *   right to it
+ * @property revokedBy the policy version that revoked the owner's right; 0 if none has
  */
 data class Ownership(val owner: String, val cancelOnRevoke: Boolean, val revokedBy: Long = 0)
 
-/** The [attempt] of one task on [machine], whose agent had the epoch [session]. */
+/** The assignment of one attempt of a task to [machine]. [session]: the agent epoch of the machine at that time. */
 data class StoredPlacement(val task: Int, val attempt: Long, val machine: String, val session: Long)
 
 /**
- * The state of up to [JobRecord.pageSize] tasks of one job. Only the leader writes it. A page that is too large for a
- * stored value is divided: it then holds its first [partSize] tasks, and further keys ([Keys.part]) as many each. 0:
- * not divided.
+ * The state of up to [JobRecord.pageSize] tasks of one job. Only the leader writes it. A page that is too large for one
+ * stored value is split: its own key then holds the first [partSize] tasks, and each further key ([Keys.part]) holds up
+ * to as many.
+ *
+ * @property done the numbers of the tasks that are done
+ * @property placements the assignments of the tasks that run
+ * @property partSize the number of tasks of each part; 0 if the page is not split
  */
 data class PageRecord(val done: BitSet, val placements: List<StoredPlacement>, val partSize: Int = 0) : Stored
 
 /**
- * How a job ended, and when (wall-clock; 0: not known). Kept for ever and apart from the live records. [facts]: only of
- * owned jobs.
+ * The record of a job that has ended. It is kept for ever, under another prefix than the records of live jobs.
+ *
+ * @property done the number of tasks that were done
+ * @property endedMs the wall-clock time of the end; 0 if it is not known
+ * @property facts what the policy may ask about the job; null for a job without an owner
  */
 data class FinalRecord(val stage: JobStage, val done: Int, val endedMs: Long = 0, val facts: JobFacts? = null) : Stored
 
-/** The stored form of [JobRecord], [PageRecord] and [FinalRecord]. */
+/** Codec of the stored form of [JobRecord], [PageRecord] and [FinalRecord]. */
 internal object JobRecordCodec {
     /** The stored word for [JobStage.CANCELLED]. */
     private const val STORED_CANCELLED = "WITHDRAWN"
 
-    fun write(generator: JsonGenerator, record: JobRecord) = generator.obj {
+    /** Writes [record] as one JSON object. */
+    fun write(generator: JsonGenerator, record: JobRecord) = generator.writeJsonObject {
         writeFieldName("spec")
-        obj { JobCodec.write(this, record.spec) }
+        writeJsonObject { JobCodec.write(this, record.spec) }
         writeNumberField("at", record.submittedMs)
         if (record.cancelledMs > 0) writeNumberField("wd", record.cancelledMs)
         writeNumberField("page", record.pageSize)
@@ -61,6 +77,7 @@
         }
     }
 
+    /** Reads what [write] writes for a [JobRecord]; throws [MalformedMessageException]. */
     fun readJob(parser: JsonParser): JobRecord {
         var spec: JobSpec? = null
         var submittedMs = 0L
@@ -69,20 +86,20 @@
         var owner: String? = null
         var cancelOnRevoke = false
         var revokedBy = 0L
-        parser.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "own" -> owner = text(name)
-                "ow" -> cancelOnRevoke = flag(name)
-                "rv" -> revokedBy = whole(name)
+                "own" -> owner = readString(name)
+                "ow" -> cancelOnRevoke = readBoolean(name)
+                "rv" -> revokedBy = readWholeNumber(name)
                 "spec" -> spec = JobCodec.read(parser)
-                "at" -> submittedMs = whole(name)
-                "wd" -> cancelledMs = whole(name)
+                "at" -> submittedMs = readWholeNumber(name)
+                "wd" -> cancelledMs = readWholeNumber(name)
                 "page" -> pageSize = intValue
             }
         }
-        if (pageSize <= 0) throw MalformedMessageException("job record without page size")
+        if (pageSize <= 0) throw MalformedMessageException("job record without a page size")
         return JobRecord(
-            spec ?: throw MalformedMessageException("job record without spec"),
+            spec ?: throw MalformedMessageException("job record without a job description"),
             submittedMs,
             cancelledMs,
             pageSize,
@@ -90,14 +107,15 @@
         )
     }
 
-    fun write(generator: JsonGenerator, record: PageRecord) = generator.obj {
-        arr("d") { doneRanges(record.done) }
-        arr("p") { record.placements.forEach { placement(it) } }
+    /** Writes [record] as one JSON object. */
+    fun write(generator: JsonGenerator, record: PageRecord) = generator.writeJsonObject {
+        writeJsonArray("d") { writeDoneRanges(record.done) }
+        writeJsonArray("p") { record.placements.forEach { writePlacement(it) } }
         if (record.partSize > 0) writeNumberField("s", record.partSize)
     }
 
-    /** Finished tasks as pairs of the first and the last task of every contiguous range. */
-    private fun JsonGenerator.doneRanges(done: BitSet) {
+    /** Writes the tasks that are done as pairs: the first and the last task of each contiguous range. */
+    private fun JsonGenerator.writeDoneRanges(done: BitSet) {
         var from = done.nextSetBit(0)
         while (from >= 0) {
             val to = done.nextClearBit(from) - 1
@@ -107,7 +125,7 @@
         }
     }
 
-    private fun JsonGenerator.placement(placement: StoredPlacement) {
+    private fun JsonGenerator.writePlacement(placement: StoredPlacement) {
         writeStartArray()
         writeNumber(placement.task)
         writeNumber(placement.attempt)
@@ -116,18 +134,19 @@
         writeEndArray()
     }
 
+    /** Reads what [write] writes for a [PageRecord]. */
     fun readPage(parser: JsonParser): PageRecord {
         val done = BitSet()
         var partSize = 0
         val placements = ArrayList<StoredPlacement>()
-        parser.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "d" -> elements {
+                "d" -> forEachElement {
                     val from = intValue
                     nextToken()
                     done.set(from, intValue + 1)
                 }
-                "p" -> elements { placements.add(readPlacement(name)) }
+                "p" -> forEachElement { placements.add(readPlacement(name)) }
                 "s" -> partSize = intValue
             }
         }
@@ -140,32 +159,34 @@
         nextToken()
         val attempt = longValue
         nextToken()
-        val machine = text(field)
+        val machine = readString(field)
         nextToken()
         return StoredPlacement(task, attempt, machine, longValue).also { nextToken() }
     }
 
-    fun write(generator: JsonGenerator, record: FinalRecord) = generator.obj {
+    /** Writes [record] as one JSON object. */
+    fun write(generator: JsonGenerator, record: FinalRecord) = generator.writeJsonObject {
         writeStringField("stage", if (record.stage == JobStage.CANCELLED) STORED_CANCELLED else record.stage.name)
         writeNumberField("done", record.done)
         if (record.endedMs > 0) writeNumberField("at", record.endedMs)
         record.facts?.let { JobFactsCodec.write(this, it) }
     }
 
+    /** Reads what [write] writes for a [FinalRecord]. */
     fun readFinal(parser: JsonParser): FinalRecord {
         var stage = JobStage.DONE
         var done = 0
         var endedMs = 0L
-        val facts = JobFactsCodec.Reader()
-        parser.fields { name ->
-            if (!facts.readField(parser, name)) {
+        val factsReader = JobFactsCodec.Reader()
+        parser.forEachField { name ->
+            if (!factsReader.readField(parser, name)) {
                 when (name) {
-                    "stage" -> stage = if (text(name) == STORED_CANCELLED) JobStage.CANCELLED else JobStage.DONE
+                    "stage" -> stage = if (readString(name) == STORED_CANCELLED) JobStage.CANCELLED else JobStage.DONE
                     "done" -> done = intValue
-                    "at" -> endedMs = whole(name)
+                    "at" -> endedMs = readWholeNumber(name)
                 }
             }
         }
-        return FinalRecord(stage, done, endedMs, facts.facts())
+        return FinalRecord(stage, done, endedMs, factsReader.buildFacts())
     }
 }
--- a/src/main/kotlin/plankwall/wire/JobSpecReader.kt
+++ b/src/main/kotlin/plankwall/wire/JobSpecReader.kt
@@ -9,9 +9,11 @@
 import java.math.BigDecimal
 
 /**
- * Reads one job description field by field and checks it: what is accepted here is stored for good. Every flag of a
- * description that has to be [complete] must be given: a flag that is missing is not the same as one that is false,
- * since the job could be placed where its owner did not want it.
+ * Reads and checks one job description; an instance serves for one description only. Whatever is accepted here is
+ * stored permanently.
+ *
+ * @property complete whether every flag must be given. In a submission a missing flag must not be taken for false,
+ *   since the job could then be placed where its owner did not want it.
  */
 internal class JobSpecReader(private val complete: Boolean) {
     private var id: String? = null
@@ -36,39 +38,42 @@
     private var deadlineS: Double? = null
     private var dependencies: List<String> = emptyList()
 
-    /** Throws [MalformedMessageException] for anything missing or out of bounds. */
+    /**
+     * Reads the description at which [parser] stands. Throws [MalformedMessageException] for a field that is missing,
+     * of a wrong type or out of bounds.
+     */
     fun read(parser: JsonParser): JobSpec {
-        parser.fields { name -> readField(name) }
-        return spec()
+        parser.forEachField { name -> readField(name) }
+        return buildSpec()
     }
 
     private fun JsonParser.readField(name: String) {
         when (name) {
-            "id" -> id = name(name)
-            Fields.JOB_CLASS -> jobClass = name(name)
-            Fields.TEAM -> team = name(name)
-            "shape" -> shape = JobWords.shape(name, text(name))
-            Fields.PRIORITY -> priority = JobWords.priority(name, text(name))
-            Fields.TASKS -> tasks = whole(name)
-            Fields.CPUS -> cpus = Resources.need(amount(name))
-            Fields.GPUS -> gpus = Resources.need(amount(name))
-            Fields.MEMORY_GB -> memory = Resources.need(amount(name))
-            Fields.IMAGE -> image = name(name)
-            Fields.IMAGE_GB -> imageGb = amount(name).toDouble()
-            Fields.MACHINE_TYPES -> types = names(name)
-            Fields.ZONE -> zone = textOrNull(name)
-            Fields.ONE_ZONE -> oneZone = optionalFlag(name)
-            Fields.SPREAD -> spread = optionalFlag(name)
-            Fields.SPOT -> spot = optionalFlag(name)
-            Fields.ESTIMATE_S -> estimateS = amount(name).toDouble()
-            Fields.CHECKPOINT_S -> checkpointS = amount(name).toDouble()
-            Fields.SAVE_S -> saveS = amount(name).toDouble()
-            Fields.DEPENDENCIES -> dependencies = jobIds(name)
-            Fields.DEADLINE_S -> deadlineS = if (isNull) null else amount(name).toDouble()
+            "id" -> id = readBoundedName(name)
+            Fields.JOB_CLASS -> jobClass = readBoundedName(name)
+            Fields.TEAM -> team = readBoundedName(name)
+            "shape" -> shape = JobWords.shape(name, readString(name))
+            Fields.PRIORITY -> priority = JobWords.priority(name, readString(name))
+            Fields.TASKS -> tasks = readWholeNumber(name)
+            Fields.CPUS -> cpus = Resources.need(readAmount(name))
+            Fields.GPUS -> gpus = Resources.need(readAmount(name))
+            Fields.MEMORY_GB -> memory = Resources.need(readAmount(name))
+            Fields.IMAGE -> image = readBoundedName(name)
+            Fields.IMAGE_GB -> imageGb = readAmount(name).toDouble()
+            Fields.MACHINE_TYPES -> types = readNames(name)
+            Fields.ZONE -> zone = readNullableString(name)
+            Fields.ONE_ZONE -> oneZone = readOptionalFlag(name)
+            Fields.SPREAD -> spread = readOptionalFlag(name)
+            Fields.SPOT -> spot = readOptionalFlag(name)
+            Fields.ESTIMATE_S -> estimateS = readAmount(name).toDouble()
+            Fields.CHECKPOINT_S -> checkpointS = readAmount(name).toDouble()
+            Fields.SAVE_S -> saveS = readAmount(name).toDouble()
+            Fields.DEPENDENCIES -> dependencies = readJobIds(name)
+            Fields.DEADLINE_S -> deadlineS = if (isNull) null else readAmount(name).toDouble()
         }
     }
 
-    private fun spec(): JobSpec {
+    private fun buildSpec(): JobSpec {
         val taskCount = required(Fields.TASKS, tasks)
         if (taskCount !in 1..MAX_TASKS) throw MalformedMessageException(Fields.TASKS, "must lie in 1..$MAX_TASKS")
         val jobId = required("id", id)
@@ -109,36 +114,37 @@
 
     private val JsonParser.isNull: Boolean get() = currentToken() == JsonToken.VALUE_NULL
 
-    private fun JsonParser.name(field: String): String {
-        val value = text(field)
+    private fun JsonParser.readBoundedName(field: String): String {
+        val value = readString(field)
         if (value.isEmpty() || value.length > MAX_NAME_LENGTH) {
             throw MalformedMessageException(field, "must have 1 to $MAX_NAME_LENGTH characters")
         }
         return value
     }
 
-    private fun JsonParser.amount(field: String): BigDecimal {
-        val value = decimal(field)
+    private fun JsonParser.readAmount(field: String): BigDecimal {
+        val value = readDecimal(field)
         if (value.signum() < 0 || value > MAX_AMOUNT) throw MalformedMessageException(field, "out of range")
         return value
     }
 
-    private fun JsonParser.optionalFlag(field: String): Boolean? = if (!complete && isNull) null else flag(field)
+    private fun JsonParser.readOptionalFlag(field: String): Boolean? =
+        if (!complete && isNull) null else readBoolean(field)
 
-    private fun JsonParser.names(field: String): List<String>? {
+    private fun JsonParser.readNames(field: String): List<String>? {
         if (isNull) return null
         val found = ArrayList<String>()
-        elements { found.add(name(field)) }
+        forEachElement { found.add(readBoundedName(field)) }
         return found
     }
 
-    /** A job id that is given twice counts once. */
-    private fun JsonParser.jobIds(field: String): List<String> {
+    /** Reads a list of job ids in their order; an id that occurs more than once is kept once. */
+    private fun JsonParser.readJobIds(field: String): List<String> {
         if (isNull) return emptyList()
         if (currentToken() != JsonToken.START_ARRAY) throw MalformedMessageException(field, "not a list")
         val found = LinkedHashSet<String>()
-        elements {
-            val jobId = text(field)
+        forEachElement {
+            val jobId = readString(field)
             if (!JobCodec.isJobId(jobId)) throw MalformedMessageException(field, NOT_A_JOB_ID)
             found.add(jobId)
         }
--- a/src/main/kotlin/plankwall/wire/Json.kt
+++ b/src/main/kotlin/plankwall/wire/Json.kt
@@ -9,9 +9,10 @@
 import java.io.ByteArrayOutputStream
 import java.math.BigDecimal
 
-/** What most messages fit. */
-private const val INITIAL_BYTES = 256
+/** The initial size of an output buffer, which most messages fit. */
+private const val INITIAL_BUFFER_BYTES = 256
 
+/** The JSON factory of all codecs. Its limits bound what a hostile message can cost. */
 internal val jsonFactory: JsonFactory = JsonFactory.builder()
     .streamReadConstraints(
         StreamReadConstraints.builder()
@@ -28,91 +29,102 @@
 private const val MAX_DECIMALS = 60
 
 /**
- * Reads [bytes] as one JSON value and nothing behind it; throws [MalformedMessageException] for whatever is wrong with
- * it.
+ * Parses [bytes], which must hold exactly one JSON value, with [read]; the parser stands on the value's first token.
+ * Throws [MalformedMessageException] for anything else.
  */
 internal inline fun <T> parseJson(bytes: ByteArray, read: (JsonParser) -> T): T = try {
-    jsonFactory.createParser(bytes).use { p ->
-        p.nextToken() ?: throw MalformedMessageException("empty body")
-        val value = read(p)
-        if (p.nextToken() != null) throw MalformedMessageException("more than one JSON value")
+    jsonFactory.createParser(bytes).use { parser ->
+        parser.nextToken() ?: throw MalformedMessageException("empty body")
+        val value = read(parser)
+        if (parser.nextToken() != null) throw MalformedMessageException("more than one JSON value")
         value
     }
-} catch (e: JsonProcessingException) {
-    throw MalformedMessageException("not JSON: ${e.originalMessage}", e)
-} catch (e: ArithmeticException) {
-    throw MalformedMessageException("number out of range", e)
+} catch (exception: JsonProcessingException) {
+    throw MalformedMessageException("not JSON: ${exception.originalMessage}", exception)
+} catch (exception: ArithmeticException) {
+    throw MalformedMessageException("number out of range", exception)
 }
 
-/** The JSON that [write] generates, as UTF-8. */
+/** Returns the JSON that [write] generates, in UTF-8. */
 internal inline fun writeJson(write: JsonGenerator.() -> Unit): ByteArray {
-    val out = ByteArrayOutputStream(INITIAL_BYTES)
+    val out = ByteArrayOutputStream(INITIAL_BUFFER_BYTES)
     jsonFactory.createGenerator(out).use { it.write() }
     return out.toByteArray()
 }
 
-internal inline fun JsonGenerator.obj(fields: JsonGenerator.() -> Unit) {
+/** Writes one JSON object with the fields that [writeFields] generates. */
+internal inline fun JsonGenerator.writeJsonObject(writeFields: JsonGenerator.() -> Unit) {
     writeStartObject()
-    fields()
+    writeFields()
     writeEndObject()
 }
 
-internal inline fun JsonGenerator.arr(field: String, items: JsonGenerator.() -> Unit) {
+/** Writes the field [field] with a JSON array of the elements that [writeElements] generates. */
+internal inline fun JsonGenerator.writeJsonArray(field: String, writeElements: JsonGenerator.() -> Unit) {
     writeArrayFieldStart(field)
-    items()
+    writeElements()
     writeEndArray()
 }
 
 /**
- * Walks the fields of the object that the parser stands on. [field] must not move past its value; leftovers are
- * skipped.
+ * Calls [readField] with the name of each field of the object at which the parser stands, the parser being at the
+ * field's value. [readField] must not move past the value; an object or array that it does not read is skipped.
  */
-internal inline fun JsonParser.fields(field: JsonParser.(String) -> Unit) {
+internal inline fun JsonParser.forEachField(readField: JsonParser.(String) -> Unit) {
     if (currentToken() != JsonToken.START_OBJECT) throw MalformedMessageException("not an object")
     while (nextToken() != JsonToken.END_OBJECT) {
         val name = currentName()
         nextToken()
-        field(name)
-        // A callee that read a whole object or array stands on its end; one that ignored it stands on its start.
+        readField(name)
+        // readField leaves the parser at the end of an object or array that it read, and at the start of one that it
+        // ignored.
         if (currentToken() == JsonToken.START_OBJECT || currentToken() == JsonToken.START_ARRAY) skipChildren()
     }
 }
 
-/** Walks the elements of the array that the parser stands on; [element] must not move past its value. */
-internal inline fun JsonParser.elements(element: JsonParser.() -> Unit) {
+/**
+ * Calls [readElement] for each element of the array at which the parser stands. [readElement] must not move past the
+ * element; an object or array that it does not read is skipped.
+ */
+internal inline fun JsonParser.forEachElement(readElement: JsonParser.() -> Unit) {
     if (currentToken() != JsonToken.START_ARRAY) throw MalformedMessageException("not an array")
     while (nextToken() != JsonToken.END_ARRAY) {
-        element()
+        readElement()
         if (currentToken() == JsonToken.START_OBJECT || currentToken() == JsonToken.START_ARRAY) skipChildren()
     }
 }
 
-internal fun JsonParser.text(name: String): String {
+/** Returns the current value, which must be a string. [name] names the field in the error message. */
+internal fun JsonParser.readString(name: String): String {
     if (currentToken() != JsonToken.VALUE_STRING) throw MalformedMessageException(name, "not a string")
     return text
 }
 
-internal fun JsonParser.textOrNull(name: String): String? =
-    if (currentToken() == JsonToken.VALUE_NULL) null else text(name)
+/** Returns the current value, which must be a string or null. */
+internal fun JsonParser.readNullableString(name: String): String? =
+    if (currentToken() == JsonToken.VALUE_NULL) null else readString(name)
 
-internal fun JsonParser.flag(name: String): Boolean = when (currentToken()) {
+/** Returns the current value, which must be true or false. */
+internal fun JsonParser.readBoolean(name: String): Boolean = when (currentToken()) {
     JsonToken.VALUE_TRUE -> true
     JsonToken.VALUE_FALSE -> false
     else -> throw MalformedMessageException(name, "not true or false")
 }
 
-internal fun JsonParser.whole(name: String): Long {
+/** Returns the current value, which must be a number without a fractional part that fits a Long. */
+internal fun JsonParser.readWholeNumber(name: String): Long {
     if (currentToken() == JsonToken.VALUE_NUMBER_INT) return longValue
-    // Some clients write counts as 3.0.
-    val exact = decimal(name)
+    // Some clients write whole numbers with a decimal point, for example 3.0.
+    val exact = readDecimal(name)
     return try {
         exact.longValueExact()
-    } catch (e: ArithmeticException) {
-        throw MalformedMessageException(name, "not a whole number", e)
+    } catch (exception: ArithmeticException) {
+        throw MalformedMessageException(name, "not a whole number", exception)
     }
 }
 
-internal fun JsonParser.decimal(name: String): BigDecimal {
+/** Returns the current value, which must be a number within the limits on digits. */
+internal fun JsonParser.readDecimal(name: String): BigDecimal {
     if (currentToken()?.isNumeric != true) throw MalformedMessageException(name, "not a number")
     val value = decimalValue
     if (value.precision() - value.scale() > MAX_INTEGER_DIGITS || value.scale() > MAX_DECIMALS) {
@@ -121,7 +133,9 @@
     return value
 }
 
-internal fun JsonParser.double(name: String): Double = decimal(name).toDouble()
+/** Returns the current value, which must be a number, as a Double. */
+internal fun JsonParser.readDouble(name: String): Double = readDecimal(name).toDouble()
 
-internal fun JsonParser.doubleOrNull(name: String): Double? =
-    if (currentToken() == JsonToken.VALUE_NULL) null else double(name)
+/** Returns the current value, which must be a number or null. */
+internal fun JsonParser.readNullableDouble(name: String): Double? =
+    if (currentToken() == JsonToken.VALUE_NULL) null else readDouble(name)
--- a/src/main/kotlin/plankwall/wire/Keys.kt
+++ b/src/main/kotlin/plankwall/wire/Keys.kt
@@ -1,46 +1,65 @@
 package plankwall.wire
 
-/** Keys of the controllers' records in the state service. Those of access control are in [AccessKeys]. */
+/** Keys of the scheduler's records in the state service. Those of access control are in [AccessKeys]. */
 object Keys {
+    /** The key of the [LeaderRecord]. */
     const val LEADER = "leader"
+
+    /** The first key of the [FleetRecord]. */
     const val FLEET = "fleet"
+
+    /** The first key of the [CatalogRecord]. */
     const val CATALOG = "catalog"
+
+    /** The key of the [LevelRecord]. */
     const val LEVEL = "level"
+
+    /** The prefix of the keys of all [JobRecord]s. */
     const val JOBS = "j/"
+
+    /** The prefix of the keys of all [PageRecord]s. */
     const val PAGES = "t/"
+
+    /** The prefix of the keys of all [FinalRecord]s. */
     const val FINALS = "f/"
 
-    /** The key of a live job's [JobRecord]. */
+    /** Returns the key of the [JobRecord] of the job [id]. */
     fun job(id: String) = "$JOBS$id"
 
-    /** The prefix of all [PageRecord]s of a job. */
+    /** Returns the prefix of the keys of all [PageRecord]s of the job [id]. */
     fun pages(id: String) = "$PAGES$id/"
 
-    /** The key of one [PageRecord]; zero-padded, so that the store's key order is the pages' order. */
+    /**
+     * Returns the key of the [PageRecord] with the number [page]. The number is padded with zeros, so that the order of
+     * the keys in the state service is the order of the pages.
+     */
     fun page(id: String, page: Int) = "$PAGES$id/${page.toString().padStart(PAGE_DIGITS, '0')}"
 
-    /** The key of a finished job's [FinalRecord]. */
+    /** Returns the key of the [FinalRecord] of the job [id]. */
     fun final(id: String) = "$FINALS$id"
 
-    /** The job id in the key of a job, a page or a final record. */
+    /** Returns the job id in [key], the key of a [JobRecord], a [PageRecord] or a [FinalRecord]. */
     fun jobId(key: String): String = key.substringAfter('/').substringBefore('/')
 
-    /** The number of part [part] of [page]; part 0 is the page itself. */
+    /** Returns the number under which part [part] of the split page [page] is stored; part 0 is the page itself. */
     fun part(page: Int, part: Int): Int = part * PART_STEP + page
 
-    /** The page that [number] is a part of. */
+    /** Returns the page to which the page or part with this [number] belongs. */
     fun wholeOf(number: Int): Int = number % PART_STEP
 
-    /** Which part of its page [number] is. */
+    /** Returns the position of the part with this [number] in its page; 0 for the page itself. */
     fun partOf(number: Int): Int = number / PART_STEP
 
-    /** The key of the [n]th continuation, counting from 1, of a value that is too large for [key] alone. */
-    fun more(key: String, n: Int) = "$key/$n"
+    /** Returns the further key with the number [continuation], from 1, of a value that is too large for [key] alone. */
+    fun more(key: String, continuation: Int) = "$key/$continuation"
 
-    /** The number of the page, or of the part of one, that [key] holds; null if the key names none. */
+    /** Returns the number of the page or part stored under [key]; null if the key does not end with a number. */
     fun pageNumber(key: String): Int? = key.substringAfterLast('/').toIntOrNull()
 
-    /** Beyond the number of any page: 100,000 tasks make 12,500 of the smallest. */
+    /**
+     * The distance between the numbers of two parts of a page. It exceeds the number of pages: 100,000 tasks in pages
+     * of the smallest size take 12,500.
+     */
     private const val PART_STEP = 1_000_000
     private const val PAGE_DIGITS = 6
 }
--- a/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
+++ b/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
@@ -1,9 +1,11 @@
 package plankwall.wire
 
 /**
- * A message or a stored value that is not in the protocol's form. [field]: the field, or the kind of message, that is
- * wrong; null if the whole message is. [problem]: what is wrong with it. The message, which joins both, is shown to
- * users.
+ * Thrown for a message or a stored value that does not have the form that the protocol requires. Its message, which
+ * joins [field] and [problem], is shown to users. It is created without a stack trace.
+ *
+ * @property field the field or the kind of message that is wrong; null if the message as a whole is
+ * @property problem what is wrong with it
  */
 class MalformedMessageException private constructor(
     val field: String?,
--- a/src/main/kotlin/plankwall/wire/PeerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/PeerCodec.kt
@@ -3,7 +3,7 @@
 import okio.Buffer
 import java.io.EOFException
 
-/** Frames between controllers: a byte for the kind of message, then its fields. */
+/** Codec of the frames between controllers: one byte for the kind of message, then the fields of the message. */
 object PeerCodec {
     private const val STATUS = 1
     private const val PROGRESS = 2
@@ -12,16 +12,19 @@
     private const val HEARTBEAT_BATCH = 5
     private const val ANSWER_BATCH = 6
 
-    /** The most bytes of a frame, without its seal. */
+    /** The maximum number of bytes of a frame without its seal. */
     const val MAX_FRAME = 64 * 1024
 
-    /** The level of the first version, whose frames hold none. */
+    /** The record format level of the first version, whose status frames do not state one. */
     const val FIRST_LEVEL = 1
 
-    /** The level of this version: reads dependencies, divided pages and values that continue under further keys. */
+    /**
+     * The record format level of this version, which can read dependencies, split pages and values that continue under
+     * further keys.
+     */
     const val LEVEL = 2
 
-    /** [message] as a frame without its length and its seal. */
+    /** Returns [message] as a frame without its length and its seal. */
     fun write(message: PeerMessage): ByteArray = when (message) {
         is PeerStatus -> writeStatus(message)
         is ProgressUpdate -> writeProgress(message)
@@ -33,16 +36,16 @@
 
     private fun writeStatus(status: PeerStatus): ByteArray {
         val body = Buffer()
-        body.writeByte(STATUS).name(status.node)
+        body.writeByte(STATUS).writeName(status.node)
         body.writeLong(status.incarnation).writeLong(status.epochSeen).writeLong(status.resignedEpoch)
-        body.flag(status.leading).flag(status.stateReachable).writeInt(status.unservedWorkers)
-        // Frames grow at the end only: the first version reads up to here and ignores the rest.
+        body.writeFlag(status.leading).writeFlag(status.stateReachable).writeInt(status.unservedWorkers)
+        // New versions append fields at the end only. The first version reads up to here and ignores what follows.
         body.writeInt(status.level)
-        // The second one up to here.
+        // The second version reads up to here.
         status.links?.let { ReachabilityCodec.write(body, it) }
-        // The third one up to here.
+        // The third version reads up to here. A section is written only if all earlier ones are.
         if (status.links != null) status.cancellations?.let { CancellationCodec.write(body, it) }
-        // The fourth one up to here.
+        // The fourth version reads up to here.
         if (status.links != null && status.cancellations != null) {
             status.sessions?.let { SessionCodec.write(body, it) }
         }
@@ -52,11 +55,11 @@
     private fun writeProgress(update: ProgressUpdate): ByteArray {
         val body = Buffer()
         body.writeByte(PROGRESS).writeLong(update.epoch).writeInt(update.jobs.size)
-        update.jobs.forEach { body.name(it.id).writeInt(it.done).writeInt(it.running) }
+        update.jobs.forEach { body.writeName(it.id).writeInt(it.done).writeInt(it.running) }
         return body.readByteArray()
     }
 
-    /** Throws [MalformedMessageException] for a frame that can't be read whole. */
+    /** Reads what [write] writes; throws [MalformedMessageException] for a frame that can't be read completely. */
     fun read(frame: ByteArray): PeerMessage = try {
         val buffer = Buffer().write(frame)
         when (buffer.readByte().toInt()) {
@@ -68,11 +71,11 @@
             ANSWER_BATCH -> SessionCodec.readAnswers(buffer)
             else -> throw MalformedMessageException("peer", "unknown kind of frame")
         }
-    } catch (e: EOFException) {
-        throw MalformedMessageException("peer", "short frame", e)
+    } catch (exception: EOFException) {
+        throw MalformedMessageException("peer", "frame ends too early", exception)
     }
 
-    // Arguments are evaluated in the order of the frame's fields.
+    // Arguments are evaluated in their order here, which has to be the order of the fields in the frame.
     private fun readStatus(buffer: Buffer): PeerStatus = PeerStatus(
         node = buffer.readName(),
         incarnation = buffer.readLong(),
@@ -81,7 +84,7 @@
         leading = buffer.readFlag(),
         stateReachable = buffer.readFlag(),
         unservedWorkers = buffer.readInt(),
-        // Frames of older versions end sooner.
+        // Frames of older versions end before these fields.
         level = if (buffer.exhausted()) FIRST_LEVEL else buffer.readInt(),
         links = if (buffer.exhausted()) null else ReachabilityCodec.read(buffer),
         cancellations = if (buffer.exhausted()) null else CancellationCodec.read(buffer),
--- a/src/main/kotlin/plankwall/wire/PeerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/PeerMessages.kt
@@ -2,53 +2,60 @@
 
 /** A message from one controller to another. */
 sealed interface PeerMessage {
-    /** The node that sent it; null where the receiver has no use for it. */
+    /** The node that sent the message; null for a kind of message that does not name its sender. */
     val sender: String?
 }
 
-/** Sent once a second: who a node is, which leader it follows, and what it can reach. */
+/**
+ * The status that each node sends to its peers once a second: its identity, the leader it follows, what it can reach.
+ */
 data class PeerStatus(
     val node: String,
+    /** Tells the runs of the node apart: a restart changes it. */
     val incarnation: Long,
+    /** The newest epoch that the node knows of. */
     val epochSeen: Long,
     val leading: Boolean,
-    /** The epoch that this node led last and has stopped acting in, or 0. Proof for a failover. */
+    /**
+     * The last epoch that this node led and in which it has stopped acting; 0 if there is none. It proves to a new
+     * leader that this one is no longer active.
+     */
     val resignedEpoch: Long,
     val stateReachable: Boolean,
-    /** Workers that sent heartbeats here within the last few seconds and could not be served. */
+    /** The number of workers whose heartbeats of the last few seconds this node could not serve. */
     val unservedWorkers: Int,
-    /** What a node can read of other nodes' data: [PeerCodec.LEVEL] of its version. */
+    /** The record format level that the node can read: [PeerCodec.LEVEL] of its version. */
     val level: Int = PeerCodec.FIRST_LEVEL,
-    /** Null from a version that does not report it, and that must not be sent [RelayedHeartbeat]s either. */
+    /** Null from a version that does not report it; such a node must not be sent [RelayedHeartbeat]s either. */
     val links: ReachabilityReport? = null,
-    /** Null from a version that does not report it; it confirms no cancellation then. */
+    /** Null from a version that does not report it; such a node confirms no cancellation. */
     val cancellations: CancellationUpdate? = null,
-    /** Null from a version that serves no worker's session for a leader, and that can't read a [HeartbeatBatch]. */
+    /** Null from a version that serves no workers' sessions for a leader and can't read a [HeartbeatBatch]. */
     val sessions: SessionUpdate? = null,
 ) : PeerMessage {
     override val sender: String get() = node
 
-    /** Workers that sent heartbeats there lately; 0 from a version that does not report it. */
+    /** The number of workers that sent heartbeats to the node lately; 0 from a version that does not report it. */
     val recentWorkers: Int get() = links?.recentWorkers ?: 0
 }
 
 /** The number of finished and running tasks of a job. */
 data class JobProgress(val id: String, val done: Int, val running: Int)
 
-/** From the leader of [epoch]: the jobs' progress, for status requests at every node. */
+/** The progress of jobs as the leader of [epoch] sends it, so that every node can answer status requests. */
 data class ProgressUpdate(val epoch: Long, val jobs: List<JobProgress>) : PeerMessage {
     override val sender: String? get() = null
 }
 
 /**
- * Jobs that a node knows to be cancelled, numbered from 1 in the order in which it learned of them since it started:
- * [jobs] begin with number [first]. All that it knew when the frame was made is numbered up to the last of them.
+ * Jobs that a node knows to be cancelled. Since its start it numbers them from 1 in the order in which it learned of
+ * them. [jobs] holds those from number [first] on, up to the newest that it knew of when the frame was made.
  */
 data class CancellationUpdate(
     val first: Long,
     val jobs: List<String>,
-    /** Since the last read of the store that was answered was sent, by the sender's clock; negative: none yet. */
+    /** How long ago the sender sent its newest answered read of the store, by its clock; negative if there is none. */
     val readAgeMs: Long,
-    /** Since the sender started, by its clock. */
+    /** How long ago the sender started, by its clock. */
     val upMs: Long,
 )
--- a/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
@@ -2,24 +2,25 @@
 
 import okio.Buffer
 
-/** The part of a status frame that reports connectivity. A later version adds to its end. */
+/** Codec of the section of a status frame that reports connectivity. Later versions may add fields at the end only. */
 internal object ReachabilityCodec {
+    /** Appends [report] to [buffer]. */
     fun write(buffer: Buffer, report: ReachabilityReport) {
         buffer.writeLong(report.seq).writeInt(report.echoes.size)
-        report.echoes.forEach { (node, seq) -> buffer.name(node).writeLong(seq) }
+        report.echoes.forEach { (node, seq) -> buffer.writeName(node).writeLong(seq) }
         buffer.writeInt(report.storeAgesMs.size)
         report.storeAgesMs.forEach { buffer.writeInt(it) }
         buffer.writeInt(report.cloudAgeMs).writeInt(report.recentWorkers).writeInt(report.zones.size)
-        report.zones.forEach { buffer.name(it.zone).writeInt(it.known).writeInt(it.late) }
+        report.zones.forEach { buffer.writeName(it.zone).writeInt(it.known).writeInt(it.late) }
         writeLeader(buffer, report.leader)
-        buffer.text(report.successor)
+        buffer.writeText(report.successor)
     }
 
     private fun writeLeader(buffer: Buffer, leader: LeaderSighting?) {
-        buffer.text(leader?.node).writeLong(leader?.epoch ?: 0L).writeInt(leader?.ageMs ?: -1)
+        buffer.writeText(leader?.node).writeLong(leader?.epoch ?: 0L).writeInt(leader?.ageMs ?: -1)
     }
 
-    // Arguments are evaluated in the order of the frame's fields.
+    /** Reads what [write] writes. Arguments are evaluated in their order here, which has to be that of the fields. */
     fun read(buffer: Buffer): ReachabilityReport = ReachabilityReport(
         seq = buffer.readLong(),
         echoes = buffer.readList { buffer.readName() to buffer.readLong() }.toMap(),
--- a/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
@@ -1,32 +1,38 @@
 package plankwall.wire
 
 /**
- * What a node can reach, by its own observation. Ages are in milliseconds by its monotonic clock when the frame was
- * made, negative for what has not happened yet.
+ * What a node can reach, by its own observation. Ages are in milliseconds of its monotonic clock, as of the creation of
+ * the frame; a negative age means that the event has not happened yet.
  */
 data class ReachabilityReport(
-    /** Rises with every frame of this node, over its restarts too. Whoever echoes it has received that frame. */
+    /** Increases with every frame of this node, also across restarts. A node that echoes it has received that frame. */
     val seq: Long,
-    /** The newest [seq] that this node received from each peer: proof to that peer of how old this frame can be. */
+    /** The newest [seq] received from each peer, by node. It proves to that peer how old this frame can be at most. */
     val echoes: Map<String, Long>,
-    /** Since the last success with the state service, by [StoreUse]: each may fail alone. */
+    /** The age of the last successful request to the state service for each [StoreUse], by ordinal. */
     val storeAgesMs: List<Int>,
+    /** The age of the last request that the cloud answered. */
     val cloudAgeMs: Int,
-    /** Workers that sent a heartbeat here within the last heartbeat interval, however it was answered. */
+    /** The number of workers that sent a heartbeat here within the last heartbeat interval, whatever the answer was. */
     val recentWorkers: Int,
-    /** Of the leader, by zone; empty from the others. */
+    /** The leader's machines by zone; empty from a node that does not lead. */
     val zones: List<ZoneReach>,
-    /** The leader by the best proof that this node has itself; not what others reported to it. */
+    /**
+     * The leader by the best proof that this node has itself, not by reports of other nodes; null without a proof.
+     */
     val leader: LeaderSighting?,
-    /** Of a node that resigned: the candidate that it prefers. */
+    /** The candidate that a node which has resigned proposes as the next leader; otherwise null. */
     val successor: String?,
 )
 
-/** The ways of using the state service that can fail independently. */
+/** The kinds of requests to the state service. Each kind may fail while the others succeed. */
 enum class StoreUse { READ, WRITE, RENEW, WATCH }
 
-/** A leader's machines in one zone: [known] in service, of these [late] with a heartbeat that came to it directly. */
+/**
+ * The leader's machines in one zone. [known]: the number of those whose workers should send heartbeats to it directly.
+ * [late]: the number of these whose last direct heartbeat is overdue.
+ */
 data class ZoneReach(val zone: String, val known: Int, val late: Int)
 
-/** That [node] led in [epoch], by proof that is [ageMs] old. */
+/** A proof, [ageMs] old, that [node] was the leader of [epoch]. */
 data class LeaderSighting(val node: String, val epoch: Long, val ageMs: Int)
--- a/src/main/kotlin/plankwall/wire/RecordCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RecordCodec.kt
@@ -3,10 +3,12 @@
 import com.fasterxml.jackson.core.JsonGenerator
 import com.fasterxml.jackson.core.JsonParser
 
-/** A value that the controllers keep in the state service. Every kind has its own key prefix, see [Keys]. */
+/**
+ * A value that the controllers keep in the state service. The key tells which kind it is, see [Keys] and [AccessKeys].
+ */
 sealed interface Stored
 
-/** Stored values as compact JSON. No other program reads them, so short field names are used for size. */
+/** Codec of stored values as JSON. No other program reads them, so that short field names can keep them small. */
 internal object RecordCodec {
     /** Writes [record] as one JSON object. */
     fun write(generator: JsonGenerator, record: Stored) = when (record) {
@@ -22,8 +24,8 @@
     }
 
     /**
-     * Reads the value of [key] that [parser] stands on. Null for a key of a kind that this version does not know;
-     * throws [MalformedMessageException] for a value that can't be read.
+     * Reads the value of [key], at which [parser] stands. Returns null for a kind of key that this version does not
+     * know; throws [MalformedMessageException] for a value that can't be read.
      */
     fun read(key: String, parser: JsonParser): Stored? = when {
         key == Keys.LEADER -> LeadershipRecordCodec.readLeader(parser)
@@ -36,7 +38,9 @@
         else -> AccessRecordCodec.read(key, parser) ?: skip(parser)
     }
 
-    /** The whole answer that holds an unknown value must stay readable, so the value is skipped, not refused. */
+    /**
+     * Skips a value of an unknown kind. It is not rejected, since the other values in the same answer must be readable.
+     */
     private fun skip(parser: JsonParser): Stored? {
         parser.skipChildren()
         return null
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -3,16 +3,18 @@
 import okio.Buffer
 
 /**
- * Heartbeats and answers that are relayed through another node. Binary: the leader reads hundreds of them at a time
- * when connections are cut.
+ * Codec of heartbeats and answers that are relayed through another node. They are binary, since the leader has to read
+ * hundreds of them at a time when connections are cut.
  */
 internal object RelayCodec {
+    /** Appends [heartbeat] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, heartbeat: RelayedHeartbeat): ByteArray {
-        buffer.name(heartbeat.from).writeLong(heartbeat.id).writeLong(heartbeat.echo).text(heartbeat.address)
+        buffer.writeName(heartbeat.from).writeLong(heartbeat.id).writeLong(heartbeat.echo).writeText(heartbeat.address)
         writeStatus(buffer, heartbeat.report)
         return buffer.readByteArray()
     }
 
+    /** Reads what [write] writes for a [RelayedHeartbeat]; the order of arguments is that of the fields. */
     fun readHeartbeat(buffer: Buffer): RelayedHeartbeat = RelayedHeartbeat(
         from = buffer.readName(),
         id = buffer.readLong(),
@@ -21,40 +23,47 @@
         report = readStatus(buffer),
     )
 
+    /** Appends [answer] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, answer: RelayedAnswer): ByteArray {
-        buffer.name(answer.from).writeLong(answer.id)
+        buffer.writeName(answer.from).writeLong(answer.id)
         writeAnswer(buffer, answer.status, answer.body)
         return buffer.readByteArray()
     }
 
+    /** Reads what [write] writes for a [RelayedAnswer]; the order of arguments is that of the fields. */
     fun readAnswer(buffer: Buffer): RelayedAnswer =
         RelayedAnswer(buffer.readName(), buffer.readLong(), buffer.readInt(), readBody(buffer))
 
+    /** Writes the HTTP status of an answer, then its body, preceded by its length. */
     fun writeAnswer(buffer: Buffer, status: Int, body: ByteArray) {
         buffer.writeInt(status).writeInt(body.size).write(body)
     }
 
-    /** The body of an answer, after its length. */
+    /** Reads the body of an answer, which is preceded by its length. */
     fun readBody(buffer: Buffer): ByteArray {
         val size = buffer.readInt()
         if (size !in 0..PeerCodec.MAX_FRAME) throw MalformedMessageException("peer", "answer of $size bytes")
         return buffer.readByteArray(size.toLong())
     }
 
+    /** Appends the fields of [status] to [buffer]. */
     fun writeStatus(buffer: Buffer, status: HeartbeatStatus) {
-        buffer.name(status.machine).text(status.address).text(status.type).text(status.zone).flag(status.spot)
+        buffer.writeName(status.machine).writeText(status.address).writeText(status.type).writeText(status.zone)
+            .writeFlag(status.spot)
         buffer.writeLong(status.session).writeLong(status.seq).writeLong(status.token)
-        buffer.flag(status.noticeS != null).writeLong((status.noticeS ?: 0.0).toBits())
+        buffer.writeFlag(status.noticeS != null).writeLong((status.noticeS ?: 0.0).toBits())
         buffer.writeInt(status.tasks.size)
         status.tasks.forEach { writeTask(buffer, it) }
     }
 
     private fun writeTask(buffer: Buffer, task: TaskStatus) {
-        buffer.name(task.jobId).writeInt(task.task).writeLong(task.attempt)
-        buffer.writeByte(task.stage.code()).writeByte(task.cause.code()).flag(task.saved)
+        buffer.writeName(task.jobId).writeInt(task.task).writeLong(task.attempt)
+        buffer.writeByte(task.stage.toFrameCode()).writeByte(task.cause.toFrameCode()).writeFlag(task.saved)
     }
 
-    // Arguments are evaluated in the order of the frame's fields.
+    /**
+     * Reads what [writeStatus] writes. Arguments are evaluated in their order here, which has to be that of the fields.
+     */
     fun readStatus(buffer: Buffer): HeartbeatStatus = HeartbeatStatus(
         machine = buffer.readName(),
         address = buffer.readText().orEmpty(),
@@ -78,11 +87,11 @@
         task = buffer.readInt(),
         attempt = buffer.readLong(),
         stage = readStage(buffer),
-        cause = ExitCause.entries.ofCode(buffer.readByte().toInt()),
+        cause = ExitCause.entries.fromFrameCode(buffer.readByte().toInt()),
         saved = buffer.readFlag(),
     )
 
-    /** An entry that can't be read must not be taken for an absent one: absence is proof that a task is gone. */
-    private fun readStage(buffer: Buffer): TaskStage = TaskStage.entries.ofCode(buffer.readByte().toInt())
-        ?: throw MalformedMessageException("peer", "a task without a stage")
+    /** Rejects the heartbeat if the stage is missing: without the entry the leader would take the task for gone. */
+    private fun readStage(buffer: Buffer): TaskStage = TaskStage.entries.fromFrameCode(buffer.readByte().toInt())
+        ?: throw MalformedMessageException("peer", "task without a stage")
 }
--- a/src/main/kotlin/plankwall/wire/RelayMessages.kt
+++ b/src/main/kotlin/plankwall/wire/RelayMessages.kt
@@ -1,9 +1,14 @@
 package plankwall.wire
 
 /**
- * A worker's heartbeat that reached [from], for the leader that only [from] can reach. [echo]: the newest frame that
- * [from] received from the leader, which tells the leader how old the heartbeat can be. [address]: where the heartbeat
- * came from, or empty.
+ * A worker's heartbeat that the node [from] received and relays to the leader, which the worker can't reach
+ * directly.
+ *
+ * @property id the number that [from] gave to the heartbeat; the answer repeats it
+ * @property echo the number of the newest frame that [from] received from the leader. It tells the leader how old the
+ *   heartbeat can be at most.
+ * @property address the network address from which the heartbeat came; empty if it is not known
+ * @property report the heartbeat itself
  */
 data class RelayedHeartbeat(
     val from: String,
@@ -15,7 +20,10 @@
     override val sender: String get() = from
 }
 
-/** The answer of the leader [from] to the [RelayedHeartbeat] [id], to be passed to the worker unchanged. */
+/**
+ * The answer of the leader [from] to the [RelayedHeartbeat] with the number [id]. [status] and [body] are the HTTP
+ * status and the body that the worker gets unchanged.
+ */
 data class RelayedAnswer(val from: String, val id: Long, val status: Int, val body: ByteArray) : PeerMessage {
     override val sender: String get() = from
 
--- a/src/main/kotlin/plankwall/wire/SessionCodec.kt
+++ b/src/main/kotlin/plankwall/wire/SessionCodec.kt
@@ -2,28 +2,33 @@
 
 import okio.Buffer
 
-/** The part of a status frame about sessions, and the frames that carry heartbeats and answers of many workers. */
+/**
+ * Codec of the section of a status frame about workers' sessions, and of the frames that carry heartbeats and answers
+ * of many workers.
+ */
 internal object SessionCodec {
     private const val FULL = 1
     private const val UNCHANGED = 2
     private const val MAX_CAPACITY = 1_000_000
 
+    /** Appends [update] to [buffer]. */
     fun write(buffer: Buffer, update: SessionUpdate) {
-        buffer.writeInt(update.capacity).flag(update.plan != null)
+        buffer.writeInt(update.capacity).writeFlag(update.plan != null)
         update.plan?.let { writePlan(buffer, it) }
     }
 
     private fun writePlan(buffer: Buffer, plan: SessionPlan) {
         buffer.writeLong(plan.epoch).writeInt(plan.zones.size)
         plan.zones.forEach { (zone, shares) ->
-            buffer.name(zone).writeInt(shares.size)
-            shares.forEach { buffer.name(it.node).writeInt(it.weight) }
+            buffer.writeName(zone).writeInt(shares.size)
+            shares.forEach { buffer.writeName(it.node).writeInt(it.weight) }
         }
     }
 
+    /** Reads what [write] writes for a [SessionUpdate]; throws [MalformedMessageException]. */
     fun read(buffer: Buffer): SessionUpdate {
         val capacity = buffer.readInt()
-        if (capacity !in 0..MAX_CAPACITY) throw MalformedMessageException("peer", "room for $capacity sessions")
+        if (capacity !in 0..MAX_CAPACITY) throw MalformedMessageException("peer", "capacity of $capacity sessions")
         return SessionUpdate(capacity, if (buffer.readFlag()) readPlan(buffer) else null)
     }
 
@@ -35,27 +40,29 @@
 
     private fun readShare(buffer: Buffer): SessionShare {
         val share = SessionShare(buffer.readName(), buffer.readInt())
-        if (share.weight < 1) throw MalformedMessageException("peer", "a share of ${share.weight}")
+        if (share.weight < 1) throw MalformedMessageException("peer", "share with the weight ${share.weight}")
         return share
     }
 
+    /** Appends [batch] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, batch: HeartbeatBatch): ByteArray {
-        buffer.name(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.reports.size)
+        buffer.writeName(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.reports.size)
         batch.reports.forEach { writeHeartbeat(buffer, it) }
         return buffer.readByteArray()
     }
 
     private fun writeHeartbeat(buffer: Buffer, heartbeat: BatchedHeartbeat) {
         val kind = if (heartbeat is FullHeartbeat) FULL else UNCHANGED
-        buffer.writeByte(kind).writeLong(heartbeat.id).text(heartbeat.address)
+        buffer.writeByte(kind).writeLong(heartbeat.id).writeText(heartbeat.address)
         when (heartbeat) {
             is FullHeartbeat -> RelayCodec.writeStatus(buffer, heartbeat.report)
             is UnchangedHeartbeat ->
-                buffer.name(heartbeat.machine).writeLong(heartbeat.baseId).writeLong(heartbeat.seq)
+                buffer.writeName(heartbeat.machine).writeLong(heartbeat.baseId).writeLong(heartbeat.seq)
                     .writeLong(heartbeat.token)
         }
     }
 
+    /** Reads what [write] writes for a [HeartbeatBatch]; the order of arguments is that of the fields. */
     fun readHeartbeats(buffer: Buffer): HeartbeatBatch = HeartbeatBatch(
         from = buffer.readName(),
         epoch = buffer.readLong(),
@@ -77,12 +84,13 @@
                 seq = buffer.readLong(),
                 token = buffer.readLong(),
             )
-            else -> throw MalformedMessageException("peer", "unknown kind of report")
+            else -> throw MalformedMessageException("peer", "unknown kind of heartbeat")
         }
     }
 
+    /** Appends [batch] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, batch: AnswerBatch): ByteArray {
-        buffer.name(batch.from).writeLong(batch.epoch).writeInt(batch.answers.size)
+        buffer.writeName(batch.from).writeLong(batch.epoch).writeInt(batch.answers.size)
         batch.answers.forEach { answer ->
             buffer.writeLong(answer.id)
             RelayCodec.writeAnswer(buffer, answer.status, answer.body)
@@ -90,6 +98,7 @@
         return buffer.readByteArray()
     }
 
+    /** Reads what [write] writes for an [AnswerBatch]; the order of arguments is that of the fields. */
     fun readAnswers(buffer: Buffer): AnswerBatch =
         AnswerBatch(buffer.readName(), buffer.readLong(), buffer.readList { readAnswer(buffer) })
 
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -1,36 +1,41 @@
 package plankwall.wire
 
 /**
- * A node's share in serving workers' sessions. [capacity]: how many it has connections for. [plan]: of the leader,
- * while it shards them.
+ * What a node reports about workers' sessions.
+ *
+ * @property capacity the number of sessions that the node has connections for
+ * @property plan the leader's plan while it shards the sessions over the nodes; otherwise, and from other nodes, null
  */
 data class SessionUpdate(val capacity: Int, val plan: SessionPlan? = null)
 
 /**
- * The nodes that serve the workers of each zone while the leader of [epoch] leads. Workers of other zones connect to
- * the leader.
+ * The nodes that serve the workers of each zone, as planned by the leader of [epoch] and valid while it leads. Workers
+ * of zones that are not in [zones] connect to the leader.
  */
 data class SessionPlan(val epoch: Long, val zones: Map<String, List<SessionShare>>)
 
-/** [node] serves a share of a zone's workers in proportion to [weight]. */
+/** One node's share of a zone: it serves a part of the zone's workers in proportion to [weight]. */
 data class SessionShare(val node: String, val weight: Int)
 
-/**
- * One worker's heartbeat in a [HeartbeatBatch]. [id] is the sender's number for it; [address]: where it came from, or
- * empty.
- */
+/** One worker's heartbeat in a [HeartbeatBatch]. */
 sealed interface BatchedHeartbeat {
+    /** The number that the sender of the batch gave to the heartbeat; the answer repeats it. */
     val id: Long
+
+    /** The network address from which the heartbeat came; empty if it is not known. */
     val address: String
 }
 
-/** A heartbeat with its whole status. */
+/** A heartbeat that is sent with all its fields. */
 data class FullHeartbeat(override val id: Long, override val address: String, val report: HeartbeatStatus) :
     BatchedHeartbeat
 
 /**
- * A heartbeat that equals the full heartbeat [baseId] of the same machine and agent epoch, but for its sequence number
- * and the highest fencing token seen. A receiver that no longer has that one asks for the full heartbeat.
+ * A heartbeat that differs from an earlier [FullHeartbeat] of the same machine and agent epoch only in its sequence
+ * number and the highest fencing token seen. A receiver that does not have that one any more asks for the full
+ * heartbeat by [BatchedAnswer.RESEND].
+ *
+ * @property baseId the [id] of the full heartbeat
  */
 data class UnchangedHeartbeat(
     override val id: Long,
@@ -42,15 +47,17 @@
 ) : BatchedHeartbeat
 
 /**
- * Heartbeats of workers whose sessions [from] serves, for the leader of [epoch]. [echo]: the newest frame that [from]
- * had received from the leader before the first of them arrived, which tells the leader how old they can be.
+ * Heartbeats of the workers whose sessions the node [from] serves, sent to the leader of [epoch].
+ *
+ * @property echo the number of the newest frame that [from] had received from the leader before the first of the
+ *   heartbeats arrived. It tells the leader how old the heartbeats can be at most.
  */
 data class HeartbeatBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedHeartbeat>) :
     PeerMessage {
     override val sender: String get() = from
 }
 
-/** The leader's answer to the heartbeat [id]. [status]: the HTTP status for the worker, or [RESEND]. */
+/** The leader's answer to the heartbeat with the number [id]. [status]: the HTTP status for the worker, or [RESEND]. */
 data class BatchedAnswer(val id: Long, val status: Int, val body: ByteArray) {
     override fun equals(other: Any?): Boolean =
         other is BatchedAnswer && other.id == id && other.status == status && other.body.contentEquals(body)
@@ -58,12 +65,14 @@
     override fun hashCode(): Int = id.hashCode()
 
     companion object {
-        /** The leader does not have what an [UnchangedHeartbeat] refers to: the full one has to be sent. */
+        /**
+         * A status: the leader lacks the heartbeat that an [UnchangedHeartbeat] refers to; the full one has to be sent.
+         */
         const val RESEND = 0
     }
 }
 
-/** Answers of the leader [from] of [epoch] to heartbeats of a [HeartbeatBatch]. */
+/** Answers of the node [from], the leader of [epoch], to the heartbeats of a [HeartbeatBatch]. */
 data class AnswerBatch(val from: String, val epoch: Long, val answers: List<BatchedAnswer>) : PeerMessage {
     override val sender: String get() = from
 }
--- a/src/main/kotlin/plankwall/wire/StateCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateCodec.kt
@@ -4,21 +4,24 @@
 import com.fasterxml.jackson.core.JsonParser
 import java.io.ByteArrayOutputStream
 
-/** Requests to the state service, and its answers. Those that read throw [MalformedMessageException]. */
+/**
+ * Codec of the requests to the state service and of its answers. Functions that read throw [MalformedMessageException].
+ */
 object StateCodec {
+    /** Writes the body of a transaction request. */
     fun txn(op: StateOp.Txn): ByteArray = writeJson {
-        obj {
-            arr("guards") { op.guards.forEach { guard(it) } }
-            arr("writes") { op.writes.forEach { write(it) } }
+        writeJsonObject {
+            writeJsonArray("guards") { op.guards.forEach { writeGuard(it) } }
+            writeJsonArray("writes") { op.writes.forEach { writeOperation(it) } }
         }
     }
 
-    private fun JsonGenerator.guard(guard: Guard) = obj {
+    private fun JsonGenerator.writeGuard(guard: Guard) = writeJsonObject {
         writeStringField("key", guard.key)
         writeNumberField(Fields.VERSION, guard.version)
     }
 
-    private fun JsonGenerator.write(write: Write) = obj {
+    private fun JsonGenerator.writeOperation(write: Write) = writeJsonObject {
         when (write) {
             is Write.Put -> {
                 writeStringField("set", write.key)
@@ -30,14 +33,16 @@
         }
     }
 
-    /** How many bytes [record] takes as a stored value. */
+    /** Returns the number of bytes that [record] takes as a stored value. */
     fun sizeOf(record: Stored): Int = writeJson { RecordCodec.write(this, record) }.size
 
-    fun grant(ttlMs: Long): ByteArray = writeJson { obj { writeNumberField(Fields.TTL_MS, ttlMs) } }
+    /** Writes the body of the request for a new lease of [ttlMs] milliseconds. */
+    fun grant(ttlMs: Long): ByteArray = writeJson { writeJsonObject { writeNumberField(Fields.TTL_MS, ttlMs) } }
 
     /**
-     * A key with its value, a write or a change, whichever fields it has. The value is kept as bytes until it is asked
-     * for, since the key, which says what kind of record it is, may follow it.
+     * The fields of a JSON object that is an item, a guard, a write or a change; those that it lacks are null or 0. The
+     * value is kept as bytes until [readValue] is called, since the key, which determines the kind of record, may come
+     * after the value.
      */
     internal class Entry {
         var key: String? = null
@@ -46,33 +51,35 @@
         var version = 0L
         var lease: Long? = null
 
-        /** Null without a key or a value, and for a kind of record that this version does not know. */
-        fun value(): Stored? {
+        /** Reads the value. Null without a key or a value, and for a kind of record that this version does not know. */
+        fun readValue(): Stored? {
             val valueKey = key ?: return null
             return data?.let { bytes -> parseJson(bytes) { RecordCodec.read(valueKey, it) } }
         }
 
-        fun item(): StateItem? {
+        /** Returns this entry as an item; null under the same conditions as [readValue]. */
+        fun toItem(): StateItem? {
             val itemKey = key ?: return null
-            return value()?.let { StateItem(itemKey, it, version) }
+            return readValue()?.let { StateItem(itemKey, it, version) }
         }
 
-        /** Null for a change of a kind of record that this version does not know. */
-        fun event(): StateEvent? {
+        /** Returns this entry as a change; null for a change of a kind of record that this version does not know. */
+        fun toEvent(): StateEvent? {
             removed?.let { return StateEvent(it, null, version) }
-            return item()?.let { StateEvent(it.key, it.value, it.version) }
+            return toItem()?.let { StateEvent(it.key, it.value, it.version) }
         }
     }
 
-    internal fun JsonParser.entry(): Entry {
+    /** Reads the object at which the parser stands. */
+    internal fun JsonParser.readEntry(): Entry {
         val entry = Entry()
-        fields { name ->
+        forEachField { name ->
             when (name) {
-                "key", "set" -> entry.key = text(name)
-                "remove" -> entry.removed = text(name)
+                "key", "set" -> entry.key = readString(name)
+                "remove" -> entry.removed = readString(name)
                 "data" -> entry.data = copyValue()
-                Fields.VERSION -> entry.version = whole(name)
-                Fields.LEASE -> entry.lease = whole(name)
+                Fields.VERSION -> entry.version = readWholeNumber(name)
+                Fields.LEASE -> entry.lease = readWholeNumber(name)
             }
         }
         return entry
@@ -84,47 +91,53 @@
         return copy.toByteArray()
     }
 
-    fun item(bytes: ByteArray): StateResult = parseJson(bytes) { StateResult.Item(it.entry().item()) }
+    /** Reads the answer to a [StateOp.Get]. */
+    fun item(bytes: ByteArray): StateResult = parseJson(bytes) { StateResult.Item(it.readEntry().toItem()) }
 
-    fun items(bytes: ByteArray): StateResult = parseJson(bytes) { p ->
+    /** Reads the answer to a [StateOp.Range]. Items of a kind that this version does not know are left out. */
+    fun items(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val items = ArrayList<StateItem>()
         var more = false
         var revision = 0L
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "items" -> elements { entry().item()?.let(items::add) }
-                Fields.HAS_MORE -> more = flag(name)
-                Fields.REVISION -> revision = whole(name)
+                "items" -> forEachElement { readEntry().toItem()?.let(items::add) }
+                Fields.HAS_MORE -> more = readBoolean(name)
+                Fields.REVISION -> revision = readWholeNumber(name)
             }
         }
         StateResult.Items(items, more, revision)
     }
 
-    fun news(bytes: ByteArray): StateResult = parseJson(bytes) { p ->
+    /** Reads the answer to a [StateOp.Changes] or a [StateOp.Watch], without changes of an unknown kind. */
+    fun news(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val events = ArrayList<StateEvent>()
         var revision = 0L
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                Fields.EVENTS -> elements { entry().event()?.let(events::add) }
-                Fields.REVISION -> revision = whole(name)
+                Fields.EVENTS -> forEachElement { readEntry().toEvent()?.let(events::add) }
+                Fields.REVISION -> revision = readWholeNumber(name)
             }
         }
         StateResult.News(events, revision)
     }
 
-    fun committed(bytes: ByteArray): StateResult = StateResult.Committed(number(bytes, Fields.REVISION))
+    /** Reads the answer to a [StateOp.Txn] that was applied. */
+    fun committed(bytes: ByteArray): StateResult = StateResult.Committed(readNumberField(bytes, Fields.REVISION))
 
-    fun granted(bytes: ByteArray): StateResult = StateResult.Granted(number(bytes, Fields.LEASE))
+    /** Reads the answer to a [StateOp.Grant]. */
+    fun granted(bytes: ByteArray): StateResult = StateResult.Granted(readNumberField(bytes, Fields.LEASE))
 
-    fun conflict(bytes: ByteArray): StateResult = parseJson(bytes) { p ->
+    /** Reads the answer to a [StateOp.Txn] that was not applied because a guard did not hold. */
+    fun conflict(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val failed = HashSet<String>()
-        p.fields { name -> if (name == "failed") elements { failed.add(text(name)) } }
+        parser.forEachField { name -> if (name == "failed") forEachElement { failed.add(readString(name)) } }
         StateResult.Conflict(failed)
     }
 
-    private fun number(bytes: ByteArray, field: String): Long = parseJson(bytes) { p ->
+    private fun readNumberField(bytes: ByteArray, field: String): Long = parseJson(bytes) { parser ->
         var found = -1L
-        p.fields { name -> if (name == field) found = whole(name) }
+        parser.forEachField { name -> if (name == field) found = readWholeNumber(name) }
         if (found < 0) throw MalformedMessageException(field, "missing")
         found
     }
--- a/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateServiceCodec.kt
@@ -1,77 +1,81 @@
 package plankwall.wire
 
 import com.fasterxml.jackson.core.JsonGenerator
-import plankwall.wire.StateCodec.entry
+import plankwall.wire.StateCodec.readEntry
 
 /**
- * The state service's side of its protocol, for simulations: reads what [StateCodec] writes and writes what it reads.
+ * Codec of the state service's side of its protocol, for the simulated state service: reads the requests that
+ * [StateCodec] writes and writes the answers that it reads.
  */
 object StateServiceCodec {
-    fun readTxn(bytes: ByteArray): StateOp.Txn = parseJson(bytes) { p ->
+    /** Reads the body of a transaction request; throws [MalformedMessageException]. */
+    fun readTxn(bytes: ByteArray): StateOp.Txn = parseJson(bytes) { parser ->
         val guards = ArrayList<Guard>()
         val writes = ArrayList<Write>()
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                "guards" -> elements { guards.add(entry().guard()) }
-                "writes" -> elements { writes.add(entry().write()) }
+                "guards" -> forEachElement { guards.add(readEntry().toGuard()) }
+                "writes" -> forEachElement { writes.add(readEntry().toWrite()) }
             }
         }
         StateOp.Txn(guards, writes)
     }
 
-    private fun StateCodec.Entry.guard(): Guard =
+    private fun StateCodec.Entry.toGuard(): Guard =
         Guard(key ?: throw MalformedMessageException("guard", "no key"), version)
 
-    private fun StateCodec.Entry.write(): Write {
+    private fun StateCodec.Entry.toWrite(): Write {
         removed?.let { return Write.Remove(it) }
         val target = key ?: throw MalformedMessageException("write", "no key")
         return Write.Put(
             target,
-            value() ?: throw MalformedMessageException("write", "a value of an unknown kind under $target"),
+            readValue() ?: throw MalformedMessageException("write", "no value of a known kind under $target"),
             lease,
         )
     }
 
-    fun readGrant(bytes: ByteArray): StateOp.Grant = parseJson(bytes) { p ->
+    /** Reads the body of a request for a new lease; throws [MalformedMessageException]. */
+    fun readGrant(bytes: ByteArray): StateOp.Grant = parseJson(bytes) { parser ->
         var ttlMs = -1L
-        p.fields { name -> if (name == Fields.TTL_MS) ttlMs = whole(name) }
+        parser.forEachField { name -> if (name == Fields.TTL_MS) ttlMs = readWholeNumber(name) }
         if (ttlMs <= 0) throw MalformedMessageException(Fields.TTL_MS, "missing")
         StateOp.Grant(ttlMs)
     }
 
+    /** Writes the body of the answer with this [result]; a result without fields is written as an error. */
     fun write(result: StateResult): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             when (result) {
-                is StateResult.Item -> result.item?.let { itemFields(it) }
-                is StateResult.Items -> items(result)
-                is StateResult.News -> news(result)
+                is StateResult.Item -> result.item?.let { writeItemFields(it) }
+                is StateResult.Items -> writeItems(result)
+                is StateResult.News -> writeNews(result)
                 is StateResult.Committed -> writeNumberField(Fields.REVISION, result.revision)
-                is StateResult.Conflict -> arr("failed") { result.failed.forEach { writeString(it) } }
+                is StateResult.Conflict -> writeJsonArray("failed") { result.failed.forEach { writeString(it) } }
                 is StateResult.Granted -> writeNumberField(Fields.LEASE, result.lease)
                 else -> writeStringField("error", result.toString())
             }
         }
     }
 
-    private fun JsonGenerator.itemFields(item: StateItem) {
+    private fun JsonGenerator.writeItemFields(item: StateItem) {
         writeStringField("key", item.key)
         writeFieldName("data")
         RecordCodec.write(this, item.value)
         writeNumberField(Fields.VERSION, item.version)
     }
 
-    private fun JsonGenerator.items(result: StateResult.Items) {
-        arr("items") { result.items.forEach { obj { itemFields(it) } } }
+    private fun JsonGenerator.writeItems(result: StateResult.Items) {
+        writeJsonArray("items") { result.items.forEach { writeJsonObject { writeItemFields(it) } } }
         writeBooleanField(Fields.HAS_MORE, result.more)
         writeNumberField(Fields.REVISION, result.revision)
     }
 
-    private fun JsonGenerator.news(result: StateResult.News) {
+    private fun JsonGenerator.writeNews(result: StateResult.News) {
         writeNumberField(Fields.REVISION, result.revision)
-        arr(Fields.EVENTS) { result.events.forEach { event(it) } }
+        writeJsonArray(Fields.EVENTS) { result.events.forEach { writeEvent(it) } }
     }
 
-    private fun JsonGenerator.event(event: StateEvent) = obj {
+    private fun JsonGenerator.writeEvent(event: StateEvent) = writeJsonObject {
         val value = event.value
         writeStringField(if (value == null) "remove" else "set", event.key)
         if (value != null) {
--- a/src/main/kotlin/plankwall/wire/WorkerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerCodec.kt
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonParser
 import com.fasterxml.jackson.core.JsonToken
 
-/** Heartbeats and commands under the protocol's names. */
+/** Codec of workers' heartbeats and of the commands to workers. */
 object WorkerCodec {
     private val stages = mapOf(
         "fetching" to TaskStage.FETCHING,
@@ -26,8 +26,8 @@
     private val stageWords = stages.entries.associate { (word, stage) -> stage to word }
     private val causeWords = causes.entries.associate { (word, cause) -> cause to word }
 
-    /** Reads a heartbeat; throws [MalformedMessageException] if a field that matters is missing or wrong. */
-    fun readReport(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { p ->
+    /** Reads a heartbeat; throws [MalformedMessageException] if a required field is missing or any field is wrong. */
+    fun readReport(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { parser ->
         var machine = ""
         var address = ""
         var type = ""
@@ -38,22 +38,22 @@
         var token = -1L
         var noticeS: Double? = null
         val tasks = ArrayList<TaskStatus>()
-        p.fields { name ->
+        parser.forEachField { name ->
             when (name) {
-                Fields.MACHINE -> machine = text(name)
-                "address" -> address = text(name)
-                Fields.MACHINE_TYPE -> type = text(name)
-                Fields.ZONE -> zone = text(name)
-                Fields.SPOT -> spot = flag(name)
-                Fields.AGENT_EPOCH -> session = whole(name)
-                Fields.SEQUENCE_NUMBER -> seq = whole(name)
-                Fields.FENCING_TOKEN -> token = whole(name)
-                Fields.PREEMPTION_NOTICE_S -> noticeS = doubleOrNull(name)
-                Fields.TASKS -> elements { tasks.add(readTask()) }
+                Fields.MACHINE -> machine = readString(name)
+                "address" -> address = readString(name)
+                Fields.MACHINE_TYPE -> type = readString(name)
+                Fields.ZONE -> zone = readString(name)
+                Fields.SPOT -> spot = readBoolean(name)
+                Fields.AGENT_EPOCH -> session = readWholeNumber(name)
+                Fields.SEQUENCE_NUMBER -> seq = readWholeNumber(name)
+                Fields.FENCING_TOKEN -> token = readWholeNumber(name)
+                Fields.PREEMPTION_NOTICE_S -> noticeS = readNullableDouble(name)
+                Fields.TASKS -> forEachElement { tasks.add(readTask()) }
             }
         }
         if (machine.isEmpty() || minOf(session, seq, token) < 0) {
-            throw MalformedMessageException("report", "a field is missing")
+            throw MalformedMessageException("report", "a required field is missing")
         }
         HeartbeatStatus(machine, address, type, zone, spot, session, seq, token, noticeS, tasks)
     }
@@ -64,28 +64,28 @@
         var stage: TaskStage? = null
         var cause: ExitCause? = null
         var saved = false
-        fields { name ->
+        forEachField { name ->
             when (name) {
-                Fields.TASK -> taskName = text(name)
-                Fields.ATTEMPT -> attempt = whole(name)
-                "stage" -> stage = stages[text(name)]
-                "cause" -> cause = textOrNull(name)?.let { causes[it] }
+                Fields.TASK -> taskName = readString(name)
+                Fields.ATTEMPT -> attempt = readWholeNumber(name)
+                "stage" -> stage = stages[readString(name)]
+                "cause" -> cause = readNullableString(name)?.let { causes[it] }
                 Fields.CHECKPOINT_SAVED -> saved = currentToken() == JsonToken.VALUE_TRUE
             }
         }
         val slash = taskName.lastIndexOf('/')
         val task = if (slash > 0) taskName.substring(slash + 1).toIntOrNull() else null
         val knownStage = stage
-        // An entry that can't be read must not be taken for an absent one: absence is proof that a task is gone.
+        // A task entry that can't be read must not be ignored: the leader takes a task without an entry for gone.
         if (task == null || attempt < 0 || knownStage == null) {
-            throw MalformedMessageException("report", "bad task entry '$taskName'")
+            throw MalformedMessageException("report", "malformed task entry '$taskName'")
         }
         return TaskStatus(taskName.substring(0, slash), task, attempt, knownStage, cause, saved)
     }
 
-    /** A heartbeat as a worker sends it, for simulated workers. */
+    /** Writes a heartbeat as a worker sends it, for simulated workers. */
     fun writeReport(report: HeartbeatStatus): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeStringField(Fields.MACHINE, report.machine)
             writeStringField("address", report.address)
             writeStringField(Fields.MACHINE_TYPE, report.type)
@@ -95,11 +95,11 @@
             writeNumberField(Fields.SEQUENCE_NUMBER, report.seq)
             writeNumberField(Fields.FENCING_TOKEN, report.token)
             report.noticeS?.let { writeNumberField(Fields.PREEMPTION_NOTICE_S, it) }
-            arr(Fields.TASKS) { report.tasks.forEach { task -> obj { taskFields(task) } } }
+            writeJsonArray(Fields.TASKS) { report.tasks.forEach { task -> writeJsonObject { writeTaskFields(task) } } }
         }
     }
 
-    private fun JsonGenerator.taskFields(task: TaskStatus) {
+    private fun JsonGenerator.writeTaskFields(task: TaskStatus) {
         writeStringField(Fields.TASK, "${task.jobId}/${task.task}")
         writeNumberField(Fields.ATTEMPT, task.attempt)
         writeStringField("stage", stageWords.getValue(task.stage))
@@ -107,26 +107,29 @@
         if (task.saved) writeBooleanField(Fields.CHECKPOINT_SAVED, true)
     }
 
-    /** The answer to a heartbeat, by the leader whose fencing token is [token]. */
+    /** Writes the answer to a heartbeat with the leader's fencing token [token] and the commands [orders]. */
     fun answer(token: Long, orders: List<Order>): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeNumberField(Fields.FENCING_TOKEN, token)
-            orders(orders)
+            writeOrders(orders)
         }
     }
 
-    /** Commands sent to a worker directly; valid for the agent epoch [session] only. */
+    /**
+     * Writes the commands [orders] for sending them to a worker directly, not in the answer to a heartbeat. The worker
+     * executes them only while its agent epoch is [session].
+     */
     fun commands(token: Long, session: Long, orders: List<Order>): ByteArray = writeJson {
-        obj {
+        writeJsonObject {
             writeNumberField(Fields.FENCING_TOKEN, token)
             writeNumberField(Fields.AGENT_EPOCH, session)
-            orders(orders)
+            writeOrders(orders)
         }
     }
 
-    private fun JsonGenerator.orders(orders: List<Order>) = arr("orders") {
+    private fun JsonGenerator.writeOrders(orders: List<Order>) = writeJsonArray("orders") {
         orders.forEach { order ->
-            obj {
+            writeJsonObject {
                 writeStringField(Fields.COMMAND, order.op.word)
                 writeStringField(Fields.TASK, "${order.jobId}/${order.task}")
                 writeNumberField(Fields.ATTEMPT, order.attempt)
@@ -135,8 +138,8 @@
         }
     }
 
-    /** The answer that redirects a worker's heartbeats to [node]; without one, to any other controller. */
+    /** Writes the answer that redirects a worker's heartbeats to [node], or to any other controller if it is null. */
     fun reportTo(node: String?): ByteArray = writeJson {
-        obj { if (node != null) writeStringField(Fields.ASSIGNED_CONTROLLER, node) }
+        writeJsonObject { if (node != null) writeStringField(Fields.ASSIGNED_CONTROLLER, node) }
     }
 }
--- a/src/main/kotlin/plankwall/wire/WorkerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerMessages.kt
@@ -1,12 +1,12 @@
 package plankwall.wire
 
-/** What a task is doing, as its worker reports it. */
+/** The stage of a task, as its worker reports it. Frames carry the ordinal. */
 enum class TaskStage { FETCHING, WAITING, RUNNING, SAVING, EXITED }
 
 /**
- * Why a task exited. [PEER_LOST]: another task of its gang disappeared. [GANG_INCOMPLETE]: its gang was not complete
- * in time. [INSUFFICIENT_RESOURCES] and [OTHER_ATTEMPT_PRESENT]: the machine refused to start it. Frames carry the
- * ordinal.
+ * The reason why a task exited. [PEER_LOST]: another task of its gang disappeared. [GANG_INCOMPLETE]: not all tasks of
+ * its gang were there in time. [INSUFFICIENT_RESOURCES] and [OTHER_ATTEMPT_PRESENT]: the machine refused to start the
+ * task, since it lacks free resources or still has another attempt of the task. Frames carry the ordinal.
  */
 enum class ExitCause {
     DONE,
@@ -19,7 +19,10 @@
     UNKNOWN,
 }
 
-/** One task in a heartbeat. [cause]: of a task that exited. [saved]: whether its checkpoint was saved. */
+/**
+ * The status of one attempt of a task in a heartbeat. [cause]: the reason why it exited; null while it has not exited.
+ * [saved]: whether its checkpoint was saved.
+ */
 data class TaskStatus(
     val jobId: String,
     val task: Int,
@@ -30,9 +33,12 @@
 )
 
 /**
- * A worker's heartbeat. [session] is the agent epoch, which rises whenever the worker's lease expires; ([session],
- * [seq]) orders the heartbeats of one machine. [token]: the highest fencing token that the worker has seen. [noticeS]:
- * seconds until a spot machine is preempted, null without a notice.
+ * A worker's heartbeat. The pair of [session] and [seq] orders the heartbeats of one machine.
+ *
+ * @property session the agent epoch, which rises whenever the worker's lease expires
+ * @property seq the sequence number of the heartbeat
+ * @property token the highest fencing token that the worker has seen
+ * @property noticeS the seconds until the cloud preempts this spot machine; null without a preemption notice
  */
 data class HeartbeatStatus(
     val machine: String,
@@ -47,8 +53,11 @@
     val tasks: List<TaskStatus>,
 )
 
-/** What a worker is to do with a task; [word] is the protocol's. */
+/** What a worker has to do with a task. [word]: the protocol's word for it. */
 enum class OrderOp(val word: String) { START("run"), STOP("stop"), FORGET("clear") }
 
-/** A command to a worker about one attempt of a task. [graceS]: of a stop, seconds to save a checkpoint in. */
+/**
+ * A command to a worker about one attempt of a task. [graceS]: for [OrderOp.STOP], the seconds that the task has to
+ * save a checkpoint.
+ */
 data class Order(val op: OrderOp, val jobId: String, val task: Int, val attempt: Long, val graceS: Double = 0.0)
