--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -64,7 +64,8 @@
 data class Peer(val node: String, val zone: String, val host: String, val port: Int)
 
 /**
- * The workers' intervals and timeouts, in seconds, as the platform's settings state them.
+ * The workers' intervals and timeouts, in seconds, as the platform's settings state them. [gangWaitS] and [gangPeerS]
+ * are timeouts for gangs that the workers alone apply.
  *
  * @property reportS the interval between two heartbeats
  * @property leaseS the duration of a worker's lease, after which it stops its tasks if no heartbeat was answered
--- a/src/main/kotlin/plankwall/wire/CancellationCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CancellationCodec.kt
@@ -20,7 +20,7 @@
         val jobs = buffer.readList { readJobId(buffer) }
         val update = CancellationUpdate(first, jobs, buffer.readLong(), buffer.readLong())
         if (first < 1 || update.upMs < 0) {
-            throw MalformedMessageException("peer", "list of withdrawn jobs with an invalid first number or uptime")
+            throw MalformedMessageException("peer", "list of cancelled jobs with an invalid first number or uptime")
         }
         return update
     }
--- a/src/main/kotlin/plankwall/wire/JobCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobCodec.kt
@@ -11,7 +11,8 @@
 /** Codec of job descriptions and of the answers about jobs, in the users' protocol. */
 object JobCodec {
     /**
-     * The maximum number of jobs that one job may depend on. So many of the longest usual ids fit a small stored value.
+     * The maximum number of jobs that one job may depend on. Even with the longest usual ids, that many fit a small
+     * stored value.
      */
     const val MAX_DEPENDENCIES = 100
 
--- a/src/main/kotlin/plankwall/wire/JobFactsCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobFactsCodec.kt
@@ -20,7 +20,7 @@
         generator.writeStringField(Fields.PRIORITY, JobWords.word(facts.priority))
     }
 
-    /** Collects the facts while the fields of a record, among which those written by [write] are, are read in turn. */
+    /** Collects the facts from the fields of a record, which has other fields besides those written by [write]. */
     class Reader {
         private var owner: String? = null
         private var jobClass = ""
--- a/src/main/kotlin/plankwall/wire/WorkerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerCodec.kt
@@ -26,7 +26,10 @@
     private val stageWords = stages.entries.associate { (word, stage) -> stage to word }
     private val causeWords = causes.entries.associate { (word, cause) -> cause to word }
 
-    /** Reads a heartbeat; throws [MalformedMessageException] if a required field is missing or any field is wrong. */
+    /**
+     * Reads a heartbeat; throws [MalformedMessageException] if a required field is missing or a field has a wrong type.
+     * An unknown exit cause is read as null, and a checkpoint counts as saved only if the field is true.
+     */
     fun readReport(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { parser ->
         var machine = ""
         var address = ""
