--- a/src/main/kotlin/plankwall/io/Accept.kt
+++ b/src/main/kotlin/plankwall/io/Accept.kt
@@ -11,24 +11,30 @@
 
 private val log = LoggerFactory.getLogger("accept")
 
-/** Serves every connection that is opened while [hasCapacity]; the others are closed at once. */
-internal suspend fun acceptAll(listener: ServerSocket, hasCapacity: () -> Boolean, serve: suspend (Socket) -> Unit) =
-    coroutineScope {
-        while (isActive) {
-            val socket = try {
-                listener.accept()
-            } catch (e: CancellationException) {
-                throw e
-            } catch (
-                // Out of sockets, most likely: trying again without a pause would take the whole processor.
-                @Suppress("TooGenericExceptionCaught") e: Exception,
-            ) {
-                log.debug("accept failed error={}", e.toString())
-                delay(ACCEPT_PAUSE_MS)
-                continue
-            }
-            if (hasCapacity()) launch { serve(socket) } else socket.close()
+/**
+ * Accepts connections of [listener] until the caller is cancelled. Passes each to [onConnection] in a coroutine of its
+ * own, or closes it at once if [hasCapacity] returns false.
+ */
+internal suspend fun acceptConnections(
+    listener: ServerSocket,
+    hasCapacity: () -> Boolean,
+    onConnection: suspend (Socket) -> Unit,
+) = coroutineScope {
+    while (isActive) {
+        val socket = try {
+            listener.accept()
+        } catch (e: CancellationException) {
+            throw e
+        } catch (
+            // The process has probably run out of sockets. Without a pause, this loop would use a whole processor.
+            @Suppress("TooGenericExceptionCaught") e: Exception,
+        ) {
+            log.debug("accept failed error={}", e.toString())
+            delay(ACCEPT_RETRY_DELAY_MS)
+            continue
         }
+        if (hasCapacity()) launch { onConnection(socket) } else socket.close()
     }
+}
 
-private const val ACCEPT_PAUSE_MS = 20L
+private const val ACCEPT_RETRY_DELAY_MS = 20L
--- a/src/main/kotlin/plankwall/io/AccessComponents.kt
+++ b/src/main/kotlin/plankwall/io/AccessComponents.kt
@@ -5,7 +5,13 @@
 import plankwall.wire.FrameSeal
 
 /**
- * What a daemon needs to authenticate its callers and peers. [frames] makes the seal of frames for one incarnation of
- * the process; null where the operators configured no keys for peers.
+ * The factories that a [Daemon] needs to authenticate its callers and peers.
+ *
+ * @property createAccessCheck creates the access check in front of the users' API, for the context of one controller
+ * @property createFrameSeal creates the authentication of peer frames for one incarnation of the process; null if the
+ *   operators configured no keys for peers
  */
-class AccessComponents(val gate: (Context) -> AccessCheck, val frames: ((incarnation: Long) -> FrameSeal)?)
+class AccessComponents(
+    val createAccessCheck: (Context) -> AccessCheck,
+    val createFrameSeal: ((incarnation: Long) -> FrameSeal)?,
+)
--- a/src/main/kotlin/plankwall/io/ApiRoutes.kt
+++ b/src/main/kotlin/plankwall/io/ApiRoutes.kt
@@ -9,16 +9,18 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Maps HTTP requests of users and workers to inputs of the core. [authenticated]: whether callers prove who they are;
- * the policy and the audit log exist only then. [ask] passes an input to the core and waits for its answer.
+ * Maps HTTP requests of users and workers to inputs of the controller.
+ *
+ * @param authenticated whether callers must prove their identity; only then can the policy and the audit log be reached
+ * @param awaitReply passes the input made for a new request id to the controller and waits for its answer
  */
 internal class ApiRoutes(
     private val authenticated: Boolean,
-    private val ask: suspend ((RequestId) -> Input) -> HttpReply,
+    private val awaitReply: suspend ((RequestId) -> Input) -> HttpReply,
 ) {
     private val log = LoggerFactory.getLogger("daemon")
 
-    /** Answers [request]; one that is malformed with status 400. */
+    /** Answers [request]; a malformed one gets status 400. */
     suspend fun handle(request: HttpRequest): HttpReply = try {
         route(request)
     } catch (e: MalformedMessageException) {
@@ -29,59 +31,69 @@
     private suspend fun route(request: HttpRequest): HttpReply {
         val path = request.path
         return when {
-            path == "/checkin" -> only("POST", request) { heartbeat(request) }
-            path == "/up" -> only("GET", request) { ask { Input.HealthCheck(it) } }
-            path == "/api/jobs" -> only("POST", request) { submit(request) }
-            path.startsWith(JOB_PATH) -> routeJob(request, path.removePrefix(JOB_PATH))
+            path == "/checkin" -> requireMethod("POST", request) { submitHeartbeat(request) }
+            path == "/up" -> requireMethod("GET", request) { awaitReply { Input.HealthCheck(it) } }
+            path == "/api/jobs" -> requireMethod("POST", request) { submitJob(request) }
+            path.startsWith(JOB_PATH_PREFIX) -> routeJob(request, path.removePrefix(JOB_PATH_PREFIX))
             authenticated -> administer(request)
-            else -> notFound()
+            else -> notFoundReply()
         }
     }
 
-    private suspend fun heartbeat(request: HttpRequest): HttpReply {
+    private suspend fun submitHeartbeat(request: HttpRequest): HttpReply {
         val status = WorkerCodec.readReport(request.body)
-        return ask { Input.Heartbeat(it, status, if (authenticated) request.from else "") }
+        return awaitReply { Input.Heartbeat(it, status, if (authenticated) request.clientAddress else "") }
     }
 
-    private suspend fun submit(request: HttpRequest): HttpReply {
+    private suspend fun submitJob(request: HttpRequest): HttpReply {
         val spec = JobCodec.read(request.body)
-        return ask { Input.Submit(it, spec, optionalCredentials(request)) }
+        return awaitReply { Input.Submit(it, spec, readCredentialsIfRequired(request)) }
     }
 
-    /** [rest]: what follows the prefix of jobs' paths. */
-    private suspend fun routeJob(request: HttpRequest, rest: String): HttpReply = if (rest.endsWith(CANCEL)) {
-        only("POST", request) {
-            forJob(rest.removeSuffix(CANCEL)) { id -> ask { Input.Cancel(it, id, optionalCredentials(request)) } }
+    /** Serves a request about one job. [jobPath]: the part of the path after [JOB_PATH_PREFIX]. */
+    private suspend fun routeJob(request: HttpRequest, jobPath: String): HttpReply =
+        if (jobPath.endsWith(CANCEL_SUFFIX)) {
+            requireMethod("POST", request) {
+                withJobId(jobPath.removeSuffix(CANCEL_SUFFIX)) { id ->
+                    awaitReply { Input.Cancel(it, id, readCredentialsIfRequired(request)) }
+                }
+            }
+        } else {
+            requireMethod("GET", request) {
+                withJobId(jobPath) { id -> awaitReply { Input.Show(it, id, readCredentialsIfRequired(request)) } }
+            }
         }
-    } else {
-        only("GET", request) {
-            forJob(rest) { id -> ask { Input.Show(it, id, optionalCredentials(request)) } }
-        }
-    }
 
-    private suspend fun forJob(id: String, serve: suspend (String) -> HttpReply): HttpReply =
-        if (JobCodec.isJobId(id)) serve(id) else notFound()
+    /** Calls [serve] with [id] if that has the form of a job id; otherwise replies with status 404. */
+    private suspend fun withJobId(id: String, serve: suspend (String) -> HttpReply): HttpReply =
+        if (JobCodec.isJobId(id)) serve(id) else notFoundReply()
 
     private suspend fun administer(request: HttpRequest): HttpReply {
-        val adminRequest = AdminRoutes.read(request) ?: return notFound()
-        return ask { Input.Admin(it, adminRequest, credentials(request)) }
+        val adminRequest = AdminRoutes.readAdminRequest(request) ?: return notFoundReply()
+        return awaitReply { Input.Admin(it, adminRequest, readCredentials(request)) }
     }
 
-    private fun optionalCredentials(request: HttpRequest): Credentials? =
-        if (authenticated) credentials(request) else null
+    /** Returns the credentials in [request]; null if callers need not prove their identity. */
+    private fun readCredentialsIfRequired(request: HttpRequest): Credentials? =
+        if (authenticated) readCredentials(request) else null
 
-    private fun credentials(request: HttpRequest) =
-        Credentials(request.method, request.target, request.body, request.authorization, request.from)
+    private fun readCredentials(request: HttpRequest) =
+        Credentials(request.method, request.target, request.body, request.authorization, request.clientAddress)
 
-    private suspend fun only(allowed: String, request: HttpRequest, serve: suspend () -> HttpReply): HttpReply {
+    /** Calls [serve] if [request] has the method [allowed]; otherwise replies with status 405. */
+    private suspend fun requireMethod(
+        allowed: String,
+        request: HttpRequest,
+        serve: suspend () -> HttpReply,
+    ): HttpReply {
         if (request.method == allowed) return serve()
         return HttpReply(HttpStatus.METHOD_NOT_ALLOWED, JobCodec.error("only $allowed"), allow = allowed)
     }
 
-    private fun notFound() = HttpReply(HttpStatus.NOT_FOUND, JobCodec.error("not found"))
+    private fun notFoundReply() = HttpReply(HttpStatus.NOT_FOUND, JobCodec.error("not found"))
 
     private companion object {
-        const val JOB_PATH = "/api/jobs/"
-        const val CANCEL = "/withdraw"
+        const val JOB_PATH_PREFIX = "/api/jobs/"
+        const val CANCEL_SUFFIX = "/withdraw"
     }
 }
--- a/src/main/kotlin/plankwall/io/CloudClient.kt
+++ b/src/main/kotlin/plankwall/io/CloudClient.kt
@@ -9,22 +9,29 @@
 import plankwall.wire.CloudResult
 import plankwall.wire.MalformedMessageException
 
-/** A client of the cloud that spaces its requests evenly, at a part of the rate [rps] that the cloud allows. */
+/**
+ * A client of the cloud's API that spaces its requests evenly and uses only a part of the rate that the cloud allows.
+ *
+ * @param rps the requests per second that the cloud allows
+ * @param nowMs a monotonic clock in milliseconds
+ */
 class CloudClient(selector: SelectorManager, address: Address, rps: Double, private val nowMs: () -> Long) {
     private val log = LoggerFactory.getLogger("cloud")
     private val client = HttpClient(selector, address, maxConnections = 6, maxWaiting = 60)
     private val intervalMs = (1000.0 / (rps * USED_RATE_SHARE)).toLong()
+
+    /** The earliest time of the next request, by [nowMs]. */
     private var nextRequestMs = 0L
 
-    /** Executes [op]; failures are results too. */
-    suspend fun run(op: CloudOp): CloudResult {
-        val now = nowMs()
-        val startMs = maxOf(now, nextRequestMs)
+    /** Executes [op] after waiting for its turn. A failure is returned as a result, never thrown. */
+    suspend fun execute(op: CloudOp): CloudResult {
+        val calledAtMs = nowMs()
+        val startMs = maxOf(calledAtMs, nextRequestMs)
         nextRequestMs = startMs + intervalMs
-        if (startMs > now) delay(startMs - now)
+        if (startMs > calledAtMs) delay(startMs - calledAtMs)
         val outcome = send(op)
         return try {
-            read(op, outcome)
+            interpretOutcome(op, outcome)
         } catch (e: MalformedMessageException) {
             log.warn("cloud answer malformed op={} problem={}", op, e.message)
             CloudResult.Trouble
@@ -32,21 +39,22 @@
     }
 
     private suspend fun send(op: CloudOp): HttpOutcome = when (op) {
-        CloudOp.GetCatalog -> client.call("GET", "/catalog", null, TIMEOUT_MS)
-        is CloudOp.Rent -> client.call("POST", "/machines", CloudCodec.rent(op), TIMEOUT_MS)
-        is CloudOp.Delete -> client.call("POST", "/machines/delete", CloudCodec.delete(op), TIMEOUT_MS)
+        CloudOp.GetCatalog -> client.call("GET", "/catalog", null, CALL_TIMEOUT_MS)
+        is CloudOp.Rent -> client.call("POST", "/machines", CloudCodec.rent(op), CALL_TIMEOUT_MS)
+        is CloudOp.Delete -> client.call("POST", "/machines/delete", CloudCodec.delete(op), CALL_TIMEOUT_MS)
         is CloudOp.ListMachines -> {
-            val after = op.after?.let { "from=$it&" }.orEmpty()
-            client.call("GET", "/machines?${after}page=${op.limit}", null, TIMEOUT_MS)
+            val fromParameter = op.after?.let { "from=$it&" }.orEmpty()
+            client.call("GET", "/machines?${fromParameter}page=${op.limit}", null, CALL_TIMEOUT_MS)
         }
     }
 
-    private fun read(op: CloudOp, outcome: HttpOutcome): CloudResult {
+    /** Translates [outcome] into the result of [op]; throws [MalformedMessageException] for an unreadable answer. */
+    private fun interpretOutcome(op: CloudOp, outcome: HttpOutcome): CloudResult {
         if (outcome !is HttpOutcome.Answered) {
             logFailure(op, outcome)
             return CloudResult.Trouble
         }
-        if (outcome.status == HttpStatus.OK) return success(op, outcome.body)
+        if (outcome.status == HttpStatus.OK) return readSuccess(op, outcome.body)
         logFailure(op, outcome)
         return when {
             outcome.status == HttpStatus.BAD_REQUEST -> {
@@ -58,7 +66,7 @@
         }
     }
 
-    private fun success(op: CloudOp, body: ByteArray): CloudResult = when (op) {
+    private fun readSuccess(op: CloudOp, body: ByteArray): CloudResult = when (op) {
         CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.catalog(body))
         is CloudOp.Rent -> CloudCodec.rented(body)
         is CloudOp.Delete -> CloudResult.Deleted
@@ -66,14 +74,14 @@
     }
 
     private fun saysNoCapacity(answer: HttpOutcome.Answered): Boolean =
-        answer.status == HttpStatus.SERVICE_UNAVAILABLE && NO_CAPACITY in answer.body.decodeToString()
+        answer.status == HttpStatus.SERVICE_UNAVAILABLE && NO_CAPACITY_TEXT in answer.body.decodeToString()
 
     private fun logFailure(op: CloudOp, outcome: HttpOutcome) =
         log.debug("cloud request failed op={} outcome={}", op, describe(outcome))
 
     private companion object {
-        const val TIMEOUT_MS = 6_000L
+        const val CALL_TIMEOUT_MS = 6_000L
         const val USED_RATE_SHARE = 0.7
-        const val NO_CAPACITY = "no capacity"
+        const val NO_CAPACITY_TEXT = "no capacity"
     }
 }
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -16,94 +16,114 @@
 import plankwall.wire.JobCodec
 
 /**
- * Runs the core against real clocks and sockets: passes it inputs and carries out its effects. Everything here runs on
- * the one thread of [scope]; only the selector has its own.
+ * Runs the [Controller] of one node against real clocks and sockets: passes inputs to it and performs the effects that
+ * it returns. Everything runs on the single thread of [scope]; only [selector] has a thread of its own.
+ *
+ * @param accessComponents authenticates callers and peers; null if the operators require no identity
  */
 class Daemon(
     private val scope: CoroutineScope,
     private val selector: SelectorManager,
     private val settings: Settings,
     tuning: Tuning,
-    identities: AccessComponents? = null,
+    accessComponents: AccessComponents? = null,
 ) {
     private val log = LoggerFactory.getLogger("daemon")
+
+    /** The wall-clock time of the start in milliseconds; tells this process from earlier ones of the same node. */
     private val incarnation = System.currentTimeMillis()
-    private val core =
-        Controller(settings, tuning, incarnation, seed = System.nanoTime(), accessCheck = identities?.gate)
-    private val state = StateClient(selector, settings.stateAddress)
-    private val cloud =
+    private val controller =
+        Controller(
+            settings,
+            tuning,
+            incarnation,
+            seed = System.nanoTime(),
+            accessCheck = accessComponents?.createAccessCheck,
+        )
+    private val stateClient = StateClient(selector, settings.stateAddress)
+    private val cloudClient =
         CloudClient(selector, settings.cloudAddress, settings.cloud.rps) { System.nanoTime() / NANOS_PER_MS }
-    private val pending = HashMap<RequestId, CompletableDeferred<HttpReply>>()
-    private var nextRequest = 1L
-    private val routes = ApiRoutes(authenticated = identities != null, ::ask)
-    private val workerCommands = WorkerCommands(scope, selector, ::step)
-    private val peers =
-        PeerLinks(scope, selector, settings.peers, identities?.frames?.invoke(incarnation)) {
-            step(Input.PeerMessageReceived(it))
+
+    /** The replies that HTTP connections wait for. */
+    private val pendingReplies = HashMap<RequestId, CompletableDeferred<HttpReply>>()
+    private var nextRequestNumber = 1L
+    private val routes = ApiRoutes(authenticated = accessComponents != null, ::awaitReply)
+    private val workerCommands = WorkerCommands(scope, selector, ::processInput)
+    private val peerLinks =
+        PeerLinks(scope, selector, settings.peers, accessComponents?.createFrameSeal?.invoke(incarnation)) {
+            processInput(Input.PeerMessageReceived(it))
         }
 
-    /** Serves until the scope ends; throws [java.io.IOException] if an address can't be bound. */
+    /** Serves until [scope] ends; throws [java.io.IOException] if an address can't be bound. */
     suspend fun run() {
         HttpServer(scope, selector, settings.frontConnections, routes::handle).start(settings.front)
-        peers.listen(settings.internal)
+        peerLinks.listen(settings.internal)
         log.info("controller started node={} front={} internal={}", settings.node, settings.front, settings.internal)
         log.info(
             "service-level objectives read classes={}; other classes without a quota use leftover capacity",
             settings.objectives.mapNotNull { it.jobClass }.toSet(),
         )
         while (scope.isActive) {
-            step(Input.Tick)
+            processInput(Input.Tick)
             delay(TICK_MS)
-            workerCommands.logDropped()
+            workerCommands.logDroppedCommands()
         }
     }
 
-    private fun step(input: Input) {
+    private fun processInput(input: Input) {
         val effects = try {
-            core.step(System.nanoTime() / NANOS_PER_S, System.currentTimeMillis(), input)
+            controller.step(System.nanoTime() / NANOS_PER_S, System.currentTimeMillis(), input)
         } catch (
-            // A fault in the handling of one input must not end the node.
+            // A fault in the handling of one input must not end the process.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
             log.error("step failed input={}", input.javaClass.simpleName, e)
             return
         }
-        effects.forEach(::perform)
+        effects.forEach(::performEffect)
     }
 
-    private fun perform(effect: Effect) {
+    private fun performEffect(effect: Effect) {
         when (effect) {
-            is Effect.Answer -> answer(effect)
-            is Effect.StateCall -> scope.launch { step(Input.StateReply(effect.call, state.run(effect.op))) }
-            is Effect.CloudCall -> scope.launch { step(Input.CloudReply(effect.call, cloud.run(effect.op))) }
+            is Effect.Answer -> completeReply(effect)
+            is Effect.StateCall -> scope.launch {
+                processInput(Input.StateReply(effect.call, stateClient.execute(effect.op)))
+            }
+            is Effect.CloudCall -> scope.launch {
+                processInput(Input.CloudReply(effect.call, cloudClient.execute(effect.op)))
+            }
             is Effect.WorkerPost -> workerCommands.send(effect)
-            is Effect.PeerSend -> peers.send(effect.message, effect.to)
+            is Effect.PeerSend -> peerLinks.send(effect.message, effect.to)
         }
     }
 
-    private fun answer(effect: Effect.Answer) {
+    private fun completeReply(effect: Effect.Answer) {
         val reply = HttpReply(effect.status, effect.body, effect.retryAfterS, close = effect.close)
-        pending.remove(effect.request)?.complete(reply)
+        pendingReplies.remove(effect.request)?.complete(reply)
     }
 
-    private suspend fun ask(input: (RequestId) -> Input): HttpReply {
-        if (pending.size >= MAX_PENDING) {
+    /**
+     * Passes the input that [createInput] makes for a new request to the controller and waits for its answer. Replies
+     * with status 503 at once if too many requests wait already.
+     */
+    private suspend fun awaitReply(createInput: (RequestId) -> Input): HttpReply {
+        if (pendingReplies.size >= MAX_PENDING_REPLIES) {
             return HttpReply(HttpStatus.SERVICE_UNAVAILABLE, JobCodec.error("overloaded"), RETRY_AFTER_S)
         }
-        val request = RequestId(nextRequest++)
+        val request = RequestId(nextRequestNumber++)
         val reply = CompletableDeferred<HttpReply>()
-        pending[request] = reply
-        step(input(request))
+        pendingReplies[request] = reply
+        processInput(createInput(request))
         return try {
             reply.await()
         } finally {
-            pending.remove(request)
+            pendingReplies.remove(request)
         }
     }
 
     private companion object {
         const val TICK_MS = 100L
-        const val MAX_PENDING = 400
+        const val MAX_PENDING_REPLIES = 400
         const val RETRY_AFTER_S = 1
         const val NANOS_PER_MS = 1_000_000
         const val NANOS_PER_S = 1e9
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -14,7 +14,14 @@
 import kotlinx.io.readByteArray
 import java.net.InetSocketAddress
 
-/** The answer to an HTTP request. [close]: whether the connection is closed after it. */
+/**
+ * The answer to an HTTP request.
+ *
+ * @property body JSON, or empty
+ * @property retryAfterS the value of `Retry-After` in seconds; null for no such header
+ * @property allow the value of `Allow`; null for no such header
+ * @property close whether the connection is closed after the answer
+ */
 class HttpReply(
     val status: Int,
     val body: ByteArray,
@@ -23,12 +30,14 @@
     val close: Boolean = false,
 )
 
-/** One request. What only authentication needs is read when it is asked for. */
+/** An HTTP request that was read whole. Properties that only authentication needs are computed on access. */
 class HttpRequest(private val head: Request, val body: ByteArray, private val socketAddress: SocketAddress) {
     val method: String = head.method.value
 
-    /** Without the query. */
+    /** The path without the query. */
     val path: String
+
+    /** The text after the question mark; empty if there is none. */
     val query: String
 
     init {
@@ -40,49 +49,50 @@
     /** The path with the query, if there is one. */
     val target: String get() = if (query.isEmpty()) path else "$path?$query"
 
-    /** The header of that name. */
+    /** The value of the header `Authorization`; null if the request has none. */
     val authorization: String? get() = head.headers["Authorization"]?.toString()
 
-    /** The caller's address without a port; empty if it has none. */
-    val from: String
+    /** The caller's IP address without the port; empty if it is unknown. */
+    val clientAddress: String
         get() = (socketAddress.toJavaAddress() as? InetSocketAddress)?.address?.hostAddress.orEmpty()
 }
 
-/** A message that can't be read to its end, for [problem]; the connection can't be used any more. */
+/** A message could not be read to its end; its connection can't be used any more. [problem]: why it can't be read. */
 class MalformedHttpException(val problem: String) : Exception(problem, null, false, false)
 
-internal val NO_BODY = ByteArray(0)
+internal val EMPTY_BODY = ByteArray(0)
 
 /** Whether the sender of [headers] closes the connection after the message. */
-internal fun closes(headers: HttpHeadersMap): Boolean =
+internal fun announcesClose(headers: HttpHeadersMap): Boolean =
     headers["Connection"]?.toString().equals("close", ignoreCase = true)
 
-/** Reads a body of at most [limit] bytes; null if it is longer. */
-internal suspend fun readBody(headers: HttpHeadersMap, input: ByteReadChannel, limit: Int): ByteArray? {
-    if (headers["Transfer-Encoding"] != null) return readCoded(headers, input, limit)
-    val length = headers["Content-Length"]?.toString()?.trim() ?: return NO_BODY
+/** Reads the body that [headers] announce; null if it is longer than [maxBytes] bytes. */
+internal suspend fun readBody(headers: HttpHeadersMap, input: ByteReadChannel, maxBytes: Int): ByteArray? {
+    if (headers["Transfer-Encoding"] != null) return readTransferEncoded(headers, input, maxBytes)
+    val length = headers["Content-Length"]?.toString()?.trim() ?: return EMPTY_BODY
     val size = length.toLongOrNull()?.takeIf { it >= 0 } ?: throw MalformedHttpException("bad Content-Length")
-    if (size > limit) return null
+    if (size > maxBytes) return null
     val body = ByteArray(size.toInt())
     if (body.isNotEmpty()) input.readFully(body)
     return body
 }
 
-private suspend fun readCoded(headers: HttpHeadersMap, input: ByteReadChannel, limit: Int): ByteArray? =
+/** Reads a body with a transfer encoding, such as chunked; null if it is longer than [maxBytes] bytes. */
+private suspend fun readTransferEncoded(headers: HttpHeadersMap, input: ByteReadChannel, maxBytes: Int): ByteArray? =
     coroutineScope {
-        val plain = ByteChannel()
+        val decoded = ByteChannel()
         val decoder = launch {
             try {
-                parseHttpBody(headers, input, plain)
-                plain.flushAndClose()
+                parseHttpBody(headers, input, decoded)
+                decoded.flushAndClose()
             } catch (
-                // Whatever ends the decoding, a cancellation included, has to end the read below too.
+                // Whatever ends the decoding, also a cancellation, must end the read below too.
                 @Suppress("TooGenericExceptionCaught") e: Exception,
             ) {
-                plain.cancel(e)
+                decoded.cancel(e)
             }
         }
-        val body = plain.readRemaining(limit + 1L).readByteArray()
+        val body = decoded.readRemaining(maxBytes + 1L).readByteArray()
         decoder.cancel()
-        if (body.size > limit) null else body
+        if (body.size > maxBytes) null else body
     }
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -13,27 +13,35 @@
 import kotlinx.coroutines.withTimeout
 import plankwall.model.Address
 
-/** The outcome of a request; it matters whether the request can have been executed. */
+/** The outcome of a request. Its kinds tell whether the server may have executed the request. */
 sealed interface HttpOutcome {
+    /** The server answered with [status] and [body]. */
     class Answered(val status: Int, val body: ByteArray) : HttpOutcome
 
-    /** Nothing was sent. */
-    data class NotSent(val why: String) : HttpOutcome
+    /** Nothing was sent, so the server has not executed the request. */
+    data class NotSent(val reason: String) : HttpOutcome
 
-    /** Sent, at least in part, and not answered. */
-    data class Unanswered(val why: String) : HttpOutcome
+    /** The request was sent at least in part but not answered, so the server may have executed it. */
+    data class Unanswered(val reason: String) : HttpOutcome
 }
 
-/** One line about [outcome] for the log. */
+/** Returns one line about [outcome] for the log. */
 internal fun describe(outcome: HttpOutcome): String = when (outcome) {
-    is HttpOutcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(LOGGED_CHARACTERS)}"
-    is HttpOutcome.NotSent -> "not sent: ${outcome.why}"
-    is HttpOutcome.Unanswered -> "unanswered: ${outcome.why}"
+    is HttpOutcome.Answered -> "${outcome.status} ${outcome.body.decodeToString().take(MAX_LOGGED_CHARACTERS)}"
+    is HttpOutcome.NotSent -> "not sent: ${outcome.reason}"
+    is HttpOutcome.Unanswered -> "unanswered: ${outcome.reason}"
 }
 
-private const val LOGGED_CHARACTERS = 200
+private const val MAX_LOGGED_CHARACTERS = 200
 
-/** A client of one address with a bounded number of connections and of requests that wait for one. */
+/**
+ * An HTTP/1.1 client of the server at [address].
+ *
+ * @param maxConnections the most connections that are open for calls at once
+ * @param maxWaiting the most calls in progress at once, whether they wait for a connection or hold one; a call beyond
+ *   it is not sent
+ * @param keepAlive whether connections are reused
+ */
 class HttpClient(
     private val selector: SelectorManager,
     private val address: Address,
@@ -52,61 +60,65 @@
     }
 
     private val slots = Semaphore(maxConnections)
-    private val idle = ArrayDeque<Connection>()
-    private var waiting = 0
+    private val idleConnections = ArrayDeque<Connection>()
 
-    /** One request, which has [timeoutMs] for everything, the wait for a connection included. */
+    /** The number of calls in progress, whether they wait for a connection or hold one. */
+    private var callsInProgress = 0
+
+    /** Makes one request within [timeoutMs] in all, including the wait for a connection. */
     suspend fun call(method: String, path: String, body: ByteArray?, timeoutMs: Long): HttpOutcome {
-        if (waiting >= maxWaiting) return HttpOutcome.NotSent("too many requests wait")
-        waiting++
+        if (callsInProgress >= maxWaiting) return HttpOutcome.NotSent("too many requests in progress")
+        callsInProgress++
         val exchange = Exchange()
         return try {
-            withTimeout(timeoutMs) { exchange.run(message(method, path, body)) }
+            withTimeout(timeoutMs) { exchange.run(formatRequest(method, path, body)) }
         } catch (e: TimeoutCancellationException) {
-            exchange.failure(e)
+            exchange.classifyFailure(e)
         } catch (e: CancellationException) {
             throw e
         } catch (
-            // Sockets, channels and the parser fail in many ways, all of which are an outcome of the request.
+            // Sockets, channels and the parser throw many kinds of exceptions; each is an outcome of the request.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
-            exchange.failure(e)
+            exchange.classifyFailure(e)
         } finally {
-            waiting--
+            callsInProgress--
             exchange.release()
         }
     }
 
-    /** Closes the connections that no call uses. */
+    /** Closes the connections that no call uses at present. */
     fun closeIdle() {
-        idle.forEach { it.close() }
-        idle.clear()
+        idleConnections.forEach { it.close() }
+        idleConnections.clear()
     }
 
-    /** One request with what it holds: a slot, and a connection until that goes back to the idle ones. */
+    /** One request and the resources that it holds: a slot, and a connection until that is idle again. */
     private inner class Exchange {
-        private var sent = false
+        private var sendingStarted = false
         private var holdsSlot = false
         private var connection: Connection? = null
 
+        /** Sends [message] and reads the answer. */
         suspend fun run(message: ByteArray): HttpOutcome {
             slots.acquire()
             holdsSlot = true
             val current = takeIdle() ?: connect()
             connection = current
-            sent = true
+            sendingStarted = true
             current.output.writeFully(message)
             current.output.flush()
             return readAnswer(current)
         }
 
         private suspend fun readAnswer(current: Connection): HttpOutcome {
-            val response = parseResponse(current.input) ?: throw MalformedHttpException("closed before the answer")
+            val response =
+                parseResponse(current.input) ?: throw MalformedHttpException("connection closed before the answer")
             return try {
-                val body = readBody(response.headers, current.input, MAX_ANSWER)
-                    ?: throw MalformedHttpException("answer too long")
-                if (keepAlive && !closes(response.headers) && idle.size < MAX_IDLE) {
-                    idle.addLast(current)
+                val body = readBody(response.headers, current.input, MAX_ANSWER_BYTES)
+                    ?: throw MalformedHttpException("answer exceeds the size limit")
+                if (keepAlive && !announcesClose(response.headers) && idleConnections.size < MAX_IDLE_CONNECTIONS) {
+                    idleConnections.addLast(current)
                     connection = null
                 }
                 HttpOutcome.Answered(response.status, body)
@@ -115,29 +127,32 @@
             }
         }
 
-        fun failure(cause: Exception): HttpOutcome =
-            if (sent) HttpOutcome.Unanswered(cause.toString()) else HttpOutcome.NotSent(cause.toString())
+        /** Returns the outcome of this request after [cause] ended it. */
+        fun classifyFailure(cause: Exception): HttpOutcome =
+            if (sendingStarted) HttpOutcome.Unanswered(cause.toString()) else HttpOutcome.NotSent(cause.toString())
 
+        /** Gives the slot back and closes the connection unless it has become idle. */
         fun release() {
             connection?.close()
             if (holdsSlot) slots.release()
         }
     }
 
+    /** Takes an idle connection that is still open; null if there is none. */
     private fun takeIdle(): Connection? {
-        while (idle.isNotEmpty()) {
-            val connection = idle.removeLast()
+        while (idleConnections.isNotEmpty()) {
+            val connection = idleConnections.removeLast()
             if (connection.isOpen) return connection
             connection.close()
         }
         return null
     }
 
-    private suspend fun connect(): Connection = withTimeout(CONNECT_MS) {
+    private suspend fun connect(): Connection = withTimeout(CONNECT_TIMEOUT_MS) {
         Connection(aSocket(selector).tcp().connect(address.host, address.port) { noDelay = true })
     }
 
-    private fun message(method: String, path: String, body: ByteArray?): ByteArray {
+    private fun formatRequest(method: String, path: String, body: ByteArray?): ByteArray {
         val head = buildString {
             append(method).append(' ').append(path).append(" HTTP/1.1\r\nHost: ").append(address).append("\r\n")
             if (body != null) {
@@ -150,8 +165,8 @@
     }
 
     private companion object {
-        const val MAX_IDLE = 16
-        const val MAX_ANSWER = 4 shl 20
-        const val CONNECT_MS = 1_000L
+        const val MAX_IDLE_CONNECTIONS = 16
+        const val MAX_ANSWER_BYTES = 4 shl 20
+        const val CONNECT_TIMEOUT_MS = 1_000L
     }
 }
--- a/src/main/kotlin/plankwall/io/HttpServer.kt
+++ b/src/main/kotlin/plankwall/io/HttpServer.kt
@@ -20,8 +20,12 @@
 import plankwall.model.Address
 
 /**
- * The HTTP server for users and workers: CIO's parser on plain ktor-network sockets. The full server engine is left out
- * because its pipeline and its classes cost start-up time and memory that the target machines do not have.
+ * An HTTP/1.1 server for users and workers: the parser of Ktor's CIO engine on plain ktor-network sockets. Ktor's full
+ * server engine is not used because its pipeline and its classes cost start-up time and memory that the target machines
+ * do not have.
+ *
+ * @param maxConnections connections beyond this number are closed at once
+ * @param onRequest called for each request; returns the reply to send
  */
 class HttpServer(
     private val scope: CoroutineScope,
@@ -32,10 +36,10 @@
     private val log = LoggerFactory.getLogger("http")
     private var openConnections = 0
 
-    /** Binds [address] and serves it until the scope ends; throws [java.io.IOException] if it can't be bound. */
+    /** Binds [address] and serves it until [scope] ends; throws [java.io.IOException] if it can't be bound. */
     suspend fun start(address: Address): ServerSocket {
         val listener = aSocket(selector).tcp().bind(address.host, address.port) { reuseAddress = true }
-        scope.launch { acceptAll(listener, { openConnections < maxConnections }, ::serve) }
+        scope.launch { acceptConnections(listener, { openConnections < maxConnections }, ::serve) }
         return listener
     }
 
@@ -48,7 +52,8 @@
         } catch (e: CancellationException) {
             throw e
         } catch (
-            // Sockets, channels, the parser and the request handler fail in many ways; each ends this connection only.
+            // Sockets, channels, the parser and the request handler throw many kinds of exceptions. Each ends this
+            // connection only.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
             log.debug("connection ended error={}", e.toString())
@@ -57,56 +62,60 @@
         }
     }
 
+    /** Serves the requests of one connection, one after the other, until it is closed or stays idle for too long. */
     private suspend fun serveRequests(socket: Socket) {
-        val from = socket.remoteAddress
+        val clientAddress = socket.remoteAddress
         val input = socket.openReadChannel()
         val output = socket.openWriteChannel(autoFlush = false)
-        var keep = true
-        while (keep) {
-            val request = withTimeout(IDLE_MS) { parseRequest(input) } ?: return
-            keep = try {
-                val body = withTimeout(BODY_MS) { readBody(request.headers, input, MAX_BODY) }
-                respond(request, body, from, output)
+        var keepAlive = true
+        while (keepAlive) {
+            val request = withTimeout(IDLE_TIMEOUT_MS) { parseRequest(input) } ?: return
+            keepAlive = try {
+                val body = withTimeout(BODY_TIMEOUT_MS) { readBody(request.headers, input, MAX_BODY_BYTES) }
+                respond(request, body, clientAddress, output)
             } finally {
                 request.release()
             }
         }
     }
 
-    /** Answers one request; whether the connection is kept. [body]: null if it is too long. */
+    /** Answers one request and returns whether the connection stays open. [body]: null if it is too long. */
     private suspend fun respond(
         request: Request,
         body: ByteArray?,
-        from: SocketAddress,
+        clientAddress: SocketAddress,
         output: ByteWriteChannel,
     ): Boolean {
-        // The rest of a body that is too long has not been read: the connection can't be kept.
+        // The connection can't be reused after a body that is too long, because the remainder was not read.
         val reply = when (body) {
-            null -> HttpReply(HttpStatus.BAD_REQUEST, TOO_LONG)
-            else -> onRequest(HttpRequest(request, body, from))
+            null -> HttpReply(HttpStatus.BAD_REQUEST, BODY_TOO_LONG_JSON)
+            else -> onRequest(HttpRequest(request, body, clientAddress))
         }
-        val keep = body != null && !reply.close && !closes(request.headers)
-        val message = head(reply, keep).encodeToByteArray() + reply.body
-        withTimeout(BODY_MS) {
+        val keepAlive = body != null && !reply.close && !announcesClose(request.headers)
+        val message = formatHead(reply, keepAlive).encodeToByteArray() + reply.body
+        withTimeout(BODY_TIMEOUT_MS) {
             output.writeFully(message)
             output.flush()
         }
-        return keep
+        return keepAlive
     }
 
-    private fun head(reply: HttpReply, keep: Boolean): String = buildString {
-        append("HTTP/1.1 ").append(reply.status).append(' ').append(HttpStatus.reason(reply.status)).append("\r\n")
+    /** Returns the status line and the headers of [reply]. */
+    private fun formatHead(reply: HttpReply, keepAlive: Boolean): String = buildString {
+        append(
+            "HTTP/1.1 ",
+        ).append(reply.status).append(' ').append(HttpStatus.reasonPhrase(reply.status)).append("\r\n")
         append("Content-Type: application/json\r\nContent-Length: ").append(reply.body.size).append("\r\n")
         if (reply.retryAfterS != null) append("Retry-After: ").append(reply.retryAfterS).append("\r\n")
         if (reply.allow != null) append("Allow: ").append(reply.allow).append("\r\n")
-        if (!keep) append("Connection: close\r\n")
+        if (!keepAlive) append("Connection: close\r\n")
         append("\r\n")
     }
 
     private companion object {
-        const val MAX_BODY = 64 * 1024
-        const val IDLE_MS = 90_000L
-        const val BODY_MS = 10_000L
-        val TOO_LONG = """{"error":"a body may have at most 64 KiB"}""".encodeToByteArray()
+        const val MAX_BODY_BYTES = 64 * 1024
+        const val IDLE_TIMEOUT_MS = 90_000L
+        const val BODY_TIMEOUT_MS = 10_000L
+        val BODY_TOO_LONG_JSON = """{"error":"a body may have at most 64 KiB"}""".encodeToByteArray()
     }
 }
--- a/src/main/kotlin/plankwall/io/HttpStatus.kt
+++ b/src/main/kotlin/plankwall/io/HttpStatus.kt
@@ -1,6 +1,6 @@
 package plankwall.io
 
-/** HTTP status codes that are used here, with their reason phrases. */
+/** The HTTP status codes that this package sends or reads, and reason phrases for those that it sends. */
 internal object HttpStatus {
     const val OK = 200
     const val CREATED = 201
@@ -18,7 +18,8 @@
     const val TOO_MANY_REQUESTS = 429
     const val SERVICE_UNAVAILABLE = 503
 
-    fun reason(status: Int): String = when (status) {
+    /** Returns the reason phrase for a status line; a placeholder for a status that this package does not send. */
+    fun reasonPhrase(status: Int): String = when (status) {
         OK -> "OK"
         CREATED -> "Created"
         BAD_REQUEST -> "Bad Request"
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -32,8 +32,12 @@
 import plankwall.wire.PeerMessage
 
 /**
- * One connection to every other controller, carrying length-prefixed frames. The newest frames are queued for sending;
- * older ones beyond the queue's size are dropped. [onMessage] is called for every authentic message from a peer.
+ * Connections between this controller and its peers, carrying length-prefixed frames: one outgoing connection to each
+ * peer, and the connections that peers open. Each peer has a bounded queue of frames to send; if it is full, the oldest
+ * frame is dropped.
+ *
+ * @param seal authenticates frames; null if the operators configured no keys for peers
+ * @param onMessage called for every message from a peer that is authentic
  */
 class PeerLinks(
     private val scope: CoroutineScope,
@@ -43,79 +47,83 @@
     private val onMessage: (PeerMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("peers")
-    private val maxIncoming = peers.size * 4 + 4
-    private var incoming = 0
-    private val outgoing = peers.associate { peer ->
-        val queue = Channel<ByteArray>(QUEUE_FRAMES, BufferOverflow.DROP_OLDEST)
+    private val maxIncomingConnections = peers.size * 4 + 4
+    private var incomingConnections = 0
+
+    /** The frames to send, by the name of the peer's node. */
+    private val queues = peers.associate { peer ->
+        val queue = Channel<ByteArray>(MAX_QUEUED_FRAMES, BufferOverflow.DROP_OLDEST)
         scope.launch { keepConnected(peer, queue) }
         peer.node to queue
     }
 
-    /** Queues [message] for the node [to]; null for all. */
-    fun send(message: PeerMessage, to: String? = null) {
-        val plain = PeerCodec.write(message)
-        if (plain.size > PeerCodec.MAX_FRAME) {
-            log.info("peer frame too long, not sent bytes={}", plain.size)
+    /** Queues [message] for the node [recipient], or for all peers if that is null. */
+    fun send(message: PeerMessage, recipient: String? = null) {
+        val encoded = PeerCodec.write(message)
+        if (encoded.size > PeerCodec.MAX_FRAME) {
+            log.info("peer frame too long, not sent bytes={}", encoded.size)
             return
         }
-        val frame = seal?.seal(plain, System.currentTimeMillis()) ?: plain
-        if (to == null) outgoing.values.forEach { it.trySend(frame) } else outgoing[to]?.trySend(frame)
+        val frame = seal?.seal(encoded, System.currentTimeMillis()) ?: encoded
+        if (recipient == null) queues.values.forEach { it.trySend(frame) } else queues[recipient]?.trySend(frame)
     }
 
+    /** Sends the frames of [queue] to [peer] and reconnects whenever the connection ends, until [scope] ends. */
     private suspend fun keepConnected(peer: Peer, queue: Channel<ByteArray>) {
         while (scope.isActive) {
             try {
                 connect(peer).use { sendFrames(it, queue) }
                 log.debug("peer connection ended, reconnecting peer={}", peer.node)
             } catch (
-                // Whatever ends a connection, even a cancellation of its channels alone, a new one is made.
+                // Whatever ends a connection is followed by a new one, even the cancellation of its channels alone.
                 @Suppress("TooGenericExceptionCaught") e: Exception,
             ) {
                 currentCoroutineContext().ensureActive()
                 log.debug("peer connection failed, reconnecting peer={} error={}", peer.node, e.toString())
             }
-            delay(RETRY_MS)
+            delay(RECONNECT_DELAY_MS)
         }
     }
 
     private suspend fun connect(peer: Peer): Socket =
-        withTimeout(IO_MS) { aSocket(selector).tcp().connect(peer.host, peer.port) { noDelay = true } }
+        withTimeout(IO_TIMEOUT_MS) { aSocket(selector).tcp().connect(peer.host, peer.port) { noDelay = true } }
 
     /**
-     * Sends queued frames until the connection fails, is closed or reaches its maximum age. A receiver closes a
-     * connection that was silent for a while, as in a network partition; frames written to it afterwards are lost
-     * without an error, for as long as both processes live, and every later leader would wait in vain for the status
-     * of all its peers. Nothing is ever sent back, so the first thing read is the end; a connection whose end was lost
-     * on the way is replaced for its age.
+     * Sends the frames of [queue] until the connection fails, is closed by the peer or reaches [MAX_CONNECTION_AGE_MS].
+     * A peer closes a connection that has been silent for a while, as it is during a network partition. Without a
+     * reconnect, frames written to a closed connection would be lost without an error for as long as both processes
+     * live, and every later leader would wait in vain for the status of all its peers. A peer never sends anything back
+     * here, so reading returns only when the connection is closed. If the network loses that notice, the age limit
+     * replaces the connection.
      */
     private suspend fun sendFrames(socket: Socket, queue: Channel<ByteArray>) = coroutineScope {
         val output = socket.openWriteChannel(autoFlush = false)
-        val writing = launch {
+        val writer = launch {
             for (frame in queue) {
-                withTimeout(IO_MS) {
+                withTimeout(IO_TIMEOUT_MS) {
                     output.writeInt(frame.size)
                     output.writeFully(frame)
                     output.flush()
                 }
             }
         }
-        val reading = launch {
+        val closeWatcher = launch {
             socket.openReadChannel().discard()
-            writing.cancel()
+            writer.cancel()
         }
-        withTimeoutOrNull(MAX_AGE_MS) { writing.join() }
-        writing.cancel()
-        reading.cancel()
+        withTimeoutOrNull(MAX_CONNECTION_AGE_MS) { writer.join() }
+        writer.cancel()
+        closeWatcher.cancel()
     }
 
-    /** Accepts peers on [address] until the scope ends; throws [java.io.IOException] if it can't be bound. */
+    /** Accepts peers on [address] until [scope] ends; throws [java.io.IOException] if it can't be bound. */
     suspend fun listen(address: Address) {
         val listener = aSocket(selector).tcp().bind(address.host, address.port) { reuseAddress = true }
-        scope.launch { acceptAll(listener, { incoming < maxIncoming }, ::receive) }
+        scope.launch { acceptConnections(listener, { incomingConnections < maxIncomingConnections }, ::receive) }
     }
 
     private suspend fun receive(socket: Socket) {
-        incoming++
+        incomingConnections++
         try {
             socket.use { receiveFrames(it) }
         } catch (e: TimeoutCancellationException) {
@@ -123,37 +131,38 @@
         } catch (e: CancellationException) {
             throw e
         } catch (
-            // Sockets, channels and the codecs fail in many ways; each ends this connection, and the peer makes
-            // another.
+            // Sockets, channels and the codecs throw many kinds of exceptions. Each ends this connection only; the
+            // peer opens another one.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
             log.debug("incoming peer connection ended error={}", e.toString())
         } finally {
-            incoming--
+            incomingConnections--
         }
     }
 
+    /** Passes the messages received from [socket] on until the connection fails or is silent for too long. */
     private suspend fun receiveFrames(socket: Socket) {
         if (seal != null && !seal.admits(socket.remoteAddress.toString().substringAfter('/'))) {
-            throw MalformedHttpException("not from a peer's network")
+            throw MalformedHttpException("connection does not come from a peer's network")
         }
         val input = socket.openReadChannel()
         while (true) {
             val frame = withTimeout(SILENCE_TIMEOUT_MS) { readFrame(input) }
-            open(frame)?.let(onMessage)
+            decodeFrame(frame)?.let(onMessage)
         }
     }
 
     private suspend fun readFrame(input: ByteReadChannel): ByteArray {
         val size = input.readInt()
         if (size !in 1..PeerCodec.MAX_FRAME + (seal?.overhead ?: 0)) {
-            throw MalformedHttpException("peer frame of $size bytes")
+            throw MalformedHttpException("peer frame has an invalid length of $size bytes")
         }
         return input.readByteArray(size)
     }
 
-    /** The message in [frame]; null, and a line in the log, if it is not authentic. */
-    private fun open(frame: ByteArray): PeerMessage? {
+    /** Returns the message in [frame]; null, with a log line, if it is not authentic. */
+    private fun decodeFrame(frame: ByteArray): PeerMessage? {
         if (seal == null) return PeerCodec.read(frame)
         val message = seal.open(frame, System.currentTimeMillis())
         if (message == null) log.debug("peer frame dropped: not signed by a peer")
@@ -161,11 +170,14 @@
     }
 
     private companion object {
-        /** A second's relayed heartbeats of hundreds of workers. Workers repeat those that are dropped beyond it. */
-        const val QUEUE_FRAMES = 256
-        const val IO_MS = 2_000L
-        const val RETRY_MS = 700L
+        /**
+         * Holds the heartbeats that hundreds of workers send through another node in one second. A worker repeats a
+         * heartbeat that is dropped because the queue is full.
+         */
+        const val MAX_QUEUED_FRAMES = 256
+        const val IO_TIMEOUT_MS = 2_000L
+        const val RECONNECT_DELAY_MS = 700L
         const val SILENCE_TIMEOUT_MS = 10_000L
-        const val MAX_AGE_MS = 30_000L
+        const val MAX_CONNECTION_AGE_MS = 30_000L
     }
 }
--- a/src/main/kotlin/plankwall/io/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/io/WorkerCommands.kt
@@ -14,8 +14,10 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * Sends commands to workers directly. They only hasten what the answer to the next heartbeat brings anyway: those
- * beyond the bound of the queue are dropped. [onReply] gets the status in every answer.
+ * Sends commands to workers directly. Each worker also gets its commands in the answer to its next heartbeat, only
+ * later; commands that do not fit into the bounded queue are therefore dropped.
+ *
+ * @param onReply called with the status that a worker reports in its answer
  */
 internal class WorkerCommands(
     private val scope: CoroutineScope,
@@ -23,42 +25,48 @@
     private val onReply: (Input.WorkerReply) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("daemon")
-    private val slots = Semaphore(MAX_CONCURRENT)
-    private var queued = 0
-    private var dropped = 0
+    private val slots = Semaphore(MAX_CONCURRENT_POSTS)
 
+    /** The number of commands that wait for a slot or are being sent. */
+    private var queuedCommands = 0
+
+    /** The number of commands dropped since the last log line about them. */
+    private var droppedCommands = 0
+
+    /** Queues [commands] for sending, or drops them if the queue is full. */
     fun send(commands: Effect.WorkerPost) {
-        if (queued >= MAX_QUEUED) {
-            dropped++
+        if (queuedCommands >= MAX_QUEUED_COMMANDS) {
+            droppedCommands++
             return
         }
-        queued++
+        queuedCommands++
         scope.launch {
             try {
-                slots.withPermit { post(commands) }
+                slots.withPermit { postCommands(commands) }
             } finally {
-                queued--
+                queuedCommands--
             }
         }
     }
 
-    /** Logs how many commands were dropped, once the queue is short again. */
-    fun logDropped() {
-        if (dropped == 0 || queued >= MAX_CONCURRENT) return
-        log.info("direct commands dropped count={} queue_limit={}", dropped, MAX_QUEUED)
-        dropped = 0
+    /** Logs how many commands were dropped, once no command waits for a slot any more. */
+    fun logDroppedCommands() {
+        if (droppedCommands == 0 || queuedCommands >= MAX_CONCURRENT_POSTS) return
+        log.info("direct commands dropped count={} queue_limit={}", droppedCommands, MAX_QUEUED_COMMANDS)
+        droppedCommands = 0
     }
 
-    private suspend fun post(commands: Effect.WorkerPost) {
+    private suspend fun postCommands(commands: Effect.WorkerPost) {
         val address = Address.parse(commands.address) ?: return
         val client = HttpClient(selector, address, maxConnections = 1, maxWaiting = 1, keepAlive = false)
-        val outcome = client.call("POST", "/commands", commands.body, TIMEOUT_MS)
+        val outcome = client.call("POST", "/commands", commands.body, POST_TIMEOUT_MS)
         log.debug("direct commands sent machine={} outcome={}", commands.machine, describe(outcome))
         if (outcome !is HttpOutcome.Answered) return
         if (outcome.status != HttpStatus.OK && outcome.status != HttpStatus.CONFLICT) return
         onReply(Input.WorkerReply(commands.machine, readStatus(commands.machine, outcome.body)))
     }
 
+    /** Reads the status in a worker's answer; null, with a log line, if it is malformed. */
     private fun readStatus(machine: String, body: ByteArray): HeartbeatStatus? = try {
         WorkerCodec.readReport(body)
     } catch (e: MalformedMessageException) {
@@ -67,8 +75,8 @@
     }
 
     private companion object {
-        const val MAX_CONCURRENT = 40
-        const val MAX_QUEUED = 400
-        const val TIMEOUT_MS = 3_000L
+        const val MAX_CONCURRENT_POSTS = 40
+        const val MAX_QUEUED_COMMANDS = 400
+        const val POST_TIMEOUT_MS = 3_000L
     }
 }
