--- a/src/main/kotlin/plankwall/cli/CheckSettings.kt
+++ b/src/main/kotlin/plankwall/cli/CheckSettings.kt
@@ -9,34 +9,39 @@
 import java.io.File
 import java.util.concurrent.Callable
 
+/** Checks settings files and prints a summary of what they set. */
 @Command(
     name = "check-settings",
-    description = ["Check settings files and say what they mean."],
+    description = ["Check settings files and print a summary of what they set."],
     mixinStandardHelpOptions = true,
 )
 class CheckSettings : Callable<Int> {
     @Option(names = ["--config"], required = true, paramLabel = "F", description = ["The platform's settings (TOML)."])
     lateinit var config: File
 
-    @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' own settings (YAML)."])
+    @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' tuning settings (YAML)."])
     var tuning: File? = null
 
-    @Option(names = ["--identities"], paramLabel = "F", description = ["Identities, rights and audit trail (YAML)."])
+    @Option(
+        names = ["--identities"],
+        paramLabel = "F",
+        description = ["Identities, access policy and audit log (YAML)."],
+    )
     var identities: File? = null
 
     override fun call(): Int {
-        val platform = SettingsFile.read(config)
-        val own = tuning?.let { TuningFile.read(it) } ?: Tuning()
+        val settings = SettingsFile.read(config)
+        val operatorTuning = tuning?.let { TuningFile.read(it) } ?: Tuning()
         println(
-            "node ${platform.node} in ${platform.zone}: " +
-                "users and workers on ${platform.front}, peers on ${platform.internal}",
+            "node ${settings.node} in ${settings.zone}: " +
+                "users and workers on ${settings.front}, peers on ${settings.internal}",
         )
-        println("${platform.nodes} nodes, ${platform.teams.size} teams, zones ${platform.zones.joinToString(", ")}")
-        println(own)
+        println("${settings.nodes} nodes, ${settings.teams.size} teams, zones ${settings.zones.joinToString(", ")}")
+        println(operatorTuning)
         identities?.let { file ->
-            val identity = IdentitiesFile.read(file)
-            val signer = identity.nodeKey?.let { "signed by $it" } ?: "not signed"
-            println("callers prove who they are to '${identity.audience}'; checkpoints $signer")
+            val gatewaySettings = IdentitiesFile.read(file)
+            val signature = gatewaySettings.nodeKey?.let { "signed by $it" } ?: "not signed"
+            println("callers prove who they are to '${gatewaySettings.audience}'; checkpoints $signature")
         }
         return 0
     }
--- a/src/main/kotlin/plankwall/cli/GatewayComponents.kt
+++ b/src/main/kotlin/plankwall/cli/GatewayComponents.kt
@@ -9,19 +9,25 @@
 import plankwall.model.Settings
 import plankwall.wire.FrameSeal
 
-/** Builds what authenticates the callers and peers of a node. */
+/** Creates the components that authenticate the callers and peers of a node. */
 internal object GatewayComponents {
-    fun of(gatewaySettings: GatewaySettings, settings: Settings): AccessComponents {
-        val key = gatewaySettings.nodeKey
-        if (key != null && key.principal != settings.node) {
+    /**
+     * Creates them for the node of [settings]. Throws [InvalidSettingsException] if the private key in
+     * [gatewaySettings] belongs to another principal than this node.
+     */
+    fun create(gatewaySettings: GatewaySettings, settings: Settings): AccessComponents {
+        val nodeKey = gatewaySettings.nodeKey
+        if (nodeKey != null && nodeKey.principal != settings.node) {
             throw InvalidSettingsException(
                 "node_key_file",
-                "the key is ${key.principal}'s, this node is ${settings.node}",
+                "the key belongs to ${nodeKey.principal}, but this node is ${settings.node}",
             )
         }
+        // The gateway, which knows from where peers may connect, is created with the controller, after this function
+        // has returned.
         var gateway: AccessGateway? = null
         val toleranceMs = gatewaySettings.clockToleranceMs + settings.timeBoundMs.toLong() + 1
-        val frames: ((Long) -> FrameSeal)? = if (gatewaySettings.peerKeys.isEmpty()) {
+        val createFrameSeal: ((Long) -> FrameSeal)? = if (gatewaySettings.peerKeys.isEmpty()) {
             null
         } else {
             { incarnation ->
@@ -38,6 +44,9 @@
                 }
             }
         }
-        return AccessComponents({ ctx -> AccessGateway(ctx, gatewaySettings).also { gateway = it } }, frames)
+        return AccessComponents(
+            { context -> AccessGateway(context, gatewaySettings).also { gateway = it } },
+            createFrameSeal,
+        )
     }
 }
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -11,11 +11,13 @@
 import java.io.File
 import java.util.concurrent.Callable
 
+/** The base of the commands about jobs: it holds the options for calls to a node. */
 abstract class JobCommand : Callable<Int> {
     @Mixin
     protected lateinit var calls: NodeCalls
 }
 
+/** Submits a job that a JSON file describes. */
 @Command(name = "submit", description = ["Submit a job described in a JSON file."], mixinStandardHelpOptions = true)
 class Submit : JobCommand() {
     @Parameters(paramLabel = "FILE", description = ["The job as JSON."])
@@ -25,7 +27,7 @@
         names = ["--after"],
         paramLabel = "JOB",
         split = ",",
-        description = ["Jobs that have to be done first, beside those that the file names."],
+        description = ["Jobs that must be done first, in addition to those that the file names."],
     )
     var after: List<String> = emptyList()
 
@@ -36,42 +38,43 @@
         } catch (e: MalformedMessageException) {
             throw InvalidSettingsException("$file", e.message.orEmpty(), e)
         }
-        return calls.report(calls.ask("POST", "/api/jobs", body))
+        return calls.printAnswer(calls.sendRequest("POST", "/api/jobs", body))
     }
 }
 
+/** Prints the state of jobs, once or until they are over. */
 @Command(
     name = "show",
-    description = ["Show where jobs stand, and what they wait for."],
+    description = ["Show the state of jobs, and what they wait for."],
     mixinStandardHelpOptions = true,
 )
 class Show : JobCommand() {
     @Parameters(paramLabel = "JOB", arity = "1..*", description = ["The jobs' ids."])
     lateinit var jobs: List<String>
 
-    @Option(names = ["--follow"], description = ["Show every change until all are done or cancelled."])
+    @Option(names = ["--follow"], description = ["Print every change until all jobs are done or cancelled."])
     var follow = false
 
-    /** The worst of all answers so far. */
+    /** The highest exit code of all answers so far. */
     private var exitCode = 0
 
-    /** What was printed last of each job. */
-    private val shown = HashMap<String, String>()
+    /** The last printed answer about each job, by job id. */
+    private val lastPrinted = HashMap<String, String>()
 
     override fun call(): Int {
-        val left = jobs.toMutableList()
-        while (left.isNotEmpty()) {
-            left.removeAll(left.filter { showOnce(it) }.toSet())
-            if (left.isNotEmpty()) Thread.sleep(POLL_MS)
+        val remainingJobs = jobs.toMutableList()
+        while (remainingJobs.isNotEmpty()) {
+            remainingJobs.removeAll(remainingJobs.filter { showOnce(it) }.toSet())
+            if (remainingJobs.isNotEmpty()) Thread.sleep(POLL_INTERVAL_MS)
         }
         return exitCode
     }
 
-    /** Shows [job] as it is now; true if nothing more is to be shown of it. */
+    /** Prints the present state of [job]; returns true if it needs no further request. */
     private fun showOnce(job: String): Boolean {
-        val answer = calls.ask("GET", "/api/jobs/$job")
-        if (!follow || answer != null && answer.status in FINAL) {
-            exitCode = maxOf(exitCode, calls.report(answer))
+        val answer = calls.sendRequest("GET", "/api/jobs/$job")
+        if (!follow || answer != null && answer.status in FINAL_STATUSES) {
+            exitCode = maxOf(exitCode, calls.printAnswer(answer))
             return true
         }
         if (answer == null || answer.status != 200) return false
@@ -79,22 +82,23 @@
         return JobCodec.isOver(answer.body.encodeToByteArray())
     }
 
-    private fun printIfChanged(job: String, view: String) {
-        if (shown.put(job, view) != view) println(view)
+    private fun printIfChanged(job: String, answerBody: String) {
+        if (lastPrinted.put(job, answerBody) != answerBody) println(answerBody)
     }
 
     private companion object {
-        const val POLL_MS = 2_000L
+        const val POLL_INTERVAL_MS = 2_000L
 
-        /** Asking again would bring the same. */
-        val FINAL = setOf(400, 401, 403, 404)
+        /** The statuses that another request would only repeat. */
+        val FINAL_STATUSES = setOf(400, 401, 403, 404)
     }
 }
 
+/** Cancels a job. */
 @Command(name = "cancel", aliases = ["withdraw"], description = ["Cancel a job."], mixinStandardHelpOptions = true)
 class Cancel : JobCommand() {
     @Parameters(paramLabel = "JOB", description = ["The job's id."])
     lateinit var job: String
 
-    override fun call(): Int = calls.report(calls.ask("POST", "/api/jobs/$job/withdraw"))
+    override fun call(): Int = calls.printAnswer(calls.sendRequest("POST", "/api/jobs/$job/withdraw"))
 }
--- a/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
+++ b/src/main/kotlin/plankwall/cli/LoadTestCommand.kt
@@ -13,13 +13,13 @@
 import java.nio.file.Files
 import java.util.concurrent.Callable
 
-/** Runs real controller processes with simulated workers on this machine. */
+/** Runs a load test: real controller processes on this machine, with everything around them simulated. */
 @Command(
     name = "scale",
     description = [
-        "Starts real controller processes over loopback, with hollow workers, users, state service and " +
-            "cloud as stand-ins, and says what",
-        "each node uses. Ends by itself and ends only processes that it started. Exits 1 if a rule broke, 2 if " +
+        "Starts real controller processes over loopback, with simulated workers, users, state service and " +
+            "cloud, and reports what resources",
+        "each node uses. Ends by itself and stops only processes that it started. Exits 1 if a rule broke, 2 if " +
             "the run does not fit this machine.",
     ],
     mixinStandardHelpOptions = true,
@@ -28,36 +28,36 @@
     @Option(
         names = ["--plan"],
         paramLabel = "F",
-        description = ["The whole plan (YAML); the options below go before it."],
+        description = ["The load-test plan (YAML); the options below override it."],
     )
     private var file: File? = null
 
-    @Option(names = ["--workers"], description = ["How many hollow workers."])
+    @Option(names = ["--workers"], description = ["The number of simulated workers."])
     private var workers: Int? = null
 
-    @Option(names = ["--controllers"], description = ["How many controller processes."])
+    @Option(names = ["--controllers"], description = ["The number of controller processes."])
     private var controllers: Int? = null
 
-    @Option(names = ["--teams"], description = ["How many teams."])
+    @Option(names = ["--teams"], description = ["The number of teams."])
     private var teams: Int? = null
 
-    @Option(names = ["--zones"], description = ["How many zones."])
+    @Option(names = ["--zones"], description = ["The number of zones."])
     private var zones: Int? = null
 
-    @Option(names = ["--regions"], description = ["How many regions the zones belong to."])
+    @Option(names = ["--regions"], description = ["The number of regions that the zones belong to."])
     private var regions: Int? = null
 
-    @Option(names = ["--running"], description = ["Tasks of services that run throughout."])
+    @Option(names = ["--running"], description = ["The number of service tasks that run throughout."])
     private var running: Int? = null
 
     @Option(
         names = ["--starts"],
         paramLabel = "N",
-        description = ["Task starts a second that the arriving jobs ask for."],
+        description = ["Task starts per second that the arriving jobs demand."],
     )
     private var starts: Double? = null
 
-    @Option(names = ["--seed"], description = ["Draws arrivals and delays."])
+    @Option(names = ["--seed"], description = ["Seed of the random arrivals and delays."])
     private var seed: Long? = null
 
     @Option(
@@ -70,7 +70,7 @@
     @Option(
         names = ["--tuning"],
         paramLabel = "F",
-        description = ["The operators' own settings (YAML) for the controllers."],
+        description = ["The operators' tuning settings (YAML) for the controllers."],
     )
     private var tuning: File? = null
 
@@ -78,7 +78,7 @@
         names = ["--folder"],
         paramLabel = "DIR",
         description = [
-            "Keeps settings and logs of the controllers here (default: a new folder under the temporary one).",
+            "Where to keep the controllers' settings and logs (default: a new temporary folder).",
         ],
     )
     private var folder: File? = null
@@ -90,19 +90,19 @@
     )
     private var nodeLog = "info"
 
-    @Option(names = ["--report"], paramLabel = "F", description = ["Writes the figures as JSON."])
+    @Option(names = ["--report"], paramLabel = "F", description = ["Write the figures to this file as JSON."])
     private var report: File? = null
 
     override fun call(): Int {
         if (!deploy.isFile) {
             throw InvalidSettingsException(
                 "$deploy",
-                "no such file; run this at the root of the project, after a build",
+                "no such file; run this command at the root of the project, after a build",
             )
         }
         val figures = try {
-            val into = folder ?: Files.createTempDirectory("plankwall-scale").toFile()
-            LoadTestRun(plan(), deploy, into, tuning, nodeLog) { println(it) }.play()
+            val outputFolder = folder ?: Files.createTempDirectory("plankwall-scale").toFile()
+            LoadTestRun(buildPlan(), deploy, outputFolder, tuning, nodeLog) { println(it) }.play()
         } catch (e: InvalidLoadTestPlanException) {
             throw InvalidSettingsException(e.message.orEmpty(), e)
         }
@@ -111,25 +111,29 @@
         return if (figures.violations.isEmpty()) 0 else 1
     }
 
-    private fun plan(): LoadTestPlan {
-        val base = file?.let(LoadTestPlanFile::read) ?: LoadTestPlan()
-        return base.copy(
-            workers = workers ?: base.workers,
-            controllers = controllers ?: base.controllers,
-            teams = teams ?: base.teams,
-            zones = zones ?: base.zones,
-            regions = regions ?: base.regions,
-            seed = seed ?: base.seed,
-            work = base.work.copy(running = running ?: base.work.running, startsPerS = starts ?: base.work.startsPerS),
+    /** Returns the plan of the file, or the default one, with the values of the other options. */
+    private fun buildPlan(): LoadTestPlan {
+        val basePlan = file?.let(LoadTestPlanFile::read) ?: LoadTestPlan()
+        return basePlan.copy(
+            workers = workers ?: basePlan.workers,
+            controllers = controllers ?: basePlan.controllers,
+            teams = teams ?: basePlan.teams,
+            zones = zones ?: basePlan.zones,
+            regions = regions ?: basePlan.regions,
+            seed = seed ?: basePlan.seed,
+            work = basePlan.work.copy(
+                running = running ?: basePlan.work.running,
+                startsPerS = starts ?: basePlan.work.startsPerS,
+            ),
         )
     }
 
     private fun printSummary(figures: LoadTestFigures) {
         figures.faults.forEach { outcome ->
             val fault = outcome.fault
-            val served = outcome.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
+            val recovery = outcome.servedAgainS?.let { "99%% of the workers served again after %.1f s".format(it) }
                 ?: "99% of the workers not served again within the run"
-            println("${fault.kind.name.lowercase()} ${fault.target} (${outcome.hit.joinToString(" ")}): $served")
+            println("${fault.kind.name.lowercase()} ${fault.target} (${outcome.hit.joinToString(" ")}): $recovery")
         }
         println(
             "services: ${figures.serviceTasksStarted} of ${figures.serviceTasks} tasks begun; " +
@@ -137,10 +141,10 @@
                 "controllers ended by themselves: ${figures.endedByItself}",
         )
         if (figures.violations.isEmpty()) println("no rule broken")
-        figures.violations.take(MAX_SHOWN).forEach { println("rule broken: $it") }
+        figures.violations.take(MAX_SHOWN_VIOLATIONS).forEach { println("rule broken: $it") }
     }
 
     private companion object {
-        const val MAX_SHOWN = 20
+        const val MAX_SHOWN_VIOLATIONS = 20
     }
 }
--- a/src/main/kotlin/plankwall/cli/Main.kt
+++ b/src/main/kotlin/plankwall/cli/Main.kt
@@ -8,6 +8,7 @@
 import plankwall.cli.settings.InvalidSettingsException
 import kotlin.system.exitProcess
 
+/** The root command, which prints its usage. [main] adds further subcommands unless a node is to be started. */
 @Command(
     name = "plankwall",
     description = ["A cluster scheduler: rents machines and runs jobs on them."],
@@ -19,15 +20,16 @@
     override fun run() = CommandLine.usage(this, System.out)
 }
 
+/** Supplies the version from the jar's manifest for `--version`. */
 class Version : CommandLine.IVersionProvider {
     override fun getVersion(): Array<String> =
         arrayOf("plankwall ${Plankwall::class.java.`package`?.implementationVersion ?: "(development)"}")
 }
 
-/** The logger reads these once, so they must stand before anything logs. */
+/** Sets the properties of the logger. It reads them only once, so this must run before anything is logged. */
 private fun configureLogging() {
-    val level = when (val wanted = System.getenv("LOG_LEVEL")?.lowercase()) {
-        "error", "warn", "info", "debug" -> wanted
+    val level = when (val requestedLevel = System.getenv("LOG_LEVEL")?.lowercase()) {
+        "error", "warn", "info", "debug" -> requestedLevel
         else -> "info"
     }
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level)
@@ -36,11 +38,12 @@
     System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS")
 }
 
+/** Runs the command in [args] and ends the process with its exit code; 2 for unusable settings or other input. */
 fun main(args: Array<String>) {
     configureLogging()
-    val line = CommandLine(Plankwall())
-    // A node that starts on a third of a core need not load commands that it is not asked for, nor have them in its
-    // archive.
+    val commandLine = CommandLine(Plankwall())
+    // A node may have only a third of a processor core to start on. It loads none of the other commands, and the class
+    // archive that `warm-up` records does not contain them.
     if (args.firstOrNull() !in setOf("serve", "warm-up")) {
         listOf(
             SimulationCommand(),
@@ -52,15 +55,15 @@
             RightsCommand(),
             AuditCommand(),
         ).forEach {
-            line.addSubcommand(it)
+            commandLine.addSubcommand(it)
         }
     }
-    line.isCaseInsensitiveEnumValuesAllowed = true
-    line.executionExceptionHandler = CommandLine.IExecutionExceptionHandler { e, cmd, _ ->
-        if (e !is InvalidSettingsException) throw e
-        cmd.err.println("plankwall: ${e.message}")
-        cmd.err.flush()
+    commandLine.isCaseInsensitiveEnumValuesAllowed = true
+    commandLine.executionExceptionHandler = CommandLine.IExecutionExceptionHandler { exception, command, _ ->
+        if (exception !is InvalidSettingsException) throw exception
+        command.err.println("plankwall: ${exception.message}")
+        command.err.flush()
         2
     }
-    exitProcess(line.execute(*args))
+    exitProcess(commandLine.execute(*args))
 }
--- a/src/main/kotlin/plankwall/cli/Serve.kt
+++ b/src/main/kotlin/plankwall/cli/Serve.kt
@@ -19,32 +19,33 @@
 import java.util.concurrent.Callable
 import java.util.concurrent.Executors
 
+/** Runs one controller node until the process is killed. */
 @Command(name = "serve", description = ["Run one controller node until it is killed."], mixinStandardHelpOptions = true)
 class Serve : Callable<Int> {
     @Option(names = ["--config"], required = true, paramLabel = "F", description = ["The platform's settings (TOML)."])
     lateinit var config: File
 
-    @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' own settings (YAML)."])
+    @Option(names = ["--tuning"], paramLabel = "F", description = ["The operators' tuning settings (YAML)."])
     var tuning: File? = null
 
     @Option(
         names = ["--identities"],
         paramLabel = "F",
-        description = ["Switches on identities, rights and audit trail (YAML)."],
+        description = ["Enables identities, access policy and audit log (YAML)."],
     )
     var identities: File? = null
 
     override fun call(): Int {
         val settings = SettingsFile.read(config)
-        val own = tuning?.let { TuningFile.read(it) } ?: Tuning()
-        val access = identities?.let { GatewayComponents.of(IdentitiesFile.read(it), settings) }
-        val main = daemonThread("core")
-        val selector = SelectorManager(daemonThread("selector"))
+        val operatorTuning = tuning?.let { TuningFile.read(it) } ?: Tuning()
+        val accessComponents = identities?.let { GatewayComponents.create(IdentitiesFile.read(it), settings) }
+        val coreDispatcher = newDaemonDispatcher("core")
+        val selector = SelectorManager(newDaemonDispatcher("selector"))
         runBlocking {
-            withContext(main) {
-                val scope = CoroutineScope(main + SupervisorJob())
+            withContext(coreDispatcher) {
+                val scope = CoroutineScope(coreDispatcher + SupervisorJob())
                 try {
-                    Daemon(scope, selector, settings, own, access).run()
+                    Daemon(scope, selector, settings, operatorTuning, accessComponents).run()
                 } catch (e: IOException) {
                     throw InvalidSettingsException(
                         "can't listen on ${settings.front} or ${settings.internal}: ${e.message}",
@@ -57,7 +58,8 @@
     }
 
     companion object {
-        internal fun daemonThread(name: String) =
+        /** Creates a dispatcher with one daemon thread called [name]. */
+        internal fun newDaemonDispatcher(name: String) =
             Executors.newSingleThreadExecutor { Thread(it, name).apply { isDaemon = true } }.asCoroutineDispatcher()
     }
 }
--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -9,10 +9,13 @@
 import java.util.concurrent.Callable
 import java.util.stream.IntStream
 
-/** Groups the commands that simulate: the controllers' cores in virtual time, everything else simulated. */
+/**
+ * Groups the commands for simulations. `links` and `nights` run the controllers' core in virtual time and simulate
+ * everything else; `scale` runs real controller processes.
+ */
 @Command(
     name = "lab",
-    description = ["Plays days in virtual time against stand-ins; needs no site."],
+    description = ["Run simulations and load tests; needs no running cluster."],
     mixinStandardHelpOptions = true,
     subcommands = [LinkFaultDays::class, MixedFaultDays::class, LoadTestCommand::class],
 )
@@ -20,25 +23,26 @@
     override fun run() = CommandLine.usage(this, System.out)
 }
 
+/** Simulates days on which network links fail in part, and reports how the cluster coped. */
 @Command(
     name = "links",
-    description = ["Days on which links fail in part, drawn by their number; exits 1 if a rule broke."],
+    description = ["Simulate days with partial network failures, seeded by the day's number; exits 1 if a rule broke."],
     mixinStandardHelpOptions = true,
 )
 class LinkFaultDays : Callable<Int> {
-    @Option(names = ["--days"], description = ["How many."])
+    @Option(names = ["--days"], description = ["The number of days."])
     private var days = 30
 
-    @Option(names = ["--first"], description = ["The first day's number."])
+    @Option(names = ["--first"], description = ["The number of the first day."])
     private var first = 1
 
-    @Option(names = ["--nodes"], split = ",", description = ["Numbers of nodes, one after the other."])
+    @Option(names = ["--nodes"], split = ",", description = ["Numbers of controllers, used by the days in turn."])
     private var nodes = listOf(3, 5, 7)
 
-    @Option(names = ["--machines"], description = ["About how many machines."])
+    @Option(names = ["--machines"], description = ["The approximate number of machines."])
     private var machines = 300
 
-    @Option(names = ["--each"], description = ["Say what each day did."])
+    @Option(names = ["--each"], description = ["Print a line about each day."])
     private var each = false
 
     override fun call(): Int {
@@ -58,46 +62,47 @@
             "nodes   days  broken  killed by lease  of these avoidable  leads a day  " +
                 "served after p50  p90  p99  max (s)",
         )
-        for ((nodeCount, group) in results.groupBy { it.nodes }.toSortedMap()) {
-            val served = Histogram(group.first().servedMs)
-            group.forEach { served.add(it.servedMs) }
+        for ((nodeCount, sameSizeResults) in results.groupBy { it.nodes }.toSortedMap()) {
+            val servedMs = Histogram(sameSizeResults.first().servedMs)
+            sameSizeResults.forEach { servedMs.add(it.servedMs) }
             println(
                 "%5d %6d %7d %16d %19d %12.1f %17.1f %4.1f %4.1f %4.1f".format(
                     nodeCount,
-                    group.size,
-                    group.sumOf { it.violations.size },
-                    group.sumOf { it.tasksKilledByLease },
-                    group.sumOf { it.avoidableKills },
-                    group.map { it.leaderChanges }.average(),
-                    served.seconds(percentile = 50.0),
-                    served.seconds(percentile = 90.0),
-                    served.seconds(percentile = 99.0),
-                    served.seconds(percentile = 100.0),
+                    sameSizeResults.size,
+                    sameSizeResults.sumOf { it.violations.size },
+                    sameSizeResults.sumOf { it.tasksKilledByLease },
+                    sameSizeResults.sumOf { it.avoidableKills },
+                    sameSizeResults.map { it.leaderChanges }.average(),
+                    servedMs.valueInSeconds(percentile = 50.0),
+                    servedMs.valueInSeconds(percentile = 90.0),
+                    servedMs.valueInSeconds(percentile = 99.0),
+                    servedMs.valueInSeconds(percentile = 100.0),
                 ),
             )
         }
         return if (results.any { it.violations.isNotEmpty() }) 1 else 0
     }
 
-    private fun Histogram.seconds(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
+    private fun Histogram.valueInSeconds(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
 }
 
+/** Simulates days on which several kinds of faults come together, and reports jobs that were not done. */
 @Command(
     name = "nights",
     description = [
-        "Days on which late boots, silent controllers, storms of polls, guests and failing jobs meet; " +
+        "Simulate days with late boots, silent controllers, bursts of polls, best-effort and failing jobs; " +
             "exits 1 if a rule broke.",
     ],
     mixinStandardHelpOptions = true,
 )
 class MixedFaultDays : Callable<Int> {
-    @Option(names = ["--days"], description = ["How many."])
+    @Option(names = ["--days"], description = ["The number of days."])
     private var days = 30
 
-    @Option(names = ["--first"], description = ["The first day's number."])
+    @Option(names = ["--first"], description = ["The number of the first day."])
     private var first = 1
 
-    @Option(names = ["--nodes"], split = ",", description = ["Numbers of nodes, one after the other."])
+    @Option(names = ["--nodes"], split = ",", description = ["Numbers of controllers, used by the days in turn."])
     private var nodes = listOf(3, 5, 7)
 
     override fun call(): Int {
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -22,33 +22,37 @@
 import java.net.ServerSocket
 import java.util.concurrent.Callable
 
-/** Run by the build to record which classes a start needs; the archive made of them shortens every later start. */
-@Command(name = "warm-up", hidden = true, description = ["Load what serving needs, then end."])
+/**
+ * Runs a node for a moment, with a stand-in for state service and cloud. The build uses it to record which classes a
+ * start needs; the class archive made of them shortens every later start.
+ */
+@Command(name = "warm-up", hidden = true, description = ["Load the classes that `serve` needs, then exit."])
 class WarmUp : Callable<Int> {
     override fun call(): Int {
-        val main = Serve.daemonThread("core")
-        val selector = SelectorManager(Serve.daemonThread("selector"))
+        val coreDispatcher = Serve.newDaemonDispatcher("core")
+        val selector = SelectorManager(Serve.newDaemonDispatcher("selector"))
         runBlocking {
-            withContext(main) {
-                val scope = CoroutineScope(main + SupervisorJob())
-                val services =
+            withContext(coreDispatcher) {
+                val scope = CoroutineScope(coreDispatcher + SupervisorJob())
+                val standIn =
                     HttpServer(scope, selector, MAX_CONNECTIONS) {
-                        HttpReply(OK, if (it.body.isEmpty()) EMPTY else it.body)
+                        HttpReply(STATUS_OK, if (it.body.isEmpty()) EMPTY_OBJECT else it.body)
                     }
-                val listener = services.start(Address(LOOPBACK, 0))
+                val listener = standIn.start(Address(LOOPBACK, 0))
                 val port = (listener.localAddress as InetSocketAddress).port
-                val front = freePort()
-                val settings = SettingsFile.read(TomlMapper().readTree(settings(front, freePort(), port)))
+                val frontPort = freePort()
+                val settings = SettingsFile.read(TomlMapper().readTree(settingsToml(frontPort, freePort(), port)))
                 scope.launch { Daemon(scope, selector, settings, Tuning()).run() }
                 withTimeoutOrNull(WARM_UP_MS) {
-                    val client = HttpClient(selector, Address(LOOPBACK, front), maxConnections = 2, maxWaiting = 4)
-                    repeat(ROUNDS) {
-                        client.call("POST", "/checkin", REPORT, CALL_MS)
-                        client.call("GET", "/api/jobs/job-000001", null, CALL_MS)
-                        client.call("POST", "/api/jobs", JOB, CALL_MS)
-                        client.call("GET", "/up", null, CALL_MS)
+                    val client = HttpClient(selector, Address(LOOPBACK, frontPort), maxConnections = 2, maxWaiting = 4)
+                    repeat(REQUEST_ROUNDS) {
+                        client.call("POST", "/checkin", HEARTBEAT, CALL_TIMEOUT_MS)
+                        client.call("GET", "/api/jobs/job-000001", null, CALL_TIMEOUT_MS)
+                        client.call("POST", "/api/jobs", JOB, CALL_TIMEOUT_MS)
+                        client.call("GET", "/up", null, CALL_TIMEOUT_MS)
                     }
                 }
+                // The stand-in never answers with items, so their reader is run here.
                 StateCodec.items(ITEMS)
             }
         }
@@ -57,7 +61,8 @@
 
     private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 
-    private fun settings(front: Int, internal: Int, services: Int) = """
+    /** Returns the settings of a node. [front], [internal]: its ports; [services]: the port of the stand-in. */
+    private fun settingsToml(front: Int, internal: Int, services: Int) = """
         node = "n0"
         site = "z"
         front = "127.0.0.1:$front"
@@ -89,11 +94,11 @@
         const val LOOPBACK = "127.0.0.1"
         const val MAX_CONNECTIONS = 10
         const val WARM_UP_MS = 1_500L
-        const val ROUNDS = 20
-        const val CALL_MS = 500L
-        const val OK = 200
-        val EMPTY = "{}".encodeToByteArray()
-        val REPORT = """{"berth":"i-1","address":"127.0.0.1:9","build":"b","yard":"z","loaners":false,"watch":1,"tally":1,
+        const val REQUEST_ROUNDS = 20
+        const val CALL_TIMEOUT_MS = 500L
+        const val STATUS_OK = 200
+        val EMPTY_OBJECT = "{}".encodeToByteArray()
+        val HEARTBEAT = """{"berth":"i-1","address":"127.0.0.1:9","build":"b","yard":"z","loaners":false,"watch":1,"tally":1,
             "baton":0,"recall_s":null,"pieces":[{"piece":"job-000001/0","try":1,"stage":"running"}]}"""
             .encodeToByteArray()
         val JOB = """{"id":"job-000001","docket":"c","crew":"t","shape":"sweep","urgency":"low","pieces":1,"cores":1.0,
--- a/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditCommand.kt
@@ -6,7 +6,7 @@
 /** Groups the commands about the audit log. */
 @Command(
     name = "audit",
-    description = ["Copy, verify and search the trail of decisions."],
+    description = ["Export, verify and search the audit log of access decisions."],
     mixinStandardHelpOptions = true,
     subcommands = [ExportAuditLog::class, VerifyAuditLog::class, FindInAuditLog::class, FollowAuditLog::class],
 )
--- a/src/main/kotlin/plankwall/cli/access/AuditLogFile.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditLogFile.kt
@@ -10,26 +10,31 @@
 import java.io.File
 import java.io.IOException
 
-/** A copy of the audit log as JSON lines: one segment or checkpoint each, as it is stored. */
+/**
+ * Reads and writes copies of the audit log as JSON lines. Each line holds one segment or one signed checkpoint as it is
+ * stored.
+ */
 internal object AuditLogFile {
     private val json = ObjectMapper()
 
-    fun segment(node: String, number: Long, segment: AuditSegment): String {
-        val name = json.writeValueAsString(node)
-        return """{"node":$name,"segment":$number,"value":${AdminCodec.segment(segment).decodeToString()}}"""
+    /** Returns the line for [segment], which has the [number] in the log of [node]. */
+    fun formatSegment(node: String, number: Long, segment: AuditSegment): String {
+        val nodeJson = json.writeValueAsString(node)
+        return """{"node":$nodeJson,"segment":$number,"value":${AdminCodec.segment(segment).decodeToString()}}"""
     }
 
-    fun seal(number: Long, jws: String): String = """{"seal":$number,"jws":"$jws"}"""
+    /** Returns the line for the checkpoint [number], signed as [jws]. */
+    fun formatCheckpoint(number: Long, jws: String): String = """{"seal":$number,"jws":"$jws"}"""
 
-    /** Throws [InvalidSettingsException] for a file that is no such copy. */
+    /** Reads a copy from [file]; throws [InvalidSettingsException] if it is not one. */
     fun read(file: File): AuditLogCopy {
         val chains = LinkedHashMap<String, LinkedHashMap<Long, AuditSegment>>()
-        val seals = LinkedHashMap<Long, String>()
+        val checkpoints = LinkedHashMap<Long, String>()
         try {
             file.forEachLine { line ->
                 val row: JsonNode = json.readTree(line)
                 if (row.has("seal")) {
-                    seals[row.get("seal").asLong()] = row.path("jws").asText()
+                    checkpoints[row.get("seal").asLong()] = row.path("jws").asText()
                 } else {
                     val chain = chains.getOrPut(row.path("node").asText()) { LinkedHashMap() }
                     chain[row.path("segment").asLong()] =
@@ -39,8 +44,8 @@
         } catch (e: IOException) {
             throw InvalidSettingsException("$file", "can't be read: ${e.javaClass.simpleName}", e)
         } catch (e: MalformedMessageException) {
-            throw InvalidSettingsException("$file", "not a copy of a trail: ${e.message}", e)
+            throw InvalidSettingsException("$file", "not a copy of an audit log: ${e.message}", e)
         }
-        return AuditLogCopy(chains, seals)
+        return AuditLogCopy(chains, checkpoints)
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/AuditLogReader.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditLogReader.kt
@@ -5,54 +5,60 @@
 import plankwall.wire.AdminCodec
 import plankwall.wire.AuditSegment
 
-/** A node ended the transfer of the audit log, for [problem]. */
+/** The audit log could not be read from a node to its end. [problem]: the reason. */
 internal class TransferFailedException(val problem: String) : Exception(problem)
 
-/** Reads the audit log from a node, segment by segment; throws [TransferFailedException]. */
+/**
+ * Reads the audit log from a node, one segment or checkpoint per request. Every function throws
+ * [TransferFailedException] if the node does not answer, refuses or stays overloaded.
+ */
 internal class AuditLogReader(private val calls: NodeCalls) {
-    /** The value at [path]; null if there is none. Tries again while the node is overloaded. */
+    /** Returns the value at [path]; null if there is none. Retries while the node is overloaded. */
     private fun fetch(path: String): ByteArray? {
         repeat(MAX_TRIES) {
-            val answer = calls.ask("GET", path) ?: throw TransferFailedException("no answer")
+            val answer = calls.sendRequest("GET", path) ?: throw TransferFailedException("no answer")
             when {
                 answer.isSuccess -> return answer.body.encodeToByteArray()
                 answer.status == NOT_FOUND -> return null
-                answer.status !in OVERLOADED -> throw TransferFailedException("${answer.status} ${answer.body}")
-                else -> Thread.sleep(RETRY_MS)
+                answer.status !in OVERLOADED_STATUSES -> throw TransferFailedException(
+                    "${answer.status} ${answer.body}",
+                )
+                else -> Thread.sleep(RETRY_DELAY_MS)
             }
         }
-        throw TransferFailedException("the service is too busy")
+        throw TransferFailedException("the node stayed overloaded")
     }
 
-    /** The signed checkpoint [number]; null if there is none yet. */
-    fun seal(number: Long): String? = fetch("/api/seals/$number")?.let { AdminCodec.readSeal(it).jws }
+    /** Returns the signed checkpoint [number] as a JWS; null if there is none yet. */
+    fun readCheckpoint(number: Long): String? = fetch("/api/seals/$number")?.let { AdminCodec.readSeal(it).jws }
 
-    /** Null if [node] has written no such segment yet. */
-    fun segment(node: String, number: Long): AuditSegment? =
+    /** Returns the segment [number] of the log of [node]; null if it is not written yet. */
+    fun readSegment(node: String, number: Long): AuditSegment? =
         fetch("/api/trail/$node/$number")?.let { AdminCodec.readSegment(it) }
 
-    /** All signed checkpoints by number. */
-    fun seals(): Map<Long, String> = readAll { seal(it) }
+    /** Returns all signed checkpoints by number. */
+    fun readCheckpoints(): Map<Long, String> = readAll { readCheckpoint(it) }
 
-    /** All segments of [node] by number. */
-    fun chain(node: String): Map<Long, AuditSegment> = readAll { segment(node, it) }
+    /** Returns all segments of the log of [node] by number. */
+    fun readSegments(node: String): Map<Long, AuditSegment> = readAll { readSegment(node, it) }
 
+    /** Returns what [read] returns for the numbers from 0 up to the first one that has no value. */
     private fun <T : Any> readAll(read: (Long) -> T?): Map<Long, T> {
-        val found = LinkedHashMap<Long, T>()
+        val valuesByNumber = LinkedHashMap<Long, T>()
         var number = 0L
-        while (true) found[number] = read(number++) ?: return found
+        while (true) valuesByNumber[number] = read(number++) ?: return valuesByNumber
     }
 
-    /** The nodes that the last of [seals] names, and [more]. */
-    fun nodes(seals: Map<Long, String>, more: List<String>): List<String> =
-        (seals.values.lastOrNull()?.let { Seals.read(it).heads.keys }.orEmpty() + more).distinct()
+    /** Returns the nodes that the last of [checkpoints] lists, and those of [additionalNodes]. */
+    fun listNodes(checkpoints: Map<Long, String>, additionalNodes: List<String>): List<String> =
+        (checkpoints.values.lastOrNull()?.let { Seals.read(it).heads.keys }.orEmpty() + additionalNodes).distinct()
 
     private companion object {
         const val MAX_TRIES = 20
-        const val RETRY_MS = 500L
+        const val RETRY_DELAY_MS = 500L
         const val NOT_FOUND = 404
 
-        /** Too many requests; service unavailable. */
-        val OVERLOADED = setOf(429, 503)
+        /** The statuses Too Many Requests and Service Unavailable. */
+        val OVERLOADED_STATUSES = setOf(429, 503)
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/ExplainRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/ExplainRights.kt
@@ -7,9 +7,10 @@
 import java.io.File
 import java.util.concurrent.Callable
 
+/** Explains which rule of a policy decides a request. */
 @Command(
     name = "explain",
-    description = ["Say which rule decides a request, and how the others stand to it."],
+    description = ["Show which rule decides a request, and how the other rules apply to it."],
     mixinStandardHelpOptions = true,
 )
 class ExplainRights : Callable<Int> {
@@ -17,20 +18,20 @@
     lateinit var file: File
 
     @Parameters(index = "1", paramLabel = "WHO")
-    lateinit var who: String
+    lateinit var principal: String
 
     @Parameters(index = "2", paramLabel = "ACTION")
-    lateinit var wanted: String
+    lateinit var actionWord: String
 
     @Mixin
     lateinit var job: JobOptions
 
     override fun call(): Int {
         val policy = readPolicy(file)
-        val action = readAction(wanted)
-        val verdict = policy.authorize(who, action, job.facts())
-        println("$who ${if (verdict.allowed) "may" else "may not"} ${action.word}: ${verdict.rule}")
-        for (explained in policy.explain(who, action, job.facts())) {
+        val action = readAction(actionWord)
+        val verdict = policy.authorize(principal, action, job.toJobFacts())
+        println("$principal ${if (verdict.allowed) "may" else "may not"} ${action.word}: ${verdict.rule}")
+        for (explained in policy.explain(principal, action, job.toJobFacts())) {
             val rule = explained.rule
             val effect = if (rule.allows) "allow" else "deny"
             val actions = rule.actions.joinToString(", ") { it.word }
@@ -42,8 +43,8 @@
 
     private fun describe(outcome: RuleOutcome, agrees: Boolean): String = when (outcome) {
         RuleOutcome.DECIDES -> "decides"
-        RuleOutcome.APPLIES -> if (agrees) "says the same" else "would say otherwise, but a deny wins"
-        RuleOutcome.OTHER_ACTION -> "is about something else"
+        RuleOutcome.APPLIES -> if (agrees) "has the same effect" else "has the other effect, but deny takes precedence"
+        RuleOutcome.OTHER_ACTION -> "does not cover this action"
         RuleOutcome.CONDITION_FAILS -> "its condition does not hold"
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/ExportAuditLog.kt
+++ b/src/main/kotlin/plankwall/cli/access/ExportAuditLog.kt
@@ -2,22 +2,23 @@
 
 import picocli.CommandLine.Command
 
+/** Prints a copy of the whole audit log, which [VerifyAuditLog] and [FindInAuditLog] read. */
 @Command(
     name = "export",
-    description = ["Copy the whole trail to standard output, as JSON lines that `verify` and `find` read."],
+    description = ["Export the whole audit log to standard output, as JSON lines that `verify` and `find` read."],
     mixinStandardHelpOptions = true,
 )
 class ExportAuditLog : AuditLogCommand() {
-    override fun call(): Int = reportingFailure {
+    override fun call(): Int = runAndReportFailure {
         val reader = AuditLogReader(calls)
-        val seals = reader.seals()
-        reader.nodes(seals, nodes).forEach { node ->
-            reader.chain(node).forEach { (number, segment) ->
-                println(AuditLogFile.segment(node, number, segment))
+        val checkpoints = reader.readCheckpoints()
+        reader.listNodes(checkpoints, nodes).forEach { node ->
+            reader.readSegments(node).forEach { (number, segment) ->
+                println(AuditLogFile.formatSegment(node, number, segment))
             }
         }
-        // The checkpoints last, and as they were before the chains were read: no chain can be shorter than they say.
-        seals.forEach { (number, jws) -> println(AuditLogFile.seal(number, jws)) }
+        // The checkpoints are printed last but were read first, so the segments above hold all entries that they cover.
+        checkpoints.forEach { (number, jws) -> println(AuditLogFile.formatCheckpoint(number, jws)) }
         0
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/FindInAuditLog.kt
+++ b/src/main/kotlin/plankwall/cli/access/FindInAuditLog.kt
@@ -8,13 +8,14 @@
 import java.io.File
 import java.util.concurrent.Callable
 
+/** Searches a copy of the audit log that [ExportAuditLog] made. */
 @Command(
     name = "find",
-    description = ["Search a copy of the trail; decisions come out as JSON lines, oldest first."],
+    description = ["Search a copy of the audit log; prints decisions as JSON lines, oldest first."],
     mixinStandardHelpOptions = true,
 )
 class FindInAuditLog : Callable<Int> {
-    @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
+    @Parameters(paramLabel = "COPY", description = ["A file that `export` wrote."])
     lateinit var copy: File
 
     @Mixin
@@ -28,12 +29,12 @@
     }
 }
 
-/** The entries in [lines]; those that can't be read are reported and left out. */
+/** Returns the entries in [lines]. Entries that can't be read are reported on standard error and left out. */
 internal fun readEntries(lines: List<String>) = lines.mapNotNull { line ->
     try {
         AuditLines.read(line)
     } catch (e: MalformedAuditLineException) {
-        System.err.println("plankwall: an entry can't be read: ${e.message}")
+        System.err.println("plankwall: an audit log entry can't be read: ${e.message}")
         null
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/JobOptions.kt
+++ b/src/main/kotlin/plankwall/cli/access/JobOptions.kt
@@ -7,15 +7,15 @@
 import plankwall.model.Shape
 import plankwall.wire.JobCodec
 
-/** The job that a question about the policy concerns. */
+/** The options that describe the job in a question about the policy. */
 class JobOptions {
     @Option(names = ["--class"], description = ["The job's class."])
     var jobClass: String? = null
 
-    @Option(names = ["--team"], description = ["Its team."])
+    @Option(names = ["--team"], description = ["The job's team."])
     var team: String? = null
 
-    @Option(names = ["--owner"], description = ["Who submitted it."])
+    @Option(names = ["--owner"], description = ["The principal that submitted the job."])
     var owner: String? = null
 
     @Option(names = ["--priority"], description = ["critical, urgent, normal or low."])
@@ -24,25 +24,26 @@
     @Option(names = ["--shape"], description = ["sweep, ensemble or service."])
     var shape: String? = null
 
-    /** Null if no option was given: the question concerns no job. */
-    fun facts(): JobFacts? {
-        val given = JobWordsGiven(jobClass, team, owner, priority, shape)
-        return if (given.isEmpty) null else given.facts()
+    /** Returns the facts about the job; null if no option was given, because the question then concerns no job. */
+    fun toJobFacts(): JobFacts? {
+        val attributes = JobAttributes(jobClass, team, owner, priority, shape)
+        return if (attributes.isEmpty) null else attributes.toJobFacts()
     }
 }
 
-/** What a user gave of a job, in the words of the protocol. */
-internal class JobWordsGiven(
+/** The attributes of a job as a user gave them, in the words of the protocol; null for those not given. */
+internal class JobAttributes(
     private val jobClass: String?,
     private val team: String?,
     private val owner: String?,
     private val priority: String?,
     private val shape: String?,
 ) {
+    /** Whether no attribute was given. */
     val isEmpty: Boolean get() = listOf(jobClass, team, owner, priority, shape).all { it == null }
 
-    /** Throws [InvalidSettingsException] for an unknown priority or shape. */
-    fun facts() = JobFacts(
+    /** Returns the facts about the job. Throws [InvalidSettingsException] for an unknown priority or shape. */
+    fun toJobFacts() = JobFacts(
         owner = owner,
         jobClass = jobClass.orEmpty(),
         team = team.orEmpty(),
--- a/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/KeysCommand.kt
@@ -11,9 +11,10 @@
 import java.util.Base64
 import java.util.concurrent.Callable
 
+/** Groups the commands that create keys. */
 @Command(
     name = "keys",
-    description = ["Make keys for people, services, nodes and links between nodes."],
+    description = ["Create keys for people, services, nodes and links between nodes."],
     mixinStandardHelpOptions = true,
     subcommands = [NewKey::class, NewPeerKey::class],
 )
@@ -21,60 +22,66 @@
     override fun run() = picocli.CommandLine.usage(this, System.out)
 }
 
+/** Creates the key pair of one principal and prints the policy statement that registers its public key. */
 @Command(
     name = "new",
-    description = ["Make a key, and print the statement of the rights that makes it known."],
+    description = ["Create a key and print the policy statement that registers it."],
     mixinStandardHelpOptions = true,
 )
 class NewKey : Callable<Int> {
+    /** The kind of principal that the key belongs to. */
     enum class Kind { PERSON, SERVICE, NODE }
 
-    @Parameters(paramLabel = "NAME", description = ["Whose key it is. For a node, its name in the settings."])
+    @Parameters(paramLabel = "NAME", description = ["The key's owner. For a node, its name in the settings."])
     lateinit var name: String
 
     @Option(names = ["--kind"], paramLabel = "KIND", description = ["person (default), service or node."])
     var kind: Kind = Kind.PERSON
 
-    @Option(names = ["--id"], paramLabel = "ID", description = ["The key's id among those of its owner. Default: k1."])
+    @Option(names = ["--id"], paramLabel = "ID", description = ["The key's id, unique for its owner. Default: k1."])
     var id: String = "k1"
 
     @Option(
         names = ["--out"],
         required = true,
         paramLabel = "FILE",
-        description = ["Where the private key goes (mode 0600)."],
+        description = ["The file to write the private key to (mode 0600)."],
     )
     lateinit var out: File
 
     override fun call(): Int {
-        if (!NAME.matches(name) || !NAME.matches(id)) {
+        if (!NAME_PATTERN.matches(name) || !NAME_PATTERN.matches(id)) {
             throw InvalidSettingsException("a name or id has 1 to 100 letters, digits, dots, dashes or underscores")
         }
         val key = SigningKey.generate(name, id)
-        KeyFiles.write(out, key.secretJson() + "\n")
+        KeyFiles.writeNewFile(out, key.secretJson() + "\n")
         println("${kind.name.lowercase()} \"$name\" { key \"$id\" \"${key.x}\"; }")
         return 0
     }
 
     private companion object {
-        val NAME = Regex("[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
+        val NAME_PATTERN = Regex("[A-Za-z0-9][A-Za-z0-9_.-]{0,99}")
     }
 }
 
-@Command(name = "peers", description = ["Make the file of keys that all nodes share."], mixinStandardHelpOptions = true)
+/** Creates the secret key that authenticates the links between controllers. */
+@Command(name = "peers", description = ["Create the key file that all nodes share."], mixinStandardHelpOptions = true)
 class NewPeerKey : Callable<Int> {
     @Option(names = ["--id"], required = true, paramLabel = "ID", description = ["The key's id, such as the month."])
     lateinit var id: String
 
-    @Option(names = ["--out"], required = true, paramLabel = "FILE", description = ["Where it goes (mode 0600)."])
+    @Option(names = ["--out"], required = true, paramLabel = "FILE", description = ["The file to write (mode 0600)."])
     lateinit var out: File
 
     override fun call(): Int {
         val secret = ByteArray(SECRET_BYTES).also { SecureRandom().nextBytes(it) }
-        KeyFiles.write(out, "keys:\n  - id: \"$id\"\n    secret: ${Base64.getEncoder().encodeToString(secret)}\n")
+        KeyFiles.writeNewFile(
+            out,
+            "keys:\n  - id: \"$id\"\n    secret: ${Base64.getEncoder().encodeToString(secret)}\n",
+        )
         println(
-            "$out: the same file for every node; to replace a key, add the new one below, then move it up, " +
-                "then drop the old one",
+            "$out: copy this file to every node; to rotate a key, append the new one, then move it to the top, " +
+                "then remove the old one",
         )
         return 0
     }
--- a/src/main/kotlin/plankwall/cli/access/PolicyInput.kt
+++ b/src/main/kotlin/plankwall/cli/access/PolicyInput.kt
@@ -8,7 +8,7 @@
 import java.io.File
 import java.io.IOException
 
-/** Reads the policy in [file]; throws [InvalidSettingsException] that says what is wrong with it. */
+/** Reads the policy in [file]; throws [InvalidSettingsException] if it can't be read or is not valid. */
 internal fun readPolicy(file: File): Policy = try {
     PolicyReader.read(file.readText(), 1)
 } catch (e: InvalidPolicyException) {
@@ -17,8 +17,8 @@
     throw InvalidSettingsException("$file", "can't be read: ${e.message}", e)
 }
 
-/** The action that the policy language calls [word]; throws [InvalidSettingsException] if there is none. */
+/** Returns the action that the policy language calls [word]; throws [InvalidSettingsException] if there is none. */
 internal fun readAction(word: String): Action = Action.entries.find { it.word == word }
     ?: throw InvalidSettingsException(
-        "no action is called '$word'; there are ${Action.entries.joinToString(", ") { it.word }}",
+        "no action is called '$word'; the actions are ${Action.entries.joinToString(", ") { it.word }}",
     )
--- a/src/main/kotlin/plankwall/cli/access/PublishRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/PublishRights.kt
@@ -6,9 +6,10 @@
 import plankwall.wire.AdminCodec
 import java.io.File
 
+/** Publishes a policy, which replaces the current one. */
 @Command(
     name = "publish",
-    description = ["Make a text the rights that hold, everywhere within a second."],
+    description = ["Publish a policy; it applies on every node within a second."],
     mixinStandardHelpOptions = true,
 )
 class PublishRights : RemoteRights() {
@@ -18,13 +19,15 @@
     @Option(
         names = ["--base"],
         paramLabel = "N",
-        description = ["The version it follows, if another one in between is to stop it. Default: the present one."],
+        description = ["Fail unless this is still the current version. Default: the version read just before."],
     )
     var base: Long? = null
 
     override fun call(): Int {
         readPolicy(file)
-        val follows = base ?: current()?.version ?: return 1
-        return calls.report(calls.ask("POST", "/api/rights", AdminCodec.publish(follows, file.readText())))
+        val baseVersion = base ?: fetchPolicy()?.version ?: return 1
+        return calls.printAnswer(
+            calls.sendRequest("POST", "/api/rights", AdminCodec.publish(baseVersion, file.readText())),
+        )
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/RemoteRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/RemoteRights.kt
@@ -7,22 +7,22 @@
 import plankwall.wire.MalformedMessageException
 import java.util.concurrent.Callable
 
-/** What the commands share that ask a node about its policy. */
+/** The base of the commands that read or publish the policy through a node. */
 abstract class RemoteRights : Callable<Int> {
     @Mixin
     protected lateinit var calls: NodeCalls
 
-    /** The policy at [path]; null, with a line that says why, if the node does not give it. */
-    protected fun current(path: String = "/api/rights"): AdminCodec.RightsView? {
-        val answer = calls.ask("GET", path)
+    /** Returns the policy at [path]; null, with the reason printed, if the node does not answer with it. */
+    protected fun fetchPolicy(path: String = "/api/rights"): AdminCodec.RightsView? {
+        val answer = calls.sendRequest("GET", path)
         if (answer == null || !answer.isSuccess) {
-            if (answer != null) calls.report(answer)
+            if (answer != null) calls.printAnswer(answer)
             return null
         }
         return try {
             AdminCodec.readRights(answer.body.encodeToByteArray())
         } catch (e: MalformedMessageException) {
-            throw InvalidSettingsException("the answer can't be read: ${e.message}", e)
+            throw InvalidSettingsException("the node's answer can't be read: ${e.message}", e)
         }
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
+++ b/src/main/kotlin/plankwall/cli/access/RightsCommand.kt
@@ -6,7 +6,7 @@
 /** Groups the commands about the policy. */
 @Command(
     name = "rights",
-    description = ["Check, explain, test and publish who may do what."],
+    description = ["Check, explain, test and publish the access policy."],
     mixinStandardHelpOptions = true,
     subcommands = [
         CheckRights::class, ExplainRights::class, TestRights::class, ShowRights::class, PublishRights::class,
--- a/src/main/kotlin/plankwall/cli/access/RollBackRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/RollBackRights.kt
@@ -4,9 +4,10 @@
 import picocli.CommandLine.Option
 import plankwall.wire.AdminCodec
 
+/** Publishes the text of an earlier policy version as a new version. */
 @Command(
     name = "rollback",
-    description = ["Publish an earlier version's text again, as a new version."],
+    description = ["Publish the text of an earlier policy version as a new version."],
     mixinStandardHelpOptions = true,
 )
 class RollBackRights : RemoteRights() {
@@ -14,7 +15,7 @@
     var to: Long = 0
 
     override fun call(): Int {
-        val follows = current()?.version ?: return 1
-        return calls.report(calls.ask("POST", "/api/rights", AdminCodec.rollback(follows, to)))
+        val baseVersion = fetchPolicy()?.version ?: return 1
+        return calls.printAnswer(calls.sendRequest("POST", "/api/rights", AdminCodec.rollback(baseVersion, to)))
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/TestRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/TestRights.kt
@@ -11,11 +11,12 @@
 import java.io.IOException
 import java.util.concurrent.Callable
 
+/** Tests a policy against a file of expectations. */
 @Command(
     name = "test",
     mixinStandardHelpOptions = true,
     description = [
-        "Try a text against expectations: a YAML list of maps with who, may or may_not, " +
+        "Test a policy against expectations: a YAML list of maps with who, may or may_not, " +
             "and class, team, owner, priority, shape.",
     ],
 )
@@ -29,7 +30,7 @@
     override fun call(): Int {
         val policy = readPolicy(file)
         val rows = readRows()
-        val failures = rows.mapIndexedNotNull { index, row -> failure(policy, index + 1, row) }
+        val failures = rows.mapIndexedNotNull { index, row -> findFailure(policy, index + 1, row) }
         failures.forEach { println(it) }
         println("${rows.size() - failures.size} passed, ${failures.size} failed")
         return if (failures.isEmpty()) 0 else 1
@@ -44,34 +45,35 @@
             throw InvalidSettingsException("$expectations", "can't be read: ${e.message}", e)
         }
         if (rows == null || !rows.isArray || rows.isEmpty) {
-            throw InvalidSettingsException("$expectations", "a list of expectations is wanted")
+            throw InvalidSettingsException("$expectations", "must be a list of one or more expectations")
         }
         return rows
     }
 
-    /** A line that says how the policy differs from the expectation [number]; null if it does not. */
-    private fun failure(policy: Policy, number: Int, row: JsonNode): String? {
+    /** Returns how [policy] fails the expectation in [row], the [number]th of the file; null if it meets it. */
+    private fun findFailure(policy: Policy, number: Int, row: JsonNode): String? {
         row.fieldNames().forEach {
-            if (it !in FIELDS) invalid(number, "$it: unknown; known are ${FIELDS.joinToString(", ")}")
+            if (it !in FIELDS) invalid(number, "$it: unknown; the known fields are ${FIELDS.joinToString(", ")}")
         }
         fun field(name: String): String? = row.get(name)?.asText()
         val who = field("who") ?: invalid(number, "who: missing")
-        val may = row.has("may")
-        if (may == row.has("may_not")) invalid(number, "either may or may_not")
+        val expectAllowed = row.has("may")
+        if (expectAllowed == row.has("may_not")) invalid(number, "must have either may or may_not")
         val facts = if (JOB_FIELDS.none { row.has(it) }) {
             null
         } else {
-            JobWordsGiven(field("class"), field("team"), field("owner"), field("priority"), field("shape")).facts()
+            JobAttributes(field("class"), field("team"), field("owner"), field("priority"), field("shape")).toJobFacts()
         }
-        for (word in actionWords(row.get(if (may) "may" else "may_not"))) {
+        for (word in actionWords(row.get(if (expectAllowed) "may" else "may_not"))) {
             val verdict = policy.authorize(who, readAction(word), facts)
-            if (verdict.allowed != may) {
+            if (verdict.allowed != expectAllowed) {
                 return "expectation $number: $who ${if (verdict.allowed) "may" else "may not"} $word: ${verdict.rule}"
             }
         }
         return null
     }
 
+    /** Returns the action words in [node], which is one word or a list of them. */
     private fun actionWords(node: JsonNode): List<String> =
         if (node.isArray) node.map { it.asText() } else listOf(node.asText())
 
--- a/src/main/kotlin/plankwall/cli/access/VerifyAuditLog.kt
+++ b/src/main/kotlin/plankwall/cli/access/VerifyAuditLog.kt
@@ -8,38 +8,39 @@
 import java.io.File
 import java.util.concurrent.Callable
 
+/** Verifies a copy of the audit log that [ExportAuditLog] made. */
 @Command(
     name = "verify",
-    description = ["Check a copy of the trail; name the first broken link of each chain."],
+    description = ["Verify a copy of the audit log; prints the first broken link of each node's chain."],
     mixinStandardHelpOptions = true,
 )
 class VerifyAuditLog : Callable<Int> {
-    @Parameters(paramLabel = "COPY", description = ["What `export` wrote."])
+    @Parameters(paramLabel = "COPY", description = ["A file that `export` wrote."])
     lateinit var copy: File
 
     @Option(
         names = ["--rights"],
         required = true,
         paramLabel = "FILE",
-        description = ["A text of rights that you trust, with the nodes' keys."],
+        description = ["A policy that you trust, with the nodes' keys."],
     )
     lateinit var rights: File
 
     @Option(
         names = ["--checkpoint"],
         paramLabel = "FILE",
-        description = ["A seal that you kept: the trail must still hold what it says."],
+        description = ["A checkpoint that you kept: the audit log must still hold what it covers."],
     )
     var checkpoints: List<File> = emptyList()
 
     override fun call(): Int {
         val policy = readPolicy(rights)
-        val trusted = checkpoints.map { readCheckpoint(it) }
+        val trustedCheckpoints = checkpoints.map { readCheckpoint(it) }
         val auditLog = AuditLogFile.read(copy)
         if (auditLog.chains.isEmpty() && auditLog.seals.isEmpty()) {
-            throw InvalidSettingsException("$copy", "holds no trail: there is nothing to verify")
+            throw InvalidSettingsException("$copy", "contains no audit log: there is nothing to verify")
         }
-        val outcome = AuditLogVerifier(policy::publicKey).verify(auditLog, trusted)
+        val outcome = AuditLogVerifier(policy::publicKey).verify(auditLog, trustedCheckpoints)
         outcome.broken.forEach { println(it) }
         val sealed = outcome.sealed.entries.joinToString(", ") { (node, next) -> "$node up to ${next - 1}" }
         println("${outcome.entries} entries hold together, sealed: ${sealed.ifEmpty { "none" }}")
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -8,53 +8,58 @@
 import java.io.File
 import java.io.IOException
 
-/** Reads the YAML that enables identities, policy and audit log. An unknown key is refused. */
+/** Reads the settings (YAML) that enable identities, access policy and audit log. An unknown key is rejected. */
 object IdentitiesFile {
-    private val known = setOf(
+    private val knownKeys = setOf(
         "audience", "rights_file", "node_key_file", "peer_keys_file", "unsigned_peers", "clock_tolerance_ms",
         "max_token_s",
         "reads_only_after_s", "trail_share", "seal_s", "denials_per_s", "denial_burst", "workers_at_listed_address",
     )
 
+    /** Reads [file]; throws [InvalidSettingsException] if it or a file that it names can't be read or is not valid. */
     fun read(file: File): GatewaySettings = readSettings(file, YAMLMapper(), "YAML") {
         read(it, file.absoluteFile.parentFile)
     }
 
-    /** Files are named as seen from [folder]. */
+    /**
+     * Reads settings from [root]. Relative names of files are resolved against [folder]. Throws
+     * [InvalidSettingsException] for an unknown key or a value that is not allowed.
+     */
     fun read(root: JsonNode?, folder: File): GatewaySettings {
         if (root == null || !root.isObject) throw InvalidSettingsException("must be a map of settings")
         root.fieldNames().forEach {
-            if (it !in known) {
-                throw InvalidSettingsException("$it", "unknown; known are ${known.joinToString(", ")}")
+            if (it !in knownKeys) {
+                throw InvalidSettingsException("$it", "unknown; the known keys are ${knownKeys.joinToString(", ")}")
             }
         }
-        val default = GatewaySettings("")
-        val peerKeys = file(root, "peer_keys_file", folder)?.let { KeyFiles.peers(it) }.orEmpty()
+        val defaults = GatewaySettings("")
+        val peerKeys = resolveFile(root, "peer_keys_file", folder)?.let { KeyFiles.readPeerKeys(it) }.orEmpty()
         return GatewaySettings(
             audience =
             root.get("audience")?.asText()?.takeIf { it.isNotBlank() }
                 ?: throw InvalidSettingsException("audience", "missing: the name of this installation"),
-            firstRights = file(root, "rights_file", folder)?.let { rights(it) },
-            nodeKey = file(root, "node_key_file", folder)?.let { KeyFiles.signing(it) },
+            firstRights = resolveFile(root, "rights_file", folder)?.let { readPolicyText(it) },
+            nodeKey = resolveFile(root, "node_key_file", folder)?.let { KeyFiles.readSigningKey(it) },
             peerKeys = peerKeys,
-            allowUnsignedPeers = choice(root, "unsigned_peers", listOf("refuse", "allow")) == "allow",
-            clockToleranceMs = number(
+            allowUnsignedPeers = readChoice(root, "unsigned_peers", listOf("refuse", "allow")) == "allow",
+            clockToleranceMs = readNumber(
                 root,
                 "clock_tolerance_ms",
-                default.clockToleranceMs.toDouble(),
+                defaults.clockToleranceMs.toDouble(),
                 0.0..60_000.0,
             ).toLong(),
-            maxTokenS = number(root, "max_token_s", default.maxTokenS, 1.0..3600.0),
-            failClosedS = number(root, "reads_only_after_s", default.failClosedS, 1.0..3600.0),
-            trailShare = number(root, "trail_share", default.trailShare, 0.01..0.9),
-            sealS = number(root, "seal_s", default.sealS, 1.0..86_400.0),
-            denialsPerS = number(root, "denials_per_s", default.denialsPerS, 0.01..10_000.0),
-            denialBurst = number(root, "denial_burst", default.denialBurst, 1.0..10_000.0),
-            workersAtListedAddress = flag(root, "workers_at_listed_address", default.workersAtListedAddress),
+            maxTokenS = readNumber(root, "max_token_s", defaults.maxTokenS, 1.0..3600.0),
+            failClosedS = readNumber(root, "reads_only_after_s", defaults.failClosedS, 1.0..3600.0),
+            trailShare = readNumber(root, "trail_share", defaults.trailShare, 0.01..0.9),
+            sealS = readNumber(root, "seal_s", defaults.sealS, 1.0..86_400.0),
+            denialsPerS = readNumber(root, "denials_per_s", defaults.denialsPerS, 0.01..10_000.0),
+            denialBurst = readNumber(root, "denial_burst", defaults.denialBurst, 1.0..10_000.0),
+            workersAtListedAddress = readBoolean(root, "workers_at_listed_address", defaults.workersAtListedAddress),
         )
     }
 
-    private fun rights(file: File): String = try {
+    /** Returns the text of the policy in [file]; throws [InvalidSettingsException] if it is not a valid policy. */
+    private fun readPolicyText(file: File): String = try {
         file.readText().also { PolicyReader.read(it, 1) }
     } catch (e: InvalidPolicyException) {
         throw InvalidSettingsException("rights_file", "$file: ${e.message}", e)
@@ -62,7 +67,8 @@
         throw InvalidSettingsException("rights_file", "$file: can't be read: ${e.message}", e)
     }
 
-    private fun file(root: JsonNode, key: String, folder: File): File? {
+    /** Returns the file that the setting [key] names; null if there is no such setting. */
+    private fun resolveFile(root: JsonNode, key: String, folder: File): File? {
         val node = root.get(key) ?: return null
         if (!node.isTextual || node.textValue().isBlank()) {
             throw InvalidSettingsException("$key", "must be the name of a file")
@@ -70,13 +76,19 @@
         return folder.resolve(node.textValue())
     }
 
-    private fun choice(root: JsonNode, key: String, allowed: List<String>): String {
+    /** Returns the value of [key], which must be one of [allowed]; the first of these if there is none. */
+    private fun readChoice(root: JsonNode, key: String, allowed: List<String>): String {
         val value = root.get(key)?.asText() ?: return allowed.first()
         return value.takeIf { it in allowed }
             ?: throw InvalidSettingsException("$key", "'$value' must be ${allowed.joinToString(" or ")}")
     }
 
-    private fun number(root: JsonNode, key: String, default: Double, range: ClosedFloatingPointRange<Double>): Double {
+    private fun readNumber(
+        root: JsonNode,
+        key: String,
+        default: Double,
+        range: ClosedFloatingPointRange<Double>,
+    ): Double {
         val node = root.get(key) ?: return default
         if (!node.isNumber || node.asDouble() !in range) {
             throw InvalidSettingsException(
@@ -87,7 +99,7 @@
         return node.asDouble()
     }
 
-    private fun flag(root: JsonNode, key: String, default: Boolean): Boolean {
+    private fun readBoolean(root: JsonNode, key: String, default: Boolean): Boolean {
         val node = root.get(key) ?: return default
         if (!node.isBoolean) throw InvalidSettingsException("$key", "'${node.asText()}' must be true or false")
         return node.booleanValue()
--- a/src/main/kotlin/plankwall/cli/settings/InvalidSettingsException.kt
+++ b/src/main/kotlin/plankwall/cli/settings/InvalidSettingsException.kt
@@ -7,9 +7,11 @@
 import java.io.IOException
 
 /**
- * Settings, or another input of a command, that can't be used. [setting]: the file, key or option that is wrong; null
- * if the message names none at its start. [problem]: what is wrong with it, and what would do. The message, which
- * joins both, is shown to the user.
+ * A setting, or another input of a command, can't be used. The message, which joins [setting] and [problem], is shown
+ * to the user.
+ *
+ * @property setting the file, key or option that is wrong; null if the message does not begin with one
+ * @property problem what is wrong with it and, where possible, what would be valid
  */
 class InvalidSettingsException private constructor(
     val setting: String?,
@@ -24,8 +26,8 @@
 }
 
 /**
- * Reads [file], which is in [language]; throws [InvalidSettingsException], which names the file, for whatever is wrong
- * with it.
+ * Parses [file] with [mapper] and passes the result to [read]. Throws [InvalidSettingsException], which names the file,
+ * if it can't be read, is not in [language], or [read] finds it invalid.
  */
 internal fun <T> readSettings(file: File, mapper: ObjectMapper, language: String, read: (JsonNode) -> T): T = try {
     read(mapper.readTree(file))
--- a/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
@@ -12,92 +12,106 @@
 import plankwall.model.WorkerTimes
 import java.io.File
 
-/** Reads the platform's settings (TOML). Unknown fields are ignored: a newer platform may write more of them. */
+/** Reads the platform's settings (TOML). Unknown keys are ignored because a newer platform may write more of them. */
 object SettingsFile {
+    /** Reads [file]; throws [InvalidSettingsException] if it can't be read or a value is missing or out of range. */
     fun read(file: File): Settings = readSettings(file, TomlMapper(), "TOML") { read(it) }
 
+    /** Reads settings from [root]; throws [InvalidSettingsException] if a value is missing or out of range. */
     fun read(root: JsonNode): Settings {
-        val external = table(root, "external")
-        val common = table(root, "settings")
-        val workers = table(common, "workers", "settings.")
-        val state = table(common, "state", "settings.")
-        val cloud = table(common, "cloud", "settings.")
+        val externalTable = readTable(root, "external")
+        val settingsTable = readTable(root, "settings")
+        val workersTable = readTable(settingsTable, "workers", "settings.")
+        val stateTable = readTable(settingsTable, "state", "settings.")
+        val cloudTable = readTable(settingsTable, "cloud", "settings.")
         return Settings(
-            node = text(root, "node"),
-            zone = text(root, "site"),
-            front = address(root, "front"),
-            internal = address(root, "internal_addr"),
-            peers = rows(root, "known").map { peer(it) },
-            cloudAddress = address(external, "cloud"),
-            stateAddress = address(external, "state"),
-            zones = rows(common, "zones").map { it.asText() },
-            timeBoundMs = amount(common, "time_bound_ms", 0.0, 0.0, 1e6),
-            teams = rows(common, "teams").map { team(it) },
-            objectives = rows(common, "objectives").map { objective(it) },
+            node = readText(root, "node"),
+            zone = readText(root, "site"),
+            front = readAddress(root, "front"),
+            internal = readAddress(root, "internal_addr"),
+            peers = readList(root, "known").map { readPeer(it) },
+            cloudAddress = readAddress(externalTable, "cloud"),
+            stateAddress = readAddress(externalTable, "state"),
+            zones = readList(settingsTable, "zones").map { it.asText() },
+            timeBoundMs = readNumber(settingsTable, "time_bound_ms", 0.0, 0.0, 1e6),
+            teams = readList(settingsTable, "teams").map { readTeam(it) },
+            objectives = readList(settingsTable, "objectives").map { readObjective(it) },
             workers = WorkerTimes(
-                reportS = amount(workers, "report_s", null, 0.1, 600.0),
-                leaseS = amount(workers, "lease_s", null, 1.0, 3600.0),
-                gangWaitS = amount(workers, "gang_wait_s", 60.0, 0.0, 3600.0),
-                gangPeerS = amount(workers, "gang_peer_s", 5.0, 0.0, 3600.0),
-                cancelS = amount(workers, "cancel_s", 60.0, 1.0, 3600.0),
+                reportS = readNumber(workersTable, "report_s", null, 0.1, 600.0),
+                leaseS = readNumber(workersTable, "lease_s", null, 1.0, 3600.0),
+                gangWaitS = readNumber(workersTable, "gang_wait_s", 60.0, 0.0, 3600.0),
+                gangPeerS = readNumber(workersTable, "gang_peer_s", 5.0, 0.0, 3600.0),
+                cancelS = readNumber(workersTable, "cancel_s", 60.0, 1.0, 3600.0),
             ),
-            state = limits(state, "", null),
+            state = readStateLimits(stateTable, "", null),
             cloud = CloudLimits(
-                rps = amount(cloud, "rps", null, 0.1, 1e6),
-                listLagS = amount(cloud, "list_lag_s", 0.0, 0.0, 3600.0),
+                rps = readNumber(cloudTable, "rps", null, 0.1, 1e6),
+                listLagS = readNumber(cloudTable, "list_lag_s", 0.0, 0.0, 3600.0),
             ),
             maxConnections =
-            common.get("limits")?.let { amount(it, "max_connections", 1000.0, 20.0, 1e6).toInt() } ?: 1000,
-            stateNext = state.get("next")?.let {
+            settingsTable.get("limits")?.let { readNumber(it, "max_connections", 1000.0, 20.0, 1e6).toInt() } ?: 1000,
+            stateNext = stateTable.get("next")?.let {
                 if (!it.isObject) throw InvalidSettingsException("state.next", "must be a table")
-                limits(it, "state.next.", limits(state, "", null).rps)
+                readStateLimits(it, "state.next.", readStateLimits(stateTable, "", null).rps)
             },
         )
     }
 
-    /** [rps]: the rate of requests where [table] holds none. */
-    private fun limits(table: JsonNode, prefix: String, rps: Double?) = StateLimits(
-        rps = amount(table, "rps", rps, 1.0, 1e6, prefix),
-        writeRps = amount(table, "write_rps", null, 1.0, 1e6, prefix),
-        valueKb = amount(table, "value_kb", null, 1.0, 64.0, prefix),
-        txnOps = amount(table, "txn_ops", null, 4.0, 1e4, prefix).toInt(),
+    /**
+     * Reads the limits of the state service from [table]. [prefix]: the path of the table in error messages.
+     * [defaultRps]: the requests per second if [table] has none; null if they must be given.
+     */
+    private fun readStateLimits(table: JsonNode, prefix: String, defaultRps: Double?) = StateLimits(
+        rps = readNumber(table, "rps", defaultRps, 1.0, 1e6, prefix),
+        writeRps = readNumber(table, "write_rps", null, 1.0, 1e6, prefix),
+        valueKb = readNumber(table, "value_kb", null, 1.0, 64.0, prefix),
+        txnOps = readNumber(table, "txn_ops", null, 4.0, 1e4, prefix).toInt(),
     )
 
-    private fun peer(row: JsonNode): Peer {
-        val address = address(row, "address")
-        return Peer(text(row, "node"), text(row, "site"), address.host, address.port)
+    private fun readPeer(row: JsonNode): Peer {
+        val address = readAddress(row, "address")
+        return Peer(readText(row, "node"), readText(row, "site"), address.host, address.port)
     }
 
-    private fun team(row: JsonNode): Team {
-        fun milli(key: String) = Math.round(amount(row, key, 0.0, 0.0, 1e9) * 1000)
-        return Team(text(row, "name"), milli("cpus"), milli("cpus_max"), milli("gpus"), milli("gpus_max"))
+    private fun readTeam(row: JsonNode): Team {
+        fun readMilli(key: String) = Math.round(readNumber(row, key, 0.0, 0.0, 1e9) * 1000)
+        return Team(
+            readText(row, "name"),
+            readMilli("cpus"),
+            readMilli("cpus_max"),
+            readMilli("gpus"),
+            readMilli("gpus_max"),
+        )
     }
 
-    private fun objective(row: JsonNode) = Objective(
-        text(row, "kind"),
+    private fun readObjective(row: JsonNode) = Objective(
+        readText(row, "kind"),
         row.get("class")?.asText(),
-        amount(row, "within_s", 0.0, 0.0, 1e9),
-        amount(row, "share", 0.0, 0.0, 1.0),
-        amount(row, "times", 1.0, 0.0, 1e6),
+        readNumber(row, "within_s", 0.0, 0.0, 1e9),
+        readNumber(row, "share", 0.0, 0.0, 1.0),
+        readNumber(row, "times", 1.0, 0.0, 1e6),
     )
 
-    private fun table(parent: JsonNode, key: String, prefix: String = ""): JsonNode =
+    /** Returns the table [key]; throws [InvalidSettingsException] if it is missing. */
+    private fun readTable(parent: JsonNode, key: String, prefix: String = ""): JsonNode =
         parent.get(key)?.takeIf { it.isObject } ?: throw InvalidSettingsException("table [$prefix$key] is missing")
 
-    private fun rows(parent: JsonNode, key: String): List<JsonNode> {
+    /** Returns the elements of the list [key]; none if it is missing. */
+    private fun readList(parent: JsonNode, key: String): List<JsonNode> {
         val node = parent.get(key) ?: return emptyList()
         if (!node.isArray) throw InvalidSettingsException("$key", "must be a list")
         return node.toList()
     }
 
-    private fun text(parent: JsonNode, key: String): String =
+    private fun readText(parent: JsonNode, key: String): String =
         parent.get(key)?.takeIf { it.isTextual && it.asText().isNotEmpty() }?.asText()
-            ?: throw InvalidSettingsException("$key", "is missing or not a text")
+            ?: throw InvalidSettingsException("$key", "is missing or not a string")
 
-    private fun address(parent: JsonNode, key: String): Address = Address.parse(text(parent, key))
+    private fun readAddress(parent: JsonNode, key: String): Address = Address.parse(readText(parent, key))
         ?: throw InvalidSettingsException("$key", "must be an address such as 10.0.0.1:8080")
 
-    private fun amount(
+    /** Reads a number in [min]..[max]. [default]: its value if it is missing; null if it must be given. */
+    private fun readNumber(
         parent: JsonNode,
         key: String,
         default: Double?,
--- a/src/test/kotlin/plankwall/cli/settings/IdentitiesFileTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/IdentitiesFileTest.kt
@@ -45,7 +45,7 @@
         val (code, statement) = run(KeysCommand(), "new", "lea", "--out", key.path)
         assertEquals(0, code)
         assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(key.toPath())))
-        assertEquals("lea", KeyFiles.signing(key).principal)
+        assertEquals("lea", KeyFiles.readSigningKey(key).principal)
         assertEquals(2, run(KeysCommand(), "new", "lea", "--out", key.path).first, "never written over")
         val rights = file("rights", statement + "role r { allow show; allow administer; } grant r to lea;")
         assertTrue(
@@ -55,7 +55,7 @@
             Files.setPosixFilePermissions(key.toPath(), PosixFilePermissions.fromString(mode))
             assertTrue(
                 "mode 0600" in assertThrows(InvalidSettingsException::class.java) {
-                    KeyFiles.signing(key)
+                    KeyFiles.readSigningKey(key)
                 }.message.orEmpty(),
                 mode,
             )
@@ -68,7 +68,7 @@
         run(KeysCommand(), "new", "a", "--out", key.path)
         val secret = Regex("\"d\":\"([^\"]+)\"").find(key.readText())?.groupValues?.get(1).orEmpty()
         assertEquals(43, secret.length)
-        val read = KeyFiles.signing(key)
+        val read = KeyFiles.readSigningKey(key)
         val broken =
             listOf(
                 key.readText().replace("Ed25519", "X25519"),
@@ -81,7 +81,7 @@
             )
         val words = broken.map { text ->
             key.writeText(text)
-            assertThrows(InvalidSettingsException::class.java) { KeyFiles.signing(key) }.message.orEmpty()
+            assertThrows(InvalidSettingsException::class.java) { KeyFiles.readSigningKey(key) }.message.orEmpty()
         } + read.toString()
         words.forEach { assertFalse(secret.take(8) in it, it) }
     }
@@ -124,10 +124,11 @@
     fun `peer keys are read in their order, and short ones are refused`() {
         val made = folder.resolve("peers.keys")
         assertEquals(0, run(KeysCommand(), "peers", "--id", "2026-12", "--out", made.path).first)
-        assertEquals(listOf("2026-12"), KeyFiles.peers(made).map { it.id })
+        assertEquals(listOf("2026-12"), KeyFiles.readPeerKeys(made).map { it.id })
         made.writeText("keys:\n  - id: a\n    secret: c2hvcnQ=\n")
         assertTrue(
-            "32 bytes" in assertThrows(InvalidSettingsException::class.java) { KeyFiles.peers(made) }.message.orEmpty(),
+            "32 bytes" in
+                assertThrows(InvalidSettingsException::class.java) { KeyFiles.readPeerKeys(made) }.message.orEmpty(),
         )
     }
 
