--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -9,10 +9,13 @@
 import plankwall.model.Shape
 import plankwall.wire.JobCodec
 
-/** What a principal is. */
+/** The kinds of principals. The policy language names them by these words in lower case. */
 enum class PrincipalKind { PERSON, SERVICE, NODE }
 
-/** A person, service or node that can prove who it is. [networks]: from where; null for anywhere. */
+/**
+ * A person, service or node that can prove its identity with one of its [keys]. [networks]: where its requests may come
+ * from; null for anywhere. [disabled]: whether none of its keys is accepted.
+ */
 class Principal(
     val name: String,
     val kind: PrincipalKind,
@@ -20,11 +23,14 @@
     val networks: Networks?,
     val disabled: Boolean,
 ) {
-    /** The key of this id; null if there is none, or the principal is disabled. */
+    /** The key with this id; null if there is none, or the principal is disabled. */
     fun key(id: String): PublicKey? = if (disabled) null else keys.find { it.id == id }
 }
 
-/** A condition on a job. One on an attribute that is not known does not hold, and neither does its negation. */
+/**
+ * A condition on a job. One that asks about an unknown attribute does not hold, and neither does its negation. [All] and
+ * [Any] may still be decided by their other parts.
+ */
 sealed interface Condition {
     class All(val parts: List<Condition>) : Condition
 
@@ -36,11 +42,15 @@
 
     class OneOf(val attribute: Attribute, val values: Set<String>) : Condition
 
-    class Bounded(val least: Boolean, val bound: Priority) : Condition
+    /** Whether the job's priority is at least [bound] ([isLowerBound]) or at most [bound]. */
+    class PriorityBound(val isLowerBound: Boolean, val bound: Priority) : Condition
 }
 
-/** An attribute of a job that a condition may ask about. [word]: in the policy language. */
-enum class Attribute(val word: String, val of: (JobFacts) -> String?) {
+/**
+ * An attribute of a job that a condition may ask about. [word]: its name in the policy language. [valueIn]: returns its
+ * value as the policy language writes it; null if it is unknown.
+ */
+enum class Attribute(val word: String, val valueIn: (JobFacts) -> String?) {
     CLASS("class", { it.jobClass }),
     TEAM("team", { it.team }),
     OWNER("owner", { it.owner }),
@@ -48,7 +58,7 @@
     SHAPE("shape", { PolicyWords.of(it.shape) }),
 }
 
-/** Priorities and shapes by the names that users write. */
+/** The names of priorities and shapes in policies, which are those that users write in jobs. */
 internal object PolicyWords {
     val priorities: Map<String, Priority> = JobCodec.priorityWords
     val shapes: Map<String, Shape> = JobCodec.shapeWords
@@ -58,7 +68,11 @@
     fun of(shape: Shape): String = JobCodec.shapeName(shape)
 }
 
-/** [line]: in the policy's text. [cancel]: whether revoking the right cancels running jobs; null: not stated. */
+/**
+ * A rule that allows or denies [actions] on the jobs that fulfil [condition]; null for any job. [line]: its line in the
+ * text of the policy, counted from 1. [cancel]: whether live jobs are cancelled when their owner loses the right to
+ * submit them; null if the rule does not say.
+ */
 class Rule(
     val name: String,
     val line: Int,
@@ -68,15 +82,18 @@
     val cancel: Boolean?,
 )
 
-/** How a rule relates to a request. */
+/**
+ * How a rule relates to a request: it decides the request; it applies but another rule decides; it is about other
+ * actions; or its condition does not hold.
+ */
 enum class RuleOutcome { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
 
-/** A rule and how it relates to the request that was explained. */
-class Explained(val rule: Rule, val standing: RuleOutcome)
+/** A rule and its [standing]: how it relates to the request that [Policy.explain] was asked about. */
+class RuleExplanation(val rule: Rule, val standing: RuleOutcome)
 
 /**
- * One version of the principals and of who may do what. [workers], [peers]: from where workers and peers may connect;
- * null: from anywhere.
+ * One version of the principals and of the rules that say what each of them may do. [workers] and [peers]: the networks
+ * from which workers and other controllers may connect; null for anywhere.
  */
 class Policy(
     val version: Long,
@@ -85,18 +102,22 @@
     val workers: Networks?,
     val peers: Networks?,
 ) {
-    /** The rules for [principal], in the order of the text. */
+    /** The rules for [principal], in the order in which the policy's text defines or grants them. */
     fun rulesOf(principal: String): List<Rule> = rules[principal].orEmpty()
 
     /** The key of [principal] with this id; null if there is none or the principal is disabled. */
     fun publicKey(principal: String, key: String): PublicKey? = principals[principal]?.key(key)
 
-    /** Decides [action] on [job]: a deny that applies wins, else the first allow, else it is denied. */
+    /**
+     * Decides whether [principal] may do [action] on [job]. A denying rule that applies wins over all that allow. If no
+     * rule applies, the action is denied. [job]: null if the action concerns no job, or one about which nothing may be
+     * revealed.
+     */
     fun authorize(principal: String, action: Action, job: JobFacts?): Verdict {
-        val known = principals[principal]
+        val knownPrincipal = principals[principal]
         return when {
-            known == null -> Verdict(false, UNKNOWN)
-            known.disabled -> Verdict(false, DISABLED)
+            knownPrincipal == null -> Verdict(false, UNKNOWN_PRINCIPAL)
+            knownPrincipal.disabled -> Verdict(false, DISABLED_PRINCIPAL)
             else -> decide(principal, action, job)
         }
     }
@@ -107,59 +128,65 @@
         return Verdict(deciding.allows, deciding.name, deciding.cancel ?: false)
     }
 
-    /** Whether the first rule that denies it to [principal] cancels running jobs; null if none does or says. */
+    /**
+     * Whether live jobs are cancelled according to the first rule that denies [action] on [job] to [principal]; null if
+     * no rule denies it, or this one does not say.
+     */
     fun cancelsOnDeny(principal: String, action: Action, job: JobFacts?): Boolean? = rulesOf(principal)
         .firstOrNull { !it.allows && action in it.actions && holds(it.condition, principal, job) }?.cancel
 
-    /** All rules of [principal] and how each relates to the request, in the order of the text. */
-    fun explain(principal: String, action: Action, job: JobFacts?): List<Explained> {
-        val deciding = authorize(principal, action, job)
-        var decided = false
+    /** Returns how each rule of [principal] relates to the request, in the order of [rulesOf]. */
+    fun explain(principal: String, action: Action, job: JobFacts?): List<RuleExplanation> {
+        val verdict = authorize(principal, action, job)
+        var isDeciderFound = false
         return rulesOf(principal).map { rule ->
             val standing = when {
                 action !in rule.actions -> RuleOutcome.OTHER_ACTION
                 !holds(rule.condition, principal, job) -> RuleOutcome.CONDITION_FAILS
-                !decided && rule.name == deciding.rule && rule.allows == deciding.allowed -> {
-                    decided = true
+                !isDeciderFound && rule.name == verdict.rule && rule.allows == verdict.allowed -> {
+                    isDeciderFound = true
                     RuleOutcome.DECIDES
                 }
                 else -> RuleOutcome.APPLIES
             }
-            Explained(rule, standing)
+            RuleExplanation(rule, standing)
         }
     }
 
     companion object {
         const val NOTHING_ALLOWS = "nothing allows it"
-        const val UNKNOWN = "nobody of that name"
-        const val DISABLED = "disabled"
+        const val UNKNOWN_PRINCIPAL = "nobody of that name"
+        const val DISABLED_PRINCIPAL = "disabled"
 
-        private fun holds(c: Condition?, principal: String, job: JobFacts?): Boolean =
-            c == null || truth(c, principal, job) == true
+        private fun holds(condition: Condition?, principal: String, job: JobFacts?): Boolean =
+            condition == null || evaluate(condition, principal, job) == true
 
-        /** Null: what it asks about is not known. */
-        private fun truth(c: Condition, principal: String, job: JobFacts?): Boolean? = when (c) {
-            is Condition.All -> combine(c.parts, principal, job, decisive = false)
-            is Condition.Any -> combine(c.parts, principal, job, decisive = true)
-            is Condition.Not -> truth(c.part, principal, job)?.not()
+        /** Evaluates [condition] in three-valued logic; null if an attribute that it depends on is unknown. */
+        private fun evaluate(condition: Condition, principal: String, job: JobFacts?): Boolean? = when (condition) {
+            is Condition.All -> combine(condition.parts, principal, job, decisive = false)
+            is Condition.Any -> combine(condition.parts, principal, job, decisive = true)
+            is Condition.Not -> evaluate(condition.part, principal, job)?.not()
             Condition.OwnerIsSelf -> job?.owner?.let { it == principal }
-            is Condition.OneOf -> job?.let { c.attribute.of(it) }?.let { it in c.values }
-            is Condition.Bounded -> job?.let { if (c.least) it.priority >= c.bound else it.priority <= c.bound }
+            is Condition.OneOf -> job?.let { condition.attribute.valueIn(it) }?.let { it in condition.values }
+            is Condition.PriorityBound -> job?.let {
+                if (condition.isLowerBound) it.priority >= condition.bound else it.priority <= condition.bound
+            }
         }
 
+        /** Evaluates the conjunction or disjunction of [parts]; one part that is [decisive] determines the result. */
         private fun combine(parts: List<Condition>, principal: String, job: JobFacts?, decisive: Boolean): Boolean? {
-            var unknown = false
+            var hasUnknown = false
             for (part in parts) {
-                when (truth(part, principal, job)) {
+                when (evaluate(part, principal, job)) {
                     decisive -> return decisive
-                    null -> unknown = true
+                    null -> hasUnknown = true
                     else -> Unit
                 }
             }
-            return if (unknown) null else !decisive
+            return if (hasUnknown) null else !decisive
         }
 
-        /** Before any version is known: nobody may do anything. */
-        val NOBODY = Policy(0, emptyMap(), emptyMap(), null, null)
+        /** The policy without principals and rules, under which every request is denied. */
+        val DENY_ALL = Policy(0, emptyMap(), emptyMap(), null, null)
     }
 }
--- a/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
@@ -10,11 +10,16 @@
 import java.time.DateTimeException
 import java.time.Instant
 
-/** Builds a policy from a syntax tree: every name that is used must be defined, and defined once. */
+/**
+ * Builds a policy from the syntax tree of its text. Checks that every name that is used is defined, and no name is
+ * defined twice. Throws [InvalidPolicyException].
+ */
 internal class PolicyBuilder(private val version: Long) {
     private val principals = LinkedHashMap<String, Principal>()
     private val groups = LinkedHashMap<String, List<RightsParser.NameContext>>()
     private val roles = LinkedHashMap<String, List<Rule>>()
+
+    /** The rules of each principal, by its name. */
     private val rules = HashMap<String, MutableList<Rule>>()
     private var workers: Networks? = null
     private var peers: Networks? = null
@@ -22,9 +27,11 @@
     fun build(document: RightsParser.DocumentContext): Policy {
         val statements = document.statement()
         statements.mapNotNull { it.principal() }.forEach(::addPrincipal)
-        statements.mapNotNull { it.group() }.forEach { g -> define(groups, g.name(0), "group") { g.name().drop(1) } }
+        statements.mapNotNull { it.group() }.forEach { group ->
+            define(groups, group.name(0), "group") { group.name().drop(1) }
+        }
         groups.values.flatten().forEach { member ->
-            if (member.text() !in principals) member.unknown("person, service or node", principals.keys)
+            if (member.text() !in principals) member.failUnknown("person, service or node", principals.keys)
         }
         statements.mapNotNull { it.role() }.forEach(::addRole)
         for (statement in statements) {
@@ -35,143 +42,168 @@
         return Policy(version, principals, rules, workers, peers)
     }
 
-    private fun addPrincipal(p: RightsParser.PrincipalContext) {
+    private fun addPrincipal(principal: RightsParser.PrincipalContext) {
         val keys = ArrayList<PublicKey>()
         var networks: Networks? = null
         var disabled = false
-        for (item in p.principalItem()) {
+        for (item in principal.principalItem()) {
             when (item.start.text) {
                 "key" -> keys.add(
-                    key(item).also { added ->
-                        if (keys.any { it.id == added.id }) item.fail("key '${added.id}' stands twice")
+                    readKey(item).also { key ->
+                        if (keys.any { it.id == key.id }) item.fail("key '${key.id}' stands twice")
                     },
                 )
-                "network" -> networks = networks(item, item.STRING().map { it.symbol })
+                "network" -> networks = readNetworks(item, item.STRING().map { it.symbol })
                 else -> disabled = true
             }
         }
-        define(principals, p.name(), "principal") {
-            Principal(p.name().text(), PrincipalKind.valueOf(p.kind.text.uppercase()), keys, networks, disabled)
+        define(principals, principal.name(), "principal") {
+            Principal(
+                principal.name().text(),
+                PrincipalKind.valueOf(principal.kind.text.uppercase()),
+                keys,
+                networks,
+                disabled,
+            )
         }
     }
 
-    private fun key(item: RightsParser.PrincipalItemContext): PublicKey = try {
+    private fun readKey(item: RightsParser.PrincipalItemContext): PublicKey = try {
         PublicKey.of(
             item.name().text(),
-            unquoted(item.STRING(0).symbol),
-            item.since?.let(::instant) ?: (Long.MIN_VALUE / 2),
-            item.until?.let(::instant) ?: (Long.MAX_VALUE / 2),
+            unquote(item.STRING(0).symbol),
+            item.since?.let(::readInstant) ?: (Long.MIN_VALUE / 2),
+            item.until?.let(::readInstant) ?: (Long.MAX_VALUE / 2),
         )
     } catch (e: MalformedKeyException) {
-        throw at(item.STRING(0).symbol, e.problem, e)
+        throw invalidPolicy(item.STRING(0).symbol, e.problem, e)
     }
 
-    private fun instant(token: Token): Long = try {
-        Instant.parse(unquoted(token)).toEpochMilli()
+    /** Reads a time as milliseconds since 1970. */
+    private fun readInstant(token: Token): Long = try {
+        Instant.parse(unquote(token)).toEpochMilli()
     } catch (_: DateTimeException) {
-        throw at(token, "not a time such as \"2026-12-31T18:00:00Z\"")
+        throw invalidPolicy(token, "not a time such as \"2026-12-31T18:00:00Z\"")
     } catch (_: ArithmeticException) {
-        throw at(token, "not a time such as \"2026-12-31T18:00:00Z\"")
+        throw invalidPolicy(token, "not a time such as \"2026-12-31T18:00:00Z\"")
     }
 
-    private fun networks(where: ParserRuleContext, texts: List<Token>): Networks =
-        Networks.of(texts.map(::unquoted)) { wrong ->
-            val token = texts.find { unquoted(it) == wrong } ?: where.start
-            throw at(token, "not a network such as \"10.2.0.0/16\" or \"2001:db8::/32\", host bits zero")
+    private fun readNetworks(where: ParserRuleContext, texts: List<Token>): Networks =
+        Networks.of(texts.map(::unquote)) { invalidText ->
+            val token = texts.find { unquote(it) == invalidText } ?: where.start
+            throw invalidPolicy(token, "not a network such as \"10.2.0.0/16\" or \"2001:db8::/32\", host bits zero")
         }
 
-    private fun addRole(r: RightsParser.RoleContext) = define(roles, r.name(), "role") {
-        r.permission().map { p ->
-            newRule("role ${r.name().text()}, line ${p.start.line}", p, p.effect(), p.actions(), p.where(), p.revoke())
+    private fun addRole(role: RightsParser.RoleContext) = define(roles, role.name(), "role") {
+        role.permission().map { permission ->
+            newRule(
+                "role ${role.name().text()}, line ${permission.start.line}",
+                permission,
+                permission.effect(),
+                permission.actions(),
+                permission.where(),
+                permission.revoke(),
+            )
         }
     }
 
     private fun newRule(
         name: String,
-        at: ParserRuleContext,
+        definition: ParserRuleContext,
         effect: RightsParser.EffectContext,
         actions: RightsParser.ActionsContext,
         where: RightsParser.WhereContext?,
         revoke: RightsParser.RevokeContext?,
     ) = Rule(
         name,
-        at.start.line,
+        definition.start.line,
         effect.ALLOW != null,
-        actions(actions),
-        where?.let { condition(it.condition()) },
+        readActions(actions),
+        where?.let { readCondition(it.condition()) },
         revoke?.let { it.what.text == "withdraw" },
     )
 
-    private fun actions(a: RightsParser.ActionsContext): Set<Action> {
-        if (a.name().isEmpty()) return Action.entries.toSet()
-        return a.name().map { n ->
-            Action.entries.find { it.word == n.text() }
-                ?: n.unknown("action", Action.entries.map { it.word })
+    /** Reads a list of actions. The grammar gives one without names for the keyword `anything`: all actions. */
+    private fun readActions(actions: RightsParser.ActionsContext): Set<Action> {
+        if (actions.name().isEmpty()) return Action.entries.toSet()
+        return actions.name().map { name ->
+            Action.entries.find { it.word == name.text() }
+                ?: name.failUnknown("action", Action.entries.map { it.word })
         }.toSet()
     }
 
-    private fun addGrant(g: RightsParser.GrantContext) {
-        val given = g.name().flatMap { roles[it.text()] ?: it.unknown("role", roles.keys) }
-        g.subject().flatMap(::members).distinct().forEach { rules.getOrPut(it) { ArrayList() }.addAll(given) }
+    private fun addGrant(grant: RightsParser.GrantContext) {
+        val grantedRules = grant.name().flatMap { roles[it.text()] ?: it.failUnknown("role", roles.keys) }
+        grant.subject().flatMap(::findMembers).distinct().forEach {
+            rules.getOrPut(it) { ArrayList() }.addAll(grantedRules)
+        }
     }
 
-    private fun addRule(r: RightsParser.Rule_Context) {
-        val rule = newRule("rule ${r.name().text()}", r, r.effect(), r.actions(), r.where(), r.revoke())
-        r.subject().flatMap(::members).distinct().forEach { rules.getOrPut(it) { ArrayList() }.add(rule) }
+    private fun addRule(definition: RightsParser.Rule_Context) {
+        val rule = newRule(
+            "rule ${definition.name().text()}",
+            definition,
+            definition.effect(),
+            definition.actions(),
+            definition.where(),
+            definition.revoke(),
+        )
+        definition.subject().flatMap(::findMembers).distinct().forEach { rules.getOrPut(it) { ArrayList() }.add(rule) }
     }
 
-    private fun members(s: RightsParser.SubjectContext): Collection<String> {
-        val name = s.name() ?: return principals.keys
-        if (s.start.text == "group") {
-            return (groups[name.text()] ?: name.unknown("group", groups.keys)).map { it.text() }
+    /** Returns the names of the principals that [subject] stands for: everyone, a group's members, or one principal. */
+    private fun findMembers(subject: RightsParser.SubjectContext): Collection<String> {
+        val name = subject.name() ?: return principals.keys
+        if (subject.start.text == "group") {
+            return (groups[name.text()] ?: name.failUnknown("group", groups.keys)).map { it.text() }
         }
-        if (name.text() !in principals) name.unknown("person, service or node", principals.keys)
+        if (name.text() !in principals) name.failUnknown("person, service or node", principals.keys)
         return listOf(name.text())
     }
 
     private fun addNetworkRestriction(restriction: RightsParser.DoorContext) {
-        val networks = networks(restriction, restriction.STRING().map { it.symbol })
-        val which = restriction.which.text
-        val isRepeated = if (which == "workers") workers != null else peers != null
-        if (isRepeated) restriction.fail("'$which network' stands twice")
-        if (which == "workers") workers = networks else peers = networks
+        val networks = readNetworks(restriction, restriction.STRING().map { it.symbol })
+        val connecting = restriction.which.text
+        val isRepeated = if (connecting == "workers") workers != null else peers != null
+        if (isRepeated) restriction.fail("'$connecting network' stands twice")
+        if (connecting == "workers") workers = networks else peers = networks
     }
 
-    private fun condition(c: RightsParser.ConditionContext): Condition =
-        c.conjunction().map(::conjunction).let { if (it.size == 1) it[0] else Condition.Any(it) }
+    private fun readCondition(condition: RightsParser.ConditionContext): Condition =
+        condition.conjunction().map(::readConjunction).let { if (it.size == 1) it[0] else Condition.Any(it) }
 
-    private fun conjunction(c: RightsParser.ConjunctionContext): Condition =
-        c.term().map(::term).let { if (it.size == 1) it[0] else Condition.All(it) }
+    private fun readConjunction(conjunction: RightsParser.ConjunctionContext): Condition =
+        conjunction.term().map(::readTerm).let { if (it.size == 1) it[0] else Condition.All(it) }
 
-    private fun term(t: RightsParser.TermContext): Condition {
-        val inBrackets = t.condition()
-        val negated = t.term()
+    private fun readTerm(term: RightsParser.TermContext): Condition {
+        val parenthesized = term.condition()
+        val negated = term.term()
         return when {
-            inBrackets != null -> condition(inBrackets)
-            negated != null -> Condition.Not(term(negated))
-            else -> comparison(t)
+            parenthesized != null -> readCondition(parenthesized)
+            negated != null -> Condition.Not(readTerm(negated))
+            else -> readComparison(term)
         }
     }
 
-    private fun comparison(t: RightsParser.TermContext): Condition {
+    private fun readComparison(term: RightsParser.TermContext): Condition {
         val attribute =
-            Attribute.entries.find { it.word == t.name(0).text() }
-                ?: t.name(0).unknown("property of a job", Attribute.entries.map { it.word })
-        val values = t.name().drop(1)
+            Attribute.entries.find { it.word == term.name(0).text() }
+                ?: term.name(0).failUnknown("property of a job", Attribute.entries.map { it.word })
+        val values = term.name().drop(1)
         if (values.isEmpty()) {
-            if (attribute != Attribute.OWNER) t.fail("only an owner can be 'self'")
+            if (attribute != Attribute.OWNER) term.fail("only an owner can be 'self'")
             return Condition.OwnerIsSelf
         }
         values.forEach { checkValue(attribute, it) }
-        t.bound?.let { bound ->
-            if (attribute != Attribute.PRIORITY) t.fail("only a priority can be 'at ${bound.text}' something")
-            return Condition.Bounded(bound.text == "least", PolicyWords.priorities.getValue(values[0].text()))
+        term.bound?.let { bound ->
+            if (attribute != Attribute.PRIORITY) term.fail("only a priority can be 'at ${bound.text}' something")
+            return Condition.PriorityBound(bound.text == "least", PolicyWords.priorities.getValue(values[0].text()))
         }
-        val equal = Condition.OneOf(attribute, values.map { it.text() }.toSet())
-        return if (t.NOT != null) Condition.Not(equal) else equal
+        val isOneOf = Condition.OneOf(attribute, values.map { it.text() }.toSet())
+        return if (term.NOT != null) Condition.Not(isOneOf) else isOneOf
     }
 
-    /** Classes and teams are any names; the values of the other attributes are known. */
+    /** Checks that [value] exists. Any name may be a class or a team; the values of the other attributes are known. */
     private fun checkValue(attribute: Attribute, value: RightsParser.NameContext) {
         val known = when (attribute) {
             Attribute.PRIORITY -> PolicyWords.priorities.keys
@@ -179,28 +211,35 @@
             Attribute.OWNER -> principals.keys
             else -> return
         }
-        if (value.text() !in known) value.unknown(attribute.word, known)
+        if (value.text() !in known) value.failUnknown(attribute.word, known)
     }
 
-    private fun <T> define(all: MutableMap<String, T>, name: RightsParser.NameContext, what: String, value: () -> T) {
-        if (name.text() in all) name.fail("the $what '${name.text()}' stands twice")
-        if (name.text().length !in 1..MAX_NAME) name.fail("a name has 1 to $MAX_NAME characters")
-        all[name.text()] = value()
+    /** Adds the [kind] of thing that [createValue] returns to those [defined] so far, under [name]. */
+    private fun <T> define(
+        defined: MutableMap<String, T>,
+        name: RightsParser.NameContext,
+        kind: String,
+        createValue: () -> T,
+    ) {
+        if (name.text() in defined) name.fail("the $kind '${name.text()}' stands twice")
+        if (name.text().length !in 1..MAX_NAME_CHARS) name.fail("a name has 1 to $MAX_NAME_CHARS characters")
+        defined[name.text()] = createValue()
     }
 
-    private fun RightsParser.NameContext.text(): String = if (STRING() != null) unquoted(start) else start.text
+    private fun RightsParser.NameContext.text(): String = if (STRING() != null) unquote(start) else start.text
 
-    private fun unquoted(token: Token): String = token.text.removeSurrounding("\"")
+    private fun unquote(token: Token): String = token.text.removeSurrounding("\"")
 
-    private fun ParserRuleContext.fail(reason: String): Nothing = throw at(start, reason)
+    private fun ParserRuleContext.fail(reason: String): Nothing = throw invalidPolicy(start, reason)
 
-    private fun RightsParser.NameContext.unknown(what: String, known: Collection<String>): Nothing =
-        fail("no $what is called '${text()}'${PolicyReader.suggest(text(), known)}")
+    private fun RightsParser.NameContext.failUnknown(kind: String, known: Collection<String>): Nothing =
+        fail("no $kind is called '${text()}'${PolicyReader.suggest(text(), known)}")
 
-    private fun at(token: Token, problem: String, cause: Throwable? = null) =
+    /** Creates the exception for a [problem] at [token]. */
+    private fun invalidPolicy(token: Token, problem: String, cause: Throwable? = null) =
         InvalidPolicyException(token.line, token.charPositionInLine + 1, problem, cause)
 
     private companion object {
-        const val MAX_NAME = 100
+        const val MAX_NAME_CHARS = 100
     }
 }
--- a/src/main/kotlin/plankwall/authorization/PolicyReader.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyReader.kt
@@ -10,34 +10,34 @@
 import plankwall.authorization.grammar.RightsLexer
 import plankwall.authorization.grammar.RightsParser
 
-/** The first problem in the text of a policy. [line] and [column] count from 1. */
+/** Reports the first [problem] in the text of a policy. [line] and [column] are counted from 1. */
 class InvalidPolicyException(val line: Int, val column: Int, val problem: String, cause: Throwable? = null) :
     Exception("line $line, column $column: $problem", cause, false, false)
 
 /** Parses the text of a policy. */
 object PolicyReader {
-    /** The longest text, in characters: a longer one could not be published in one request. */
+    /** The longest text of a policy, in characters: a longer one could not be published in one request. */
     const val MAX_LENGTH = 48 * 1024
     private const val MAX_DEPTH = 40
     private const val MAX_QUOTED_CHARS = 40
     private const val MAX_SUGGESTED_FROM_CHARS = 60
     private const val MAX_EXPECTED = 8
 
-    /** One edit for so many characters still counts as a misspelling. */
+    /** The characters of a word for each edit that may separate it from a suggestion, as the limit of a misspelling. */
     private const val CHARS_PER_EDIT = 3
 
-    /** Keywords that may also be names. */
-    private val softKeywords = setOf(
+    /** The keywords of the policy language that may also be used as names. */
+    private val nameableKeywords = setOf(
         "person", "service", "node", "key", "from", "until", "network", "disabled", "workers", "peers", "least", "most",
         "revoke", "finish", "withdraw",
     )
 
-    /** Reads [text] as [version] of the policy. Throws [InvalidPolicyException] for the first problem. */
+    /** Parses [text] as [version] of the policy. Throws [InvalidPolicyException] for the first problem. */
     fun read(text: String, version: Long): Policy {
         if (text.length > MAX_LENGTH) {
             throw InvalidPolicyException(1, 1, "the text has ${text.length} characters, more than $MAX_LENGTH")
         }
-        val failFast = object : BaseErrorListener() {
+        val throwingListener = object : BaseErrorListener() {
             override fun syntaxError(
                 recognizer: Recognizer<*, *>?,
                 offending: Any?,
@@ -49,28 +49,31 @@
         }
         val lexer = RightsLexer(CharStreams.fromString(text))
         lexer.removeErrorListeners()
-        lexer.addErrorListener(failFast)
+        lexer.addErrorListener(throwingListener)
         val tokens = CommonTokenStream(lexer)
         tokens.fill()
         checkDepth(tokens.tokens)
         val parser = RightsParser(tokens)
         parser.removeErrorListeners()
-        parser.addErrorListener(failFast)
+        parser.addErrorListener(throwingListener)
         return PolicyBuilder(version).build(parser.document())
     }
 
-    /** The parser recurses once for each bracket and each `not`; an untrusted text must not exhaust its stack. */
+    /**
+     * Limits the nesting of conditions. The parser recurses once for each parenthesis and each `not`, and an untrusted
+     * text must not exhaust its stack.
+     */
     private fun checkDepth(tokens: List<Token>) {
-        var open = 0
-        var nots = 0
+        var openParentheses = 0
+        var consecutiveNots = 0
         for (token in tokens) {
             when (token.text) {
-                "(" -> open++
-                ")" -> open--
-                ";" -> open = 0
+                "(" -> openParentheses++
+                ")" -> openParentheses--
+                ";" -> openParentheses = 0
             }
-            nots = if (token.text == "not") nots + 1 else 0
-            if (open + nots > MAX_DEPTH) {
+            consecutiveNots = if (token.text == "not") consecutiveNots + 1 else 0
+            if (openParentheses + consecutiveNots > MAX_DEPTH) {
                 throw InvalidPolicyException(
                     token.line,
                     token.charPositionInLine + 1,
@@ -80,7 +83,7 @@
         }
     }
 
-    /** A syntax error in words that a writer of policies understands. */
+    /** Describes a syntax error in the terms of the policy language. [message]: the parser's own message. */
     private fun describe(recognizer: Recognizer<*, *>?, offending: Token?, message: String): String {
         if (recognizer !is RightsParser || offending == null) {
             val isOpenQuote = '"' in message
@@ -88,28 +91,29 @@
         }
         val names = recognizer.expectedTokens.toList().map { recognizer.vocabulary.getDisplayName(it).trim('\'') }
         val expected = names.map(::displayName).distinct()
-            // Where a name may stand, so may each soft keyword; naming them all would not help.
-            .let { all -> if ("a name" in all) all.filter { it !in softKeywords } else all }
+            // Where a name is allowed, so is each such keyword; listing them all would not help.
+            .let { all -> if ("a name" in all) all.filter { it !in nameableKeywords } else all }
         val found = if (offending.type == Token.EOF) {
             "the text ends"
         } else {
-            "'${offending.text.take(MAX_QUOTED_CHARS)}' stands"
+            "'${offending.text.take(MAX_QUOTED_CHARS)}' is found"
         }
-        val wanted = expected.take(MAX_EXPECTED).joinToString(" or ")
-        return "$found where $wanted is wanted${suggest(offending.text, expected)}"
+        val listed = expected.take(MAX_EXPECTED).joinToString(" or ")
+        return "$found where $listed is expected${suggest(offending.text, expected)}"
     }
 
+    /** The description of a [token] for error messages: a literal stands for itself. */
     private fun displayName(token: String): String = when (token) {
         "WORD", "STRING" -> "a name"
         "EOF", "<EOF>" -> "the end"
         else -> token
     }
 
-    /** ", did you mean …?" if one of [known] is spelt much like [word]; else empty. */
+    /** Returns "; did you mean '…'?" with the most similar of the [known] words; empty if none resembles [word]. */
     internal fun suggest(word: String, known: Collection<String>): String {
         val maxEdits = maxOf(1, minOf(word.length, MAX_QUOTED_CHARS) / CHARS_PER_EDIT)
         val distance = LevenshteinDistance(maxEdits)
-        // The library gives -1 beyond the threshold.
+        // The library returns -1 for a distance above its threshold.
         val closest = known.map { it to distance.apply(word.take(MAX_SUGGESTED_FROM_CHARS), it) }
             .filter { it.second in 0..maxEdits }
             .minByOrNull { it.second }
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -13,9 +13,9 @@
 import plankwall.identity.Networks
 
 /**
- * The access check of a controller whose operators want every request tied to a principal: authenticates callers,
- * authorizes their actions by the published policy, and records each decision in the audit log. Only wires its parts;
- * each owns its own state.
+ * The access check of a controller whose operators require that every request comes from a known principal. It
+ * authenticates callers, authorizes their actions by the published policy, and records each decision in the audit log.
+ * This class only connects the components that do this work; each of them holds its own state.
  */
 class AccessGateway(private val ctx: Context, private val settings: GatewaySettings) : AccessCheck {
     private val policies = PolicyStore(ctx, settings.firstRights)
@@ -29,12 +29,12 @@
     private val authenticator = RequestAuthenticator(ctx, settings, policies, auditLog, entries, denials)
     private val revocations = RevocationTask(ctx, policies, auditLog, entries)
     private val admin = AdminService(ctx, policies, authenticator)
-    private var nextShedReport = 0.0
+    private var nextShedReportAt = 0.0
 
-    /** The version of the policy that this node applies; 0: none yet. */
+    /** The version of the policy that this node applies; 0 while it has not loaded any. */
     val version: Long get() = policies.policy.version
 
-    /** From where peers may open connections, by the policy that holds now; null: from anywhere. */
+    /** The networks from which the current policy lets peers open connections; null if it lets them from anywhere. */
     val peerNetworks: Networks? get() = policies.policy.peers
 
     override fun tick(authority: LeaseAuthority?) {
@@ -43,16 +43,19 @@
         auditLog.tick()
         sealer.tick(authority)
         revocations.tick(authority)
-        if (ctx.now >= nextShedReport) {
-            nextShedReport = ctx.now + SHED_REPORT_INTERVAL_S
+        if (ctx.now >= nextShedReportAt) {
+            nextShedReportAt = ctx.now + SHED_REPORT_INTERVAL_S
             reportShed("principal", denials.byPrincipal)
             reportShed("network", denials.byNetwork)
         }
     }
 
-    /** Records how many requests of each principal or network were refused without being checked. */
+    /**
+     * Logs and records how many requests of each name were refused unchecked since the last report. [kind]: what
+     * [limiter] limits, `principal` or `network`.
+     */
     private fun reportShed(kind: String, limiter: DenialLimiter) {
-        limiter.takeShed().forEach { (name, count) ->
+        limiter.takeShedCounts().forEach { (name, count) ->
             log.info("requests shed {}={} count={}", kind, name, count)
             val entry = entries.create(
                 RequestOrigin(name, "", ""),
@@ -62,7 +65,7 @@
                 STATUS_TOO_MANY,
                 note = "$count requests",
             )
-            // Nobody waits for it: where it can't be stored, the log line above remains.
+            // No caller waits for this entry. If it can't be stored, the log line above is the only record.
             auditLog.record(entry) { }
         }
     }
--- a/src/main/kotlin/plankwall/gateway/AdminService.kt
+++ b/src/main/kotlin/plankwall/gateway/AdminService.kt
@@ -18,18 +18,19 @@
 import plankwall.wire.StateResult
 
 /**
- * Requests about the policy and the audit log themselves: authenticated, authorized and recorded like all others.
+ * Handles requests that read or publish policies, or read the audit log. They are authenticated, authorized and
+ * recorded like requests about jobs.
  */
 internal class AdminService(
     private val ctx: Context,
     private val policies: PolicyStore,
     private val authenticator: RequestAuthenticator,
 ) {
-    /** Answers [request], which asks for [asked]. */
+    /** Authenticates the sender of [request] and answers it. [asked]: the content of the request. */
     fun handle(request: RequestId, credentials: Credentials, asked: AdminRequest) =
         authenticator.authenticate(request, credentials) { caller -> Exchange(request, caller, asked).handle() }
 
-    /** One request of an authenticated [caller], answered once. */
+    /** The handling of one request of an authenticated [caller]. The request is answered exactly once. */
     private inner class Exchange(
         private val request: RequestId,
         private val caller: AuthenticatedCaller,
@@ -61,7 +62,7 @@
             }
         }
 
-        /** Evaluated anew at each step, since the policy may change while the store is asked. */
+        /** Decides by the current policy. It is called again after each answer of the store: the policy may change. */
         private fun authorize(): Verdict = caller.authorize(action, null)
 
         private fun answer(status: Int, body: ByteArray, retryAfterS: Int? = null) =
@@ -77,21 +78,22 @@
         private fun showCurrentPolicy(verdict: Verdict) {
             val head = policies.head
             if (head == null) {
-                answerUnavailable("the rights are not known yet")
+                answerUnavailable("the rights are not loaded yet")
             } else {
                 recordAndAnswer(verdict, 200, AdminCodec.rights(head.version, head.by, head.atMs, policies.text))
             }
         }
 
-        private fun readVersion(version: Long, then: (String) -> Unit) = policies.readParts(version) { parts ->
+        /** Reads the text of [version] for [onText], or answers the request with an error. */
+        private fun readVersion(version: Long, onText: (String) -> Unit) = policies.readParts(version) { parts ->
             when {
                 parts == null -> answerUnavailable("the state service can't be read")
-                // Parts of a version that was never published lie beyond the newest one.
+                // A publication that failed may have left parts of a version that is newer than the published one.
                 parts.isEmpty() || version > policies.policy.version -> {
                     val error = JobCodec.error("there is no version $version of the rights")
                     recordAndAnswer(authorize(), 404, error)
                 }
-                else -> then(parts.joinToString(""))
+                else -> onText(parts.joinToString(""))
             }
         }
 
@@ -100,7 +102,7 @@
             val head = policies.head
             val problem = findProblem(base, text)
             when {
-                head == null -> answerUnavailable("the rights are not known yet")
+                head == null -> answerUnavailable("the rights are not loaded yet")
                 base != head.version -> {
                     val error = JobCodec.error("the rights are at version ${head.version} by now, not $base")
                     recordAndAnswer(verdict, 409, error)
@@ -116,13 +118,16 @@
             }
         }
 
-        /** Why [text] can't follow version [base], or null. */
+        /**
+         * Returns why [text] can't be published as the version after [base]: it is invalid, or it would take away the
+         * caller's own right to administer. Null if it can.
+         */
         private fun findProblem(base: Long, text: String): String? = try {
-            val next = PolicyReader.read(text, base + 1)
-            if (next.authorize(caller.name, Action.ADMINISTER, null).allowed) {
+            val nextPolicy = PolicyReader.read(text, base + 1)
+            if (nextPolicy.authorize(caller.name, Action.ADMINISTER, null).allowed) {
                 null
             } else {
-                "by these rights you could not administer any more: have somebody publish them who still can"
+                "with these rights you could not administer any more: have them published by a principal that still can"
             }
         } catch (e: InvalidPolicyException) {
             e.message
@@ -135,7 +140,7 @@
                         answer(200, AdminCodec.published(prepared.version))
                     }
                     is StateResult.Conflict ->
-                        recordAndAnswer(authorize(), 409, JobCodec.error("somebody else published meanwhile"))
+                        recordAndAnswer(authorize(), 409, JobCodec.error("another version was published meanwhile"))
                     else -> answerUnavailable("the state service did not confirm")
                 }
             }
@@ -148,7 +153,7 @@
                     result !is StateResult.Item -> answerUnavailable("the state service can't be read")
                     value is AuditSegment -> recordAndAnswer(verdict, 200, AdminCodec.segment(value))
                     value is AuditSeal -> recordAndAnswer(verdict, 200, AdminCodec.seal(value))
-                    else -> recordAndAnswer(verdict, 404, JobCodec.error("the trail has no such piece"))
+                    else -> recordAndAnswer(verdict, 404, JobCodec.error("the audit log has no such segment or seal"))
                 }
             }
         }
--- a/src/main/kotlin/plankwall/gateway/AuditEntryFactory.kt
+++ b/src/main/kotlin/plankwall/gateway/AuditEntryFactory.kt
@@ -6,23 +6,23 @@
 import plankwall.core.statemachine.Verdict
 
 /**
- * Where a request comes from, as the audit log records it. [name] and [key]: the principal and its key, empty where
- * nobody proved who asked. [network]: see [plankwall.identity.Networks.neighbourhood]. [request]: the caller's own id
- * of the request, from its token.
+ * The origin of a request, as the audit log records it. [name] and [key]: the name and the key id of the principal,
+ * empty if the caller proved no identity. [network]: see [plankwall.identity.Networks.neighbourhood]. [request]: the id
+ * that the caller gave the request in its token.
  */
 class RequestOrigin(val name: String, val key: String, val network: String, val request: String = "")
 
-/** Makes audit entries with ids that are unique over all restarts of this node. */
+/** Creates audit entries. Their ids stay unique when this node restarts, since they contain its incarnation. */
 internal class AuditEntryFactory(private val ctx: Context, private val policies: PolicyStore) {
     /** The epoch of this node's leadership term; 0 while it does not lead. */
     var epoch = 0L
     private var nextNumber = 0L
 
-    /** An entry for [decision] on a request from [origin]. */
+    /** Creates an entry for [decision] on a request from [origin]. */
     fun create(origin: RequestOrigin, decision: Decision): AuditEntry =
         create(origin, decision.action.word, decision.subject, decision.verdict, decision.status)
 
-    /** An entry for what is no [plankwall.core.statemachine.Action] of the policy language. */
+    /** Creates an entry for an action that the policy language has no [plankwall.core.statemachine.Action] for. */
     fun create(
         origin: RequestOrigin,
         action: String,
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -12,8 +12,8 @@
 import plankwall.wire.StateResult
 
 /**
- * A caller that proved who it is, with the request it made. [ownJobsOnly]: the policy could not be read lately, so all
- * that is left is reading one's own jobs.
+ * A caller that proved its identity, together with the origin of its request. [ownJobsOnly]: whether the caller may
+ * only read its own jobs, because this node's copy of the policy is too old.
  */
 internal class AuthenticatedCaller(
     private val origin: RequestOrigin,
@@ -45,14 +45,19 @@
                 verdict.rule,
             )
         }
-        // Reading one's own jobs does not wait for a store that is away; it is recorded when that is back.
+        // While the store can't be reached, reads of the caller's own jobs are answered at once and recorded later.
         if (ownJobsOnly && verdict.allowed) then(auditLog.recordLater(entry)) else auditLog.record(entry, then)
     }
 
+    /**
+     * Guards [txn] on the head of the policy as well, so that it fails if another version was published meanwhile. The
+     * new version is then read before the result is passed on.
+     */
     override fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit) {
-        val isGuarded = txn.guards.any { it.key == AccessKeys.HEAD }
-        val guarded = if (isGuarded) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, policies.stamp))
-        auditLog.change(entries.create(origin, decision), guarded) { result ->
+        val hasPolicyGuard = txn.guards.any { it.key == AccessKeys.HEAD }
+        val guardedTxn =
+            if (hasPolicyGuard) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, policies.stamp))
+        auditLog.change(entries.create(origin, decision), guardedTxn) { result ->
             if (result is StateResult.Conflict && AccessKeys.HEAD in result.failed) {
                 policies.refresh { then(result) }
             } else {
--- a/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
+++ b/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
@@ -3,25 +3,28 @@
 import plankwall.core.statemachine.Time
 import plankwall.core.statemachine.TokenBucket
 
-/** How many denied requests are still checked, of each principal and from each network. */
+/** The limits on denied requests, one for each principal and one for each network that requests come from. */
 internal class DenialLimits(val byPrincipal: DenialLimiter, val byNetwork: DenialLimiter)
 
 /**
- * How often each of many names may be denied ([perSecond], with bursts of [burst]) before its requests are refused
- * unchecked. Bounded: the name unused for longest is forgotten, and may begin anew.
+ * Limits how often a request of the same name may be denied: [perSecond] denials a second, with bursts of [burst]. The
+ * requests of a name that is over its limit are refused without being checked. At most [MAX_NAMES] names are kept; then
+ * the least recently used one is dropped and starts again with a full budget.
  */
 class DenialLimiter(private val time: Time, private val perSecond: Double, private val burst: Double) {
     private val budgets = object : LinkedHashMap<String, TokenBucket>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, TokenBucket>): Boolean = size > MAX_NAMES
     }
-    private val shed = LinkedHashMap<String, Int>()
 
-    /** Whether [name] has used up its denials; the request is counted as shed if so. */
+    /** The number of requests that were refused unchecked since the last [takeShedCounts], by name. */
+    private val shedCounts = LinkedHashMap<String, Int>()
+
+    /** Whether [name] is over its limit. If it is, its request is counted as refused unchecked. */
     fun isExhausted(name: String): Boolean {
         val budget = budgets[name] ?: return false
         if (budget.available() >= 1) return false
-        val counted = if (name in shed || shed.size < MAX_SHED_NAMES) name else OTHER_NAMES
-        shed.merge(counted, 1, Int::plus)
+        val countedName = if (name in shedCounts || shedCounts.size < MAX_SHED_NAMES) name else OTHER_NAMES
+        shedCounts.merge(countedName, 1, Int::plus)
         return true
     }
 
@@ -29,11 +32,11 @@
     fun recordDenial(name: String) =
         budgets.getOrPut(name) { TokenBucket(time, perSecond, burst).also { it.spend(0) } }.spend(1)
 
-    /** Seconds after which an exhausted name may try again. */
+    /** The whole seconds after which a name that is over its limit may try again. */
     fun retryAfterS(): Int = maxOf(1, (1 / perSecond).toInt())
 
-    /** How many requests were shed since the last call, by name. */
-    fun takeShed(): Map<String, Int> = shed.toMap().also { shed.clear() }
+    /** Returns how many requests of each name were refused unchecked since the last call. */
+    fun takeShedCounts(): Map<String, Int> = shedCounts.toMap().also { shedCounts.clear() }
 
     private companion object {
         const val MAX_NAMES = 4096
--- a/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
@@ -3,28 +3,32 @@
 import plankwall.identity.PeerKey
 import plankwall.identity.SigningKey
 
-/** The settings of the access gateway and the audit log. Times in seconds unless the name says otherwise. */
+/** The settings of the access gateway and the audit log. */
 class GatewaySettings(
-    /** The name that tokens must be meant for: one for each installation. */
+    /** The name of this installation. Tokens are accepted only if they name it as their audience. */
     val audience: String,
-    /** The text of the first policy, for a state service that holds none. */
+    /** The text of the policy that is published if the state service holds none; null to publish none. */
     val firstRights: String? = null,
-    /** Signs checkpoints; null: none are written. */
+    /** The key with which this node signs checkpoints (seals) of the audit log; null to write none. */
     val nodeKey: SigningKey? = null,
-    /** All of them are accepted, the first signs. Empty: frames of peers are not signed. */
+    /** The keys for frames of peers. The first one signs, all are accepted. If empty, frames are unsigned. */
     val peerKeys: List<PeerKey> = emptyList(),
-    /** While keys are introduced: frames without a signature are accepted as well. */
+    /** Whether unsigned frames of peers are accepted too, for the time in which peer keys are introduced. */
     val allowUnsignedPeers: Boolean = false,
+    /** The most milliseconds by which two machines' clocks may differ. */
     val clockToleranceMs: Long = 2_000,
+    /** The longest lifetime of a token, in seconds. */
     val maxTokenS: Double = 60.0,
-    /** After so long without having read the policy only one's own jobs may be read. */
+    /** The seconds without a successful read of the policy after which callers may only read their own jobs. */
     val failClosedS: Double = 5.0,
-    /** The part of the state service's rate of changes that the audit log may use. */
+    /** The share, from 0 to 1, of the state service's write rate that the audit logs of all nodes may use together. */
     val trailShare: Double = 0.2,
+    /** The seconds between two checkpoints of the audit log. */
     val sealS: Double = 60.0,
-    /** Denials a second that one principal, or one network, is answered before it gets 429 unchecked. */
+    /** The denials a second for one principal or network beyond which its requests get status 429 unchecked. */
     val denialsPerS: Double = 2.0,
+    /** The number of denials that one principal or network may use up at once. */
     val denialBurst: Double = 20.0,
-    /** A worker must be at the address that the cloud lists for its machine. */
+    /** Whether heartbeats are accepted only from the address that the cloud lists for the worker's machine. */
     val workersAtListedAddress: Boolean = true,
 )
--- a/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
@@ -3,21 +3,22 @@
 import okio.ByteString.Companion.encodeUtf8
 import plankwall.model.StateLimits
 
-/** How the text of a policy is laid out over several stored values of the size that [limits] allow. */
+/** Splits the text of a policy into chunks, each of which fits into a stored value of the size that [limits] allow. */
 internal class PolicyChunks(limits: StateLimits) {
     private val chunkBytes = (limits.valueKb * 1024 * FILL_SHARE).toInt()
 
-    /** How many chunks one transaction may store. */
+    /** The number of chunks that one transaction may store. */
     val perTransaction: Int = minOf(limits.txnOps, maxOf(1, MAX_TRANSACTION_BYTES / chunkBytes)).coerceAtLeast(1)
 
-    /** [text] in chunks that each fit a stored value as JSON; at least one. */
+    /** Splits [text] into chunks that fit into a stored value as JSON. An empty text gives one empty chunk. */
     fun split(text: String): List<String> {
         val chunks = ArrayList<String>()
         var from = 0
         while (from < text.length) {
             var to = from
-            var size = 0
-            while (to < text.length && size < chunkBytes) size += encodedBytes(text[to++])
+            var sizeBytes = 0
+            while (to < text.length && sizeBytes < chunkBytes) sizeBytes += encodedBytes(text[to++])
+            // A surrogate pair must not be split between two chunks.
             if (to < text.length && text[to - 1].isHighSurrogate()) to--
             chunks.add(text.substring(from, to))
             from = to
@@ -25,10 +26,10 @@
         return chunks.ifEmpty { listOf("") }
     }
 
-    /** What the stored head names a text by. */
+    /** Returns the SHA-256 hash of [text] by which the stored head identifies it. */
     fun digest(text: String): String = text.encodeUtf8().sha256().base64Url()
 
-    /** The most bytes that [char] takes in JSON, which escapes some characters. */
+    /** The most bytes that [char] takes in a JSON string, where some characters are escaped. */
     private fun encodedBytes(char: Char): Int = when {
         char == '\n' || char == '"' || char == '\\' || char == '\r' || char == '\t' -> ESCAPED_BYTES
         char < ' ' -> UNICODE_ESCAPE_BYTES
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -15,8 +15,9 @@
 import plankwall.wire.JobCodec
 
 /**
- * Checks who sent a request: the token's signature, key, lifetime and binding, the caller's network, and that a bound
- * token is used once. A request that fails a check is answered here, and the refusal recorded first.
+ * Authenticates the sender of a request. It checks the token's signature, key, lifetime and binding to the request, the
+ * network of the caller, and that a token bound to a request is used only once. Requests that fail a check are answered
+ * here, after the refusal was recorded in the audit log.
  */
 internal class RequestAuthenticator(
     private val ctx: Context,
@@ -30,23 +31,23 @@
     private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenS * MS_PER_S).toLong())
     private val usedTokens = ReplayGuard(MAX_USED_TOKENS)
 
-    /** Read-only tokens whose signature was checked, by their header. */
+    /** The claims of the read-only tokens whose signature was verified lately, by their `Authorization` header. */
     private val verifiedTokens = object : LinkedHashMap<String, Claims>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, Claims>): Boolean = size > MAX_VERIFIED_TOKENS
     }
 
-    /** Calls [then] with the caller if [credentials] prove one; answers [request] otherwise. */
-    fun authenticate(request: RequestId, credentials: Credentials, then: (AuthenticatedCaller) -> Unit) {
+    /** Calls [onAuthenticated] with the caller that [credentials] prove; answers [request] if they prove none. */
+    fun authenticate(request: RequestId, credentials: Credentials, onAuthenticated: (AuthenticatedCaller) -> Unit) {
         val network = Networks.neighbourhood(credentials.address)
         when {
             denials.byNetwork.isExhausted(network) -> answerTooMany(request, denials.byNetwork)
-            !policies.known -> ctx.out.answer(request, 503, JobCodec.error("who may do what is not known yet"), 1)
+            !policies.isLoaded -> ctx.out.answer(request, 503, JobCodec.error("the access policy is not loaded yet"), 1)
             else -> when (val result = verifyToken(credentials)) {
                 is TokenResult.Refused -> {
-                    val origin = RequestOrigin("", "", network, idOfUnproven(credentials))
+                    val origin = RequestOrigin("", "", network, unprovenRequestId(credentials))
                     refuse(request, origin, 401, result.reason)
                 }
-                is TokenResult.Proven -> admit(request, credentials, result.claims, network, then)
+                is TokenResult.Proven -> admit(request, credentials, result.claims, network, onAuthenticated)
             }
         }
     }
@@ -54,7 +55,7 @@
     private fun verifyToken(credentials: Credentials): TokenResult {
         val nowMs = ctx.time.wallMs
         val verified = credentials.authorization?.let { verifiedTokens[it] }
-        // The signature was valid before; whether the key still is, is checked each time.
+        // The signature needs no second check, but the key may have expired or been removed from the policy since.
         if (verified != null && verified.expiresMs > nowMs && isKeyValid(verified, nowMs)) {
             return TokenResult.Proven(verified)
         }
@@ -70,12 +71,13 @@
     private fun isKeyValid(claims: Claims, nowMs: Long): Boolean =
         policies.policy.publicKey(claims.principal, claims.key)?.isValidAt(nowMs, toleranceMs) == true
 
+    /** Checks what a valid signature does not prove: rate limits, network, binding, age of the policy and reuse. */
     private fun admit(
         request: RequestId,
         credentials: Credentials,
         claims: Claims,
         network: String,
-        then: (AuthenticatedCaller) -> Unit,
+        onAuthenticated: (AuthenticatedCaller) -> Unit,
     ) {
         val origin = RequestOrigin(claims.principal, claims.key, network, claims.id)
         val networks = policies.policy.principals[claims.principal]?.networks
@@ -89,9 +91,9 @@
             claims.binds != null && claims.binds != fingerprintOf(credentials) ->
                 refuse(request, origin, 401, "the token was made for another request")
             !isFresh && !isReadOnly ->
-                ctx.out.answer(request, 503, JobCodec.error("what you may do can't be checked now"), 1)
+                ctx.out.answer(request, 503, JobCodec.error("the access policy can't be read now"), 1)
             else -> when (useToken(claims)) {
-                ReplayGuard.Use.FIRST -> then(callerOf(origin, isFresh))
+                ReplayGuard.Use.FIRST -> onAuthenticated(callerOf(origin, isFresh))
                 ReplayGuard.Use.AGAIN -> refuse(request, origin, 401, "the token was used already")
                 ReplayGuard.Use.NO_ROOM -> ctx.out.answer(request, 429, JobCodec.error("too many requests"), 1)
             }
@@ -101,7 +103,7 @@
     private fun fingerprintOf(credentials: Credentials): String =
         Tokens.fingerprintOf(credentials.method, credentials.path, credentials.body)
 
-    /** A token that is bound to no request only reads and may be used again. */
+    /** Records the use of a token. One that is bound to no request permits only reads and may be used repeatedly. */
     private fun useToken(claims: Claims): ReplayGuard.Use = if (claims.binds == null) {
         ReplayGuard.Use.FIRST
     } else {
@@ -111,8 +113,8 @@
     private fun callerOf(origin: RequestOrigin, isFresh: Boolean) =
         AuthenticatedCaller(origin, ownJobsOnly = !isFresh, policies, auditLog, entries, denials.byPrincipal)
 
-    /** The audit log's id for a request of an unknown caller: a hash of what was sent as its proof. */
-    private fun idOfUnproven(credentials: Credentials): String {
+    /** The request id in the audit log for a caller that proved no identity: a hash of its `Authorization` header. */
+    private fun unprovenRequestId(credentials: Credentials): String {
         val proof = (credentials.authorization ?: "").take(MAX_PROOF_CHARS)
         return "unproven-" + proof.encodeUtf8().sha256().base64Url().take(UNPROVEN_ID_CHARS)
     }
@@ -120,9 +122,10 @@
     private fun answerTooMany(request: RequestId, limiter: DenialLimiter) =
         ctx.out.answer(request, 429, JobCodec.error("too many denied requests"), limiter.retryAfterS())
 
-    /** Refuses [request] once the refusal is in the audit log. */
+    /** Records the refusal in the audit log and then answers [request] with [status] and [reason]. */
     private fun refuse(request: RequestId, origin: RequestOrigin, status: Int, reason: String) {
-        // Counted for the network only: with a captured token anybody could use up what its owner may be denied.
+        // The refusal does not count against the principal: anybody who replays a captured token could otherwise use up
+        // the denials of the token's owner, so that the owner is refused as well.
         denials.byNetwork.recordDenial(origin.network)
         log.info("request refused caller={} network={} reason={}", origin.name, origin.network, reason)
         auditLog.record(entries.create(origin, "enter", "", Verdict(false, reason), status)) { stored ->
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -16,10 +16,11 @@
 import plankwall.wire.Write
 
 /**
- * Applies a new policy to jobs that were accepted under an older one. The leader goes through the live jobs once for
- * each version: a job whose owner may not submit it any more is marked with that version, and cancelled if the rule
- * says so, in one transaction with its audit entry. A version counts as applied once every job was examined; a new
- * leader starts over where that was not stored, and skips the jobs that are marked already.
+ * Applies a new policy to jobs that were accepted under an older one. The leader examines all live jobs once for each
+ * version of the policy. It marks a job whose owner may not submit it any more with that version, and cancels it if the
+ * denying rule says so or, where that rule does not say, the rule that allowed the job. The job and its audit entry are
+ * written in one transaction. Once all jobs were examined, the version is stored as applied. A new leader that finds a
+ * version not applied examines all jobs again, but skips those that are marked or cancelled.
  */
 internal class RevocationTask(
     private val ctx: Context,
@@ -27,14 +28,15 @@
     private val auditLog: AuditLogWriter,
     private val entries: AuditEntryFactory,
 ) {
+    /** The epoch of the leadership term that [appliedVersion] was read in. */
     private var epoch = 0L
 
-    /** The newest version that is known to be applied, or [UNREAD]. */
+    /** The newest policy version that the store names as applied; [UNREAD] until it was read in this term. */
     private var appliedVersion = UNREAD
     private var isBusy = false
     private var retryAt = 0.0
 
-    /** Starts a pass where the policy is newer than the one applied last. [authority]: null while not leading. */
+    /** Starts a pass if the policy is newer than the applied version. [authority]: null if this node does not lead. */
     fun tick(authority: LeaseAuthority?) {
         if (authority == null) return
         if (epoch != authority.epoch) {
@@ -60,44 +62,51 @@
         retryAt = ctx.now + RETRY_S
     }
 
-    /** One walk over all live jobs. */
+    /** The progress of one examination of all live jobs under policy [version]. */
     private class Pass(val version: Long) {
+        /** The number of transactions that the store has not answered yet. */
         var openWrites = 0
-        var isRead = false
+
+        /** Whether no more pages of jobs are to be read, also when reading one failed. */
+        var isReadingDone = false
+
+        /** Whether a page or a job could not be read or written, so that another pass is needed. */
         var hasFailed = false
     }
 
+    /** Examines the jobs behind key [after], page by page; null: from the first job on. [term]: the pass's epoch. */
     private fun examinePage(term: Long, after: String?, pass: Pass): Unit =
         ctx.out.state(StateOp.Range(Keys.JOBS, after, PAGE_SIZE)) { result ->
             if (result !is StateResult.Items || term != epoch) {
                 pass.hasFailed = true
-                pass.isRead = true
+                pass.isReadingDone = true
                 finishIfDone(term, pass)
                 return@state
             }
-            result.items.forEach { examine(term, it, pass) }
+            result.items.forEach { examineJob(term, it, pass) }
             if (result.more && result.items.isNotEmpty()) {
                 examinePage(term, result.items.last().key, pass)
             } else {
-                pass.isRead = true
+                pass.isReadingDone = true
                 finishIfDone(term, pass)
             }
         }
 
-    private fun examine(term: Long, item: StateItem, pass: Pass) {
+    /** Marks the job in [item], or cancels it, if its owner may not submit it any more. */
+    private fun examineJob(term: Long, item: StateItem, pass: Pass) {
         val record = item.value as? JobRecord ?: return
         val owned = record.owned ?: return
         if (record.cancelledMs > 0 || owned.revokedBy > 0) return
         val facts = record.spec.factsFor(owned.owner)
         val verdict = policies.policy.authorize(owned.owner, Action.SUBMIT, facts)
         if (verdict.allowed) return
-        val cancels = policies.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
+        val cancelsJob = policies.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
         val marked = record.copy(
             owned = owned.copy(revokedBy = pass.version),
-            cancelledMs = if (cancels) ctx.time.wallMs else 0,
+            cancelledMs = if (cancelsJob) ctx.time.wallMs else 0,
         )
-        // The notes are the policy language's own words.
-        val note = if (cancels) "withdraw" else "finish"
+        // The note is the keyword of the policy language for this consequence.
+        val note = if (cancelsJob) "withdraw" else "finish"
         val origin = RequestOrigin(owned.owner, "", "")
         val entry = entries.create(origin, "revoke", record.spec.id, verdict, 0, note)
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
@@ -113,15 +122,16 @@
                     note,
                 )
             } else {
-                // Changed meanwhile, or the result is unknown: examined again in the next pass.
+                // The job was changed meanwhile, or the result is unknown: the next pass examines it again.
                 pass.hasFailed = true
             }
             finishIfDone(term, pass)
         }
     }
 
+    /** Stores [pass]'s version as applied once all jobs were examined, or schedules another pass if any failed. */
     private fun finishIfDone(term: Long, pass: Pass) {
-        if (!pass.isRead || pass.openWrites > 0 || !isBusy) return
+        if (!pass.isReadingDone || pass.openWrites > 0 || !isBusy) return
         if (pass.hasFailed || term != epoch || policies.policy.version != pass.version) {
             isBusy = false
             scheduleRetry()
--- a/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
@@ -162,8 +162,8 @@
             assertTrue(limits.isExhausted("eve"), "$n")
             limits.recordDenial("x$n")
         }
-        assertEquals(mapOf("eve" to 5000), limits.takeShed())
-        assertNull(limits.takeShed()["eve"])
+        assertEquals(mapOf("eve" to 5000), limits.takeShedCounts())
+        assertNull(limits.takeShedCounts()["eve"])
     }
 
     @Test
