--- a/src/main/kotlin/plankwall/audit/AuditEntry.kt
+++ b/src/main/kotlin/plankwall/audit/AuditEntry.kt
@@ -1,10 +1,11 @@
 package plankwall.audit
 
 /**
- * One decision in the audit log. [id]: unique for ever, by which an entry that was sent twice is recognized. [epoch]:
- * of the deciding node's leadership term, or 0. [network]: where the request came from, which proves nothing.
- * [version]: of the policy. [status]: the caller's HTTP status; 0: there was no request. [request]: the caller's own id
- * of the request, from its token.
+ * One decision in the audit log. [id]: unique for ever, so that an entry that was sent to the store twice is
+ * recognized. [epoch]: the epoch in which the deciding node led, or 0 if it did not lead. [who] and [key]: the name and
+ * the key id of the caller. [network]: the network that the request came from, which proves nothing. [rule]: the rule
+ * or reason that decided. [version]: the version of the policy. [status]: the HTTP status of the answer; 0 if there was
+ * no request. [request]: the id that the caller gave the request in its token.
  */
 data class AuditEntry(
     val id: String,
@@ -23,9 +24,9 @@
     val note: String = "",
 )
 
-/** An entry as it stands in a chain: [number] counts from 0 on [node], [before] is the hash of the line before it. */
+/** An entry in the chain of [node]. [number] is counted from 0; [before] is the hash of the line before it. */
 class AuditLine(val number: Long, val before: String, val node: String, val entry: AuditEntry)
 
-/** A line of an audit log, or a seal, that can't be read. Without stack trace: a verifier meets many. */
+/** Reports an unreadable line or seal of an audit log. It has no stack trace, since a verifier may meet many. */
 class MalformedAuditLineException(val problem: String, cause: Throwable? = null) :
     Exception(problem, cause, false, false)
--- a/src/main/kotlin/plankwall/audit/AuditLines.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLines.kt
@@ -6,17 +6,17 @@
 import okio.ByteString.Companion.encodeUtf8
 import java.time.Instant
 
-/** Lines of the audit log: JSON with short names, hashed as they are written. */
+/** Reads and writes the lines of the audit log: JSON objects with short names, hashed as they are written. */
 object AuditLines {
-    /** The hash that the first entry of every chain names as the one before it. */
+    /** The hash that the first entry of each chain, and the first seal, name as that of their predecessor. */
     val START: String = "".encodeUtf8().sha256().base64Url().trimEnd('=')
 
     private val json = ObjectMapper()
 
-    /** The hash by which the next entry names [line]. */
+    /** Returns the hash of [line], by which the next entry refers to it. */
     fun hash(line: String): String = line.encodeUtf8().sha256().base64Url().trimEnd('=')
 
-    /** [entry] as line [number] of the chain of [node], behind the line whose hash is [before]. */
+    /** Writes [entry] as line [number] of the chain of [node]. [before]: the hash of the line before it. */
     fun write(number: Long, before: String, node: String, entry: AuditEntry): String = json.createObjectNode().apply {
         put("n", number)
         put("b", before)
@@ -38,8 +38,8 @@
     }.toString()
 
     /**
-     * Reads a stored line. Throws [MalformedAuditLineException]. Unknown fields are ignored: a later version may write
-     * more.
+     * Parses a stored line. Unknown fields are ignored, since a later version may write more. Throws
+     * [MalformedAuditLineException].
      */
     fun read(line: String): AuditLine {
         val fields = try {
@@ -47,22 +47,22 @@
         } catch (e: JsonProcessingException) {
             throw MalformedAuditLineException("not JSON", e)
         }
-        return AuditLine(fields.whole("n"), fields.text("b"), fields.text("d"), readEntry(fields))
+        return AuditLine(fields.wholeNumber("n"), fields.text("b"), fields.text("d"), readEntry(fields))
     }
 
     private fun readEntry(fields: ObjectNode) = AuditEntry(
         id = fields.text("i"),
-        atMs = fields.whole("t"),
-        epoch = fields.whole("e"),
+        atMs = fields.wholeNumber("t"),
+        epoch = fields.wholeNumber("e"),
         who = fields.text("w"),
         key = fields.text("k"),
         network = fields.text("f"),
         action = fields.text("a"),
         subject = fields.text("s"),
-        allowed = fields.whole("ok") == 1L,
+        allowed = fields.wholeNumber("ok") == 1L,
         rule = fields.text("r"),
-        version = fields.whole("v"),
-        status = fields.whole("o").toInt(),
+        version = fields.wholeNumber("v"),
+        status = fields.wholeNumber("o").toInt(),
         request = fields.get("q")?.asText().orEmpty(),
         note = fields.get("x")?.asText().orEmpty(),
     )
@@ -70,11 +70,11 @@
     private fun ObjectNode.text(name: String): String =
         get(name)?.takeIf { it.isTextual }?.textValue() ?: throw MalformedAuditLineException("$name: no text")
 
-    private fun ObjectNode.whole(name: String): Long =
+    private fun ObjectNode.wholeNumber(name: String): Long =
         get(name)?.takeIf { it.isIntegralNumber && it.canConvertToLong() }?.longValue()
             ?: throw MalformedAuditLineException("$name: no whole number")
 
-    /** [line] as JSON with names in full, for people and other programs. */
+    /** Returns [line] as a JSON object with full field names, for people and other programs. */
     fun export(line: AuditLine): String = json.createObjectNode().apply {
         val entry = line.entry
         put("node", line.node)
--- a/src/main/kotlin/plankwall/audit/AuditLogSealer.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogSealer.kt
@@ -13,46 +13,49 @@
 import plankwall.wire.Write
 
 /**
- * Signs a checkpoint (seal) over all nodes' audit chains every [intervalS] seconds, if any has grown; done by the
- * leader. A chain whose node was removed from the settings is carried on from the last seal, so that it can't be
- * dropped unnoticed. [key]: null: no seals are written.
+ * Signs a checkpoint (seal) over the audit chains of all nodes every [intervalS] seconds, if any of them has grown.
+ * Only the leader does so. The chain of a node that was removed from the settings is kept in the next seals, so that it
+ * can't be dropped unnoticed. [key]: the key that signs; null to write no seals.
  */
 class AuditLogSealer(private val ctx: Context, private val key: SigningKey?, private val intervalS: Double) {
     private val log = LoggerFactory.getLogger("audit")
     private val sealTail = SealChainTail(ctx)
+
+    /** The end of each node's chain that was found last. */
     private val chainTails = HashMap<String, AuditChainTail.End>()
     private var epoch = 0L
 
-    /** The last seal; null: to be looked up. */
+    /** The end of the chain of seals; null if it must be looked up in the store. */
     private var lastSeal: SealChainTail.End? = null
     private var nextSealAt = 0.0
     private var isBusy = false
 
-    /** [authority]: null while this node does not lead. */
+    /** Writes a seal if it is due. [authority]: null while this node does not lead. */
     fun tick(authority: LeaseAuthority?) {
         if (authority == null || key == null || isBusy || ctx.now < nextSealAt || !authority.mayWrite()) return
         if (epoch != authority.epoch) {
-            // Another leader may have written seals since.
+            // Another leader may have written seals since the last term of this node.
             epoch = authority.epoch
             lastSeal = null
         }
         isBusy = true
         nextSealAt = ctx.now + intervalS
-        val known = lastSeal
-        if (known != null) {
-            collectHeads(known, key)
+        val knownSeal = lastSeal
+        if (knownSeal != null) {
+            collectHeads(knownSeal, key)
         } else {
-            sealTail.find { found ->
-                lastSeal = found
-                if (found == null) isBusy = false else collectHeads(found, key)
+            sealTail.find { foundSeal ->
+                lastSeal = foundSeal
+                if (foundSeal == null) isBusy = false else collectHeads(foundSeal, key)
             }
         }
     }
 
+    /** Reads the ends of all chains and writes a seal if they differ from those in the [previous] seal. */
     private fun collectHeads(previous: SealChainTail.End, key: SigningKey) {
         val nodes = (ctx.settings.peers.map { it.node } + ctx.settings.node + previous.heads.keys).distinct().sorted()
         val heads = HashMap<String, ChainHead>(previous.heads)
-        var unanswered = nodes.size
+        var unansweredReads = nodes.size
         var allReadable = true
         for (node in nodes) {
             AuditChainTail(ctx, node).find(chainTails[node]) { tail ->
@@ -61,7 +64,7 @@
                     chainTails[node] = tail
                     heads[node] = ChainHead(tail.segment, tail.next, tail.hash)
                 }
-                if (--unanswered == 0) {
+                if (--unansweredReads == 0) {
                     if (allReadable && heads != previous.heads) writeSeal(previous, heads, key) else isBusy = false
                 }
             }
@@ -80,7 +83,7 @@
                 val entries = heads.values.sumOf { it.next }
                 log.info("seal written number={} chains={} entries={}", seal.number, heads.size, entries)
             } else {
-                // It may have been stored all the same, so the last seal is looked up again.
+                // The seal may have been stored all the same, so the last one is looked up again.
                 lastSeal = null
             }
         }
--- a/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
@@ -3,24 +3,27 @@
 import plankwall.identity.PublicKey
 import plankwall.wire.AuditSegment
 
-/** A link that is not as it was written. [place]: the first one at which it shows. */
-data class VerificationFailure(val place: String, val what: String) {
-    override fun toString(): String = "$place: $what"
+/** A failed check. [place]: the first entry, segment or seal at which the [problem] shows. */
+data class VerificationFailure(val place: String, val problem: String) {
+    override fun toString(): String = "$place: $problem"
 }
 
-/** A whole audit log as read from the state service or an export: segments by node and number, seals by number. */
+/** A copy of a whole audit log, from the state service or an export: segments by node and number, seals by number. */
 class AuditLogCopy(val chains: Map<String, Map<Long, AuditSegment>>, val seals: Map<Long, String>)
 
 /**
- * Verifies a whole audit log: that each chain's entries follow from each other, that the seals do, that they are
- * signed, and that the chains hold what the seals say. Shares nothing with the writer but the format. [keyOf]: a node's
- * public key by its id, or null.
+ * Verifies a whole audit log: that the entries of each chain and the seals form unbroken hash chains, that the seals
+ * are signed, and that the chains hold the entries that the seals name. It shares only the format with the writer.
+ * [keyOf]: returns a public key of a node by its id, or null.
  */
 class AuditLogVerifier(private val keyOf: (node: String, key: String) -> PublicKey?) {
-    /** [entries]: how many were verified. [sealed]: how many of each node are covered by a seal. */
+    /**
+     * The result of a verification. [broken]: the failed checks. [entries]: the number of verified entries. [sealed]:
+     * the number of entries of each node that a seal covers.
+     */
     class Outcome(val broken: List<VerificationFailure>, val entries: Long, val sealed: Map<String, Long>)
 
-    /** [checkpoints]: seals that somebody kept elsewhere; the log must still hold what they say. */
+    /** Verifies [auditLog]. [checkpoints]: seals that were kept elsewhere; the log must still hold what they name. */
     fun verify(auditLog: AuditLogCopy, checkpoints: List<String> = emptyList()): Outcome =
         Verification(auditLog).run(checkpoints)
 
@@ -36,10 +39,11 @@
             return Outcome(failures, hashes.values.sumOf { it.size.toLong() }, sealed)
         }
 
-        private fun fail(place: String, what: String) {
-            failures.add(VerificationFailure(place, what))
+        private fun fail(place: String, problem: String) {
+            failures.add(VerificationFailure(place, problem))
         }
 
+        /** Returns the hashes of a chain's entries up to its first broken link, which is reported. */
         private fun checkChain(node: String, segments: Map<Long, AuditSegment>): List<String> {
             val chain = ArrayList<String>()
             for (number in 0 until segments.size.toLong()) {
@@ -59,7 +63,7 @@
             return chain
         }
 
-        /** Appends the hashes of [lines] to [chain]; false at the first broken link. */
+        /** Appends the hashes of [lines] to [chain]; returns false at the first broken link, which is reported. */
         private fun checkLines(node: String, lines: List<String>, chain: MutableList<String>): Boolean {
             for (text in lines) {
                 val problem = findLineProblem(text, chain.size.toLong(), chain.lastOrNull() ?: AuditLines.START, node)
@@ -72,6 +76,7 @@
             return true
         }
 
+        /** Returns what is wrong with the line [text]; null if it is sound. */
         private fun findLineProblem(text: String, number: Long, before: String, node: String): String? = try {
             val line = AuditLines.read(text)
             when {
@@ -84,7 +89,7 @@
             "can't be read: ${e.message}"
         }
 
-        /** How many entries of each chain the last sound seal covers. */
+        /** Verifies the seals; returns how many entries of each chain the last sound seal covers. */
         private fun checkSeals(): Map<String, Long> {
             var before = AuditLines.START
             var heads: Map<String, ChainHead> = emptyMap()
@@ -103,6 +108,7 @@
             return heads.mapValues { it.value.next }
         }
 
+        /** Returns what is wrong with a seal; null if it is sound. [earlier]: the heads in the seal before it. */
         private fun findSealProblem(
             jws: String,
             number: Long,
@@ -110,34 +116,35 @@
             earlier: Map<String, ChainHead>,
         ): String? = try {
             val seal = Seals.read(jws)
-            val goesBack = earlier.any { (node, head) -> (seal.heads[node]?.next ?: -1) < head.next }
+            val coversFewerEntries = earlier.any { (node, head) -> (seal.heads[node]?.next ?: -1) < head.next }
             when {
                 !Seals.isSigned(jws, keyOf) -> "is not signed by ${seal.by}"
                 seal.number != number -> "has number ${seal.number}"
                 seal.before != before -> "does not follow from the seal before it"
-                goesBack -> "says less than the seal before it"
+                coversFewerEntries -> "says less than the seal before it"
                 else -> null
             }
         } catch (e: MalformedAuditLineException) {
             "can't be read: ${e.message}"
         }
 
-        /** Whether the chains hold the [heads] that [place] names. */
+        /** Checks that the chains hold the [heads] that the seal at [place] names. */
         private fun checkHeads(place: String, heads: Map<String, ChainHead>) {
             for ((node, head) in heads) {
-                // Everything behind the first broken link of a chain follows from that failure.
+                // A chain with a broken link is reported already, and what lies behind the link is not verified.
                 if (failures.any { it.place.startsWith("trail of $node,") }) continue
                 val chain = hashes[node].orEmpty()
-                val stored = chain.getOrNull((head.next - 1).toInt())
-                val name = "trail of $node, entry ${head.next - 1}"
-                when (stored) {
-                    null -> fail(name, "missing, though $place holds it; the chain ends after ${chain.size}")
+                val storedHash = chain.getOrNull((head.next - 1).toInt())
+                val entryPlace = "trail of $node, entry ${head.next - 1}"
+                when (storedHash) {
+                    null -> fail(entryPlace, "missing, though $place holds it; the chain ends after ${chain.size}")
                     head.hash -> Unit
-                    else -> fail(name, "is not the one that $place holds")
+                    else -> fail(entryPlace, "is not the one that $place holds")
                 }
             }
         }
 
+        /** Checks a seal that was kept elsewhere against the log. [name]: how failures refer to it. */
         private fun checkKeptSeal(name: String, jws: String) {
             val seal = try {
                 Seals.read(jws)
@@ -145,11 +152,11 @@
                 fail(name, "can't be read: ${e.message}")
                 return
             }
-            val stored = auditLog.seals[seal.number]
+            val storedJws = auditLog.seals[seal.number]
             when {
                 !Seals.isSigned(jws, keyOf) -> fail(name, "is not signed by ${seal.by}")
-                stored == null -> fail("seal ${seal.number}", "missing, though it is the kept $name")
-                stored != jws -> fail("seal ${seal.number}", "is not the kept $name")
+                storedJws == null -> fail("seal ${seal.number}", "missing, though it is the kept $name")
+                storedJws != jws -> fail("seal ${seal.number}", "is not the kept $name")
             }
             checkHeads("the kept $name", seal.heads)
         }
--- a/src/main/kotlin/plankwall/audit/LastRecordSearch.kt
+++ b/src/main/kotlin/plankwall/audit/LastRecordSearch.kt
@@ -6,42 +6,46 @@
 import plankwall.wire.StateResult
 
 /**
- * Finds the last of keys that are numbered from 0 without a gap, by doubling and halving: a few reads however many
- * there are, and no counter that would have to be written with each.
+ * Finds the last of the records that are numbered from 0 without a gap, by an exponential and a binary search. This
+ * takes few reads however many records there are, and needs no counter, which would have to be written with each
+ * record. [keyOf]: returns the key of the record with a number.
  */
-class LastRecordSearch(private val key: (Long) -> String, private val ctx: Context) {
-    /** The last record, under [number]; [item] null: there is none yet, and [number] is where it would be. */
+class LastRecordSearch(private val keyOf: (Long) -> String, private val ctx: Context) {
+    /** The last record and its [number]. If [item] is null, there is no record yet, and [number] is the first one's. */
     class Found(val number: Long, val item: StateItem?)
 
-    /** Finds the last record; [then] gets null if the store can't be read. [from]: a number known to exist, or 0. */
-    fun find(from: Long, then: (Found?) -> Unit) = searchUpwards(from, 1, null, then)
+    /** Finds the last record. [from]: the number of an existing record, or 0. [onResult] gets null if a read fails. */
+    fun find(from: Long, onResult: (Found?) -> Unit) = searchUpwards(from, 1, null, onResult)
 
-    private fun get(number: Long, then: (StateResult.Item?) -> Unit): Unit = ctx.out.state(StateOp.Get(key(number))) {
-        then(it as? StateResult.Item)
-    }
+    /** Reads the record [number]; [onResult] gets null if the read fails. */
+    private fun read(number: Long, onResult: (StateResult.Item?) -> Unit): Unit =
+        ctx.out.state(StateOp.Get(keyOf(number))) { onResult(it as? StateResult.Item) }
 
-    private fun searchUpwards(at: Long, step: Long, last: Found?, then: (Found?) -> Unit): Unit = get(at) { result ->
-        val item = result?.item
-        when {
-            result == null -> then(null)
-            item != null -> searchUpwards(at + step, step * 2, Found(at, item), then)
-            last == null -> then(Found(at, null))
-            else -> bisect(last, at, then)
+    /** Searches upwards from [number] with doubling steps for a missing record. [last]: the last one that was found. */
+    private fun searchUpwards(number: Long, step: Long, last: Found?, onResult: (Found?) -> Unit): Unit =
+        read(number) { result ->
+            val item = result?.item
+            when {
+                result == null -> onResult(null)
+                item != null -> searchUpwards(number + step, step * 2, Found(number, item), onResult)
+                last == null -> onResult(Found(number, null))
+                else -> bisect(last, number, onResult)
+            }
         }
-    }
 
-    private fun bisect(present: Found, absent: Long, then: (Found?) -> Unit) {
+    /** Searches the last record between [present], which exists, and the number [absent], which does not. */
+    private fun bisect(present: Found, absent: Long, onResult: (Found?) -> Unit) {
         if (absent - present.number <= 1) {
-            then(present)
+            onResult(present)
             return
         }
         val middle = present.number + (absent - present.number) / 2
-        get(middle) { result ->
+        read(middle) { result ->
             val item = result?.item
             when {
-                result == null -> then(null)
-                item != null -> bisect(Found(middle, item), absent, then)
-                else -> bisect(present, middle, then)
+                result == null -> onResult(null)
+                item != null -> bisect(Found(middle, item), absent, onResult)
+                else -> bisect(present, middle, onResult)
             }
         }
     }
--- a/src/main/kotlin/plankwall/audit/SealChainTail.kt
+++ b/src/main/kotlin/plankwall/audit/SealChainTail.kt
@@ -5,27 +5,27 @@
 import plankwall.wire.AccessKeys
 import plankwall.wire.AuditSeal
 
-/** Finds the last seal in the store. Seals are numbered without a gap. */
+/** Finds the last seal in the store. */
 class SealChainTail(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("audit")
 
-    /** [next]: the number of the next seal. [hash] of the last one, and the chains' [heads] that it names. */
+    /** The end of the chain of seals. [next]: the number of the next seal. [hash], [heads]: those of the last seal. */
     class End(val next: Long, val hash: String, val heads: Map<String, ChainHead>)
 
-    /** [then] gets null if the store can't be read. */
-    fun find(then: (End?) -> Unit) = LastRecordSearch({ AccessKeys.seal(it) }, ctx).find(0) { found ->
+    /** Finds the last seal. [onResult] gets null if the store can't be read. */
+    fun find(onResult: (End?) -> Unit) = LastRecordSearch({ AccessKeys.seal(it) }, ctx).find(0) { found ->
         val value = found?.item?.value as? AuditSeal
         when {
-            found == null -> then(null)
-            value == null -> then(End(0, AuditLines.START, emptyMap()))
-            else -> then(End(found.number + 1, AuditLines.hash(value.jws), headsOf(found.number, value)))
+            found == null -> onResult(null)
+            value == null -> onResult(End(0, AuditLines.START, emptyMap()))
+            else -> onResult(End(found.number + 1, AuditLines.hash(value.jws), headsOf(found.number, value)))
         }
     }
 
     private fun headsOf(number: Long, seal: AuditSeal): Map<String, ChainHead> = try {
         Seals.read(seal.jws).heads
     } catch (e: MalformedAuditLineException) {
-        // Somebody wrote over it: the next seal still names its hash, and the verifier reports it.
+        // Somebody tampered with the seal. The next seal still refers to its hash, so the verifier reports it.
         log.error("seal unreadable number={} problem={}", number, e.message)
         emptyMap()
     }
--- a/src/main/kotlin/plankwall/audit/Seals.kt
+++ b/src/main/kotlin/plankwall/audit/Seals.kt
@@ -8,12 +8,15 @@
 import org.jose4j.lang.JoseException
 import plankwall.identity.PublicKey
 import plankwall.identity.SigningKey
-import plankwall.identity.signatureOf
+import plankwall.identity.signCompactJws
 
-/** The state of one chain: [next] entries, the last of which has [hash] and is stored in [segment]. */
+/** The end of a chain of [next] entries. [segment] and [hash]: the segment that stores the last entry, and its hash. */
 data class ChainHead(val segment: Long, val next: Long, val hash: String)
 
-/** A checkpoint over all chains. [before]: the hash of the previous seal. [by]: the node that signed it. */
+/**
+ * A checkpoint of the audit log. [before]: the hash of the previous seal. [epoch]: the epoch of the leader that wrote
+ * it. [by]: the node that signed it. [heads]: the end of each node's chain.
+ */
 data class Seal(
     val number: Long,
     val before: String,
@@ -23,13 +26,13 @@
     val heads: Map<String, ChainHead>,
 )
 
-/** Seals are written as a signed compact JWS, so that they can be kept and checked by themselves. */
+/** Signs, reads and verifies seals. They are compact JWS, so that a copy can be kept and verified by itself. */
 object Seals {
     private const val TYPE = "plankwall-seal"
     private const val HEAD_FIELDS = 3
     private val json = ObjectMapper()
 
-    /** [seal] as a compact JWS signed with [key]. */
+    /** Returns [seal] as a compact JWS signed with [key]. */
     fun sign(seal: Seal, key: SigningKey): String {
         val payload = json.createObjectNode().apply {
             put("n", seal.number)
@@ -42,13 +45,13 @@
                 heads.putArray(node).add(head.segment).add(head.next).add(head.hash)
             }
         }.toString()
-        return signatureOf(payload, key, TYPE)
+        return signCompactJws(payload, key, TYPE)
     }
 
-    /** Reads a seal without checking its signature. Throws [MalformedAuditLineException]. */
+    /** Reads a seal without verifying its signature. Throws [MalformedAuditLineException]. */
     fun read(jws: String): Seal = decode(parse(jws).unverifiedPayload)
 
-    /** Whether the node that a seal names has signed it with one of its keys; [keyOf] looks them up. */
+    /** Whether the node that a seal names has signed it. [keyOf]: returns a node's key by its id, or null. */
     fun isSigned(jws: String, keyOf: (node: String, key: String) -> PublicKey?): Boolean = try {
         val signature = parse(jws)
         val key = signature.keyIdHeaderValue?.let { keyOf(decode(signature.unverifiedPayload).by, it) }
@@ -62,7 +65,7 @@
         false
     }
 
-    @Suppress("TooGenericExceptionCaught") // The library throws several kinds on input that is no JWS at all.
+    @Suppress("TooGenericExceptionCaught") // The library throws various exceptions if this is not a JWS.
     private fun parse(jws: String): JsonWebSignature = try {
         JsonWebSignature().also { it.compactSerialization = jws }
     } catch (e: JoseException) {
@@ -92,7 +95,7 @@
         val stored = fields.get("heads") as? ObjectNode ?: throw MalformedAuditLineException("a seal without heads")
         val heads = LinkedHashMap<String, ChainHead>()
         for ((node, head) in stored.fields()) {
-            if (head.size() != HEAD_FIELDS) throw MalformedAuditLineException("a seal's head of $node")
+            if (head.size() != HEAD_FIELDS) throw MalformedAuditLineException("the seal's head of $node is malformed")
             heads[node] = ChainHead(head[0].asLong(), head[1].asLong(), head[2].asText())
         }
         return heads
--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -28,8 +28,8 @@
 }
 
 /**
- * A condition on a job. One that asks about an unknown attribute does not hold, and neither does its negation. [All] and
- * [Any] may still be decided by their other parts.
+ * A condition on a job. One that asks about an unknown attribute does not hold, and neither does its negation. [All]
+ * and [Any] may still be decided by their other parts.
  */
 sealed interface Condition {
     class All(val parts: List<Condition>) : Condition
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -21,13 +21,13 @@
     private val policies = PolicyStore(ctx, settings.firstRights)
     private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.trailShare)
     private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.sealS)
-    private val entries = AuditEntryFactory(ctx, policies)
+    private val entryFactory = AuditEntryFactory(ctx, policies)
     private val denials = DenialLimits(
         byPrincipal = DenialLimiter(ctx.time, settings.denialsPerS, settings.denialBurst),
         byNetwork = DenialLimiter(ctx.time, settings.denialsPerS, settings.denialBurst),
     )
-    private val authenticator = RequestAuthenticator(ctx, settings, policies, auditLog, entries, denials)
-    private val revocations = RevocationTask(ctx, policies, auditLog, entries)
+    private val authenticator = RequestAuthenticator(ctx, settings, policies, auditLog, entryFactory, denials)
+    private val revocations = RevocationTask(ctx, policies, auditLog, entryFactory)
     private val admin = AdminService(ctx, policies, authenticator)
     private var nextShedReportAt = 0.0
 
@@ -38,7 +38,7 @@
     val peerNetworks: Networks? get() = policies.policy.peers
 
     override fun tick(authority: LeaseAuthority?) {
-        entries.epoch = authority?.epoch ?: 0L
+        entryFactory.epoch = authority?.epoch ?: 0L
         policies.tick()
         auditLog.tick()
         sealer.tick(authority)
@@ -57,7 +57,7 @@
     private fun reportShed(kind: String, limiter: DenialLimiter) {
         limiter.takeShedCounts().forEach { (name, count) ->
             log.info("requests shed {}={} count={}", kind, name, count)
-            val entry = entries.create(
+            val entry = entryFactory.create(
                 RequestOrigin(name, "", ""),
                 "shed",
                 kind,
@@ -88,6 +88,7 @@
     }
 
     private companion object {
+        /** The time between two reports of requests that were refused unchecked. */
         const val SHED_REPORT_INTERVAL_S = 5.0
         const val STATUS_TOO_MANY = 429
     }
--- a/src/main/kotlin/plankwall/gateway/AdminService.kt
+++ b/src/main/kotlin/plankwall/gateway/AdminService.kt
@@ -26,22 +26,22 @@
     private val policies: PolicyStore,
     private val authenticator: RequestAuthenticator,
 ) {
-    /** Authenticates the sender of [request] and answers it. [asked]: the content of the request. */
-    fun handle(request: RequestId, credentials: Credentials, asked: AdminRequest) =
-        authenticator.authenticate(request, credentials) { caller -> Exchange(request, caller, asked).handle() }
+    /** Authenticates the sender of [request] and answers it. [adminRequest]: the content of the request. */
+    fun handle(request: RequestId, credentials: Credentials, adminRequest: AdminRequest) =
+        authenticator.authenticate(request, credentials) { caller -> Exchange(request, caller, adminRequest).handle() }
 
     /** The handling of one request of an authenticated [caller]. The request is answered exactly once. */
     private inner class Exchange(
         private val request: RequestId,
         private val caller: AuthenticatedCaller,
-        private val asked: AdminRequest,
+        private val adminRequest: AdminRequest,
     ) {
-        private val action = if (asked is AdminRequest.AuditRecord) Action.AUDIT else Action.ADMINISTER
-        private val subject = when (asked) {
-            is AdminRequest.AuditRecord -> "trail ${asked.node ?: "seals"} ${asked.number}"
-            is AdminRequest.Publish -> "rights ${asked.base + 1}"
-            is AdminRequest.Rollback -> "rights ${asked.base + 1} as ${asked.to}"
-            is AdminRequest.PolicyVersion -> "rights ${asked.version}"
+        private val action = if (adminRequest is AdminRequest.AuditRecord) Action.AUDIT else Action.ADMINISTER
+        private val subject = when (adminRequest) {
+            is AdminRequest.AuditRecord -> "trail ${adminRequest.node ?: "seals"} ${adminRequest.number}"
+            is AdminRequest.Publish -> "rights ${adminRequest.base + 1}"
+            is AdminRequest.Rollback -> "rights ${adminRequest.base + 1} as ${adminRequest.to}"
+            is AdminRequest.PolicyVersion -> "rights ${adminRequest.version}"
             AdminRequest.CurrentPolicy -> "rights"
         }
 
@@ -51,14 +51,14 @@
                 recordAndAnswer(verdict, 403, JobCodec.error("you may not ${action.word}"))
                 return
             }
-            when (asked) {
+            when (adminRequest) {
                 AdminRequest.CurrentPolicy -> showCurrentPolicy(verdict)
-                is AdminRequest.PolicyVersion -> readVersion(asked.version) { text ->
-                    recordAndAnswer(verdict, 200, AdminCodec.rights(asked.version, "", 0, text))
+                is AdminRequest.PolicyVersion -> readVersion(adminRequest.version) { text ->
+                    recordAndAnswer(verdict, 200, AdminCodec.rights(adminRequest.version, "", 0, text))
                 }
-                is AdminRequest.AuditRecord -> showAuditRecord(verdict, asked)
-                is AdminRequest.Publish -> publish(asked.base, asked.text)
-                is AdminRequest.Rollback -> readVersion(asked.to) { publish(asked.base, it) }
+                is AdminRequest.AuditRecord -> showAuditRecord(verdict, adminRequest)
+                is AdminRequest.Publish -> publish(adminRequest.base, adminRequest.text)
+                is AdminRequest.Rollback -> readVersion(adminRequest.to) { publish(adminRequest.base, it) }
             }
         }
 
@@ -145,8 +145,10 @@
                 }
             }
 
-        private fun showAuditRecord(verdict: Verdict, asked: AdminRequest.AuditRecord) {
-            val key = asked.node?.let { AccessKeys.segment(it, asked.number) } ?: AccessKeys.seal(asked.number)
+        private fun showAuditRecord(verdict: Verdict, auditRecord: AdminRequest.AuditRecord) {
+            val key =
+                auditRecord.node?.let { AccessKeys.segment(it, auditRecord.number) }
+                    ?: AccessKeys.seal(auditRecord.number)
             ctx.out.state(StateOp.Get(key)) { result ->
                 val value = (result as? StateResult.Item)?.item?.value
                 when {
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -20,7 +20,7 @@
     private val ownJobsOnly: Boolean,
     private val policies: PolicyStore,
     private val auditLog: AuditLogWriter,
-    private val entries: AuditEntryFactory,
+    private val entryFactory: AuditEntryFactory,
     private val denials: DenialLimiter,
 ) : Caller {
     override val name: String get() = origin.name
@@ -33,7 +33,7 @@
     }
 
     override fun record(decision: Decision, then: (Boolean) -> Unit) {
-        val entry = entries.create(origin, decision)
+        val entry = entryFactory.create(origin, decision)
         val verdict = decision.verdict
         if (!verdict.allowed) {
             denials.recordDenial(name)
@@ -57,7 +57,7 @@
         val hasPolicyGuard = txn.guards.any { it.key == AccessKeys.HEAD }
         val guardedTxn =
             if (hasPolicyGuard) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, policies.stamp))
-        auditLog.change(entries.create(origin, decision), guardedTxn) { result ->
+        auditLog.change(entryFactory.create(origin, decision), guardedTxn) { result ->
             if (result is StateResult.Conflict && AccessKeys.HEAD in result.failed) {
                 policies.refresh { then(result) }
             } else {
--- a/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
+++ b/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
@@ -12,6 +12,7 @@
  * the least recently used one is dropped and starts again with a full budget.
  */
 class DenialLimiter(private val time: Time, private val perSecond: Double, private val burst: Double) {
+    /** The remaining denials of the names that were denied lately, the least recently used name first. */
     private val budgets = object : LinkedHashMap<String, TokenBucket>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
         override fun removeEldestEntry(eldest: Map.Entry<String, TokenBucket>): Boolean = size > MAX_NAMES
     }
--- a/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
@@ -38,6 +38,7 @@
     }
 
     private companion object {
+        /** The share of the largest stored value that a chunk may take. */
         const val FILL_SHARE = 0.8
         const val MAX_TRANSACTION_BYTES = 40_000
         const val ESCAPED_BYTES = 2
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -47,7 +47,9 @@
     private var confirmedAt = NEVER
     private var isReading = false
     private var nextReadAt = 0.0
-    private val awaitingRead = ArrayList<() -> Unit>()
+
+    /** The callbacks that wait for the end of the read in progress. */
+    private val readCallbacks = ArrayList<() -> Unit>()
 
     /** Whether a policy was read and its head was not removed from the store since. */
     val isLoaded: Boolean get() = head != null
@@ -62,7 +64,7 @@
 
     /** Reads the head, or awaits a read in progress; [onDone] is called afterwards, also if the read failed. */
     fun refresh(onDone: () -> Unit) {
-        awaitingRead.add(onDone)
+        readCallbacks.add(onDone)
         if (!isReading) readHead()
     }
 
@@ -87,8 +89,8 @@
 
     private fun finishReading() {
         isReading = false
-        val callbacks = awaitingRead.toList()
-        awaitingRead.clear()
+        val callbacks = readCallbacks.toList()
+        readCallbacks.clear()
         callbacks.forEach { it() }
     }
 
@@ -218,6 +220,8 @@
     private companion object {
         const val NEVER = -1e12
         const val READ_INTERVAL_S = 0.4
+
+        /** The most parts of one text that are read. */
         const val MAX_PARTS = 400
     }
 }
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -24,7 +24,7 @@
     private val settings: GatewaySettings,
     private val policies: PolicyStore,
     private val auditLog: AuditLogWriter,
-    private val entries: AuditEntryFactory,
+    private val entryFactory: AuditEntryFactory,
     private val denials: DenialLimits,
 ) {
     private val toleranceMs = settings.clockToleranceMs + ctx.settings.timeBoundMs.toLong() + 1
@@ -62,7 +62,7 @@
         val result = tokens.read(credentials.authorization, nowMs) { principal, key ->
             policies.policy.publicKey(principal, key)
         }
-        if (result is TokenResult.Proven && result.claims.binds == null) {
+        if (result is TokenResult.Proven && result.claims.requestFingerprint == null) {
             credentials.authorization?.let { verifiedTokens[it] = result.claims }
         }
         return result
@@ -86,9 +86,9 @@
         when {
             denials.byPrincipal.isExhausted(origin.name) -> answerTooMany(request, denials.byPrincipal)
             networks?.contains(credentials.address) == false -> refuse(request, origin, 403, "not from this network")
-            claims.binds == null && !isReadOnly ->
+            claims.requestFingerprint == null && !isReadOnly ->
                 refuse(request, origin, 401, "a token that is bound to no request is good for looking only")
-            claims.binds != null && claims.binds != fingerprintOf(credentials) ->
+            claims.requestFingerprint != null && claims.requestFingerprint != fingerprintOf(credentials) ->
                 refuse(request, origin, 401, "the token was made for another request")
             !isFresh && !isReadOnly ->
                 ctx.out.answer(request, 503, JobCodec.error("the access policy can't be read now"), 1)
@@ -104,14 +104,14 @@
         Tokens.fingerprintOf(credentials.method, credentials.path, credentials.body)
 
     /** Records the use of a token. One that is bound to no request permits only reads and may be used repeatedly. */
-    private fun useToken(claims: Claims): ReplayGuard.Use = if (claims.binds == null) {
+    private fun useToken(claims: Claims): ReplayGuard.Use = if (claims.requestFingerprint == null) {
         ReplayGuard.Use.FIRST
     } else {
         usedTokens.use(claims.principal, claims.id, claims.expiresMs, ctx.time.wallMs)
     }
 
     private fun callerOf(origin: RequestOrigin, isFresh: Boolean) =
-        AuthenticatedCaller(origin, ownJobsOnly = !isFresh, policies, auditLog, entries, denials.byPrincipal)
+        AuthenticatedCaller(origin, ownJobsOnly = !isFresh, policies, auditLog, entryFactory, denials.byPrincipal)
 
     /** The request id in the audit log for a caller that proved no identity: a hash of its `Authorization` header. */
     private fun unprovenRequestId(credentials: Credentials): String {
@@ -128,7 +128,7 @@
         // the denials of the token's owner, so that the owner is refused as well.
         denials.byNetwork.recordDenial(origin.network)
         log.info("request refused caller={} network={} reason={}", origin.name, origin.network, reason)
-        auditLog.record(entries.create(origin, "enter", "", Verdict(false, reason), status)) { stored ->
+        auditLog.record(entryFactory.create(origin, "enter", "", Verdict(false, reason), status)) { stored ->
             if (stored) {
                 ctx.out.answer(request, status, JobCodec.error(reason))
             } else {
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -26,7 +26,7 @@
     private val ctx: Context,
     private val policies: PolicyStore,
     private val auditLog: AuditLogWriter,
-    private val entries: AuditEntryFactory,
+    private val entryFactory: AuditEntryFactory,
 ) {
     /** The epoch of the leadership term that [appliedVersion] was read in. */
     private var epoch = 0L
@@ -108,7 +108,7 @@
         // The note is the keyword of the policy language for this consequence.
         val note = if (cancelsJob) "withdraw" else "finish"
         val origin = RequestOrigin(owned.owner, "", "")
-        val entry = entries.create(origin, "revoke", record.spec.id, verdict, 0, note)
+        val entry = entryFactory.create(origin, "revoke", record.spec.id, verdict, 0, note)
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
         pass.openWrites++
         auditLog.change(entry, StateOp.Txn(guards, listOf(Write.Put(item.key, marked)))) { result ->
--- a/src/main/kotlin/plankwall/identity/PeerAuthenticator.kt
+++ b/src/main/kotlin/plankwall/identity/PeerAuthenticator.kt
@@ -4,7 +4,10 @@
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerMessage
 
-/** Authenticates frames between controllers. [networks]: from where peers may connect; null: from anywhere. */
+/**
+ * Authenticates frames between controllers. [networks]: returns the networks from which peers may connect at present;
+ * null for anywhere.
+ */
 class PeerAuthenticator(private val seal: PeerSeal, private val networks: () -> Networks?) : FrameSeal {
     override val overhead: Int get() = PeerSeal.OVERHEAD
 
@@ -13,8 +16,8 @@
     override fun open(sealed: ByteArray, wallMs: Long): PeerMessage? {
         val opened = seal.open(sealed, wallMs) ?: return null
         val message = PeerCodec.read(opened.frame)
-        // A controller must not send frames in another's name: each peer's own status counts at a failover, and an
-        // answer to a relayed heartbeat goes to the worker as the leader's.
+        // A controller may send messages in its own name only. At a failover the status that each peer sends of itself
+        // counts, and the answer to a relayed heartbeat is passed on to the worker as the leader's answer.
         return message.takeIf { opened.sender == null || it.sender == null || it.sender == opened.sender }
     }
 
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -5,16 +5,20 @@
 import java.io.EOFException
 import java.security.MessageDigest
 
-/** A key that all controllers share. The first of several signs; frames signed with any of them are accepted. */
+/** A secret key that all controllers share. If there are several, the first one signs, and all are accepted. */
 class PeerKey(val id: String, val secret: ByteArray) {
     override fun toString(): String = "peer key $id"
 }
 
 /**
- * Signs frames between controllers and verifies them: a keyed hash over the sender, its incarnation, the frame's number
- * and the time. A forged status could make a leader yield, or make it conclude that no older one answers workers any
- * more; a captured one could do so later. Frames of an earlier incarnation, out of order or too old are dropped like
- * forged ones. [allowUnsigned]: accepts frames without a signature, while keys are introduced.
+ * Signs and verifies frames between controllers. The signature is an HMAC over the frame, its sender, the sender's
+ * incarnation, the frame's number and the time. Without it, a forged status could make a leader resign, or make it
+ * conclude that older leaders no longer answer workers, and a captured status could do so when it is replayed later.
+ * Therefore frames of an earlier incarnation, out of order or too old are dropped like forged ones.
+ *
+ * [node] and [incarnation]: the sender of the frames signed here. [allowUnsigned]: whether frames without a signature
+ * are accepted, for the time in which keys are introduced. [toleranceMs]: the most that two machines' clocks may
+ * differ.
  */
 class PeerSeal(
     private val node: String,
@@ -23,101 +27,107 @@
     private val allowUnsigned: Boolean,
     private val toleranceMs: Long,
 ) {
-    /** Which frame of its sender a frame is, and when it was sent. */
+    /** The position of a frame among those of its sender, and the wall-clock time [atMs] at which it was sent. */
     private class FrameHead(val incarnation: Long, val number: Long, val atMs: Long)
 
-    /** The newest frame of each sender. */
+    /** The head of the newest verified frame of each sender. */
     private val lastFrames = HashMap<String, FrameHead>()
-    private var sent = 0L
 
-    /** How many frames were dropped. */
+    /** The number of the frame that was signed last. */
+    private var lastSentNumber = 0L
+
+    /** The number of received frames that were dropped. */
     var dropped = 0L
         private set
 
-    /** [frame] with its signature; as it is where there is no key. [wallMs]: the time of day. */
+    /** Returns [frame] with its signature, or as it is if there are no keys. [wallMs]: the wall-clock time. */
     fun seal(frame: ByteArray, wallMs: Long): ByteArray {
         val key = keys.firstOrNull() ?: return frame
-        val head = Buffer().writeByte(SEALED).name(key.id).name(node)
-            .writeLong(incarnation).writeLong(++sent).writeLong(wallMs)
+        val head = Buffer().writeByte(SEALED_MARKER).writeName(key.id).writeName(node)
+            .writeLong(incarnation).writeLong(++lastSentNumber).writeLong(wallMs)
         val signed = head.write(frame).readByteArray()
-        return signed + mac(key, signed)
+        return signed + computeMac(key, signed)
     }
 
     /**
-     * Verifies [sealed]; null if it is to be dropped. [wallMs]: the time of day.
+     * Verifies the received frame [sealed]; null if it is to be dropped. [wallMs]: the wall-clock time.
      */
-    fun open(sealed: ByteArray, wallMs: Long): Opened? {
-        val isSealed = sealed.isNotEmpty() && sealed[0].toInt() == SEALED
-        val opened = if (isSealed) openSealed(sealed, wallMs) else openUnsigned(sealed)
-        if (opened == null) dropped++
-        return opened
+    fun open(sealed: ByteArray, wallMs: Long): VerifiedFrame? {
+        val isSealed = sealed.isNotEmpty() && sealed[0].toInt() == SEALED_MARKER
+        val verified = if (isSealed) openSealed(sealed, wallMs) else openUnsigned(sealed)
+        if (verified == null) dropped++
+        return verified
     }
 
-    /** A verified frame. [sender]: null for one without a signature. */
-    class Opened(val sender: String?, val frame: ByteArray)
+    /** An accepted frame. [sender]: the node that signed it; null for a frame without a signature. */
+    class VerifiedFrame(val sender: String?, val frame: ByteArray)
 
-    private fun openUnsigned(frame: ByteArray): Opened? =
-        if (allowUnsigned || keys.isEmpty()) Opened(null, frame) else null
+    private fun openUnsigned(frame: ByteArray): VerifiedFrame? =
+        if (allowUnsigned || keys.isEmpty()) VerifiedFrame(null, frame) else null
 
-    private fun openSealed(sealed: ByteArray, wallMs: Long): Opened? = try {
+    private fun openSealed(sealed: ByteArray, wallMs: Long): VerifiedFrame? = try {
         if (sealed.size <= MAC_BYTES) null else verify(sealed, wallMs)
     } catch (_: EOFException) {
-        // Shorter than it claims to be.
+        // The frame is shorter than the lengths in it claim.
         null
     }
 
-    private fun verify(sealed: ByteArray, wallMs: Long): Opened? {
+    private fun verify(sealed: ByteArray, wallMs: Long): VerifiedFrame? {
         val signed = sealed.copyOf(sealed.size - MAC_BYTES)
         val buffer = Buffer().write(signed)
         buffer.readByte()
         val keyId = buffer.readName() ?: return null
         val sender = buffer.readName() ?: return null
-        val frame = FrameHead(buffer.readLong(), buffer.readLong(), buffer.readLong())
-        val isSigned = isSigned(keyId, signed, sealed.copyOfRange(signed.size, sealed.size))
-        if (!isSigned || sender == node || !isInTime(frame, wallMs) || !isNewer(lastFrames[sender], frame)) return null
-        lastFrames[sender] = frame
-        return Opened(sender, buffer.readByteArray())
+        val head = FrameHead(buffer.readLong(), buffer.readLong(), buffer.readLong())
+        val isSigned = hasValidMac(keyId, signed, sealed.copyOfRange(signed.size, sealed.size))
+        if (!isSigned || sender == node || !isInTime(head, wallMs) || !isNewer(lastFrames[sender], head)) return null
+        lastFrames[sender] = head
+        return VerifiedFrame(sender, buffer.readByteArray())
     }
 
-    private fun isSigned(keyId: String, signed: ByteArray, mac: ByteArray): Boolean =
-        keys.find { it.id == keyId }?.let { MessageDigest.isEqual(mac(it, signed), mac) } ?: false
+    private fun hasValidMac(keyId: String, signed: ByteArray, mac: ByteArray): Boolean =
+        keys.find { it.id == keyId }?.let { MessageDigest.isEqual(computeMac(it, signed), mac) } ?: false
 
-    private fun isInTime(frame: FrameHead, wallMs: Long): Boolean =
-        frame.atMs in (wallMs - MAX_AGE_MS - toleranceMs)..(wallMs + toleranceMs)
+    private fun isInTime(head: FrameHead, wallMs: Long): Boolean =
+        head.atMs in (wallMs - MAX_AGE_MS - toleranceMs)..(wallMs + toleranceMs)
 
     /**
-     * Incarnations are distinguished by their number and ordered by time: a clock that was set back must not exclude a
-     * node for good.
+     * Whether a frame is newer than the [last] one of its sender. Frames of one incarnation are ordered by their
+     * number. Frames of different incarnations are ordered by time and not by the incarnation: a node whose clock was
+     * set back must not be excluded for good.
      */
-    private fun isNewer(last: FrameHead?, frame: FrameHead): Boolean = when {
+    private fun isNewer(last: FrameHead?, head: FrameHead): Boolean = when {
         last == null -> true
-        frame.incarnation == last.incarnation -> frame.number > last.number
-        else -> frame.atMs > last.atMs
+        head.incarnation == last.incarnation -> head.number > last.number
+        else -> head.atMs > last.atMs
     }
 
-    private fun mac(key: PeerKey, signed: ByteArray): ByteArray =
+    private fun computeMac(key: PeerKey, signed: ByteArray): ByteArray =
         Hashing.hmacSha256(key.secret).hashBytes(signed).asBytes()
 
-    private fun Buffer.name(name: String): Buffer {
+    private fun Buffer.writeName(name: String): Buffer {
         val bytes = name.encodeToByteArray()
         return writeInt(bytes.size).write(bytes)
     }
 
     private fun Buffer.readName(): String? {
         val size = readInt()
-        return if (size in 1..MAX_NAME) readUtf8(size.toLong()) else null
+        return if (size in 1..MAX_NAME_BYTES) readUtf8(size.toLong()) else null
     }
 
     companion object {
-        /** The most bytes that a signature adds: two names of 200 bytes, four numbers, the keyed hash. */
+        /** The most bytes that [seal] adds to a frame: two names of up to 200 bytes, some numbers and the HMAC. */
         const val OVERHEAD = 500
 
-        /** Not a kind of frame that an unsigned peer sends. */
-        private const val SEALED = 0x53
+        /** The first byte of a signed frame. Frames without a signature never begin with it. */
+        private const val SEALED_MARKER = 0x53
         private const val MAC_BYTES = 32
-        private const val MAX_NAME = 200
+        private const val MAX_NAME_BYTES = 200
 
-        /** A partition may hold frames back for minutes; each is sent anew every second, so old ones are not needed. */
+        /**
+         * The age at which frames are dropped. A network partition may delay frames for minutes, but peers send their
+         * messages anew every second, so old ones are not needed.
+         */
         private const val MAX_AGE_MS = 10_000L
     }
 }
--- a/src/main/kotlin/plankwall/identity/ReplayGuard.kt
+++ b/src/main/kotlin/plankwall/identity/ReplayGuard.kt
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue
 
 /**
- * The ids of tokens that were used here and have not expired. Bounded to [capacity]: when it is full of unexpired ones,
- * further tokens are refused rather than forgetting one that could be used again.
+ * The ids of the unexpired tokens that were used on this node. It holds at most [capacity] of them. While it is full,
+ * further tokens are refused, since forgetting one would allow its reuse.
  */
 class ReplayGuard(private val capacity: Int) {
     private class UsedToken(val name: String, val expiresMs: Long)
@@ -12,9 +12,10 @@
     private val usedNames = HashSet<String>()
     private val byExpiry = PriorityQueue<UsedToken>(compareBy { it.expiresMs })
 
+    /** The result of [use]: accepted as the first use, refused as a reuse, or refused because the guard is full. */
     enum class Use { FIRST, AGAIN, NO_ROOM }
 
-    /** Records the use of token [id] of [principal]. [wallMs]: the time of day. */
+    /** Records the use of token [id] of [principal], which expires at [expiresMs]. [wallMs]: the wall-clock time. */
     fun use(principal: String, id: String, expiresMs: Long, wallMs: Long): Use {
         while (byExpiry.isNotEmpty() && byExpiry.peek().expiresMs <= wallMs) usedNames.remove(byExpiry.poll().name)
         val name = "$principal\n$id"
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -13,58 +13,82 @@
 import java.util.Base64
 
 /**
- * The claims of a verified token. [expiresMs]: the time of day, tolerance included. [binds]: the fingerprint of the
- * request that it was made for; null: none, for reading only.
+ * The claims of a verified token. [key]: the id of the key that signed it. [expiresMs]: the wall-clock time from which
+ * on it is refused, clock tolerance included. [requestFingerprint]: the fingerprint of the request that the token is
+ * bound to; null if it is bound to none and permits only reads.
  */
-class Claims(val principal: String, val key: String, val id: String, val expiresMs: Long, val binds: String?)
+class Claims(
+    val principal: String,
+    val key: String,
+    val id: String,
+    val expiresMs: Long,
+    val requestFingerprint: String?,
+)
 
 /** The result of verifying a token. */
 sealed interface TokenResult {
+    /** A valid token. Its binding to the request is not checked yet. */
     class Proven(val claims: Claims) : TokenResult
 
-    /** [reason]: one sentence for the caller that reveals nothing but what it sent. */
+    /** An invalid token. [reason]: one sentence for the caller, which reveals nothing but what it sent. */
     class Refused(val reason: String) : TokenResult
 }
 
 /**
- * Short-lived tokens (RFC 7519, signed with Ed25519 by RFC 8037) that are bound to the one request they come with: a
- * captured one can at most repeat its owner's request. One that is bound to no request only reads.
+ * Signs short-lived tokens (RFC 7519, with Ed25519 signatures by RFC 8037). A token is bound to the request that it is
+ * sent with, so a captured one can at most repeat this request. One that is bound to no request permits only reads.
  */
 object Tokens {
-    internal const val BINDS = "req"
+    /** The claim that holds the fingerprint of the request that a token is bound to. */
+    internal const val FINGERPRINT_CLAIM = "req"
+
+    /** The authentication scheme in the `Authorization` header, with the space after it. */
     internal const val SCHEME = "Bearer "
+
+    /** The header `typ` of a token. */
     const val TYPE = "plankwall+jwt"
 
-    /** The `Authorization` header with [token]. */
+    /** Returns the value of the `Authorization` header for [token]. */
     fun authorization(token: String): String = SCHEME + token
 
-    /** The hash of a request that a token is bound to. */
+    /** Returns the hash by which a token is bound to a request. */
     fun fingerprintOf(method: String, path: String, body: ByteArray): String {
         // The lengths keep two different requests from having the same encoding.
         val head = "${method.length} $method ${path.length} $path ${body.size}\n".encodeToByteArray()
         return (head + body).toByteString().sha256().base64Url().trimEnd('=')
     }
 
-    /** A signed token. [binds]: the request's fingerprint, or null for a token that only reads. [lifeS]: seconds. */
-    fun sign(key: SigningKey, audience: String, id: String, wallMs: Long, lifeS: Int, binds: String?): String {
+    /**
+     * Signs a token that is valid for [lifetimeS] seconds from the wall-clock time [wallMs] on. [requestFingerprint]:
+     * from [fingerprintOf]; null for a token that permits only reads.
+     */
+    fun sign(
+        key: SigningKey,
+        audience: String,
+        id: String,
+        wallMs: Long,
+        lifetimeS: Int,
+        requestFingerprint: String?,
+    ): String {
         val claims = JwtClaims()
         claims.subject = key.principal
         claims.setAudience(audience)
         claims.jwtId = id
         claims.issuedAt = NumericDate.fromMilliseconds(wallMs)
-        claims.expirationTime = NumericDate.fromMilliseconds(wallMs + lifeS * 1000L)
-        if (binds != null) claims.setStringClaim(BINDS, binds)
-        return signatureOf(claims.toJson(), key, TYPE)
+        claims.expirationTime = NumericDate.fromMilliseconds(wallMs + lifetimeS * 1000L)
+        if (requestFingerprint != null) claims.setStringClaim(FINGERPRINT_CLAIM, requestFingerprint)
+        return signCompactJws(claims.toJson(), key, TYPE)
     }
 }
 
 /**
- * Reads `Authorization` headers for one service, [audience]. [toleranceMs]: how far two clocks may differ. [maxLifeMs]:
- * how long a token may be good for at the most.
+ * Verifies the tokens in `Authorization` headers. [audience]: the service that tokens must be meant for. [toleranceMs]:
+ * the most that two machines' clocks may differ. [maxLifetimeMs]: the longest lifetime of a token that is accepted.
  */
-class TokenReader(private val audience: String, private val toleranceMs: Long, private val maxLifeMs: Long) {
+class TokenReader(private val audience: String, private val toleranceMs: Long, private val maxLifetimeMs: Long) {
     /**
-     * Verifies a header. [keyOf]: a principal's key by both names, or null. [wallMs]: the time of day in milliseconds.
+     * Verifies the header [authorization] at the wall-clock time [wallMs]. [keyOf]: returns a key by the name of its
+     * principal and its id; null if there is none.
      */
     fun read(authorization: String?, wallMs: Long, keyOf: (principal: String, key: String) -> PublicKey?): TokenResult {
         if (authorization == null) return TokenResult.Refused("no proof of who asks: send a signed token")
@@ -79,8 +103,9 @@
     }
 
     /**
-     * Jackson rather than jose4j, whose parser takes a buffer of 32 KiB for each text, three for each token. A
-     * duplicate name is refused, since two readers could choose differently.
+     * Decodes a part of a token as a JSON object; null if it is none. This uses Jackson instead of jose4j, whose parser
+     * allocates a buffer of 32 KiB for each text, three for each token. An object with a duplicate name is refused,
+     * since two parsers could choose different values for it.
      */
     private fun decode(part: String): ObjectNode? = try {
         json.readTree(Base64.getUrlDecoder().decode(part)) as? ObjectNode
@@ -97,59 +122,62 @@
         wallMs: Long,
         keyOf: (String, String) -> PublicKey?,
     ): TokenResult {
-        // The claims name the key's owner, so they are read before the signature is verified; nothing else of them is
-        // used until then.
+        // The claims name the owner of the key, so the owner is read before the signature is verified. No other claim
+        // is used before that.
         val principal = claims.text("sub")?.takeIf { it.length in 1..MAX_NAME_CHARS }
-        val kid = header.text("kid")
-        if (!isExpectedKind(header) || principal == null || kid == null) return MALFORMED
-        val key = keyOf(principal, kid)
+        val keyId = header.text("kid")
+        if (!isExpectedKind(header) || principal == null || keyId == null) return MALFORMED
+        val key = keyOf(principal, keyId)
         if (key == null || !key.isValidAt(wallMs, toleranceMs) || !key.hasSigned(token)) return UNPROVEN
         if (audienceOf(claims) != audience) return TokenResult.Refused("the token is meant for another service")
-        return verifyTimes(claims, principal, kid, wallMs)
+        return verifyTimes(claims, principal, keyId, wallMs)
     }
 
-    /** A critical header would require an extension that is not supported. */
+    /** Whether the algorithm and type are the expected ones. A header `crit` would require an unsupported extension. */
     private fun isExpectedKind(header: ObjectNode): Boolean = header.text("alg") == AlgorithmIdentifiers.EDDSA &&
         header.text("typ") == Tokens.TYPE &&
         !header.has("crit")
 
+    /** The audience of a token; null if it names none or several. */
     private fun audienceOf(claims: ObjectNode): String? = claims.get("aud")
         ?.let { if (it.isArray && it.size() == 1) it[0] else it }
         ?.takeIf { it.isTextual }?.textValue()
 
-    private fun verifyTimes(claims: ObjectNode, principal: String, kid: String, wallMs: Long): TokenResult {
-        val issued = claims.millis("iat") ?: return MALFORMED
-        val expires = claims.millis("exp") ?: return MALFORMED
-        val notBefore = if (claims.has("nbf")) claims.millis("nbf") ?: return MALFORMED else issued
+    /** Checks the times of a token whose signature is valid, and that its other claims are well-formed. */
+    private fun verifyTimes(claims: ObjectNode, principal: String, keyId: String, wallMs: Long): TokenResult {
+        val issuedMs = claims.readMillis("iat") ?: return MALFORMED
+        val expiresMs = claims.readMillis("exp") ?: return MALFORMED
+        val notBeforeMs = if (claims.has("nbf")) claims.readMillis("nbf") ?: return MALFORMED else issuedMs
         val id = claims.text("jti")?.takeIf { it.length in 1..MAX_NAME_CHARS } ?: return MALFORMED
-        val binds = claims.text(Tokens.BINDS)
+        val requestFingerprint = claims.text(Tokens.FINGERPRINT_CLAIM)
         return when {
-            claims.has(Tokens.BINDS) && binds == null -> MALFORMED
-            expires <= issued || expires - issued > maxLifeMs ->
-                TokenResult.Refused("the token lives longer than ${maxLifeMs / 1000} s")
-            maxOf(issued, notBefore) > wallMs + toleranceMs ->
+            claims.has(Tokens.FINGERPRINT_CLAIM) && requestFingerprint == null -> MALFORMED
+            expiresMs <= issuedMs || expiresMs - issuedMs > maxLifetimeMs ->
+                TokenResult.Refused("the token lives longer than ${maxLifetimeMs / 1000} s")
+            maxOf(issuedMs, notBeforeMs) > wallMs + toleranceMs ->
                 TokenResult.Refused("the token is not valid yet: compare the clocks")
-            expires + toleranceMs <= wallMs -> TokenResult.Refused("the token has expired")
-            else -> TokenResult.Proven(Claims(principal, kid, id, expires + toleranceMs, binds))
+            expiresMs + toleranceMs <= wallMs -> TokenResult.Refused("the token has expired")
+            else -> TokenResult.Proven(Claims(principal, keyId, id, expiresMs + toleranceMs, requestFingerprint))
         }
     }
 
     private fun ObjectNode.text(name: String): String? = get(name)?.takeIf { it.isTextual }?.textValue()
 
-    private fun ObjectNode.millis(name: String): Long? = get(name)
-        ?.takeIf { it.isNumber && it.doubleValue() in 0.0..LATEST_S }
+    /** The claim [name], a time in seconds since 1970, in milliseconds; null if it is missing or out of range. */
+    private fun ObjectNode.readMillis(name: String): Long? = get(name)
+        ?.takeIf { it.isNumber && it.doubleValue() in 0.0..LATEST_TIME_S }
         ?.let { (it.doubleValue() * 1000).toLong() }
 
     private companion object {
         const val MAX_HEADER_CHARS = 4096
         const val MAX_NAME_CHARS = 200
         const val JWS_PARTS = 3
-        const val LATEST_S = 1e11
+        const val LATEST_TIME_S = 1e11
         val json: ObjectReader = ObjectMapper().reader()
             .with(StreamReadFeature.STRICT_DUPLICATE_DETECTION).with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
         val MALFORMED = TokenResult.Refused("the token can't be read")
 
-        // One sentence for every reason, so that it does not reveal which names and keys exist.
+        // The same sentence for every reason, so that callers don't learn which names and keys exist.
         val UNPROVEN = TokenResult.Refused("the token proves nobody known here")
     }
 }
--- a/src/test/kotlin/plankwall/identity/TokensTest.kt
+++ b/src/test/kotlin/plankwall/identity/TokensTest.kt
@@ -110,7 +110,7 @@
         val coder = java.util.Base64.getUrlEncoder().withoutPadding()
         val text =
             coder.encodeToString(header.encodeToByteArray()) + "." + coder.encodeToString(claims.encodeToByteArray())
-        val signer = java.security.Signature.getInstance("Ed25519").apply { initSign(old.key) }
+        val signer = java.security.Signature.getInstance("Ed25519").apply { initSign(old.privateKey) }
         signer.update(text.encodeToByteArray())
         return "Bearer $text." + coder.encodeToString(signer.sign())
     }
