--- a/src/main/kotlin/plankwall/simulation/CancellationRule.kt
+++ b/src/main/kotlin/plankwall/simulation/CancellationRule.kt
@@ -1,45 +1,49 @@
 package plankwall.simulation
 
-/** Rule on cancelled jobs: no task runs [cancelS] seconds after the cancellation was confirmed. */
+/** Rule on cancelled jobs: no task of a job runs any more [cancelS] seconds after its cancellation was confirmed. */
 internal class CancellationRule(
     private val cancelS: Double,
     private val tasks: RunningTasks,
     private val violations: MutableList<String>,
 ) {
+    /** When the cancellation of a job was first confirmed, by job id. */
     private val confirmedAt = HashMap<String, Double>()
 
-    /** Cancelled jobs that may have a running task. */
-    private val mayRun = LinkedHashSet<String>()
+    /** Ids of the cancelled jobs that may still have a running task. */
+    private val possiblyRunning = LinkedHashSet<String>()
 
-    /** Tasks whose start was commanded after the cancellation was confirmed; one commanded before may still start. */
+    /**
+     * The number of start commands executed after the cancellation of the job was confirmed. A task whose start was
+     * commanded before may still begin to run afterwards and is not counted.
+     */
     var startsAfterCancel = 0
         private set
 
-    /** When the cancellation of [id] was confirmed first, or null. */
+    /** Returns when the cancellation of the job [id] was first confirmed, or null if it was not. */
     fun confirmedAt(id: String): Double? = confirmedAt[id]
 
-    /** An answer called the job cancelled. */
+    /** Records that an answer called the job [id] cancelled. */
     fun onConfirmed(id: String, now: Double) {
         confirmedAt.putIfAbsent(id, now)
-        mayRun.add(id)
+        possiblyRunning.add(id)
     }
 
-    /** A task of [id] has started. */
+    /** Records that a task of the job [id] has begun to run. */
     fun onTaskStarted(id: String) {
-        if (id in confirmedAt) mayRun.add(id)
+        if (id in confirmedAt) possiblyRunning.add(id)
     }
 
-    /** A worker took the command to start a task of [id]. */
+    /** Records that a worker executed the command to start a task of the job [id]. */
     fun onStartCommanded(id: String, now: Double) {
         if (confirmedAt[id]?.let { it < now } == true) startsAfterCancel++
     }
 
-    /** Records the tasks that run longer after the cancellation than they may. */
+    /** Records a violation for each task that runs longer after the cancellation than it may. */
     fun check(now: Double) {
-        mayRun.removeIf { !tasks.isAnyOf(it) }
-        for (id in mayRun) {
+        possiblyRunning.removeIf { !tasks.hasTasksOf(it) }
+        for (id in possiblyRunning) {
             if (now <= confirmedAt.getValue(id) + cancelS) continue
-            tasks.ofJob(id).keys.forEach { violations.add("ran_cancelled: $it at $now") }
+            tasks.placementsOf(id).keys.forEach { violations.add("ran_cancelled: $it at $now") }
         }
     }
 }
--- a/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
+++ b/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
@@ -7,7 +7,7 @@
 import plankwall.wire.StateResult
 import plankwall.wire.Write
 
-/** Carries out the effects of one [controller]: calls of the stand-ins over links that may fail, and their answers. */
+/** Performs the effects that the core of [controller] requests: calls over links that may fail, and their answers. */
 internal class ControllerEffects(private val cluster: SimulatedCluster, private val controller: SimulatedController) {
     private val clock = cluster.clock
     private val state = cluster.state
@@ -16,15 +16,16 @@
     private val faults: InjectedFaults get() = cluster.faults
     private val network: SimulatedNetwork get() = cluster.network
 
+    /** Performs [effect] unless [SimulatedCluster.onEffect] ends the process first. */
     fun perform(effect: Effect) {
-        val process = controller.processNumber
+        val processNumber = controller.processNumber
         cluster.onEffect(controller, effect)
-        if (controller.processNumber != process) return
+        if (controller.processNumber != processNumber) return
         when (effect) {
             is Effect.Answer -> controller.answer(effect)
-            is Effect.StateCall -> callStore(effect, process)
-            is Effect.CloudCall -> callCloud(effect, process)
-            is Effect.WorkerPost -> if ("$name-workers" !in faults.cuts) sendCommand(effect, process)
+            is Effect.StateCall -> callStore(effect, processNumber)
+            is Effect.CloudCall -> callCloud(effect, processNumber)
+            is Effect.WorkerPost -> if ("$name-workers" !in faults.cuts) sendCommand(effect, processNumber)
             is Effect.PeerSend -> if ("$name-peers" !in faults.cuts) sendToPeers(effect)
         }
     }
@@ -38,7 +39,7 @@
             .forEach { peer -> cluster.sendFrame(controller, peer, bytes) }
     }
 
-    private fun sendCommand(effect: Effect.WorkerPost, process: Int) {
+    private fun sendCommand(effect: Effect.WorkerPost, processNumber: Int) {
         val worker = cluster.cloud.worker(effect.address)?.takeIf { it.group.zone !in faults.cutZones } ?: return
         if (worker.id in faults.inboundBlocked) return faults.count("commands lost")
         val zone = worker.group.zone
@@ -49,41 +50,46 @@
                 val answer = worker.command(SimulatedWorker.json.readTree(effect.body))
                 if (answer != null && clock.now - sentAt < COMMAND_TIMEOUT_S) {
                     network.carry(worker.id, name, zone, delayS = COMMAND_DELAY_S) {
-                        deliver(process, Input.WorkerReply(effect.machine, answer.second))
+                        deliver(processNumber, Input.WorkerReply(effect.machine, answer.second))
                     }
                 }
             }
         }
     }
 
-    private fun deliver(process: Int, input: Input) {
-        if (controller.processNumber == process) controller.onInput(input)
+    /** Passes [input] to the core unless its process has ended meanwhile. */
+    private fun deliver(processNumber: Int, input: Input) {
+        if (controller.processNumber == processNumber) controller.onInput(input)
     }
 
-    private fun replyAfter(delayS: Double, process: Int, input: Input) = clock.after(delayS) { deliver(process, input) }
+    private fun replyAfter(delayS: Double, processNumber: Int, input: Input) =
+        clock.after(delayS) { deliver(processNumber, input) }
 
-    private fun callStore(effect: Effect.StateCall, process: Int) {
-        val isCut = "$name-state" in faults.cuts
+    private fun callStore(effect: Effect.StateCall, processNumber: Int) {
+        val isStoreCut = "$name-state" in faults.cuts
         val op = effect.op
-        val reply = { result: StateResult -> replyAfter(REPLY_DELAY_S, process, Input.StateReply(effect.call, result)) }
+        val replyLater = { result: StateResult ->
+            replyAfter(REPLY_DELAY_S, processNumber, Input.StateReply(effect.call, result))
+        }
         when {
-            isCut && op is StateOp.Watch -> clock.after(CUT_WATCH_S) { reply(StateResult.Unknown) }
-            isCut -> reply(StateResult.Refused)
+            isStoreCut && op is StateOp.Watch -> clock.after(CUT_WATCH_TIMEOUT_S) { replyLater(StateResult.Unknown) }
+            isStoreCut -> replyLater(StateResult.Refused)
             op is StateOp.Txn && random.nextDouble() < faults.lateWrites -> {
-                // The caller gives up; the store executes it long after.
+                // The caller gets no answer in time and gives up; the store executes the transaction later.
                 faults.count("late writes")
-                replyAfter(STORE_TIMEOUT_S, process, Input.StateReply(effect.call, StateResult.Unknown))
-                clock.after(random.nextDouble() * LATEST_WRITE_S) { state.run(op) {} }
+                replyAfter(STORE_TIMEOUT_S, processNumber, Input.StateReply(effect.call, StateResult.Unknown))
+                clock.after(random.nextDouble() * MAX_LATE_WRITE_DELAY_S) { state.run(op) {} }
             }
             op is StateOp.Txn && faults.lostCommitAnswers > 0 && random.nextDouble() < faults.lostCommitAnswers -> {
                 faults.count("lost answers")
-                replyAfter(STORE_TIMEOUT_S, process, Input.StateReply(effect.call, StateResult.Unknown))
+                replyAfter(STORE_TIMEOUT_S, processNumber, Input.StateReply(effect.call, StateResult.Unknown))
                 clock.after(REPLY_DELAY_S) { runWithoutAnswer(op) }
             }
-            else -> callStoreOverNetwork(effect, process)
+            else -> callStoreOverNetwork(effect, processNumber)
         }
     }
 
+    /** Runs [transaction] and counts the keys of a committed one, whose answer the caller never gets. */
     private fun runWithoutAnswer(transaction: StateOp.Txn) = state.run(transaction) { result ->
         if (result is StateResult.Committed) {
             transaction.writes.forEach { faults.count("lost answer: ${keyPrefixOf(it)}") }
@@ -95,68 +101,85 @@
         is Write.Remove -> write.key
     }.substringBefore('/')
 
-    private fun callCloud(effect: Effect.CloudCall, process: Int) {
-        val answer = firstAnswer<CloudResult>(process) { Input.CloudReply(effect.call, it) }
-        if (network.cutCount > 0) clock.after(CLOUD_TIMEOUT_S) { answer(CloudResult.Trouble) }
-        network.carry(name, "cloud", delayS = CLOUD_REQUEST_S, refused = { answer(CloudResult.Trouble) }) {
+    private fun callCloud(effect: Effect.CloudCall, processNumber: Int) {
+        val answerOnce = singleAnswerCallback<CloudResult>(processNumber) { Input.CloudReply(effect.call, it) }
+        if (network.cutCount > 0) clock.after(CLOUD_TIMEOUT_S) { answerOnce(CloudResult.Trouble) }
+        network.carry(name, "cloud", delayS = CLOUD_REQUEST_DELAY_S, onRefused = { answerOnce(CloudResult.Trouble) }) {
             val result = cluster.cloud.run(effect.op)
-            // Executed, but the answer may be lost.
-            val received = if (random.nextDouble() < faults.answerLoss) CloudResult.Trouble else result
-            network.carry("cloud", name, delayS = CLOUD_ANSWER_S, refused = { answer(CloudResult.Trouble) }) {
-                answer(received)
+            // The cloud has executed the call, but its answer may be lost.
+            val receivedResult = if (random.nextDouble() < faults.answerLoss) CloudResult.Trouble else result
+            network.carry(
+                "cloud",
+                name,
+                delayS = CLOUD_ANSWER_DELAY_S,
+                onRefused = { answerOnce(CloudResult.Trouble) },
+            ) {
+                answerOnce(receivedResult)
             }
         }
     }
 
-    /** One answer for each call: later ones, and those for an earlier process, are dropped. */
-    private fun <R> firstAnswer(process: Int, input: (R) -> Input): (R) -> Unit {
+    /**
+     * Returns a callback that passes on the first result of a call; later ones, and all after the process ended, are
+     * dropped.
+     */
+    private fun <R> singleAnswerCallback(processNumber: Int, input: (R) -> Input): (R) -> Unit {
         var isOpen = true
         return { result ->
-            if (isOpen && controller.processNumber == process) {
+            if (isOpen && controller.processNumber == processNumber) {
                 isOpen = false
                 controller.onInput(input(result))
             }
         }
     }
 
-    private fun callStoreOverNetwork(effect: Effect.StateCall, process: Int) {
+    private fun callStoreOverNetwork(effect: Effect.StateCall, processNumber: Int) {
         val op = effect.op
-        val answer = firstAnswer<StateResult>(process) { Input.StateReply(effect.call, it) }
+        val answerOnce = singleAnswerCallback<StateResult>(processNumber) { Input.StateReply(effect.call, it) }
         if (network.cutCount > 0) {
-            val timeoutS = if (op is StateOp.Watch) op.waitMs / 1000.0 + WATCH_GRACE_S else STORE_TIMEOUT_S
-            clock.after(timeoutS) { answer(StateResult.Unknown) }
+            val timeoutS = if (op is StateOp.Watch) op.waitMs / 1000.0 + WATCH_TIMEOUT_MARGIN_S else STORE_TIMEOUT_S
+            clock.after(timeoutS) { answerOnce(StateResult.Unknown) }
         }
-        network.carry(name, "state", refused = { answer(StateResult.Refused) }) {
+        network.carry(name, "state", onRefused = { answerOnce(StateResult.Refused) }) {
             state.run(op) { result ->
-                whenServed(op) {
+                delayWhileWatchBlocked(op) {
                     val isLost = op !is StateOp.Watch && random.nextDouble() < faults.answerLoss
-                    val received = if (isLost) StateResult.Unknown else result
-                    network.carry("state", name, refused = { answer(StateResult.Unknown) }) { answer(received) }
+                    val receivedResult = if (isLost) StateResult.Unknown else result
+                    network.carry("state", name, onRefused = { answerOnce(StateResult.Unknown) }) {
+                        answerOnce(receivedResult)
+                    }
                 }
             }
         }
     }
 
-    /** The open watches of a controller that the store refuses wait as they do in an outage. */
-    private fun whenServed(op: StateOp, then: () -> Unit) {
+    /**
+     * Calls [onServed] at once, but delays the answer to a watch while the store is down or cut off from the
+     * controller.
+     */
+    private fun delayWhileWatchBlocked(op: StateOp, onServed: () -> Unit) {
         if (op is StateOp.Watch && ("$name-state" in faults.cuts || state.outage)) {
-            clock.after(WATCH_RETRY_S) { whenServed(op, then) }
+            clock.after(WATCH_RETRY_S) { delayWhileWatchBlocked(op, onServed) }
         } else {
-            then()
+            onServed()
         }
     }
 
     private companion object {
         const val CLOUD_TIMEOUT_S = 5.0
-        const val CLOUD_REQUEST_S = 0.2
-        const val CLOUD_ANSWER_S = 0.1
+        const val CLOUD_REQUEST_DELAY_S = 0.2
+        const val CLOUD_ANSWER_DELAY_S = 0.1
         const val COMMAND_TIMEOUT_S = 3.0
         const val COMMAND_DELAY_S = 0.01
         const val REPLY_DELAY_S = 0.005
         const val STORE_TIMEOUT_S = 1.5
-        const val LATEST_WRITE_S = 30.0
-        const val CUT_WATCH_S = 8.0
-        const val WATCH_GRACE_S = 4.0
+        const val MAX_LATE_WRITE_DELAY_S = 30.0
+
+        /** A watch over a cut link fails after so long; other store calls are refused at once. */
+        const val CUT_WATCH_TIMEOUT_S = 8.0
+
+        /** A watch may take so much longer than the time for which it was asked to wait. */
+        const val WATCH_TIMEOUT_MARGIN_S = 4.0
         const val WATCH_RETRY_S = 0.1
     }
 }
--- a/src/main/kotlin/plankwall/simulation/HeartbeatDelivery.kt
+++ b/src/main/kotlin/plankwall/simulation/HeartbeatDelivery.kt
@@ -6,45 +6,51 @@
 
 /** Carries heartbeats from workers to controllers and the answers back, subject to the cluster's [InjectedFaults]. */
 internal class HeartbeatDelivery(private val cluster: SimulatedCluster) {
-    private class Copy(val worker: SimulatedWorker, val heartbeat: HeartbeatStatus)
+    private class HeartbeatCopy(val worker: SimulatedWorker, val heartbeat: HeartbeatStatus)
 
     private val clock = cluster.clock
     private val random = cluster.random
     private val faults = cluster.faults
     private val network = cluster.network
-    private val copies = ArrayList<Copy>()
 
-    /** [then] gets the answer, or 503 where the link refuses; nothing where the heartbeat or the answer is lost. */
+    /** Copies of heartbeats, kept until the next leader is elected. */
+    private val copies = ArrayList<HeartbeatCopy>()
+
+    /**
+     * Sends [heartbeat] of [worker] to [node]. [onAnswer] gets the answer, or 503 if the link refuses the connection;
+     * it is not called if the heartbeat or its answer is lost.
+     */
     fun send(
         worker: SimulatedWorker,
         node: SimulatedController,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
         val zone = worker.group.zone
         if (!node.up || "${node.name}-workers" in faults.cuts || zone in faults.cutZones) return
         check(worker.id == heartbeat.machine)
         if (worker.id in faults.outboundBlocked) return faults.count("reports lost")
-        copy(worker, node, heartbeat)
+        keepOrScheduleCopies(worker, node, heartbeat)
         val sentAt = clock.now
-        network.carry(worker.id, node.name, zone, refused = { then(UNAVAILABLE, NO_BODY) }) {
+        network.carry(worker.id, node.name, zone, onRefused = { onAnswer(UNAVAILABLE, NO_BODY) }) {
             if (node.up && clock.now - sentAt < SimulatedWorker.ANSWER_TIMEOUT_S) {
                 cluster.onHeartbeatReceived(worker, node)
             }
             if (node.up) {
                 node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { status, body ->
-                    answer(worker, node, status, body, then)
+                    deliverAnswer(worker, node, status, body, onAnswer)
                 }
             }
         }
     }
 
-    private fun copy(worker: SimulatedWorker, node: SimulatedController, heartbeat: HeartbeatStatus) {
+    /** Keeps a copy for the next leader and schedules a late copy, each with the probability that the faults set. */
+    private fun keepOrScheduleCopies(worker: SimulatedWorker, node: SimulatedController, heartbeat: HeartbeatStatus) {
         if (faults.copiesForNextLeader > 0 &&
             copies.size < MAX_COPIES &&
             random.nextDouble() < faults.copiesForNextLeader
         ) {
-            copies.add(Copy(worker, heartbeat))
+            copies.add(HeartbeatCopy(worker, heartbeat))
         }
         if (faults.lateHeartbeatCopies > 0 && random.nextDouble() < faults.lateHeartbeatCopies) {
             clock.after(2.0 + random.nextDouble() * cluster.settings.workers.leaseS * 2) {
@@ -54,28 +60,29 @@
         }
     }
 
-    private fun answer(
+    private fun deliverAnswer(
         worker: SimulatedWorker,
         node: SimulatedController,
         status: Int,
         body: ByteArray,
-        then: (status: Int, body: JsonNode) -> Unit,
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
         if (random.nextDouble() < faults.answerLoss) return
         if (worker.id in faults.inboundBlocked) return faults.count("answers lost")
         if (status == 200) cluster.onHeartbeatServed(worker, node)
-        network.carry(node.name, worker.id, worker.group.zone, refused = { then(UNAVAILABLE, NO_BODY) }) {
-            then(status, SimulatedWorker.json.readTree(body))
+        network.carry(node.name, worker.id, worker.group.zone, onRefused = { onAnswer(UNAVAILABLE, NO_BODY) }) {
+            onAnswer(status, SimulatedWorker.json.readTree(body))
         }
     }
 
-    /** Sends the copies kept for the next leader to every controller, now that [leader] was elected. */
+    /** Sends each copy kept for the next leader to every controller twice, now that [leader] has been elected. */
     fun replayCopies(leader: SimulatedController) {
-        val kept = copies.toList()
+        val replayedCopies = copies.toList()
         copies.clear()
-        kept.forEachIndexed { i, copy ->
-            // At once, as it begins, or once it has acted; by then the worker may be gone.
-            listOf(0.01, if (i % 2 == 0) 0.3 else 4.0).forEach { delay ->
+        replayedCopies.forEachIndexed { index, copy ->
+            // Right after the election, and again while the new leader starts (0.3 s) or once it has acted (4 s); the
+            // worker may be gone by then.
+            listOf(0.01, if (index % 2 == 0) 0.3 else 4.0).forEach { delay ->
                 clock.after(delay) {
                     faults.count("copies for the next")
                     cluster.nodes.filter { it.up }.forEach { node -> replay(copy, node, leader) }
@@ -84,7 +91,7 @@
         }
     }
 
-    private fun replay(copy: Copy, node: SimulatedController, leader: SimulatedController) =
+    private fun replay(copy: HeartbeatCopy, node: SimulatedController, leader: SimulatedController) =
         node.sendRequest({ Input.Heartbeat(it, copy.heartbeat) }) { status, _ ->
             if (node === leader && status == 200) faults.count("copies taken of ${copy.worker.id}")
         }
--- a/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
@@ -1,66 +1,79 @@
 package plankwall.simulation
 
-/** The faults that a [SimulatedCluster] injects at present, and how often each kind took effect. */
+/**
+ * The faults that a [SimulatedCluster] injects at present, and how often each kind took effect. Scenarios and tests set
+ * them while the cluster runs. Shares are probabilities from 0 to 1.
+ */
 class InjectedFaults {
-    /** Share of messages whose answer is lost. */
+    /** The share of heartbeats, store calls (except watches) and cloud calls whose answer is lost. */
     var answerLoss = 0.0
 
-    /** Share of transactions that the store applies long after the caller gave up. */
+    /** The share of store transactions that the store applies only after the caller gave up, up to 30 s late. */
     var lateWrites = 0.0
 
-    /** Share of transactions that the store applies at once while the answer is lost. */
+    /** The share of store transactions that are applied at once while their answer is lost. */
     var lostCommitAnswers = 0.0
 
-    /** Share of the frames between controllers that are lost. */
+    /** The share of the frames between controllers that are lost. */
     var frameLoss = 0.0
 
-    /** Share of the frames between controllers of which a copy arrives again some seconds later. */
+    /** The share of the frames between controllers of which a second copy arrives up to 8 s later. */
     var lateFrameCopies = 0.0
 
-    /** Share of the heartbeats of which a copy arrives again, up to two leases later. */
+    /** The share of the heartbeats of which a second copy arrives between 2 s and 2 s plus two leases later. */
     var lateHeartbeatCopies = 0.0
 
     /**
-     * Share of the heartbeats of which a copy reaches all controllers as the next leader is elected, and again later.
+     * The share of the heartbeats of which a copy is kept and sent to all controllers twice: as soon as the next leader
+     * is elected, and 0.3 s or 4 s after the election.
      */
     var copiesForNextLeader = 0.0
 
-    /** Controllers of the previous version: they send no links, and end a link that carries frames unknown to them. */
+    /**
+     * Names of the controllers that behave as the previous version: their status messages carry no links, cancellations
+     * or sessions, and a frame of a kind that this version does not know fails the run.
+     */
     val previousVersionNodes = HashSet<String>()
 
-    /** Pairs that can't reach each other, as "n0-state", "n1-workers", "n2-peers". */
+    /**
+     * Controllers, each with what it can't reach: the store ("n0-state"), the workers ("n1-workers") or the other
+     * controllers ("n2-peers").
+     */
     val cuts = HashSet<String>()
 
-    /** Zones whose workers reach nobody and are reached by nobody. */
+    /** Zones whose workers are cut off: no heartbeat leaves the zone and no command enters it. */
     val cutZones = HashSet<String>()
 
-    /** Machines whose heartbeats arrive, while answers and direct commands to them are lost. */
+    /** Ids of the machines whose heartbeats arrive while answers and direct commands to them are lost. */
     val inboundBlocked = HashSet<String>()
 
-    /** Machines whose heartbeats are lost, while direct commands reach them. */
+    /** Ids of the machines whose heartbeats are lost while direct commands reach them. */
     val outboundBlocked = HashSet<String>()
 
-    /** Jobs that fail wherever they run. */
+    /** Ids of the jobs whose tasks fail on every machine. */
     val faultyJobs = HashSet<String>()
 
-    /** Factor on the rate at which users poll their jobs. */
+    /** The factor on the rate at which users poll their jobs. */
     var pollFactor = 1.0
 
     /**
-     * Users send requests to all controllers within milliseconds, and repeat them, right after a job was accepted,
-     * ended or cancelled.
+     * Whether users query and resubmit a job at all controllers within milliseconds, several times, right after the job
+     * was accepted, ended or cancelled.
      */
     var concurrentRequests = false
 
-    /** Share of the jobs that are cancelled at the moment of their completion. */
+    /** The share of the jobs that are cancelled within 0.6 s after their last task completed. */
     var cancelAtCompletion = 0.0
 
-    /** The jobs that were cancelled at the moment of their completion. */
+    /** Ids of the jobs that were cancelled because of [cancelAtCompletion]. */
     val cancelledAtCompletion = HashSet<String>()
 
-    /** How often each kind of fault took effect: a test of a fault proves nothing where it did not. */
+    /**
+     * How often each kind of fault took effect; a test checks this, as it proves nothing if its fault never occurred.
+     */
     val counts = HashMap<String, Int>()
 
+    /** Counts one effect of the kind of fault named [fault] in [counts]. */
     internal fun count(fault: String) {
         counts.merge(fault, 1, Int::plus)
     }
--- a/src/main/kotlin/plankwall/simulation/JobHistory.kt
+++ b/src/main/kotlin/plankwall/simulation/JobHistory.kt
@@ -2,63 +2,67 @@
 
 import plankwall.model.JobSpec
 
-/** What was accepted, completed and reported so far, as users and workers saw it. */
+/** What users and workers have seen of each job: acceptance, completed tasks, cancellation requests, final stage. */
 internal class JobHistory {
-    private class FinalStage(val stage: String, val at: Double)
+    private class FinalStage(val stage: String, val reportedAt: Double)
 
     private val acceptedAt = HashMap<String, Double>()
     private val completedTasks = HashSet<String>()
     private val cancelRequests = HashSet<String>()
     private val finalStages = HashMap<String, FinalStage>()
 
-    /** The jobs that were accepted. */
+    /** The accepted jobs as last submitted, by id. */
     val accepted = HashMap<String, JobSpec>()
 
-    /** Notes that [spec] was accepted at [now]; the first acceptance counts. */
+    /** Records that [spec] was accepted at [now]; the time of the first acceptance is kept. */
     fun accept(spec: JobSpec, now: Double) {
         accepted[spec.id] = spec
         acceptedAt.putIfAbsent(spec.id, now)
     }
 
-    /** When the job was accepted first, or null. */
+    /** Returns when the job [id] was first accepted, or null if it was not. */
     fun acceptedAt(id: String): Double? = acceptedAt[id]
 
-    /** Whether the job was accepted by [time]. */
-    fun isAcceptedBy(id: String, time: Double): Boolean = acceptedAt[id]?.let { it <= time } ?: false
+    /** Returns whether the job [id] had been accepted at [time] or earlier. */
+    fun wasAcceptedAt(id: String, time: Double): Boolean = acceptedAt[id]?.let { it <= time } ?: false
 
+    /** Records that [task] has run to its end. */
     fun completeTask(task: String) {
         completedTasks.add(task)
     }
 
+    /** Returns whether [task] has run to its end. */
     fun isCompleted(task: String): Boolean = task in completedTasks
 
-    /** Whether all tasks of an accepted job have completed. */
+    /** Returns whether the job [id] was accepted and all of its tasks have completed. */
     fun isDone(id: String): Boolean =
         accepted[id]?.let { spec -> (0 until spec.tasks).all { isCompleted("$id/$it") } } ?: false
 
+    /** Records that a user asked to cancel the job [id]. */
     fun requestCancel(id: String) {
         cancelRequests.add(id)
     }
 
+    /** Returns whether a user asked to cancel the job [id]. */
     fun isCancelRequested(id: String): Boolean = id in cancelRequests
 
-    /** `done` or `withdrawn` once an answer said so. */
+    /** Returns the final stage of the job [id], `done` or `withdrawn`, or null while no answer has reported one. */
     fun finalStage(id: String): String? = finalStages[id]?.stage
 
-    /** When an answer first gave the final stage; the job must have one. */
-    fun finalStageAt(id: String): Double = finalStages.getValue(id).at
+    /** Returns when an answer first reported the final stage; the job [id] must have one. */
+    fun finalStageAt(id: String): Double = finalStages.getValue(id).reportedAt
 
-    /** Notes the first final stage that an answer gave. */
+    /** Records the final stage of the job [id]; only the first call for a job has an effect. */
     fun setFinalStage(id: String, stage: String, now: Double) {
         finalStages.putIfAbsent(id, FinalStage(stage, now))
     }
 
-    /** The jobs that [id] depends on, directly or through others. */
+    /** Returns the ids of the jobs that [id] depends on, directly or through other jobs. */
     fun requiredJobs(id: String): Set<String> {
         val found = LinkedHashSet<String>()
-        val next = ArrayDeque(listOf(id))
-        while (next.isNotEmpty()) {
-            accepted[next.removeFirst()]?.dependencies.orEmpty().filter { found.add(it) }.forEach(next::addLast)
+        val toVisit = ArrayDeque(listOf(id))
+        while (toVisit.isNotEmpty()) {
+            accepted[toVisit.removeFirst()]?.dependencies.orEmpty().filter { found.add(it) }.forEach(toVisit::addLast)
         }
         return found
     }
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -9,13 +9,15 @@
 import plankwall.model.Shape
 
 /**
- * A run drawn by [seed] in which the faults that operators reported come together: machines late or never, silent
- * controllers, storms of polls, best-effort jobs, jobs that fail everywhere beside machines that fail everything.
+ * A simulated run on [nodes] controllers, drawn by [seed], which combines faults that operators reported: machines that
+ * boot late or never, controllers that go silent, bursts of polls, many best-effort jobs, and jobs that fail on every
+ * machine together with machines that fail every task.
  */
 class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
     /**
-     * [unfinishedJobs]: sound jobs that somebody stated an aim for and that were not done by the end, guests' sweep and
-     * probes included.
+     * The outcome of a run. [unfinishedJobs] are the jobs that had to be done at the end and were not: those without an
+     * error of their own that nobody cancelled and whose class has an objective, best-effort classes `sweep` and
+     * `probes` included. [maxInstances] is the most machines rented at one time, [starts] the number of task starts.
      */
     class Result(
         val seed: Long,
@@ -37,16 +39,26 @@
                 Objective("finished", it, 120.0, 0.9)
             },
         )
-    private val sound = ArrayList<String>()
 
+    /** Ids of the jobs that have to be done at the end. */
+    private val requiredJobs = ArrayList<String>()
+
+    /** Plays the run until [endS] seconds of virtual time and returns its outcome. */
     fun play(endS: Double = 420.0): Result {
-        cluster.cloud.capacity = CAPACITY
-        work()
-        listOf(::lateBoots, ::silence, ::silence, ::storm, ::bestEffort, ::failingTasks).forEach { it() }
-        if (random.nextInt(3) == 0) outage()
+        cluster.cloud.capacity = MAX_MACHINES
+        submitSteadyJobs()
+        listOf(
+            ::injectLateBoots,
+            ::silenceControllers,
+            ::silenceControllers,
+            ::raisePollRate,
+            ::submitBestEffortJobs,
+            ::injectFailingTasks,
+        ).forEach { it() }
+        if (random.nextInt(3) == 0) injectStoreOutage()
         cluster.clock.runUntil(endS)
-        // The last look is at a quiet site.
-        val unfinishedJobs = sound.filter { id -> cluster.stageOf(id) != "done" }
+        // By now all faults are over and the cluster is quiet.
+        val unfinishedJobs = requiredJobs.filter { id -> cluster.stageOf(id) != "done" }
         return Result(
             seed,
             nodes,
@@ -58,162 +70,180 @@
         )
     }
 
-    private fun at(from: Double = EARLIEST_S, to: Double = LATEST_S): Double = from + random.nextDouble() * (to - from)
+    /** Draws a time between [fromS] and [toS]. */
+    private fun drawTimeS(fromS: Double = EARLIEST_S, toS: Double = LATEST_S): Double =
+        fromS + random.nextDouble() * (toS - fromS)
 
-    private fun submit(spec: JobSpec, at: Double, cancelAfter: Double? = null) {
-        cluster.clock.after(at) { cluster.submit(spec, cancelAfter) }
-        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE) sound.add(spec.id)
+    /**
+     * Schedules the submission of [spec] at [atS]. The job has to be done at the end unless it gets cancelled, is a
+     * service, or is of [SPARE_CLASS].
+     */
+    private fun submit(spec: JobSpec, atS: Double, cancelAfter: Double? = null) {
+        cluster.clock.after(atS) { cluster.submit(spec, cancelAfter) }
+        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE_CLASS) requiredJobs.add(spec.id)
     }
 
-    private fun work() {
-        for (n in 1..8) {
+    /** Submits services at the start, and gangs and arrays one after the other. */
+    private fun submitSteadyJobs() {
+        for (number in 1..8) {
             submit(
                 SimulatedCluster.job(
-                    n,
+                    number,
                     Shape.SERVICE,
                     tasks = 4,
                     priority = Priority.PRODUCTION,
-                    spread = n % 2 == 0,
-                    team = if (n == 1) "red" else "blue",
+                    spread = number % 2 == 0,
+                    team = if (number == 1) "red" else "blue",
                 ),
-                1.0 + n * 0.1,
+                1.0 + number * 0.1,
             )
         }
-        for (n in 20..45) {
+        for (number in 20..45) {
             submit(
                 SimulatedCluster.job(
-                    n,
-                    if (n % 4 == 0) Shape.GANG else Shape.ARRAY,
-                    tasks = 1 + n % 5,
-                    runS = 15.0 + n % 20,
-                    oneZone = n % 8 == 0,
+                    number,
+                    if (number % 4 == 0) Shape.GANG else Shape.ARRAY,
+                    tasks = 1 + number % 5,
+                    runS = 15.0 + number % 20,
+                    oneZone = number % 8 == 0,
                     priority = Priority.entries[
-                        n %
+                        number %
                             3,
                     ],
                 ),
-                5.0 + (n - 20) * 8.0,
-                if (n % 9 == 0) 10.0 else null,
+                5.0 + (number - 20) * 8.0,
+                if (number % 9 == 0) 10.0 else null,
             )
         }
     }
 
-    private fun lateBoots() {
-        val at = at(5.0)
-        val fail = random.nextDouble() * 0.4
-        val factor = 2.0 + random.nextDouble() * 6.0
-        note("boots %.1f times as long, %.2f never".format(factor, fail), at)
-        cluster.clock.after(at) {
-            cluster.cloud.bootFailureShare = fail
-            cluster.cloud.bootFactor = factor
+    /** Makes machines boot late or never for 80 s. */
+    private fun injectLateBoots() {
+        val startS = drawTimeS(5.0)
+        val failureShare = random.nextDouble() * 0.4
+        val bootFactor = 2.0 + random.nextDouble() * 6.0
+        recordFault("boots take %.1f times as long, a share of %.2f fails".format(bootFactor, failureShare), startS)
+        cluster.clock.after(startS) {
+            cluster.cloud.bootFailureShare = failureShare
+            cluster.cloud.bootFactor = bootFactor
         }
-        cluster.clock.after(at + 80.0) {
+        cluster.clock.after(startS + 80.0) {
             cluster.cloud.bootFailureShare = 0.0
             cluster.cloud.bootFactor = 1.0
         }
     }
 
-    /** The leader, or two nodes, again soon after one is back now and then. */
-    private fun silence() {
-        val at = at()
-        val forS = 20.0 + random.nextDouble() * 60.0
-        val kind = random.nextInt(5)
+    /**
+     * Crashes, freezes or cuts off the leader, or the leader and one more node; a second call may overlap the first.
+     */
+    private fun silenceControllers() {
+        val startS = drawTimeS()
+        val durationS = 20.0 + random.nextDouble() * 60.0
+        val silenceKind = random.nextInt(5)
         val count = 1 + random.nextInt(2)
-        note("$count silent for %.0f s, kind $kind".format(forS), at)
-        cluster.clock.after(at) {
+        recordFault("$count controllers silent for %.0f s, kind $silenceKind".format(durationS), startS)
+        cluster.clock.after(startS) {
             val chosen = (cluster.nodes.filter { it.leading } + cluster.nodes).distinct().take(count)
             for (node in chosen) {
-                when (kind) {
-                    0 -> if (node.up) node.crash(forS)
-                    1 -> node.freeze(forS)
+                when (silenceKind) {
+                    0 -> if (node.up) node.crash(durationS)
+                    1 -> node.freeze(durationS)
                     else -> {
-                        val links = listOf("state", "workers", "state workers peers")[kind - 2].split(' ').map {
+                        val links = listOf("state", "workers", "state workers peers")[silenceKind - 2].split(' ').map {
                             "${node.name}-$it"
                         }
                         cluster.faults.cuts.addAll(links)
-                        cluster.clock.after(forS) { cluster.faults.cuts.removeAll(links.toSet()) }
+                        cluster.clock.after(durationS) { cluster.faults.cuts.removeAll(links.toSet()) }
                     }
                 }
             }
         }
     }
 
-    private fun storm() {
-        val at = at()
-        note("polls eight times as often", at)
-        cluster.clock.after(at) { cluster.faults.pollFactor = 8.0 }
-        cluster.clock.after(at + 60.0) { cluster.faults.pollFactor = 1.0 }
+    /** Makes users poll eight times as often for 60 s. */
+    private fun raisePollRate() {
+        val startS = drawTimeS()
+        recordFault("polls are eight times as frequent", startS)
+        cluster.clock.after(startS) { cluster.faults.pollFactor = 8.0 }
+        cluster.clock.after(startS + 60.0) { cluster.faults.pollFactor = 1.0 }
     }
 
-    private fun bestEffort() {
-        val at = at()
+    /** Submits many small low-priority jobs and some of a class without an objective. */
+    private fun submitBestEffortJobs() {
+        val startS = drawTimeS()
         val sweep = SimulatedCluster.job(
             300,
             tasks = 1_000 + random.nextInt(3_000),
             runS = 1.5,
-        ).copy(jobClass = "sweep", need = SMALL, priority = Priority.LOW, spot = true)
-        note("guests, a sweep of ${sweep.tasks}", at)
-        submit(sweep, at)
-        for (n in 400..480) {
+        ).copy(jobClass = "sweep", need = SMALL_TASK, priority = Priority.LOW, spot = true)
+        recordFault("best-effort jobs, tasks in the sweep: ${sweep.tasks}", startS)
+        submit(sweep, startS)
+        for (number in 400..480) {
             submit(
                 SimulatedCluster.job(
-                    n,
+                    number,
                     tasks = 1,
                     runS = 10.0,
-                ).copy(jobClass = "probes", need = SMALL, priority = Priority.LOW),
-                at(
-                    at,
-                    at + 4.0,
+                ).copy(jobClass = "probes", need = SMALL_TASK, priority = Priority.LOW),
+                drawTimeS(
+                    startS,
+                    startS + 4.0,
                 ),
             )
         }
-        for (n in 500..503) {
+        for (number in 500..503) {
             submit(
                 SimulatedCluster.job(
-                    n,
+                    number,
                     tasks = 30,
                     runS = 60.0,
-                ).copy(jobClass = SPARE, priority = Priority.LOW, spot = true),
-                at,
+                ).copy(jobClass = SPARE_CLASS, priority = Priority.LOW, spot = true),
+                startS,
             )
         }
     }
 
-    private fun failingTasks() {
-        val at = at()
-        val failsEveryTask = random.nextInt(4)
-        note("$failsEveryTask machines fail everything, jobs with a mistake", at)
-        for (n in 600..605) {
+    /** Makes some machines fail every task for 90 s, while jobs that fail on every machine are submitted. */
+    private fun injectFailingTasks() {
+        val startS = drawTimeS()
+        val faultyMachineCount = random.nextInt(4)
+        recordFault("$faultyMachineCount machines fail every task, some jobs fail on every machine", startS)
+        for (number in 600..605) {
             val spec = SimulatedCluster.job(
-                n,
-                if (n % 2 == 0) Shape.GANG else Shape.ARRAY,
-                tasks = 1 + n % 6,
+                number,
+                if (number % 2 == 0) Shape.GANG else Shape.ARRAY,
+                tasks = 1 + number % 6,
                 runS = 20.0,
                 priority = Priority.HIGH,
             )
             cluster.faults.faultyJobs.add(spec.id)
-            submit(spec, at(at - 20.0, at + 60.0), cancelAfter = 50.0)
+            submit(spec, drawTimeS(startS - 20.0, startS + 60.0), cancelAfter = 50.0)
+        }
+        cluster.clock.after(startS) {
+            cluster.cloud.workers.take(faultyMachineCount).forEach { it.failsEveryTask = true }
         }
-        cluster.clock.after(at) { cluster.cloud.workers.take(failsEveryTask).forEach { it.failsEveryTask = true } }
-        cluster.clock.after(at + 90.0) { cluster.cloud.workers.forEach { it.failsEveryTask = false } }
+        cluster.clock.after(startS + 90.0) { cluster.cloud.workers.forEach { it.failsEveryTask = false } }
     }
 
-    private fun outage() {
-        val at = at()
-        note("the state service away", at)
-        cluster.clock.after(at) { cluster.state.outage = true }
-        cluster.clock.after(at + 10.0) { cluster.state.outage = false }
+    /** Takes the store down for 10 s. */
+    private fun injectStoreOutage() {
+        val startS = drawTimeS()
+        recordFault("outage of the store", startS)
+        cluster.clock.after(startS) { cluster.state.outage = true }
+        cluster.clock.after(startS + 10.0) { cluster.state.outage = false }
     }
 
-    private fun note(what: String, at: Double) {
-        faults.add("$what at %.0f s".format(at))
+    private fun recordFault(description: String, startS: Double) {
+        faults.add("$description at %.0f s".format(startS))
     }
 
     private companion object {
-        const val CAPACITY = 60
+        const val MAX_MACHINES = 60
         const val EARLIEST_S = 30.0
         const val LATEST_S = 190.0
-        const val SPARE = "spare"
-        val SMALL = Resources(250, 0, 500)
+
+        /** The job class without an objective: its jobs need not be done at the end. */
+        const val SPARE_CLASS = "spare"
+        val SMALL_TASK = Resources(250, 0, 500)
     }
 }
--- a/src/main/kotlin/plankwall/simulation/PlacementRules.kt
+++ b/src/main/kotlin/plankwall/simulation/PlacementRules.kt
@@ -5,7 +5,10 @@
 import plankwall.model.Shape
 import plankwall.model.Team
 
-/** Rules on where and when tasks may run: once, after their dependencies, where their job allows, within the quota. */
+/**
+ * Rules on where and when a task may run: on one machine at a time, after its dependencies are done, on a machine that
+ * its job allows, and within the quota of its team.
+ */
 internal class PlacementRules(
     teams: List<Team>,
     private val tasks: RunningTasks,
@@ -14,17 +17,17 @@
 ) {
     private val teams = teams.associateBy { it.name }
 
-    /** Checks the start of [task] and notes that it runs. */
+    /** Checks the start of [task] and records that it runs. */
     fun onTaskStarted(task: String, placement: Placement, now: Double) {
         val spec = placement.spec
-        val before = tasks.find(task)
-        if (before != null && before.worker !== placement.worker) {
-            violations.add("ran_twice: $task on ${before.worker.id} and ${placement.worker.id} at $now")
+        val previous = tasks.find(task)
+        if (previous != null && previous.worker !== placement.worker) {
+            violations.add("ran_twice: $task on ${previous.worker.id} and ${placement.worker.id} at $now")
         }
         spec.dependencies.filter { !jobs.isDone(it) }.forEach {
             violations.add("too_early: $task before $it is done at $now")
         }
-        checkPlace(task, placement)
+        checkMachine(task, placement)
         val used = tasks.put(task, placement)
         val team = teams.getValue(spec.team)
         if (team.gpusMax > 0 && used.gpus > team.gpusMax || team.cpusMax > 0 && used.cpus > team.cpusMax) {
@@ -32,35 +35,38 @@
         }
     }
 
-    private fun checkPlace(task: String, placement: Placement) {
+    private fun checkMachine(task: String, placement: Placement) {
         val spec = placement.spec
         val group = placement.worker.group
-        val zones = tasks.ofJob(spec.id).filterKeys { it != task }.values.map { it.zone }
+        val zonesOfJob = tasks.placementsOf(spec.id).filterKeys { it != task }.values.map { it.zone }
         val isWrongType = spec.types != null && group.type !in spec.types
         val isWrongZone = spec.zone != null && spec.zone != group.zone
         if (isWrongType || isWrongZone || group.spot && !spec.spot) violations.add("wrong_place: $task on $group")
-        if (spec.oneZone && zones.any { it != group.zone }) {
-            violations.add("wrong_place: $task not in the zone of its mates")
+        if (spec.oneZone && zonesOfJob.any { it != group.zone }) {
+            violations.add("wrong_place: $task is not in the zone of the other tasks of its job")
         }
-        if (spec.spread && zones.count { it == group.zone } + 1 > (spec.tasks + 1) / 2) {
-            violations.add("wrong_place: $task not spread")
+        if (spec.spread && zonesOfJob.count { it == group.zone } + 1 > (spec.tasks + 1) / 2) {
+            violations.add("wrong_place: $task is one of too many tasks in one zone")
         }
     }
 
-    /** Whether [machine] with [free] resources could take a task of [spec], of a gang all of them. */
+    /** Returns whether [machine], with [free] resources left, could run one task of [spec], or all tasks of a gang. */
     fun canRun(spec: JobSpec, machine: SimulatedWorker, free: Resources): Boolean {
         val group = machine.group
-        val zones = tasks.ofJob(spec.id).values.map { it.zone }
+        val zonesOfJob = tasks.placementsOf(spec.id).values.map { it.zone }
         return (spec.types == null || group.type in spec.types) &&
             (spec.zone ?: group.zone) == group.zone &&
             (spec.spot || !group.spot) &&
-            (!spec.oneZone || zones.all { it == group.zone }) &&
-            (!spec.spread || zones.count { it == group.zone } < (spec.tasks + 1) / 2) &&
-            needOf(spec).fitsIn(free)
+            (!spec.oneZone || zonesOfJob.all { it == group.zone }) &&
+            (!spec.spread || zonesOfJob.count { it == group.zone } < (spec.tasks + 1) / 2) &&
+            resourcesToStart(spec).fitsIn(free)
     }
 
-    /** Whether the quota of the team lets a task of [spec] start, of a gang all of them. */
-    fun isUnderQuota(spec: JobSpec): Boolean = teams.getValue(spec.team).allows(tasks.usedBy(spec.team) + needOf(spec))
+    /** Returns whether the quota of the team lets one task of [spec] start, or all tasks of a gang. */
+    fun isUnderQuota(spec: JobSpec): Boolean =
+        teams.getValue(spec.team).allows(tasks.usedBy(spec.team) + resourcesToStart(spec))
 
-    private fun needOf(spec: JobSpec): Resources = spec.need * (if (spec.shape == Shape.GANG) spec.tasks else 1)
+    /** The resources that have to be free for a start: those of one task, or of all tasks of a gang. */
+    private fun resourcesToStart(spec: JobSpec): Resources =
+        spec.need * (if (spec.shape == Shape.GANG) spec.tasks else 1)
 }
--- a/src/main/kotlin/plankwall/simulation/ProgressRules.kt
+++ b/src/main/kotlin/plankwall/simulation/ProgressRules.kt
@@ -4,21 +4,32 @@
 import plankwall.model.Resources
 import plankwall.model.Shape
 
-/** Rules on progress: polls are answered, and no job waits beside free machines once all faults are over. */
+/**
+ * Rules on progress: polls are answered, and once all faults are over no job waits while a machine is free for it.
+ * Times are in seconds of virtual time.
+ */
 internal class ProgressRules(
     private val tasks: RunningTasks,
     private val jobs: JobHistory,
     private val placement: PlacementRules,
     private val violations: MutableList<String>,
 ) {
-    /** From when on all faults are over: each job by itself has to be answered then, however others fare. */
+    /** The time from which on no fault is injected any more, see [RuleChecker.faultsOverAt]. */
     var faultsOverAt = Double.POSITIVE_INFINITY
 
-    private val stallingSince = HashMap<String, Double>()
+    /** Since when each waiting job could have started without a break, by job id. */
+    private val startableSince = HashMap<String, Double>()
+
+    /** Since when no poll of a job has been answered, by job id. */
     private val unansweredSince = HashMap<String, Double>()
+
+    /** When a poll of any job was last answered. */
     private var lastAnswerAt = Double.NEGATIVE_INFINITY
 
-    /** [machines]: the healthy and reachable ones, with the capacity of each. */
+    /**
+     * Records each job that has waited for more than [STALLED_S] although it could have started. [machines] holds the
+     * healthy and reachable machines with the capacity of each.
+     */
     fun checkStalled(machines: Map<SimulatedWorker, Resources>, now: Double) {
         if (now < faultsOverAt) return
         val used = HashMap<SimulatedWorker, Resources>()
@@ -30,31 +41,37 @@
                     placement.canRun(spec, worker, capacity - (used[worker] ?: Resources.NONE))
                 }
             if (!couldStart) {
-                stallingSince.remove(id)
-            } else if (now - stallingSince.getOrPut(id) { now } > STALLED_S) {
-                violations.add("stalled: $id has waited from ${stallingSince[id]} to $now beside room for it")
-                stallingSince[id] = now
+                startableSince.remove(id)
+            } else if (now - startableSince.getOrPut(id) { now } > STALLED_S) {
+                violations.add("stalled: $id has waited from ${startableSince[id]} to $now beside free resources")
+                startableSince[id] = now
             }
         }
     }
 
+    /**
+     * Whether a task of the job has yet to start and nothing holds it back; a gang waits only while none of it runs.
+     */
     private fun isWaiting(spec: JobSpec): Boolean {
         val id = spec.id
         return jobs.finalStage(id) == null &&
             !jobs.isCancelRequested(id) &&
             spec.dependencies.all { jobs.isDone(it) } &&
             (0 until spec.tasks).any { !jobs.isCompleted("$id/$it") && "$id/$it" !in tasks } &&
-            (spec.shape != Shape.GANG || !tasks.isAnyOf(id))
+            (spec.shape != Shape.GANG || !tasks.hasTasksOf(id))
     }
 
-    /** A poll was answered in time or not; while no poll of any job is answered, that is an outage. */
+    /**
+     * Records whether a poll of the job [id] was [answered] in time, and a violation where none was for too long.
+     * Before [faultsOverAt], a time in which no poll of any job is answered is an outage and does not count.
+     */
     fun onPollEnded(id: String, answered: Boolean, now: Double) {
         if (answered) {
             lastAnswerAt = now
             unansweredSince.remove(id)
         } else if (now - maxOf(unansweredSince.getOrPut(id) { now }, faultsOverAt) > UNANSWERED_AFTER_FAULTS_S) {
             violations.add(
-                "forgotten: no question about $id was answered from ${unansweredSince[id]} to $now, troubles over",
+                "forgotten: no poll for $id was answered from ${unansweredSince[id]} to $now, after all faults",
             )
             unansweredSince[id] = now
         } else if (now - lastAnswerAt > OUTAGE_S && faultsOverAt > now) {
@@ -66,9 +83,16 @@
     }
 
     private companion object {
+        /** How long the polls of one job may go unanswered while those of others are answered. */
         const val UNANSWERED_S = 90.0
+
+        /** How long the polls of one job may go unanswered after the last fault, whatever happens to other jobs. */
         const val UNANSWERED_AFTER_FAULTS_S = 75.0
+
+        /** How long a job may wait beside free resources. */
         const val STALLED_S = 90.0
+
+        /** Without an answered poll of any job for so long, polls fail because of an outage. */
         const val OUTAGE_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -4,13 +4,15 @@
 import plankwall.model.Resources
 import plankwall.model.Shape
 
-/** Users who ask everywhere at once, repeat themselves, and send what nobody can run. */
+/**
+ * Simulated users who send requests to all controllers at once, repeat requests, and submit jobs that can never run.
+ */
 class RetryingUsers(private val cluster: SimulatedCluster) {
     private var lastJobNumber = 900_000
 
     /**
-     * At all nodes within milliseconds: a question, the submission again and, where it is [cancelled], the cancellation
-     * again.
+     * Sends requests for the job [id] to all running controllers within milliseconds: a status request, the submission
+     * again and, if the job was [cancelled], the cancellation again.
      */
     fun requestAtAllNodes(id: String, cancelled: Boolean = false) {
         cluster.faults.count("close looks")
@@ -27,23 +29,26 @@
     }
 
     /**
-     * What can never run: it fits no machine, is of nobody's team, needs more than its team may have, or has to lie in
-     * two zones and in one.
+     * Returns jobs that can never run: they fit no machine, belong to an unknown team, name an unknown machine type or
+     * zone, need more than their team's quota, or must run both in one zone and spread over several.
      */
     private fun unsatisfiableJobs(): List<JobSpec> {
-        fun next() = SimulatedCluster.job(++lastJobNumber)
+        fun newJob() = SimulatedCluster.job(++lastJobNumber)
         return listOf(
-            next().copy(need = Resources(2_000, 1_000_000, 8_000)),
-            next().copy(team = "nobody"),
-            next().copy(types = listOf("none")),
-            next().copy(zone = "elsewhere"),
-            next().copy(shape = Shape.GANG, team = "red", tasks = 40),
-            next().copy(shape = Shape.SERVICE, oneZone = true, spread = true),
-            next().copy(shape = Shape.GANG, zone = "a", spread = true),
+            newJob().copy(need = Resources(2_000, 1_000_000, 8_000)),
+            newJob().copy(team = "nobody"),
+            newJob().copy(types = listOf("none")),
+            newJob().copy(zone = "elsewhere"),
+            newJob().copy(shape = Shape.GANG, team = "red", tasks = 40),
+            newJob().copy(shape = Shape.SERVICE, oneZone = true, spread = true),
+            newJob().copy(shape = Shape.GANG, zone = "a", spread = true),
         )
     }
 
-    /** A round of them, and for each of [done] its cancellation, for each of [unfinished] its submission once more. */
+    /**
+     * Sends requests that must not change anything to one controller: submissions of jobs that can never run, a
+     * cancellation of each job in [done], and a repeated submission of each job in [unfinished].
+     */
     fun sendInvalidRequests(done: List<String>, unfinished: List<String>) {
         val node = cluster.nodes.filter { it.up }.ifEmpty { return }.let { it[cluster.random.nextInt(it.size)] }
         for (spec in unsatisfiableJobs()) {
@@ -59,6 +64,7 @@
     }
 
     private companion object {
+        /** Requests to different controllers are sent within this time. */
         const val REQUEST_SPREAD_S = 0.01
     }
 }
--- a/src/main/kotlin/plankwall/simulation/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/simulation/RuleChecker.kt
@@ -4,9 +4,12 @@
 import plankwall.model.Resources
 import plankwall.model.Settings
 
-/** Observes a simulated cluster from outside and records every violation of a protocol rule that it can see. */
+/**
+ * Observes a simulated cluster from outside and records every violation of a protocol rule that it can see. The workers
+ * and users of the cluster report each event to it. Times are in seconds of virtual time; tasks are named `JOB/TASK`.
+ */
 class RuleChecker(settings: Settings) {
-    /** One line for each violation: the rule, then what broke it. */
+    /** The violations found so far, one line each: the name of the rule, a colon, then what broke it. */
     val violations = ArrayList<String>()
 
     private val tasks = RunningTasks()
@@ -16,23 +19,28 @@
     private val stages = StageRules(settings.workers.cancelS, jobs, cancellation, violations)
     private val progress = ProgressRules(tasks, jobs, placement, violations)
 
-    /** How many tasks have started. */
+    /** The number of task starts so far; a task that starts again counts again. */
     var starts = 0
         private set
 
-    /** Tasks whose start was commanded after their user got the cancellation confirmed. */
+    /**
+     * The number of start commands that a worker executed after the cancellation of the job was confirmed to its user.
+     */
     val startsAfterCancel: Int get() = cancellation.startsAfterCancel
 
-    /** Submissions of jobs whose dependencies were all accepted, answered 422 all the same. */
+    /** Ids of the jobs whose submission was answered 422 although all of their dependencies had been accepted. */
     val refused: List<String> get() = stages.refused
 
-    /** The most that the tasks of each team have used at one time. */
+    /** The peak of the resources that the running tasks of each team used at one time, by team name. */
     val mostUsed: Map<String, Resources> get() = tasks.mostUsed
 
-    /** From when on all faults are over: each job by itself has to be answered then, however others fare. */
+    /**
+     * The time from which on no fault is injected any more. From then on polls of every single job have to be answered;
+     * before it, an outage in which no poll of any job is answered is tolerated.
+     */
     var faultsOverAt: Double by progress::faultsOverAt
 
-    /** [task] has begun to run on [worker]. */
+    /** Checks and records that [task] of [spec] has begun to run on [worker]. */
     fun taskStarted(task: String, spec: JobSpec, worker: SimulatedWorker, now: Double) {
         starts++
         placement.onTaskStarted(task, Placement(spec, worker), now)
@@ -40,33 +48,33 @@
         checkCancelled(now)
     }
 
-    /** [task] does not run on [worker] any more. */
+    /** Records that [task] does not run on [worker] any more, for whatever reason. */
     fun taskStopped(task: String, worker: SimulatedWorker, now: Double) {
         if (tasks.find(task)?.worker === worker) tasks.remove(task)
         checkCancelled(now)
     }
 
-    /** [task] has run to its end. */
+    /** Records that [task] has run to its end. */
     fun taskCompleted(task: String) = jobs.completeTask(task)
 
-    /** A worker took the command to start a task of [id]. */
+    /** Records that a worker executed the command to start a task of the job [id]. */
     fun startCommanded(id: String, now: Double) = cancellation.onStartCommanded(id, now)
 
-    /** Records the tasks that run longer after a confirmed cancellation than they may. */
+    /** Records a violation for each task that still runs too long after the confirmed cancellation of its job. */
     fun checkCancelled(now: Double) = cancellation.check(now)
 
-    /** Whether all tasks of the job have completed. */
+    /** Returns whether the job [id] was accepted and all of its tasks have completed. */
     fun isDone(id: String): Boolean = jobs.isDone(id)
 
-    /** Whether a submission of the job was accepted. */
+    /** Returns whether a submission of the job [id] was accepted. */
     fun isAccepted(id: String): Boolean = id in jobs.accepted
 
-    /** `done` or `withdrawn` once an answer said so. */
+    /** Returns the final stage of the job [id], `done` or `withdrawn`, or null while no answer has reported one. */
     fun finalStageOf(id: String): String? = jobs.finalStage(id)
 
     /**
-     * A submission was answered. [stage]: of the job in the answer; [askedAt]: when the request was sent, which decides
-     * which of two answers of different nodes is the older one.
+     * Checks the answer to a submission. [stage] is the job's stage in the answer, null if it has none; [askedAt] is
+     * the time at which the request was sent, which decides which of two answers of different nodes is the older one.
      */
     fun submissionAnswered(
         spec: JobSpec,
@@ -76,24 +84,26 @@
         askedAt: Double = now,
     ) = stages.onSubmissionAnswered(spec, status, stage, now, askedAt)
 
-    /** A status request was answered. */
+    /** Checks the answer to a status request; the parameters are those of [submissionAnswered]. */
     fun statusAnswered(id: String, status: Int, stage: String?, now: Double, askedAt: Double = now) =
         stages.onStatusAnswered(id, status, stage, now, askedAt)
 
-    /** From here on the job may be called withdrawn, even if the request's own answer was lost. */
+    /**
+     * Records that a user cancels the job [id]: answers may call it withdrawn from now on, even if this one gets lost.
+     */
     fun cancelRequested(id: String) = jobs.requestCancel(id)
 
-    /** A cancellation was answered with a stage of the job. */
+    /** Checks the answer to a cancellation, which reported [stage] for the job [id]. */
     fun cancelAnswered(id: String, stage: String, now: Double, askedAt: Double = now) =
         stages.onStage(id, stage, now, askedAt)
 
-    /** A poll of the job was answered in time or not. */
+    /** Records whether a poll of the job [id] was [answered] in time. */
     fun pollEnded(id: String, answered: Boolean, now: Double) = progress.onPollEnded(id, answered, now)
 
     /**
-     * Once all faults are over, no job may wait while one of [machines] has room for it and its team is under its
-     * quota.
-     * [machines]: the healthy and reachable ones, with the capacity of each.
+     * Checks, once all faults are over, that no job keeps waiting while one of [machines] has enough free resources for
+     * it and its team is under its quota. [machines] holds the healthy and reachable machines with the capacity of
+     * each.
      */
     fun checkStalled(machines: Map<SimulatedWorker, Resources>, now: Double) = progress.checkStalled(machines, now)
 }
--- a/src/main/kotlin/plankwall/simulation/RunningTasks.kt
+++ b/src/main/kotlin/plankwall/simulation/RunningTasks.kt
@@ -3,38 +3,40 @@
 import plankwall.model.JobSpec
 import plankwall.model.Resources
 
-/** A task that runs on a machine. */
+/** The job of a running task and the worker that runs it. */
 internal class Placement(val spec: JobSpec, val worker: SimulatedWorker) {
+    /** The zone of the machine. */
     val zone: String get() = worker.group.zone
 }
 
-/** The tasks that run, by task and by job, and what they use. */
+/** The tasks that run at present, by task and by job, and the resources that they use. Tasks are named `JOB/TASK`. */
 internal class RunningTasks {
     private val byTask = HashMap<String, Placement>()
     private val byJob = HashMap<String, HashMap<String, Placement>>()
     private val usedByTeam = HashMap<String, Resources>()
 
-    /** The most that the tasks of each team have used at one time. */
+    /** The peak of the resources that the running tasks of each team used at one time, by team name. */
     val mostUsed = HashMap<String, Resources>()
 
-    /** All running tasks. */
+    /** The placements of all running tasks. */
     val all: Collection<Placement> get() = byTask.values
 
-    /** The placement of [task], or null where it does not run. */
+    /** Returns the placement of [task], or null if it does not run. */
     fun find(task: String): Placement? = byTask[task]
 
+    /** Returns whether [task] runs. */
     operator fun contains(task: String): Boolean = task in byTask
 
-    /** The running tasks of a job with their placements. */
-    fun ofJob(id: String): Map<String, Placement> = byJob[id].orEmpty()
+    /** Returns the placements of the running tasks of the job [id], by task. */
+    fun placementsOf(id: String): Map<String, Placement> = byJob[id].orEmpty()
 
-    /** Whether any task of the job runs. */
-    fun isAnyOf(id: String): Boolean = id in byJob
+    /** Returns whether any task of the job [id] runs. */
+    fun hasTasksOf(id: String): Boolean = id in byJob
 
-    /** What the tasks of a team use now. */
+    /** Returns the resources that the running tasks of [team] use. */
     fun usedBy(team: String): Resources = usedByTeam[team] ?: Resources.NONE
 
-    /** Notes that [task] runs, in place of a former placement; gives what its team uses now. */
+    /** Records that [task] runs, replacing an earlier placement, and returns the resources that its team uses now. */
     fun put(task: String, placement: Placement): Resources {
         remove(task)
         val spec = placement.spec
@@ -48,7 +50,7 @@
         return used
     }
 
-    /** Notes that [task] does not run any more. */
+    /** Records that [task] does not run any more; does nothing if it did not run. */
     fun remove(task: String) {
         val spec = (byTask.remove(task) ?: return).spec
         val tasks = byJob.getValue(spec.id)
--- a/src/main/kotlin/plankwall/simulation/SimulatedClock.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedClock.kt
@@ -2,32 +2,40 @@
 
 import java.util.PriorityQueue
 
-/** Virtual time: events run in order of their time, and of their coming where that is the same. */
+/**
+ * A virtual clock with a queue of scheduled actions. Actions run in the order of their time; those of the same time run
+ * in the order in which they were scheduled.
+ */
 class SimulatedClock {
-    private class Event(val at: Double, val order: Long, val action: () -> Unit)
+    private class Event(val time: Double, val sequenceNumber: Long, val action: () -> Unit)
 
-    private val queue = PriorityQueue<Event>(compareBy<Event> { it.at }.thenBy { it.order })
-    private var order = 0L
+    private val queue = PriorityQueue<Event>(compareBy<Event> { it.time }.thenBy { it.sequenceNumber })
+    private var nextSequenceNumber = 0L
+
+    /** The current virtual time in seconds; 0 at the start. */
     var now = 0.0
         private set
 
-    fun after(delay: Double, action: () -> Unit) {
-        queue.add(Event(now + delay, order++, action))
+    /** Schedules [action] to run once, [delayS] seconds from now. */
+    fun after(delayS: Double, action: () -> Unit) {
+        queue.add(Event(now + delayS, nextSequenceNumber++, action))
     }
 
-    fun every(period: Double, action: () -> Unit) {
-        after(period) {
+    /** Schedules [action] to run every [periodS] seconds, the first time one period from now. */
+    fun every(periodS: Double, action: () -> Unit) {
+        after(periodS) {
             action()
-            every(period, action)
+            every(periodS, action)
         }
     }
 
-    fun runUntil(end: Double) {
-        while (queue.isNotEmpty() && queue.peek().at <= end) {
-            val e = queue.poll()
-            now = e.at
-            e.action()
+    /** Runs all actions that are due up to [endS], those that they schedule included, and sets [now] to [endS]. */
+    fun runUntil(endS: Double) {
+        while (queue.isNotEmpty() && queue.peek().time <= endS) {
+            val event = queue.poll()
+            now = event.time
+            event.action()
         }
-        now = end
+        now = endS
     }
 }
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -26,8 +26,10 @@
 import java.util.Random
 
 /**
- * A cluster in virtual time: real controller cores; store, cloud, workers, users and network are stand-ins. Everything
- * random follows from [seed].
+ * A cluster in virtual time. The controller cores are real; store, cloud, workers, users and network are simulated. All
+ * random choices follow from [seed]. [stateNext] holds announced limits of the state service that may come into force
+ * at any time, or null; [gatewaySettings] returns the access gateway settings of a controller, or null for one without
+ * a gateway; [times] replaces the default worker times.
  */
 class SimulatedCluster(
     seed: Long,
@@ -48,7 +50,11 @@
         )
     }
     override val checker = RuleChecker(settings)
+
+    /** The store of all controllers. */
     val state = SimulatedStore(clock, settings.state)
+
+    /** The controllers, named `n0`, `n1` and so on. */
     val nodes =
         List(nodeCount) {
             SimulatedController(
@@ -60,17 +66,21 @@
                 ).copy(stateNext = stateNext, objectives = objectives, workers = settings.workers),
             )
         }
+
+    /** The cloud from which the controllers rent machines. */
     val cloud = SimulatedCloud(clock, random, CATALOG, 4.0) { id, group -> SimulatedWorker(this, id, group) }
+
+    /** The specifications of all jobs that workers know, by id. */
     private val specs = HashMap<String, JobSpec>()
 
-    /** The faults that are injected at present. */
+    /** The faults that are injected now. */
     val faults = InjectedFaults()
 
-    /** The links, each direction by itself. */
+    /** The network links; each direction can be cut by itself. */
     val network = SimulatedNetwork(clock)
     private val heartbeats = HeartbeatDelivery(this)
 
-    /** Tasks that workers killed as their lease ran out. */
+    /** The number of tasks that workers killed because their lease expired. */
     var tasksKilledByLease = 0
 
     /** Called when a worker's lease expired while tasks ran on it. */
@@ -82,31 +92,32 @@
     /** Called when a node answers a worker's heartbeat with 200. */
     var onHeartbeatServed: (worker: SimulatedWorker, node: SimulatedController) -> Unit = { _, _ -> }
 
-    /** Carries a frame between two controllers; it can be lost or arrive twice. */
+    /** Sends a frame from one controller to another; it can be lost or arrive a second time, as [faults] say. */
     internal fun sendFrame(from: SimulatedController, to: SimulatedController, bytes: ByteArray) {
         if (faults.frameLoss > 0 && random.nextDouble() < faults.frameLoss) return faults.count("frames lost")
         network.carry(from.name, to.name) { if (to.up) to.onFrame(bytes) }
         if (faults.lateFrameCopies == 0.0 || random.nextDouble() >= faults.lateFrameCopies) return
-        clock.after(random.nextDouble() * LATEST_FRAME_S) {
+        clock.after(random.nextDouble() * MAX_FRAME_DELAY_S) {
             faults.count("late frames")
             if (to.up) to.onFrame(bytes)
         }
     }
 
-    /** How many times a controller has become leader. */
+    /** The number of times that a controller has become leader. */
     var elections = 0
         private set
 
-    /** Users who submit, poll and cancel. */
+    /** The users who submit, poll and cancel jobs. */
     val users = SimulatedUsers(this)
 
-    /** Users who repeat requests and send invalid ones. */
+    /** The users who repeat requests and send invalid ones. */
     val retryingUsers = RetryingUsers(this)
 
-    private val completed = HashMap<String, Int>()
+    /** The number of completed tasks of each job, by job id. */
+    private val completedTaskCounts = HashMap<String, Int>()
 
     override fun onCompleted(id: String) {
-        if (completed.merge(id, 1, Int::plus) != specs[id]?.tasks) return
+        if (completedTaskCounts.merge(id, 1, Int::plus) != specs[id]?.tasks) return
         if (faults.cancelAtCompletion > 0 && random.nextDouble() < faults.cancelAtCompletion) {
             faults.count("cancelled at its end")
             faults.cancelledAtCompletion.add(id)
@@ -119,12 +130,16 @@
         }
     }
 
+    /** Called when [node] has become leader. */
     internal fun onElected(node: SimulatedController) {
         elections++
         heartbeats.replayCopies(node)
     }
 
-    /** Called before each effect is carried out; a controller that it crashes carries out no more of them. */
+    /**
+     * Called before each effect is performed; if it crashes the controller, the effect and later ones are not
+     * performed.
+     */
     var onEffect: (SimulatedController, Effect) -> Unit = { _, _ -> }
 
     /** The wall clock of virtual time, in milliseconds since 1970. */
@@ -154,6 +169,7 @@
         then: (status: Int, body: JsonNode) -> Unit,
     ) = heartbeats.send(worker, nodes[node], heartbeat, then)
 
+    /** The workers that are reachable and can run tasks, with the capacity of their machines. */
     private fun healthyWorkers(): Map<SimulatedWorker, Resources> = cloud.workers
         .filter {
             !it.hung &&
@@ -167,23 +183,23 @@
     override fun specOf(id: String): JobSpec? = specs[id]
 
     /**
-     * Records a violation where a worker forgets that a task of [id] is done before the completion is stored: the next
-     * leader would run the task again.
+     * Records a violation if a worker is told to forget that a task of the job [id] is done before that is stored: the
+     * next leader would run the task again.
      */
     override fun checkStored(id: String, task: Int) {
-        val live = state.value(Keys.job(id)) as? JobRecord ?: return
-        if (live.cancelledMs > 0 || state.value(Keys.final(id)) != null) return
+        val record = state.value(Keys.job(id)) as? JobRecord ?: return
+        if (record.cancelledMs > 0 || state.value(Keys.final(id)) != null) return
         if (state.values(Keys.pages(id)).none { it is PageRecord && it.done[task] }) {
             checker.violations.add("lost_end: $id/$task was cleared and is not stored")
         }
     }
 
-    /** Makes the description of a job known to workers; it replaces that of an earlier submission. */
+    /** Makes the specification of a job known to workers, in place of that of an earlier submission. */
     internal fun register(spec: JobSpec) {
         specs[spec.id] = spec
     }
 
-    /** Makes the description of a job known to workers that somebody else will submit. */
+    /** Makes the specification of a job known to workers which is submitted by other means than [submit]. */
     fun expect(spec: JobSpec) {
         specs.putIfAbsent(spec.id, spec)
     }
@@ -194,21 +210,30 @@
     /** Cancels the job [id] as [SimulatedUsers.cancel] does. */
     fun cancel(id: String) = users.cancel(id)
 
-    /** The stage that a controller reports for the job [id] now, or `status N`; virtual time moves on by 0.2 s. */
+    /**
+     * Asks the first running controller for the stage of the job [id]; virtual time moves on by 0.2 s. Returns the
+     * stage, or `status N` for an error, or null if there was no answer in that time.
+     */
     fun stageOf(id: String): String? {
-        var found: String? = null
+        var reportedStage: String? = null
         nodes.first { it.up }.sendRequest({ Input.Show(it, id) }) { status, body ->
-            found = if (status == 200) SimulatedWorker.json.readTree(body).get("stage").asText() else "status $status"
+            reportedStage =
+                if (status == 200) SimulatedWorker.json.readTree(body).get("stage").asText() else "status $status"
         }
         clock.runUntil(clock.now + 0.2)
-        return found
+        return reportedStage
     }
 
+    /** Builders of settings and jobs with defaults for simulations and tests. */
     companion object {
-        private const val LATEST_FRAME_S = 8.0
-        private val BIG = Resources(16_000, 4_000, 64_000)
-        val CATALOG = Catalog(listOf(MachineType("box", BIG, 100.0, 1.0, 10.0, 3.0, 10.0, listOf("a", "b"))))
+        private const val MAX_FRAME_DELAY_S = 8.0
+        private val MACHINE_CAPACITY = Resources(16_000, 4_000, 64_000)
+
+        /** The machine catalog: one type, `box`, in the zones `a` and `b`. */
+        val CATALOG =
+            Catalog(listOf(MachineType("box", MACHINE_CAPACITY, 100.0, 1.0, 10.0, 3.0, 10.0, listOf("a", "b"))))
 
+        /** Returns the settings of the controller [node] in a cluster of [nodes] controllers. */
         fun settings(node: String, nodes: Int) = Settings(
             node, "a", Address("x", 1), Address("x", 2),
             (0 until nodes).map { "n$it" }.filter { it != node }.map { Peer(it, "a", "x", 2) },
@@ -217,6 +242,10 @@
             WorkerTimes(3.0, 15.0, 30.0, 5.0, 40.0), StateLimits(250.0, 100.0, 8.0, 32), CloudLimits(8.0, 4.0), 1000,
         )
 
+        /**
+         * Returns a job whose id, `job-` and six digits, and image follow from [number]; [after] are the numbers of its
+         * dependencies.
+         */
         fun job(
             number: Int,
             shape: Shape = Shape.ARRAY,
--- a/src/main/kotlin/plankwall/simulation/SimulatedController.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedController.kt
@@ -15,28 +15,31 @@
 import plankwall.wire.ProgressUpdate
 
 /**
- * One controller of a [SimulatedCluster]: the real core with virtual clocks; [ControllerEffects] carries its calls to
- * the stand-ins over links that may fail.
+ * One controller of a [SimulatedCluster]: the real core with virtual clocks. [ControllerEffects] performs the effects
+ * that the core requests, against the simulated store, cloud, workers and controllers.
  */
 class SimulatedController(private val cluster: SimulatedCluster, val name: String, private val ownSettings: Settings) {
-    private class LateInput(val processNumber: Int, val input: Input)
+    /** An input that arrived while the process was frozen. */
+    private class DeferredInput(val processNumber: Int, val input: Input)
 
     private val clock = cluster.clock
     private val effects = ControllerEffects(cluster, this)
     private var core: Controller? = null
     private var nextRequest = 1L
-    private val callers = HashMap<RequestId, (Int, ByteArray) -> Unit>()
+    private val answerCallbacks = HashMap<RequestId, (Int, ByteArray) -> Unit>()
     private var peerAuthenticator: PeerAuthenticator? = null
     private var frozenUntil = 0.0
-    private val inputsWhileFrozen = ArrayList<LateInput>()
+    private val inputsWhileFrozen = ArrayList<DeferredInput>()
 
-    /** Rises as the process starts and as it ends: what belongs to an earlier process is dropped. */
+    /** Rises when the process starts and when it ends; answers for an earlier process are dropped by it. */
     internal var processNumber = 0
         private set
 
-    /** The access gateway of the present process, where the cluster has gateways. */
+    /** The access gateway of the current process, or null if the cluster has no gateways. */
     var accessGateway: AccessGateway? = null
         private set
+
+    /** The rate of this controller's clock against virtual time, up to 0.045 % off. */
     private val clockRate = 1.0 + (cluster.random.nextDouble() - 0.5) * 0.0009
 
     /** Whether the process runs. */
@@ -45,10 +48,10 @@
     /** Whether this controller is the leader. */
     val leading: Boolean get() = core?.leading == true
 
-    /** Whether the process stands still. */
+    /** Whether the process is frozen, see [freeze]. */
     val frozen: Boolean get() = clock.now < frozenUntil
 
-    /** Starts a new process. */
+    /** Starts a new process, with an empty core and a new incarnation number. */
     fun start() {
         processNumber++
         val gateway = cluster.gatewaySettings?.invoke(name)
@@ -61,9 +64,9 @@
             gateway?.let { settings -> { ctx -> AccessGateway(ctx, settings).also { accessGateway = it } } },
         )
         peerAuthenticator = gateway?.let { newPeerAuthenticator(it, incarnation) }
-        val startedAs = processNumber
+        val startedProcessNumber = processNumber
         fun tick() {
-            if (processNumber != startedAs || core == null) return
+            if (processNumber != startedProcessNumber || core == null) return
             onInput(Input.Tick)
             clock.after(TICK_S) { tick() }
         }
@@ -76,53 +79,60 @@
         null
     }
 
-    /** Ends the process; the next one starts after [backAfter] seconds. */
-    fun crash(backAfter: Double) {
+    /** Ends the process; the next one starts after [restartAfterS] seconds. */
+    fun crash(restartAfterS: Double) {
         core = null
         processNumber++
-        callers.clear()
-        clock.after(backAfter) { start() }
+        answerCallbacks.clear()
+        clock.after(restartAfterS) { start() }
     }
 
-    /** Stands still for [forS] seconds while its clocks run on; inputs wait and are processed afterwards, in order. */
-    fun freeze(forS: Double) {
-        frozenUntil = clock.now + forS
-        clock.after(forS) {
-            val late = inputsWhileFrozen.toList()
+    /**
+     * Freezes the process for [durationS] seconds while its clocks run on; inputs are processed afterwards, in order.
+     */
+    fun freeze(durationS: Double) {
+        frozenUntil = clock.now + durationS
+        clock.after(durationS) {
+            val deferredInputs = inputsWhileFrozen.toList()
             inputsWhileFrozen.clear()
-            late.forEach { if (it.processNumber == processNumber) onInput(it.input) }
+            deferredInputs.forEach { if (it.processNumber == processNumber) onInput(it.input) }
         }
     }
 
-    /** Lets the core process [input], and carries out the effects. */
+    /** Passes [input] to the core and performs the effects that it requests; does nothing if the process is down. */
     fun onInput(input: Input) {
-        val controller = core ?: return
+        val runningCore = core ?: return
         if (clock.now < frozenUntil) {
-            if (input != Input.Tick) inputsWhileFrozen.add(LateInput(processNumber, input))
+            if (input != Input.Tick) inputsWhileFrozen.add(DeferredInput(processNumber, input))
             return
         }
-        val wasLeading = controller.leading
-        val wanted = controller.step(clock.now * clockRate + 1000, cluster.wallMs(), input)
-        if (controller.leading && !wasLeading) cluster.onElected(this)
-        for (effect in wanted) {
+        val wasLeading = runningCore.leading
+        val requestedEffects = runningCore.step(clock.now * clockRate + 1000, cluster.wallMs(), input)
+        if (runningCore.leading && !wasLeading) cluster.onElected(this)
+        for (effect in requestedEffects) {
             effects.perform(effect)
-            // The remaining effects are lost with the process.
+            // An effect may end the process; the remaining ones are lost with it.
             if (core == null) return
         }
     }
 
-    /** Receives the bytes of a frame from another controller, or from anybody who pretends to be one. */
+    /**
+     * Receives the bytes of a frame from another controller; with a gateway, a frame whose seal is not valid is
+     * dropped.
+     */
     fun onFrame(bytes: ByteArray) {
         val authenticator = peerAuthenticator
-        val sent = if (authenticator == null) PeerCodec.read(bytes) else authenticator.open(bytes, cluster.wallMs())
-        val message = sent?.let(::asOwnVersion)
+        val received = if (authenticator == null) PeerCodec.read(bytes) else authenticator.open(bytes, cluster.wallMs())
+        val message = received?.let(::asOwnVersion)
         check(!isPreviousVersion || (message is PeerStatus || message is ProgressUpdate)) {
-            "a frame that $name can't read"
+            "$name, a controller of the previous version, got a frame of a kind that it can't read"
         }
         if (message != null) onInput(Input.PeerMessageReceived(message))
     }
 
-    /** The bytes of the frame that carries [message] to other controllers. */
+    /**
+     * Returns the bytes of the frame that carries [message] to other controllers, sealed if the cluster has gateways.
+     */
     internal fun frameOf(message: PeerMessage): ByteArray {
         val plain = PeerCodec.write(asOwnVersion(message))
         return peerAuthenticator?.seal(plain, cluster.wallMs()) ?: plain
@@ -130,23 +140,27 @@
 
     private val isPreviousVersion: Boolean get() = name in cluster.faults.previousVersionNodes
 
-    /** The previous version neither sends nor reads some fields. */
+    /** Returns [message] without the fields that the previous version neither sends nor reads, if this node runs it. */
     private fun asOwnVersion(message: PeerMessage): PeerMessage = if (isPreviousVersion && message is PeerStatus) {
         message.copy(links = null, cancellations = null, sessions = null)
     } else {
         message
     }
 
-    /** Sends a request to the process if it runs; [then] gets the answer. */
-    fun sendRequest(input: (RequestId) -> Input, then: (status: Int, body: ByteArray) -> Unit) {
+    /**
+     * Sends a request to the process if it runs; [onAnswer] gets the answer, but is never called if the process ends
+     * first.
+     */
+    fun sendRequest(input: (RequestId) -> Input, onAnswer: (status: Int, body: ByteArray) -> Unit) {
         if (core == null) return
         val request = RequestId(nextRequest++)
-        callers[request] = then
+        answerCallbacks[request] = onAnswer
         onInput(input(request))
     }
 
+    /** Passes the core's answer to the caller of its request. */
     internal fun answer(effect: Effect.Answer) {
-        callers.remove(effect.request)?.invoke(effect.status, effect.body)
+        answerCallbacks.remove(effect.request)?.invoke(effect.status, effect.body)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
@@ -1,89 +1,97 @@
 package plankwall.simulation
 
-/** How a cut link fails those who use it. */
+/** How messages fail on a cut link. */
 enum class LinkCut {
     /** The sender gets an error at once: a reset or a refused connection. */
     REFUSE,
 
-    /** Nothing ever arrives. */
+    /** Messages are lost without an error. */
     DROP,
 
-    /** All that was sent arrives, in order, when the link is whole again. */
+    /** Messages are held back and arrive in order when the link is healed. */
     HOLD,
 }
 
 /**
- * The links of a site, each direction for itself. Hosts are nodes, `state`, `cloud` and machines; a machine is also
- * meant by its zone (`zone:a`) and by `workers`.
+ * The network links of a simulated cluster; each direction of a link can be cut by itself. Hosts are controllers, the
+ * store (`state`), the cloud (`cloud`) and machines; the names `zone:a` and `workers` stand for all machines of the
+ * zone `a` and for all machines.
  */
 class SimulatedNetwork(private val clock: SimulatedClock) {
-    private class Link(val how: LinkCut) {
-        val held = ArrayList<() -> Unit>()
+    private class CutLink(val kind: LinkCut) {
+        val heldDeliveries = ArrayList<() -> Unit>()
     }
 
-    private val links = LinkedHashMap<Pair<String, String>, Link>()
+    private val cutLinks = LinkedHashMap<Pair<String, String>, CutLink>()
 
-    /** How many links are cut, each direction counted. */
-    val cutCount: Int get() = links.size
+    /** The number of cut links; each direction counts as one. */
+    val cutCount: Int get() = cutLinks.size
 
-    fun cut(from: String, to: String, how: LinkCut) {
+    /** Cuts the link for messages from [from] to [to]; an earlier cut of it is healed first. */
+    fun cut(from: String, to: String, kind: LinkCut) {
         heal(from, to)
-        links[from to to] = Link(how)
+        cutLinks[from to to] = CutLink(kind)
     }
 
-    fun cutBoth(a: String, b: String, how: LinkCut) {
-        cut(a, b, how)
-        cut(b, a, how)
+    /** Cuts both directions of the link between [a] and [b]. */
+    fun cutBoth(a: String, b: String, kind: LinkCut) {
+        cut(a, b, kind)
+        cut(b, a, kind)
     }
 
+    /** Restores the link for messages from [from] to [to] and delivers the messages that it held back. */
     fun heal(from: String, to: String) {
-        val held = links.remove(from to to)?.held ?: return
-        held.forEach { clock.after(DELAY_S, it) }
+        val heldDeliveries = cutLinks.remove(from to to)?.heldDeliveries ?: return
+        heldDeliveries.forEach { clock.after(DEFAULT_DELAY_S, it) }
     }
 
+    /** Restores both directions of the link between [a] and [b]. */
     fun healBoth(a: String, b: String) {
         heal(a, b)
         heal(b, a)
     }
 
-    fun healAll() = links.keys.toList().forEach { (from, to) -> heal(from, to) }
+    /** Restores all links. */
+    fun healAll() = cutLinks.keys.toList().forEach { (from, to) -> heal(from, to) }
 
-    fun isOpen(from: String, to: String, zone: String? = null): Boolean = find(from, to, zone) == null
+    /** Returns whether a message from [from] to [to] would arrive; [zone] is that of the machine at one end, if any. */
+    fun isOpen(from: String, to: String, zone: String? = null): Boolean = findCut(from, to, zone) == null
 
-    private fun find(from: String, to: String, zone: String?): Link? {
-        if (links.isEmpty()) return null
-        if (zone == null) return links[from to to]
-        return names(from, zone).firstNotNullOfOrNull { f ->
-            names(to, zone).firstNotNullOfOrNull { t -> links[f to t] }
+    private fun findCut(from: String, to: String, zone: String?): CutLink? {
+        if (cutLinks.isEmpty()) return null
+        if (zone == null) return cutLinks[from to to]
+        return namesOf(from, zone).firstNotNullOfOrNull { fromName ->
+            namesOf(to, zone).firstNotNullOfOrNull { toName -> cutLinks[fromName to toName] }
         }
     }
 
-    /** A machine by all its names; a node by its own. */
-    private fun names(host: String, zone: String): List<String> =
+    /** The names by which a cut may refer to [host]: for a machine its id, its zone and `workers`. */
+    private fun namesOf(host: String, zone: String): List<String> =
         if (host.startsWith("i-")) listOf(host, "zone:$zone", "workers") else listOf(host)
 
     /**
-     * Carries something over the link after [delayS], if it can: [refused] is called where the sender learns at once
-     * that it can't. [zone]: of the machine at one end.
+     * Sends a message: [onDelivered] is called after [delayS], or later if the link holds messages back, or never if
+     * the link drops them. [onRefused] is called instead if the link refuses the sender. [zone] is that of the machine
+     * at one end, if any.
      */
     fun carry(
         from: String,
         to: String,
         zone: String? = null,
-        delayS: Double = DELAY_S,
-        refused: () -> Unit = {},
-        deliver: () -> Unit,
+        delayS: Double = DEFAULT_DELAY_S,
+        onRefused: () -> Unit = {},
+        onDelivered: () -> Unit,
     ) {
-        val link = find(from, to, zone)
-        when (link?.how) {
-            null -> clock.after(delayS, deliver)
-            LinkCut.REFUSE -> clock.after(delayS, refused)
+        val cutLink = findCut(from, to, zone)
+        when (cutLink?.kind) {
+            null -> clock.after(delayS, onDelivered)
+            LinkCut.REFUSE -> clock.after(delayS, onRefused)
             LinkCut.DROP -> Unit
-            LinkCut.HOLD -> link.held.add(deliver)
+            LinkCut.HOLD -> cutLink.heldDeliveries.add(onDelivered)
         }
     }
 
     private companion object {
-        const val DELAY_S = 0.005
+        const val DEFAULT_DELAY_S = 0.005
     }
 }
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -10,232 +10,271 @@
 import plankwall.wire.Write
 import java.util.TreeMap
 
-/** The state service as PROTOCOL describes it, in memory. */
+/**
+ * An in-memory state service as the protocol specifies it: a key-value store with revisions, transactions, leases and
+ * watches. [rates] holds the allowed request and write rates.
+ */
 class SimulatedStore(private val clock: SimulatedClock, rates: StateLimits) {
+    /** A stored value; [version] is the revision that wrote it, [lease] the lease that it ends with, or null. */
     private class Entry(val value: Stored, val version: Long, val lease: Long?)
 
-    private class Lease(val ttlS: Double, var until: Double)
+    /** A lease of [ttlS] seconds, which ends at [expiresAt] unless it is renewed. */
+    private class Lease(val ttlS: Double, var expiresAt: Double)
 
-    private class Watcher(val op: StateOp.Watch, val answer: (StateResult) -> Unit, var open: Boolean = true)
+    /** An unanswered watch; [isOpen] turns false with its one answer. */
+    private class Watcher(val op: StateOp.Watch, val answer: (StateResult) -> Unit, var isOpen: Boolean = true)
 
     private val entries = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Lease>()
+
+    /** All changes that are kept, in the order of their revisions. */
     private val history = ArrayList<StateEvent>()
 
-    /** How many changes are kept at least; a request for older ones is answered [StateResult.TooOld]. */
+    /**
+     * The least number of changes to keep in the history; a request for older ones is answered [StateResult.TooOld].
+     */
     var historyLimit = Int.MAX_VALUE
-    private var forgottenUpTo = 0L
+
+    /** The highest revision that was dropped from the history. */
+    private var trimmedUpTo = 0L
     private val watchers = ArrayList<Watcher>()
+
+    /** The revision of the last change; every transaction, direct put and ended lease with keys adds one. */
     private var revision = 0L
     private var nextLease = 1L
+
+    /** Whether the service is down. When it comes back, every lease gets its full time again. */
     var outage = false
         set(value) {
-            if (field && !value) leases.values.forEach { it.until = clock.now + it.ttlS }
+            if (field && !value) leases.values.forEach { it.expiresAt = clock.now + it.ttlS }
             field = value
         }
 
     /**
-     * Refuses what goes beyond the rates of the settings, as the service does. Off: it is only counted in [calls] and
-     * [writes].
+     * Whether requests beyond the rates of the settings are refused, as the real service does. If not, they are
+     * executed and only counted in [calls] and [writes].
      */
     var refusesBeyondRates = false
 
-    /** Null: no limits. Larger values and transactions are refused for good, changes beyond the rate for now. */
+    /**
+     * The limits that are enforced, or null for none. Transactions that exceed a size limit are rejected for good;
+     * writes beyond twice the write rate within a second are refused for now.
+     */
     var limits: StateLimits? = null
-    private var second = -1L
+    private var currentSecond = -1L
     private var changesInSecond = 0
 
-    /** What was refused for good, and how often. */
+    /** How often each oversized key or transaction size was rejected for good. */
     val rejected = HashMap<String, Int>()
 
+    /** Stores [value] under [key] directly, outside any transaction; watches are not answered. */
     fun put(key: String, value: Stored) {
         entries[key] = Entry(value, ++revision, null)
         history.add(StateEvent(key, value, revision))
     }
 
+    /** Returns the value under [key], or null if there is none. */
     fun value(key: String): Stored? = entries[key]?.value
 
+    /** Returns the values of all keys that begin with [prefix], in the order of the keys. */
     fun values(prefix: String): List<Stored> = entries.subMap(prefix, prefix + Char.MAX_VALUE).values.map { it.value }
 
-    /** The revision that first wrote [key] and the one that did last; 0: none. */
+    /** Returns the revision of the first change of [key] in the history, or 0 if there is none. */
     fun firstVersion(key: String): Long = history.firstOrNull { it.key == key }?.version ?: 0L
 
+    /** Returns the revision that wrote the present value of [key], or 0 if there is none. */
     fun version(key: String): Long = entries[key]?.version ?: 0L
 
+    /** All keys that have a value. */
     val keys: Set<String> get() = entries.keys
 
-    /** Puts and deletes executed so far. */
+    /** The number of puts and deletes executed so far in transactions. */
     var changes = 0
         private set
 
-    /** Requests, and puts and deletes, against the rates of the settings. */
+    /** Counts requests against the allowed request rate. */
     val calls = Meter(rates.rps)
+
+    /** Counts puts and deletes in transactions against the allowed write rate. */
     val writes = Meter(rates.writeRps)
 
     /**
-     * What the service would have answered with 429: beyond [rate] a second, with bursts of [burstS] seconds' worth.
+     * Counts what the service would answer with 429, with a token bucket: events beyond [rate] a second are counted in
+     * [beyond], except for bursts of up to [burstS] seconds' worth of events.
      */
     class Meter(private val rate: Double, burstS: Double = 1.0) {
-        private val most = rate * burstS
-        private var left = most
-        private var at = 0.0
+        private val maxAvailable = rate * burstS
+        private var available = maxAvailable
+        private var updatedAt = 0.0
+
+        /** The number of events so far that exceeded the rate. */
         var beyond = 0
             private set
 
-        /** Counts [n] at [now]; false if that goes beyond the rate. */
-        fun note(now: Double, n: Int): Boolean {
-            left = minOf(most, left + (now - at) * rate)
-            at = now
-            if (n > left) {
-                beyond += n
+        /** Counts [count] events at [now] and returns whether they stay within the rate. */
+        fun note(now: Double, count: Int): Boolean {
+            available = minOf(maxAvailable, available + (now - updatedAt) * rate)
+            updatedAt = now
+            if (count > available) {
+                beyond += count
                 return false
             }
-            left -= n
+            available -= count
             return true
         }
     }
 
     init {
-        clock.every(0.05) { expire() }
+        clock.every(0.05) { expireLeases() }
     }
 
-    private fun expire() {
+    private fun expireLeases() {
         if (outage) return
-        val over = leases.filterValues { it.until <= clock.now }.keys
-        over.forEach { drop(it) }
+        val expiredLeases = leases.filterValues { it.expiresAt <= clock.now }.keys
+        expiredLeases.forEach { endLease(it) }
     }
 
-    private fun drop(id: Long) {
+    /** Ends the lease [id] and deletes the keys that were written with it. */
+    private fun endLease(id: Long) {
         leases.remove(id)
-        val attached = entries.filterValues { it.lease == id }.keys.toList()
-        if (attached.isEmpty()) return
+        val attachedKeys = entries.filterValues { it.lease == id }.keys.toList()
+        if (attachedKeys.isEmpty()) return
         revision++
-        attached.forEach {
+        attachedKeys.forEach {
             entries.remove(it)
             history.add(StateEvent(it, null, revision))
         }
-        wake()
+        answerWatchers()
     }
 
+    /**
+     * Executes a call and passes its result to [answer]: at once, or, for a watch, with the next change or its timeout.
+     */
     fun run(op: StateOp, answer: (StateResult) -> Unit) {
-        val admitted = calls.note(clock.now, 1) and (op !is StateOp.Txn || writes.note(clock.now, op.writes.size))
-        if (refusesBeyondRates && !admitted) return answer(StateResult.Refused)
-        if (op is StateOp.Watch) watch(op, answer) else answer(if (outage) StateResult.Refused else apply(op))
+        val isWithinRates = calls.note(clock.now, 1) and (op !is StateOp.Txn || writes.note(clock.now, op.writes.size))
+        if (refusesBeyondRates && !isWithinRates) return answer(StateResult.Refused)
+        if (op is StateOp.Watch) addWatcher(op, answer) else answer(if (outage) StateResult.Refused else apply(op))
     }
 
     private fun apply(op: StateOp): StateResult = when (op) {
         is StateOp.Get -> StateResult.Item(entries[op.key]?.let { StateItem(op.key, it.value, it.version) })
         is StateOp.Range -> {
-            val found = entries.tailMap(op.after ?: op.prefix, op.after == null)
+            val matching = entries.tailMap(op.after ?: op.prefix, op.after == null)
                 .filterKeys { it.startsWith(op.prefix) }.entries.take(op.limit + 1)
-            val items = found.take(op.limit).map { StateItem(it.key, it.value.value, it.value.version) }
-            StateResult.Items(items, found.size > op.limit, revision)
+            val items = matching.take(op.limit).map { StateItem(it.key, it.value.value, it.value.version) }
+            StateResult.Items(items, matching.size > op.limit, revision)
         }
-        is StateOp.Txn -> transact(op)
+        is StateOp.Txn -> commit(op)
         is StateOp.Grant -> {
             val id = nextLease++
             leases[id] = Lease(op.ttlMs / 1000.0, clock.now + op.ttlMs / 1000.0)
             StateResult.Granted(id)
         }
         is StateOp.Renew -> leases[op.lease]?.let {
-            it.until = clock.now + it.ttlS
+            it.expiresAt = clock.now + it.ttlS
             StateResult.Renewed
         } ?: StateResult.NoLease
         is StateOp.Drop -> {
-            drop(op.lease)
+            endLease(op.lease)
             StateResult.Renewed
         }
-        is StateOp.Changes -> news(op.prefix, op.after)
-        is StateOp.Watch -> error("watches are handled apart")
+        is StateOp.Changes -> changesResult(op.prefix, op.after)
+        is StateOp.Watch -> error("a watch is answered by addWatcher, not here")
     }
 
-    private fun limited(op: StateOp.Txn, limits: StateLimits): StateResult? {
-        val large = op.writes.filterIsInstance<Write.Put>().filter {
+    /** Returns why [op] exceeds [limits], or null if it does not. */
+    private fun checkLimits(op: StateOp.Txn, limits: StateLimits): StateResult? {
+        val oversized = op.writes.filterIsInstance<Write.Put>().filter {
             StateCodec.sizeOf(it.value) > limits.valueKb * 1024
         }
-        large.forEach { rejected.merge(it.key, 1, Int::plus) }
+        oversized.forEach { rejected.merge(it.key, 1, Int::plus) }
         if (op.writes.size > limits.txnOps) rejected.merge("${op.writes.size} changes", 1, Int::plus)
         if (op.guards.size > limits.txnOps * 4) rejected.merge("${op.guards.size} guards", 1, Int::plus)
-        if (large.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) {
+        if (oversized.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) {
             return StateResult.Rejected
         }
-        if (clock.now.toLong() != second) changesInSecond = 0
-        second = clock.now.toLong()
+        if (clock.now.toLong() != currentSecond) changesInSecond = 0
+        currentSecond = clock.now.toLong()
         changesInSecond += op.writes.size
         return if (changesInSecond > limits.writeRps * 2) StateResult.Refused else null
     }
 
-    /** Why [op] is not applied; null if it is. */
+    /** Returns the result with which [op] is refused, or null if it can be applied. */
     private fun refusalOf(op: StateOp.Txn): StateResult? {
-        limits?.let { l -> limited(op, l)?.let { return it } }
-        val failed = op.guards.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }.toSet()
+        limits?.let { activeLimits -> checkLimits(op, activeLimits)?.let { return it } }
+        val conflictingKeys = op.guards.filter { (entries[it.key]?.version ?: 0L) != it.version }.map { it.key }.toSet()
         val hasLostLease = op.writes.any { it is Write.Put && it.lease != null && it.lease !in leases }
         return when {
-            failed.isNotEmpty() -> StateResult.Conflict(failed)
+            conflictingKeys.isNotEmpty() -> StateResult.Conflict(conflictingKeys)
             hasLostLease -> StateResult.Refused
             else -> null
         }
     }
 
-    private fun transact(op: StateOp.Txn): StateResult {
+    private fun commit(op: StateOp.Txn): StateResult {
         refusalOf(op)?.let { return it }
         if (op.writes.isEmpty()) return StateResult.Committed(revision)
         revision++
         changes += op.writes.size
-        for (w in op.writes) {
-            when (w) {
+        for (write in op.writes) {
+            when (write) {
                 is Write.Put -> {
-                    entries[w.key] = Entry(w.value, revision, w.lease)
-                    history.add(StateEvent(w.key, w.value, revision))
+                    entries[write.key] = Entry(write.value, revision, write.lease)
+                    history.add(StateEvent(write.key, write.value, revision))
                 }
-                is Write.Remove -> if (entries.remove(w.key) != null) history.add(StateEvent(w.key, null, revision))
+                is Write.Remove ->
+                    if (entries.remove(write.key) != null) history.add(StateEvent(write.key, null, revision))
             }
         }
         val result = StateResult.Committed(revision)
-        forgetOld()
-        wake()
+        trimHistory()
+        answerWatchers()
         return result
     }
 
-    private fun watch(op: StateOp.Watch, answer: (StateResult) -> Unit) {
-        val w = Watcher(op, answer)
-        watchers.add(w)
-        clock.after(op.waitMs / 1000.0) { close(w) }
-        wake()
+    private fun addWatcher(op: StateOp.Watch, answer: (StateResult) -> Unit) {
+        val watcher = Watcher(op, answer)
+        watchers.add(watcher)
+        clock.after(op.waitMs / 1000.0) { answerWatcher(watcher) }
+        answerWatchers()
     }
 
-    private fun close(w: Watcher) {
-        if (!w.open) return
-        // Open watches stay open through an outage and are answered after it.
-        if (outage) return clock.after(0.1) { close(w) }
-        w.open = false
-        watchers.remove(w)
-        w.answer(news(w.op.prefix, w.op.after))
+    private fun answerWatcher(watcher: Watcher) {
+        if (!watcher.isOpen) return
+        // Open watches stay open during an outage and are answered after it.
+        if (outage) return clock.after(0.1) { answerWatcher(watcher) }
+        watcher.isOpen = false
+        watchers.remove(watcher)
+        watcher.answer(changesResult(watcher.op.prefix, watcher.op.after))
     }
 
-    private fun news(prefix: String, after: Long): StateResult =
-        if (after < forgottenUpTo) StateResult.TooOld else StateResult.News(changes(prefix, after), revision)
+    private fun changesResult(prefix: String, after: Long): StateResult =
+        if (after < trimmedUpTo) StateResult.TooOld else StateResult.News(selectChanges(prefix, after), revision)
 
-    private fun forgetOld() {
+    /** Drops the oldest changes once the history holds twice as many as [historyLimit]. */
+    private fun trimHistory() {
         if (historyLimit == Int.MAX_VALUE || history.size < historyLimit * 2) return
-        val old = history.subList(0, history.size - historyLimit)
-        forgottenUpTo = old.last().version
-        old.clear()
+        val trimmed = history.subList(0, history.size - historyLimit)
+        trimmedUpTo = trimmed.last().version
+        trimmed.clear()
     }
 
-    private fun changes(prefix: String, after: Long) = since(after).filter { it.key.startsWith(prefix) }
+    private fun selectChanges(prefix: String, after: Long) = historyAfter(after).filter { it.key.startsWith(prefix) }
 
-    /** The history is sorted by version; a long run reads its end thousands of times. */
-    private fun since(after: Long): List<StateEvent> {
-        val at = history.binarySearchBy(after + 1) { it.version }
-        var first = if (at >= 0) at else -at - 1
-        while (first > 0 && history[first - 1].version > after) first--
-        return history.subList(first, history.size)
+    /**
+     * Returns the changes after revision [after], by binary search: a long run reads the end of the history very often.
+     */
+    private fun historyAfter(after: Long): List<StateEvent> {
+        val index = history.binarySearchBy(after + 1) { it.version }
+        var firstIndex = if (index >= 0) index else -index - 1
+        while (firstIndex > 0 && history[firstIndex - 1].version > after) firstIndex--
+        return history.subList(firstIndex, history.size)
     }
 
-    private fun wake() {
+    /** Answers the watches whose prefix has changed. */
+    private fun answerWatchers() {
         if (outage) return
-        watchers.filter { w -> since(w.op.after).any { it.key.startsWith(w.op.prefix) } }
-            .toList().forEach { close(it) }
+        watchers.filter { watcher -> historyAfter(watcher.op.after).any { it.key.startsWith(watcher.op.prefix) } }
+            .toList().forEach { answerWatcher(it) }
     }
 }
--- a/src/main/kotlin/plankwall/simulation/SimulatedUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedUsers.kt
@@ -3,20 +3,25 @@
 import plankwall.core.statemachine.Input
 import plankwall.model.JobSpec
 
-/** Users who submit, poll and cancel jobs as the protocol has it; the checker is notified of every answer. */
+/**
+ * Simulated users who submit, poll and cancel jobs as the protocol specifies; every answer is passed to the checker.
+ */
 class SimulatedUsers(private val cluster: SimulatedCluster) {
     private val clock = cluster.clock
     private val random = cluster.random
     private val checker = cluster.checker
     private val nodes: List<SimulatedController> get() = cluster.nodes
 
-    /** Submits until accepted, then polls; cancels [cancelAfter] seconds after the acceptance. */
+    /**
+     * Submits [spec] until it is accepted, then polls the job; cancels it [cancelAfter] seconds after the acceptance,
+     * or never if null.
+     */
     fun submit(spec: JobSpec, cancelAfter: Double? = null) {
         cluster.register(spec)
         trySubmit(spec, cancelAfter)
     }
 
-    /** Polls a job that another version accepted as any other. */
+    /** Polls a job that a controller of another version has accepted, as if it had been submitted here. */
     fun assumeAccepted(spec: JobSpec) {
         cluster.register(spec)
         checker.submissionAnswered(spec, 201, clock.now)
@@ -24,24 +29,25 @@
     }
 
     private fun trySubmit(spec: JobSpec, cancelAfter: Double?) {
-        // Users name only jobs that were accepted, and go on as soon as they are.
+        // Users submit a job only once all of its dependencies have been accepted.
         if (!spec.dependencies.all { checker.isAccepted(it) }) {
             clock.after(0.05) { trySubmit(spec, cancelAfter) }
             return
         }
-        // The load balancer tries another node where one refuses the connection.
-        val first = random.nextInt(nodes.size)
-        val node = nodes.indices.map { nodes[(first + it) % nodes.size] }.firstOrNull { it.up } ?: nodes[first]
-        var answered = false
+        // The load balancer tries the next node if one refuses the connection.
+        val firstIndex = random.nextInt(nodes.size)
+        val node =
+            nodes.indices.map { nodes[(firstIndex + it) % nodes.size] }.firstOrNull { it.up } ?: nodes[firstIndex]
+        var isAnswered = false
         submitOnce(spec, node) { status ->
-            answered = true
+            isAnswered = true
             if (status == 200 || status == 201) {
                 onAccepted(spec, cancelAfter)
             } else if (status >= 429) {
                 clock.after(1.0) { trySubmit(spec, cancelAfter) }
             }
         }
-        clock.after(5.0) { if (!answered) trySubmit(spec, cancelAfter) }
+        clock.after(5.0) { if (!isAnswered) trySubmit(spec, cancelAfter) }
     }
 
     private fun onAccepted(spec: JobSpec, cancelAfter: Double?) {
@@ -50,33 +56,35 @@
         if (cancelAfter != null) clock.after(cancelAfter) { cancel(spec.id) }
     }
 
+    /** Sends the requests of [RetryingUsers.requestAtAllNodes] three times within 0.03 s. */
     private fun requestAtAllNodes(id: String, cancelled: Boolean = false) = listOf(0.0, 0.002, 0.03).forEach { delay ->
         clock.after(delay) { cluster.retryingUsers.requestAtAllNodes(id, cancelled) }
     }
 
+    /** The job's stage in the [body] of an answer, or null in an error. */
     private fun stageIn(status: Int, body: ByteArray): String? =
         if (status >= 300) null else SimulatedWorker.json.readTree(body).get("stage")?.asText()
 
-    /** Asks [node] for the status of a job once; [then] gets whether it answered. */
-    fun queryStatus(id: String, node: SimulatedController, then: (answered: Boolean) -> Unit = {}) {
+    /** Asks [node] for the status of the job [id] once; [onResult] gets whether the answer was 200 or 404. */
+    fun queryStatus(id: String, node: SimulatedController, onResult: (answered: Boolean) -> Unit = {}) {
         val askedAt = clock.now
         node.sendRequest({ Input.Show(it, id) }) { status, body ->
             checker.statusAnswered(id, status, stageIn(status, body), clock.now, askedAt)
-            then(status == 200 || status == 404)
+            onResult(status == 200 || status == 404)
         }
     }
 
-    /** Submits once, without a retry. */
-    fun submitOnce(spec: JobSpec, node: SimulatedController, then: (status: Int) -> Unit = {}) {
+    /** Submits [spec] to [node] once, without a retry; [onResult] gets the status of the answer. */
+    fun submitOnce(spec: JobSpec, node: SimulatedController, onResult: (status: Int) -> Unit = {}) {
         val askedAt = clock.now
         node.sendRequest({ Input.Submit(it, spec) }) { status, body ->
             checker.submissionAnswered(spec, status, clock.now, stageIn(status, body), askedAt)
-            then(status)
+            onResult(status)
         }
     }
 
-    /** Cancels once, without a retry. */
-    fun cancelOnce(id: String, node: SimulatedController, then: (status: Int) -> Unit = {}) {
+    /** Cancels the job [id] at [node] once, without a retry; [onResult] gets the status of the answer. */
+    fun cancelOnce(id: String, node: SimulatedController, onResult: (status: Int) -> Unit = {}) {
         val askedAt = clock.now
         checker.cancelRequested(id)
         node.sendRequest({ Input.Cancel(it, id) }) { status, body ->
@@ -87,22 +95,22 @@
                     requestAtAllNodes(id, cancelled = true)
                 }
             }
-            then(status)
+            onResult(status)
         }
     }
 
     private fun poll(id: String) {
-        var answered = false
-        queryStatus(id, nodes[random.nextInt(nodes.size)]) { answered = it }
-        clock.after(POLL_TIMEOUT_S) { checker.pollEnded(id, answered, clock.now) }
+        var isAnswered = false
+        queryStatus(id, nodes[random.nextInt(nodes.size)]) { isAnswered = it }
+        clock.after(POLL_TIMEOUT_S) { checker.pollEnded(id, isAnswered, clock.now) }
         clock.after(POLL_EVERY_S / cluster.faults.pollFactor) { poll(id) }
     }
 
-    /** Cancels the job [id], again every two seconds until that is confirmed. */
+    /** Cancels the job [id] and repeats that every two seconds until an answer confirms it. */
     fun cancel(id: String) {
-        var confirmed = false
-        cancelOnce(id, nodes[random.nextInt(nodes.size)]) { status -> if (status == 200) confirmed = true }
-        clock.after(2.0) { if (!confirmed) cancel(id) }
+        var isConfirmed = false
+        cancelOnce(id, nodes[random.nextInt(nodes.size)]) { status -> if (status == 200) isConfirmed = true }
+        clock.after(2.0) { if (!isConfirmed) cancel(id) }
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -10,204 +10,224 @@
 import plankwall.wire.TaskStage
 import plankwall.wire.TaskStatus
 
-/** A machine's worker as PROTOCOL describes it: reports, leases, tokens, sessions, tasks. */
+/**
+ * A worker on a simulated machine, as the protocol specifies it: it sends heartbeats, executes the orders in their
+ * answers, rejects those of older leaders by their token, and kills its tasks when its lease expires.
+ */
 class SimulatedWorker(
     private val host: WorkerHost,
     val id: String,
     val group: GroupKey,
     val address: String = addressOf(id),
 ) {
-    private class Task(val spec: JobSpec, val task: Int, val attempt: Long) {
+    private class Task(val spec: JobSpec, val number: Int, val attempt: Long) {
         var stage = TaskStage.FETCHING
         var cause: ExitCause? = null
     }
 
     private val clock = host.clock
     private val tasks = LinkedHashMap<String, Task>()
+
+    /** Rises when the lease expires, so that a command for the time before is rejected. */
     private var session = 1L
-    private var seq = 0L
-    private var token = 0L
-    private var leaseFrom = clock.now
-    private var target = host.random.nextInt(host.nodeNames.size)
-    private var alive = true
-    private var waiting = false
-    private var lastSent = -10.0
+    private var sequenceNumber = 0L
+
+    /** The highest fencing token in an answer or command so far; it rises with each leader. */
+    private var lastToken = 0L
+
+    /** When the last answered heartbeat was sent: the lease runs from then. */
+    private var leaseStartedAt = clock.now
+
+    /** Index of the controller that gets the next heartbeat. */
+    private var targetNode = host.random.nextInt(host.nodeNames.size)
+    private var isAlive = true
+    private var isAwaitingAnswer = false
+    private var lastSentAt = -10.0
 
     private var hungUntil = 0.0
 
-    /** Executes nothing, neither tasks nor commands, until it goes on; its lease runs out meanwhile as any other. */
+    /** Whether the machine hangs: it executes neither tasks nor commands, while its lease runs on. */
     val hung: Boolean get() = clock.now < hungUntil
 
-    fun hang(forS: Double) {
-        hungUntil = maxOf(hungUntil, clock.now + forS)
+    /** Makes the machine hang for [durationS] seconds, or longer if it already hangs for longer. */
+    fun hang(durationS: Double) {
+        hungUntil = maxOf(hungUntil, clock.now + durationS)
     }
 
-    /** At once, or when it goes on: what came meanwhile is worked off then, in order, after the lease was looked at. */
+    /** Runs [action] at once, or, if the machine hangs, after it resumes; deferred actions run in order. */
     fun whenResumed(action: () -> Unit) {
         if (hung) clock.after(hungUntil - clock.now + 0.001) { whenResumed(action) } else action()
     }
 
-    /** Fails every task that it starts; those that run go on. */
+    /** Whether every task that starts here fails; tasks that already run go on. */
     var failsEveryTask = false
 
+    /** The number of tasks that run now. */
     val runningTasks: Int get() = tasks.values.count { it.stage == TaskStage.RUNNING }
 
     init {
-        clock.after(0.01) { loop() }
-        clock.every(0.1) { if (alive) expire() }
+        clock.after(0.01) { sendPeriodically() }
+        clock.every(0.1) { if (isAlive) killTasksIfLeaseExpired() }
     }
 
+    /** Ends the machine and all of its tasks for good. */
     fun die() {
-        alive = false
+        isAlive = false
         tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
         tasks.clear()
     }
 
-    private fun expire() {
-        if (clock.now - leaseFrom <= host.settings.workers.leaseS) return
+    /** Kills all tasks and begins a new session if the lease has expired. */
+    private fun killTasksIfLeaseExpired() {
+        if (clock.now - leaseStartedAt <= host.settings.workers.leaseS) return
         val killed = tasks.values.count { it.stage != TaskStage.EXITED }
         host.onLeaseExpired(this, killed)
         tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
         tasks.clear()
         session++
-        leaseFrom = clock.now
+        leaseStartedAt = clock.now
     }
 
-    private fun loop() {
-        if (!alive) return
+    private fun sendPeriodically() {
+        if (!isAlive) return
         send()
-        clock.after(host.settings.workers.reportS * (0.75 + host.random.nextDouble() / 2)) { loop() }
+        clock.after(host.settings.workers.reportS * (0.75 + host.random.nextDouble() / 2)) { sendPeriodically() }
     }
 
-    private fun changed() {
-        clock.after(0.5) { if (alive && clock.now - lastSent >= 0.5) send() }
+    /** Sends a heartbeat 0.5 s after a change, unless one was sent meanwhile. */
+    private fun scheduleChangeHeartbeat() {
+        clock.after(0.5) { if (isAlive && clock.now - lastSentAt >= 0.5) send() }
     }
 
     private fun send() {
-        if (waiting || !alive || hung) return
-        waiting = true
-        lastSent = clock.now
+        if (isAwaitingAnswer || !isAlive || hung) return
+        isAwaitingAnswer = true
+        lastSentAt = clock.now
         SentHeartbeat().send()
     }
 
-    /** A heartbeat in flight: answered, redirected, or failed, once. */
+    /** A heartbeat that was sent; it is settled once, by an answer, a redirect to another controller, or a failure. */
     private inner class SentHeartbeat {
         private val sentAt = clock.now
         private val sentSession = session
-        private var settled = false
+        private var isSettled = false
 
         fun send() {
-            clock.after(ANSWER_TIMEOUT_S) { whenResumed { fail() } }
-            host.sendHeartbeat(this@SimulatedWorker, target, heartbeat()) { status, body ->
+            clock.after(ANSWER_TIMEOUT_S) { whenResumed { retryAtNextNode() } }
+            host.sendHeartbeat(this@SimulatedWorker, targetNode, heartbeat()) { status, body ->
                 whenResumed { onAnswer(status, body) }
             }
         }
 
-        private fun settle() {
-            settled = true
-            waiting = false
+        private fun markSettled() {
+            isSettled = true
+            isAwaitingAnswer = false
         }
 
-        private fun fail() {
-            if (settled) return
-            settle()
-            target = (target + 1) % host.nodeNames.size
+        private fun retryAtNextNode() {
+            if (isSettled) return
+            markSettled()
+            targetNode = (targetNode + 1) % host.nodeNames.size
             clock.after(1.0) { this@SimulatedWorker.send() }
         }
 
         private fun onAnswer(status: Int, body: JsonNode) {
-            if (settled || !alive || clock.now - sentAt > ANSWER_TIMEOUT_S) return
+            if (isSettled || !isAlive || clock.now - sentAt > ANSWER_TIMEOUT_S) return
             when (status) {
                 200 -> {
-                    settle()
-                    if (sentSession == session) accept(body, sentAt)
+                    markSettled()
+                    if (sentSession == session) acceptAnswer(body, sentAt)
                 }
                 421 -> redirect(host.nodeNames.indexOf(body.get("foreman")?.asText()))
-                else -> fail()
+                else -> retryAtNextNode()
             }
         }
 
         private fun redirect(node: Int) {
-            if (node < 0 || node == target) return fail()
-            target = node
-            settle()
+            if (node < 0 || node == targetNode) return retryAtNextNode()
+            targetNode = node
+            markSettled()
             clock.after(0.2) { this@SimulatedWorker.send() }
         }
     }
 
-    private fun accept(body: JsonNode, sentAt: Double) {
-        val given = body.get("baton").asLong()
-        if (given < token) return
-        if (given > token) {
-            token = given
-            changed()
+    /** Renews the lease and executes the orders in [body], unless the answer comes from an older leader. */
+    private fun acceptAnswer(body: JsonNode, sentAt: Double) {
+        val answeredToken = body.get("baton").asLong()
+        if (answeredToken < lastToken) return
+        if (answeredToken > lastToken) {
+            lastToken = answeredToken
+            scheduleChangeHeartbeat()
         }
-        leaseFrom = maxOf(leaseFrom, sentAt)
-        execute(body)
+        leaseStartedAt = maxOf(leaseStartedAt, sentAt)
+        executeOrders(body)
     }
 
-    /** A direct command: 200 if executed, 409 with nothing done otherwise; null from a machine that is gone. */
+    /**
+     * Executes a direct command and returns the status with a new heartbeat: 200 if executed, 409 if the command is
+     * from an older leader or for another session and nothing was done. Returns null if the machine is gone.
+     */
     fun command(body: JsonNode): Pair<Int, HeartbeatStatus>? {
-        if (!alive) return null
-        expire()
-        if (body.get("baton").asLong() < token || body.get("watch").asLong() != session) return 409 to heartbeat()
-        if (body.get("baton").asLong() > token) {
-            token = body.get("baton").asLong()
-            changed()
+        if (!isAlive) return null
+        killTasksIfLeaseExpired()
+        if (body.get("baton").asLong() < lastToken || body.get("watch").asLong() != session) return 409 to heartbeat()
+        if (body.get("baton").asLong() > lastToken) {
+            lastToken = body.get("baton").asLong()
+            scheduleChangeHeartbeat()
         }
-        execute(body)
+        executeOrders(body)
         return 200 to heartbeat()
     }
 
-    private fun execute(body: JsonNode) {
+    private fun executeOrders(body: JsonNode) {
         for (order in body.get("orders")) {
-            val name = order.get("piece").asText()
+            val taskName = order.get("piece").asText()
             val attempt = order.get("try").asLong()
             when (order.get("verb").asText()) {
-                "run" -> if (tasks[name] == null) start(name, attempt)
-                "stop" -> stop(name, attempt)
-                "clear" -> forget(name, attempt)
+                "run" -> if (tasks[taskName] == null) startTask(taskName, attempt)
+                "stop" -> stopTask(taskName, attempt)
+                "clear" -> forgetTask(taskName, attempt)
             }
         }
     }
 
-    private fun stop(name: String, attempt: Long) {
-        val task = tasks[name]?.takeIf { it.attempt == attempt && it.stage != TaskStage.EXITED } ?: return
-        end(name, task, ExitCause.STOPPED)
+    private fun stopTask(taskName: String, attempt: Long) {
+        val task = tasks[taskName]?.takeIf { it.attempt == attempt && it.stage != TaskStage.EXITED } ?: return
+        endTask(taskName, task, ExitCause.STOPPED)
     }
 
-    private fun forget(name: String, attempt: Long) {
-        val task = tasks[name]?.takeIf { it.attempt == attempt && it.stage == TaskStage.EXITED } ?: return
-        if (task.cause == ExitCause.DONE) host.checkStored(task.spec.id, task.task)
-        tasks.remove(name)
+    private fun forgetTask(taskName: String, attempt: Long) {
+        val task = tasks[taskName]?.takeIf { it.attempt == attempt && it.stage == TaskStage.EXITED } ?: return
+        if (task.cause == ExitCause.DONE) host.checkStored(task.spec.id, task.number)
+        tasks.remove(taskName)
     }
 
-    private fun start(name: String, attempt: Long) {
-        val spec = host.specOf(name.substringBefore('/')) ?: return
+    private fun startTask(taskName: String, attempt: Long) {
+        val spec = host.specOf(taskName.substringBefore('/')) ?: return
         host.checker.startCommanded(spec.id, clock.now)
-        val task = Task(spec, name.substringAfter('/').toInt(), attempt)
-        tasks[name] = task
-        changed()
+        val task = Task(spec, taskName.substringAfter('/').toInt(), attempt)
+        tasks[taskName] = task
+        scheduleChangeHeartbeat()
         clock.after(0.5 + host.random.nextDouble()) {
             whenResumed {
-                expire()
-                if (!alive || tasks[name] !== task || task.stage == TaskStage.EXITED) return@whenResumed
+                killTasksIfLeaseExpired()
+                if (!isAlive || tasks[taskName] !== task || task.stage == TaskStage.EXITED) return@whenResumed
                 task.stage = TaskStage.RUNNING
                 if (failsEveryTask || host.isFaulty(spec.id)) {
-                    end(name, task, ExitCause.ERROR)
+                    endTask(taskName, task, ExitCause.ERROR)
                     return@whenResumed
                 }
-                host.checker.taskStarted(name, spec, this, clock.now)
-                host.onStarted(spec.id, task.task)
-                changed()
+                host.checker.taskStarted(taskName, spec, this, clock.now)
+                host.onStarted(spec.id, task.number)
+                scheduleChangeHeartbeat()
                 if (spec.shape != Shape.SERVICE) {
                     clock.after(spec.estimateS) {
                         whenResumed {
-                            expire()
-                            if (alive && tasks[name] === task && task.stage == TaskStage.RUNNING) {
-                                host.checker.taskCompleted(name)
+                            killTasksIfLeaseExpired()
+                            if (isAlive && tasks[taskName] === task && task.stage == TaskStage.RUNNING) {
+                                host.checker.taskCompleted(taskName)
                                 host.onCompleted(spec.id)
-                                end(name, task, ExitCause.DONE)
+                                endTask(taskName, task, ExitCause.DONE)
                             }
                         }
                     }
@@ -216,25 +236,27 @@
         }
     }
 
-    private fun end(name: String, task: Task, cause: ExitCause) {
-        if (task.stage == TaskStage.RUNNING) host.checker.taskStopped(name, this, clock.now)
+    private fun endTask(taskName: String, task: Task, cause: ExitCause) {
+        if (task.stage == TaskStage.RUNNING) host.checker.taskStopped(taskName, this, clock.now)
         task.stage = TaskStage.EXITED
         task.cause = cause
-        changed()
+        scheduleChangeHeartbeat()
     }
 
+    /** Builds the next heartbeat, with the stages of all tasks that the worker still knows. */
     fun heartbeat(): HeartbeatStatus = HeartbeatStatus(
-        id, address, group.type, group.zone, group.spot, session, ++seq, token, null,
-        tasks.map { (_, t) -> TaskStatus(t.spec.id, t.task, t.attempt, t.stage, t.cause, false) },
+        id, address, group.type, group.zone, group.spot, session, ++sequenceNumber, lastToken, null,
+        tasks.map { (_, task) -> TaskStatus(task.spec.id, task.number, task.attempt, task.stage, task.cause, false) },
     )
 
     companion object {
+        /** The reader for the JSON bodies of answers and commands. */
         val json = ObjectMapper()
 
-        /** Where a machine of a virtual cluster is reached. */
+        /** Returns the address of the machine [id] in a simulated cluster; [id] is `i-` and a number. */
         fun addressOf(id: String): String = "addr:${id.substring(2).toInt() + 1}"
 
-        /** How long a worker waits for an answer. */
+        /** How long a worker waits for the answer to a heartbeat, in seconds. */
         const val ANSWER_TIMEOUT_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/simulation/StageRules.kt
+++ b/src/main/kotlin/plankwall/simulation/StageRules.kt
@@ -2,16 +2,17 @@
 
 import plankwall.model.JobSpec
 
-/** Rules on what users are answered: no accepted job is forgotten, and a final stage stays. */
+/** Rules on the answers that users get: no accepted job is forgotten, and a final stage never changes. */
 internal class StageRules(
     private val cancelS: Double,
     private val jobs: JobHistory,
     private val cancellation: CancellationRule,
     private val violations: MutableList<String>,
 ) {
-    /** Submissions of jobs whose dependencies were all accepted, answered 422 all the same. */
+    /** Ids of the jobs whose submission was answered 422 although all of their dependencies had been accepted. */
     val refused = ArrayList<String>()
 
+    /** Checks the answer to a submission, see [RuleChecker.submissionAnswered]. */
     fun onSubmissionAnswered(spec: JobSpec, status: Int, stage: String?, now: Double, askedAt: Double) {
         val id = spec.id
         if (status == 422 && spec.dependencies.all { it in jobs.accepted }) refused.add(id)
@@ -20,30 +21,33 @@
             if (stage != null) onStage(id, stage, now, askedAt)
         }
         val isRefused = id in jobs.accepted && (status == 400 || status == 422)
-        if (isRefused || status == 404 && jobs.isAcceptedBy(id, askedAt)) violations.add("forgotten: $id got $status")
+        if (isRefused || status == 404 && jobs.wasAcceptedAt(id, askedAt)) violations.add("forgotten: $id got $status")
     }
 
-    /** A final stage stays so in every later answer. */
+    /**
+     * Checks [stage], reported for the job [id], against earlier answers: a final stage stays in every later answer.
+     */
     fun onStage(id: String, stage: String, now: Double, askedAt: Double) {
-        val before = jobs.finalStage(id)
-        // Two different final stages contradict each other whenever they were asked for.
+        val knownStage = jobs.finalStage(id)
+        // Two different final stages contradict each other, whichever request was sent first.
         val isFinal = stage == "done" || stage == "withdrawn"
-        if (before != null && before != stage && (isFinal || askedAt >= jobs.finalStageAt(id))) {
-            violations.add("went_back: $id from $before to $stage")
+        if (knownStage != null && knownStage != stage && (isFinal || askedAt >= jobs.finalStageAt(id))) {
+            violations.add("went_back: $id from $knownStage to $stage")
         }
         if (stage == "withdrawn" &&
             !jobs.isCancelRequested(id) &&
             jobs.requiredJobs(id).none { jobs.isCancelRequested(it) }
         ) {
-            violations.add("went_back: $id called withdrawn by nobody's wish")
+            violations.add("went_back: $id called withdrawn although no user cancelled it or a job that it depends on")
         }
         if (stage == "done" && id in jobs.accepted && !jobs.isDone(id)) violations.add("not_done: $id")
         if (stage == "withdrawn") cancellation.onConfirmed(id, now)
         if (isFinal) jobs.setFinalStage(id, stage, now)
     }
 
+    /** Checks the answer to a status request, see [RuleChecker.statusAnswered]. */
     fun onStatusAnswered(id: String, status: Int, stage: String?, now: Double, askedAt: Double) {
-        if (status == 404 && jobs.isAcceptedBy(id, askedAt)) violations.add("forgotten: $id")
+        if (status == 404 && jobs.wasAcceptedAt(id, askedAt)) violations.add("forgotten: $id")
         if (status != 200) return
         if (id !in jobs.accepted) {
             violations.add("invented: $id")
@@ -54,6 +58,7 @@
         cancellation.check(now)
     }
 
+    /** Checks that the job [id] is withdrawn [cancelS] after a job that it depends on was. */
     private fun checkRequiredJobs(id: String, stage: String, now: Double) = jobs.requiredJobs(id).forEach { required ->
         val confirmedAt = cancellation.confirmedAt(required)?.takeIf { jobs.finalStage(required) == "withdrawn" }
         if (confirmedAt != null && now > maxOf(confirmedAt, jobs.acceptedAt(id) ?: now) + cancelS) {
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -7,26 +7,34 @@
 import java.util.Random
 
 /**
- * The cluster around a [SimulatedWorker]: its clock, the controllers that it reports to, and the observers of what it
- * does.
- * A [SimulatedCluster] carries reports in virtual time; the scale run carries them over sockets.
+ * The surroundings of a [SimulatedWorker]: its clock, the controllers that get its heartbeats, and the observers of its
+ * tasks. A [SimulatedCluster] carries heartbeats in virtual time; the load test carries them over sockets.
  */
 interface WorkerHost {
+    /** The clock that workers live by. */
     val clock: SimulatedClock
+
+    /** The source of every random choice of the workers, so that a seed determines a run. */
     val random: Random
+
+    /** The settings with the worker times (lease, heartbeat period) in force. */
     val settings: Settings
+
+    /** The checker that is told of the starts and ends of tasks. */
     val checker: RuleChecker
 
-    /** The controllers, in the order in which workers try them. */
+    /** The names of the controllers, in the order in which workers try them. */
     val nodeNames: List<String>
 
-    /** The description of a job that was submitted, or null. */
+    /** Returns the specification of the job [id], or null if it was not submitted. */
     fun specOf(id: String): JobSpec?
 
-    /** Whether the job was submitted with a mistake and fails wherever it runs. */
+    /** Returns whether the job [id] has an error of its own, so that its tasks fail on every machine. */
     fun isFaulty(id: String): Boolean
 
-    /** Carries [heartbeat] to the controller at index [node]; [then] gets the answer, if there is one. */
+    /**
+     * Carries [heartbeat] to the controller at index [node] of [nodeNames]; [then] is called with the answer, if any.
+     */
     fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
@@ -34,15 +42,15 @@
         then: (status: Int, body: JsonNode) -> Unit,
     )
 
-    /** A worker is about to forget that a task is done. */
+    /** Called when a worker is about to forget that task number [task] of the job [id] is done. */
     fun checkStored(id: String, task: Int)
 
-    /** A task of the job has begun to run. */
+    /** Called when task number [task] of the job [id] has begun to run. */
     fun onStarted(id: String, task: Int)
 
-    /** A task of the job has completed; called once for each. */
+    /** Called once for each task of the job [id] that has completed. */
     fun onCompleted(id: String)
 
-    /** A worker's lease ran out while [tasks] of its tasks had not ended. */
+    /** Called when the lease of [worker] expired while [tasks] of its tasks had not ended; it kills them. */
     fun onLeaseExpired(worker: SimulatedWorker, tasks: Int)
 }
