--- a/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
+++ b/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
@@ -46,7 +46,7 @@
         val sentAt = clock.now
         network.carry(name, worker.id, zone, delayS = COMMAND_DELAY_S) {
             if (worker.hung) faults.count("commands to the hung")
-            worker.whenResumed {
+            worker.runWhenResumed {
                 val answer = worker.command(SimulatedWorker.json.readTree(effect.body))
                 if (answer != null && clock.now - sentAt < COMMAND_TIMEOUT_S) {
                     network.carry(worker.id, name, zone, delayS = COMMAND_DELAY_S) {
@@ -75,7 +75,7 @@
             isStoreCut && op is StateOp.Watch -> clock.after(CUT_WATCH_TIMEOUT_S) { replyLater(StateResult.Unknown) }
             isStoreCut -> replyLater(StateResult.Refused)
             op is StateOp.Txn && random.nextDouble() < faults.lateWrites -> {
-                // The caller gets no answer in time and gives up; the store executes the transaction later.
+                // The caller gets no answer and gives up; the store executes the transaction, mostly later than that.
                 faults.count("late writes")
                 replyAfter(STORE_TIMEOUT_S, processNumber, Input.StateReply(effect.call, StateResult.Unknown))
                 clock.after(random.nextDouble() * MAX_LATE_WRITE_DELAY_S) { state.run(op) {} }
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -27,27 +27,70 @@
 
     /** The kinds of faults; their names are printed with the result. */
     private enum class Kind {
+        /** The store refuses the leader. */
         LEADER_REFUSED,
+
+        /** The store is down. */
         OUTAGE,
+
+        /** The leader reaches neither the store nor other controllers. */
         LEADER_ALONE,
+
+        /** Some store transactions are applied late, mostly after their caller gave up. */
         LATE_WRITES,
+
+        /** Copies of heartbeats arrive late. */
         LATE_REPORTS,
+
+        /** Half of the machines receive no answers and commands. */
         INBOUND_BLOCKED,
+
+        /** The leader crashes. */
         CRASH,
+
+        /** All controllers crash. */
         ALL_CRASH,
+
+        /** The leader is frozen. */
         FROZEN,
+
+        /** One zone is cut off. */
         CUT_ZONE,
+
+        /** No controller reaches another. */
         PEERS_APART,
+
+        /** Some answers to heartbeats, store calls and cloud calls are lost. */
         SLOW_STORE,
+
+        /** Some store transactions are applied while their answer is lost. */
         LOST_ANSWERS,
+
+        /** Copies of heartbeats reach the next leader, and the leader crashes at the end. */
         COPIES_FOR_NEXT,
+
+        /** The heartbeats of half of the machines are lost. */
         OUTBOUND_BLOCKED,
+
+        /** A third of the machines hang. */
         HANG,
+
+        /** Users send requests to all controllers within milliseconds. */
         CLOSE_LOOKS,
+
+        /** Users send invalid requests every second. */
         ODD_REQUESTS,
+
+        /** Machines boot in a tenth of the time. */
         INSTANT,
+
+        /** The leader crashes ten times. */
         TEN_LEADERS,
+
+        /** Users cancel up to six unfinished jobs at once, and some machines hang. */
         CANCEL_NOW,
+
+        /** Users cancel half of the jobs right after their last task completed. */
         CANCEL_AT_END,
     }
 
--- a/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
@@ -8,7 +8,10 @@
     /** The share of heartbeats, store calls (except watches) and cloud calls whose answer is lost. */
     var answerLoss = 0.0
 
-    /** The share of store transactions that the store applies only after the caller gave up, up to 30 s late. */
+    /**
+     * The share of store transactions whose caller gets no answer and gives up after 1.5 s, while the store applies
+     * them at a random time within 30 s.
+     */
     var lateWrites = 0.0
 
     /** The share of store transactions that are applied at once while their answer is lost. */
--- a/src/main/kotlin/plankwall/simulation/JobHistory.kt
+++ b/src/main/kotlin/plankwall/simulation/JobHistory.kt
@@ -24,7 +24,7 @@
     fun acceptedAt(id: String): Double? = acceptedAt[id]
 
     /** Returns whether the job [id] had been accepted at [time] or earlier. */
-    fun wasAcceptedAt(id: String, time: Double): Boolean = acceptedAt[id]?.let { it <= time } ?: false
+    fun isAcceptedAt(id: String, time: Double): Boolean = acceptedAt[id]?.let { it <= time } ?: false
 
     /** Records that [task] has run to its end. */
     fun completeTask(task: String) {
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -33,6 +33,8 @@
 
     /** When each worker last reached a node that could have served it, in seconds, by worker id. */
     private val lastServableAt = HashMap<String, Double>()
+
+    /** The times from the start of each fault to the next answer that each worker got, in milliseconds. */
     private val recordedServedMs = Histogram(MAX_SERVED_MS, 3)
 
     /** When each worker was last served, in seconds, by worker id. */
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -41,7 +41,7 @@
         )
 
     /** Ids of the jobs that have to be done at the end. */
-    private val requiredJobs = ArrayList<String>()
+    private val requiredIds = ArrayList<String>()
 
     /** Plays the run until [endS] seconds of virtual time and returns its outcome. */
     fun play(endS: Double = 420.0): Result {
@@ -58,7 +58,7 @@
         if (random.nextInt(3) == 0) injectStoreOutage()
         cluster.clock.runUntil(endS)
         // By now all faults are over and the cluster is quiet.
-        val unfinishedJobs = requiredJobs.filter { id -> cluster.stageOf(id) != "done" }
+        val unfinishedJobs = requiredIds.filter { id -> cluster.stageOf(id) != "done" }
         return Result(
             seed,
             nodes,
@@ -80,7 +80,7 @@
      */
     private fun submit(spec: JobSpec, atS: Double, cancelAfter: Double? = null) {
         cluster.clock.after(atS) { cluster.submit(spec, cancelAfter) }
-        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE_CLASS) requiredJobs.add(spec.id)
+        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE_CLASS) requiredIds.add(spec.id)
     }
 
     /** Submits services at the start, and gangs and arrays one after the other. */
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -28,8 +28,8 @@
 /**
  * A cluster in virtual time. The controller cores are real; store, cloud, workers, users and network are simulated. All
  * random choices follow from [seed]. [stateNext] holds announced limits of the state service that may come into force
- * at any time, or null; [gatewaySettings] returns the access gateway settings of a controller, or null for one without
- * a gateway; [times] replaces the default worker times.
+ * at any time, or null. [gatewaySettings] returns the access gateway settings of a controller, or null for one without
+ * a gateway. [objectives] are the service-level objectives. [times] replaces the default worker times.
  */
 class SimulatedCluster(
     seed: Long,
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -39,7 +39,10 @@
     private var trimmedUpTo = 0L
     private val watchers = ArrayList<Watcher>()
 
-    /** The revision of the last change; every transaction, direct put and ended lease with keys adds one. */
+    /**
+     * The revision of the last change; a transaction with writes, a direct put, and a lease that ends with its keys add
+     * one.
+     */
     private var revision = 0L
     private var nextLease = 1L
 
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -13,6 +13,7 @@
 /**
  * A worker on a simulated machine, as the protocol specifies it: it sends heartbeats, executes the orders in their
  * answers, rejects those of older leaders by their token, and kills its tasks when its lease expires.
+ * [id] is that of the machine, [group] its type, zone and rental kind.
  */
 class SimulatedWorker(
     private val host: WorkerHost,
@@ -20,6 +21,7 @@
     val group: GroupKey,
     val address: String = addressOf(id),
 ) {
+    /** An attempt to run one task of a job; it is kept after its end until an order clears it or the lease expires. */
     private class Task(val spec: JobSpec, val number: Int, val attempt: Long) {
         var stage = TaskStage.FETCHING
         var cause: ExitCause? = null
@@ -55,8 +57,8 @@
     }
 
     /** Runs [action] at once, or, if the machine hangs, after it resumes; deferred actions run in order. */
-    fun whenResumed(action: () -> Unit) {
-        if (hung) clock.after(hungUntil - clock.now + 0.001) { whenResumed(action) } else action()
+    fun runWhenResumed(action: () -> Unit) {
+        if (hung) clock.after(hungUntil - clock.now + 0.001) { runWhenResumed(action) } else action()
     }
 
     /** Whether every task that starts here fails; tasks that already run go on. */
@@ -113,9 +115,9 @@
         private var isSettled = false
 
         fun send() {
-            clock.after(ANSWER_TIMEOUT_S) { whenResumed { retryAtNextNode() } }
+            clock.after(ANSWER_TIMEOUT_S) { runWhenResumed { retryAtNextNode() } }
             host.sendHeartbeat(this@SimulatedWorker, targetNode, heartbeat()) { status, body ->
-                whenResumed { onAnswer(status, body) }
+                runWhenResumed { onAnswer(status, body) }
             }
         }
 
@@ -209,20 +211,20 @@
         tasks[taskName] = task
         scheduleChangeHeartbeat()
         clock.after(0.5 + host.random.nextDouble()) {
-            whenResumed {
+            runWhenResumed {
                 killTasksIfLeaseExpired()
-                if (!isAlive || tasks[taskName] !== task || task.stage == TaskStage.EXITED) return@whenResumed
+                if (!isAlive || tasks[taskName] !== task || task.stage == TaskStage.EXITED) return@runWhenResumed
                 task.stage = TaskStage.RUNNING
                 if (failsEveryTask || host.isFaulty(spec.id)) {
                     endTask(taskName, task, ExitCause.ERROR)
-                    return@whenResumed
+                    return@runWhenResumed
                 }
                 host.checker.taskStarted(taskName, spec, this, clock.now)
                 host.onStarted(spec.id, task.number)
                 scheduleChangeHeartbeat()
                 if (spec.shape != Shape.SERVICE) {
                     clock.after(spec.estimateS) {
-                        whenResumed {
+                        runWhenResumed {
                             killTasksIfLeaseExpired()
                             if (isAlive && tasks[taskName] === task && task.stage == TaskStage.RUNNING) {
                                 host.checker.taskCompleted(taskName)
@@ -249,6 +251,7 @@
         tasks.map { (_, task) -> TaskStatus(task.spec.id, task.number, task.attempt, task.stage, task.cause, false) },
     )
 
+    /** The JSON reader, the address scheme and the answer timeout of simulated workers. */
     companion object {
         /** The reader for the JSON bodies of answers and commands. */
         val json = ObjectMapper()
--- a/src/main/kotlin/plankwall/simulation/StageRules.kt
+++ b/src/main/kotlin/plankwall/simulation/StageRules.kt
@@ -21,7 +21,7 @@
             if (stage != null) onStage(id, stage, now, askedAt)
         }
         val isRefused = id in jobs.accepted && (status == 400 || status == 422)
-        if (isRefused || status == 404 && jobs.wasAcceptedAt(id, askedAt)) violations.add("forgotten: $id got $status")
+        if (isRefused || status == 404 && jobs.isAcceptedAt(id, askedAt)) violations.add("forgotten: $id got $status")
     }
 
     /**
@@ -47,7 +47,7 @@
 
     /** Checks the answer to a status request, see [RuleChecker.statusAnswered]. */
     fun onStatusAnswered(id: String, status: Int, stage: String?, now: Double, askedAt: Double) {
-        if (status == 404 && jobs.wasAcceptedAt(id, askedAt)) violations.add("forgotten: $id")
+        if (status == 404 && jobs.isAcceptedAt(id, askedAt)) violations.add("forgotten: $id")
         if (status != 200) return
         if (id !in jobs.accepted) {
             violations.add("invented: $id")
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -11,13 +11,13 @@
  * tasks. A [SimulatedCluster] carries heartbeats in virtual time; the load test carries them over sockets.
  */
 interface WorkerHost {
-    /** The clock that workers live by. */
+    /** The clock on which workers schedule heartbeats, lease checks and tasks. */
     val clock: SimulatedClock
 
     /** The source of every random choice of the workers, so that a seed determines a run. */
     val random: Random
 
-    /** The settings with the worker times (lease, heartbeat period) in force. */
+    /** The settings of the cluster; workers take their lease duration and heartbeat period from them. */
     val settings: Settings
 
     /** The checker that is told of the starts and ends of tasks. */
