--- a/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
+++ b/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
@@ -45,7 +45,7 @@
         val zone = worker.group.zone
         val sentAt = clock.now
         network.carry(name, worker.id, zone, delayS = COMMAND_DELAY_S) {
-            if (worker.hung) faults.count("commands to the hung")
+            if (worker.isHung) faults.count("commands to the hung")
             worker.runWhenResumed {
                 val answer = worker.command(SimulatedWorker.json.readTree(effect.body))
                 if (answer != null && clock.now - sentAt < COMMAND_TIMEOUT_S) {
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -146,10 +146,10 @@
 
     /** Whether [node] can answer [worker], as the leader or through an open link to the leader. */
     private fun canServe(cluster: SimulatedCluster, worker: SimulatedWorker, node: SimulatedController): Boolean =
-        !node.frozen &&
+        !node.isFrozen &&
             cluster.network.isOpen(node.name, worker.id, worker.group.zone) &&
             cluster.nodes.any {
-                it.leading && !it.frozen && (it === node || isOpenBothWays(cluster, node.name, it.name))
+                it.leading && !it.isFrozen && (it === node || isOpenBothWays(cluster, node.name, it.name))
             }
 
     private fun isOpenBothWays(cluster: SimulatedCluster, a: String, b: String) =
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -172,7 +172,7 @@
     /** The workers that are reachable and can run tasks, with the capacity of their machines. */
     private fun healthyWorkers(): Map<SimulatedWorker, Resources> = cloud.workers
         .filter {
-            !it.hung &&
+            !it.isHung &&
                 !it.failsEveryTask &&
                 it.id !in faults.inboundBlocked &&
                 it.id !in faults.outboundBlocked &&
--- a/src/main/kotlin/plankwall/simulation/SimulatedController.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedController.kt
@@ -49,7 +49,7 @@
     val leading: Boolean get() = core?.leading == true
 
     /** Whether the process is frozen, see [freeze]. */
-    val frozen: Boolean get() = clock.now < frozenUntil
+    val isFrozen: Boolean get() = clock.now < frozenUntil
 
     /** Starts a new process, with an empty core and a new incarnation number. */
     fun start() {
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -49,7 +49,7 @@
     private var hungUntil = 0.0
 
     /** Whether the machine hangs: it executes neither tasks nor commands, while its lease runs on. */
-    val hung: Boolean get() = clock.now < hungUntil
+    val isHung: Boolean get() = clock.now < hungUntil
 
     /** Makes the machine hang for [durationS] seconds, or longer if it already hangs for longer. */
     fun hang(durationS: Double) {
@@ -58,7 +58,7 @@
 
     /** Runs [action] at once, or, if the machine hangs, after it resumes; deferred actions run in order. */
     fun runWhenResumed(action: () -> Unit) {
-        if (hung) clock.after(hungUntil - clock.now + 0.001) { runWhenResumed(action) } else action()
+        if (isHung) clock.after(hungUntil - clock.now + 0.001) { runWhenResumed(action) } else action()
     }
 
     /** Whether every task that starts here fails; tasks that already run go on. */
@@ -102,7 +102,7 @@
     }
 
     private fun send() {
-        if (isAwaitingAnswer || !isAlive || hung) return
+        if (isAwaitingAnswer || !isAlive || isHung) return
         isAwaitingAnswer = true
         lastSentAt = clock.now
         SentHeartbeat().send()
