--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -14,17 +14,17 @@
 
 /**
  * A person, service or node that can prove its identity with one of its [keys]. [networks]: where its requests may come
- * from; null for anywhere. [disabled]: whether none of its keys is accepted.
+ * from; null for anywhere. [isDisabled]: whether none of its keys is accepted.
  */
 class Principal(
     val name: String,
     val kind: PrincipalKind,
     val keys: List<PublicKey>,
     val networks: Networks?,
-    val disabled: Boolean,
+    val isDisabled: Boolean,
 ) {
     /** The key with this id; null if there is none, or the principal is disabled. */
-    fun key(id: String): PublicKey? = if (disabled) null else keys.find { it.id == id }
+    fun key(id: String): PublicKey? = if (isDisabled) null else keys.find { it.id == id }
 }
 
 /**
@@ -69,9 +69,9 @@
 }
 
 /**
- * A rule that allows or denies [actions] on the jobs that fulfil [condition]; null for any job. [line]: its line in the
- * text of the policy, counted from 1. [cancel]: whether live jobs are cancelled when their owner loses the right to
- * submit them; null if the rule does not say.
+ * A rule that allows or denies [actions] on the jobs that fulfil [condition]; null for any job. [name]: what the audit
+ * log names it by. [line]: its line in the text of the policy, counted from 1. [cancel]: whether live jobs are
+ * cancelled when their owner loses the right to submit them; null if the rule does not say.
  */
 class Rule(
     val name: String,
@@ -92,15 +92,15 @@
 class RuleExplanation(val rule: Rule, val standing: RuleOutcome)
 
 /**
- * One version of the principals and of the rules that say what each of them may do. [workers] and [peers]: the networks
- * from which workers and other controllers may connect; null for anywhere.
+ * One version of the principals and of the rules that say what each of them may do. [workerNetworks] and
+ * [peerNetworks]: the networks from which workers and other controllers may connect; null for anywhere.
  */
 class Policy(
     val version: Long,
     val principals: Map<String, Principal>,
     private val rules: Map<String, List<Rule>>,
-    val workers: Networks?,
-    val peers: Networks?,
+    val workerNetworks: Networks?,
+    val peerNetworks: Networks?,
 ) {
     /** The rules for [principal], in the order in which the policy's text defines or grants them. */
     fun rulesOf(principal: String): List<Rule> = rules[principal].orEmpty()
@@ -117,7 +117,7 @@
         val knownPrincipal = principals[principal]
         return when {
             knownPrincipal == null -> Verdict(false, UNKNOWN_PRINCIPAL)
-            knownPrincipal.disabled -> Verdict(false, DISABLED_PRINCIPAL)
+            knownPrincipal.isDisabled -> Verdict(false, DISABLED_PRINCIPAL)
             else -> decide(principal, action, job)
         }
     }
--- a/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyBuilder.kt
@@ -21,8 +21,8 @@
 
     /** The rules of each principal, by its name. */
     private val rules = HashMap<String, MutableList<Rule>>()
-    private var workers: Networks? = null
-    private var peers: Networks? = null
+    private var workerNetworks: Networks? = null
+    private var peerNetworks: Networks? = null
 
     fun build(document: RightsParser.DocumentContext): Policy {
         val statements = document.statement()
@@ -39,13 +39,13 @@
             statement.rule_()?.let(::addRule)
             statement.door()?.let(::addNetworkRestriction)
         }
-        return Policy(version, principals, rules, workers, peers)
+        return Policy(version, principals, rules, workerNetworks, peerNetworks)
     }
 
     private fun addPrincipal(principal: RightsParser.PrincipalContext) {
         val keys = ArrayList<PublicKey>()
         var networks: Networks? = null
-        var disabled = false
+        var isDisabled = false
         for (item in principal.principalItem()) {
             when (item.start.text) {
                 "key" -> keys.add(
@@ -54,7 +54,7 @@
                     },
                 )
                 "network" -> networks = readNetworks(item, item.STRING().map { it.symbol })
-                else -> disabled = true
+                else -> isDisabled = true
             }
         }
         define(principals, principal.name(), "principal") {
@@ -63,7 +63,7 @@
                 PrincipalKind.valueOf(principal.kind.text.uppercase()),
                 keys,
                 networks,
-                disabled,
+                isDisabled,
             )
         }
     }
@@ -164,9 +164,9 @@
     private fun addNetworkRestriction(restriction: RightsParser.DoorContext) {
         val networks = readNetworks(restriction, restriction.STRING().map { it.symbol })
         val connecting = restriction.which.text
-        val isRepeated = if (connecting == "workers") workers != null else peers != null
+        val isRepeated = if (connecting == "workers") workerNetworks != null else peerNetworks != null
         if (isRepeated) restriction.fail("'$connecting network' stands twice")
-        if (connecting == "workers") workers = networks else peers = networks
+        if (connecting == "workers") workerNetworks = networks else peerNetworks = networks
     }
 
     private fun readCondition(condition: RightsParser.ConditionContext): Condition =
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -35,7 +35,7 @@
     val version: Long get() = policies.policy.version
 
     /** The networks from which the current policy lets peers open connections; null if it lets them from anywhere. */
-    val peerNetworks: Networks? get() = policies.policy.peers
+    val peerNetworks: Networks? get() = policies.policy.peerNetworks
 
     override fun tick(authority: LeaseAuthority?) {
         entryFactory.epoch = authority?.epoch ?: 0L
@@ -77,7 +77,7 @@
         admin.handle(request, credentials, asked)
 
     override fun heartbeatRefusal(address: String, claimed: String, listed: String?): String? {
-        val ranges = policies.policy.workers
+        val ranges = policies.policy.workerNetworks
         return when {
             ranges != null && !ranges.contains(address) -> "workers may not report from this network"
             !settings.workersAtListedAddress || listed.isNullOrEmpty() -> null
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -27,6 +27,9 @@
     private val entryFactory: AuditEntryFactory,
     private val denials: DenialLimits,
 ) {
+    /**
+     * The clock difference that is tolerated: the time bound of the site, rounded up, is added to that of the settings.
+     */
     private val toleranceMs = settings.clockToleranceMs + ctx.settings.timeBoundMs.toLong() + 1
     private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenS * MS_PER_S).toLong())
     private val usedTokens = ReplayGuard(MAX_USED_TOKENS)
@@ -69,7 +72,7 @@
     }
 
     private fun isKeyValid(claims: Claims, nowMs: Long): Boolean =
-        policies.policy.publicKey(claims.principal, claims.key)?.isValidAt(nowMs, toleranceMs) == true
+        policies.policy.publicKey(claims.principal, claims.keyId)?.isValidAt(nowMs, toleranceMs) == true
 
     /** Checks what a valid signature does not prove: rate limits, network, binding, age of the policy and reuse. */
     private fun admit(
@@ -79,7 +82,7 @@
         network: String,
         onAuthenticated: (AuthenticatedCaller) -> Unit,
     ) {
-        val origin = RequestOrigin(claims.principal, claims.key, network, claims.id)
+        val origin = RequestOrigin(claims.principal, claims.keyId, network, claims.id)
         val networks = policies.policy.principals[claims.principal]?.networks
         val isFresh = policies.isFresh(settings.failClosedS)
         val isReadOnly = credentials.method == "GET"
--- a/src/main/kotlin/plankwall/identity/Tokens.kt
+++ b/src/main/kotlin/plankwall/identity/Tokens.kt
@@ -13,13 +13,13 @@
 import java.util.Base64
 
 /**
- * The claims of a verified token. [key]: the id of the key that signed it. [expiresMs]: the wall-clock time from which
- * on it is refused, clock tolerance included. [requestFingerprint]: the fingerprint of the request that the token is
- * bound to; null if it is bound to none and permits only reads.
+ * The claims of a verified token. [keyId]: the id of the key that signed it. [expiresMs]: the wall-clock time from
+ * which on it is refused, clock tolerance included. [requestFingerprint]: the fingerprint of the request that the token
+ * is bound to; null if it is bound to none and permits only reads.
  */
 class Claims(
     val principal: String,
-    val key: String,
+    val keyId: String,
     val id: String,
     val expiresMs: Long,
     val requestFingerprint: String?,
