--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -192,7 +192,10 @@
         sendNext()
     }
 
-    /** Reports the conflict to the entries whose own guards [failed]; the others only shared the transaction. */
+    /**
+     * Reports the conflict to the entries whose own guards [failed]. The others only shared the transaction, and are
+     * sent again.
+     */
     private fun onConflict(batch: AuditBatch, failed: Set<String>) {
         val conflicting = batch.items.filter { item -> item.guardKeys.any { it in failed } }
         val isChainConflict = batch.chainGuards.any { it.key in failed }
--- a/src/main/kotlin/plankwall/audit/SealChainTail.kt
+++ b/src/main/kotlin/plankwall/audit/SealChainTail.kt
@@ -5,7 +5,7 @@
 import plankwall.wire.AccessKeys
 import plankwall.wire.AuditSeal
 
-/** Finds the last seal in the store. */
+/** Finds the last seal in the store, where seals are numbered without a gap. */
 class SealChainTail(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("audit")
 
