--- a/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -8,41 +8,48 @@
 import plankwall.wire.CloudServiceCodec
 import plankwall.wire.JobCodec
 
-/** The cloud as one controller reaches it. */
+/**
+ * The HTTP interface of the simulated cloud for one controller.
+ *
+ * @param meter counts the controller's requests
+ * @param rateLimit limits the requests of all controllers together
+ */
 class CloudEndpoint(
     private val cluster: LoadTestCluster,
     private val meter: NodeMeter,
-    private val rate: SimulatedStore.Meter,
+    private val rateLimit: SimulatedStore.Meter,
 ) {
+    /** Answers one request; a request beyond the rate limit gets status 429. */
     fun handle(request: HttpRequest): HttpReply {
         meter.cloudRequests++
-        val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
-        return cluster.enter {
-            if (rate.note(cluster.clock.now, 1)) {
-                answer(cluster.cloud.run(op))
+        val op = readOp(request) ?: return HttpReply(404, JobCodec.error("no such path"))
+        return cluster.runCaughtUp {
+            if (rateLimit.note(cluster.clock.now, 1)) {
+                replyTo(cluster.cloud.run(op))
             } else {
                 HttpReply(429, JobCodec.error("too many requests"), 1)
             }
         }
     }
 
-    private fun read(r: HttpRequest): CloudOp? = when {
-        r.path == "/catalog" -> CloudOp.GetCatalog
-        r.path == "/machines/delete" -> CloudServiceCodec.readDelete(r.body)
-        r.path == "/machines" && r.method == "POST" -> CloudServiceCodec.readRent(r.body)
-        r.path == "/machines" -> list(r.query)
+    /** Returns the operation that [request] asks for, or null if there is none at its path. */
+    private fun readOp(request: HttpRequest): CloudOp? = when {
+        request.path == "/catalog" -> CloudOp.GetCatalog
+        request.path == "/machines/delete" -> CloudServiceCodec.readDelete(request.body)
+        request.path == "/machines" && request.method == "POST" -> CloudServiceCodec.readRent(request.body)
+        request.path == "/machines" -> readListMachines(request.query)
         else -> null
     }
 
-    private fun list(query: String): CloudOp {
+    private fun readListMachines(query: String): CloudOp {
         val fields = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
         return CloudOp.ListMachines(
             fields["from"],
-            (fields["page"]?.toIntOrNull() ?: MAX_LISTED).coerceIn(1, MAX_LISTED),
+            (fields["page"]?.toIntOrNull() ?: MAX_LISTED_MACHINES).coerceIn(1, MAX_LISTED_MACHINES),
         )
     }
 
-    private fun answer(result: CloudResult): HttpReply = when (result) {
+    private fun replyTo(result: CloudResult): HttpReply = when (result) {
         is CloudResult.CatalogRead -> HttpReply(200, CloudServiceCodec.catalog(result.catalog))
         is CloudResult.Rented -> HttpReply(200, CloudServiceCodec.rented(result.machines))
         is CloudResult.Listed -> HttpReply(200, CloudServiceCodec.listed(result))
@@ -53,6 +60,6 @@
     }
 
     private companion object {
-        const val MAX_LISTED = 500
+        const val MAX_LISTED_MACHINES = 500
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
@@ -5,10 +5,20 @@
 import java.nio.file.Files
 import java.util.concurrent.TimeUnit
 
-/** What the operating system says a process uses. */
+/**
+ * The resource use of a process at one time, as the operating system reports it.
+ *
+ * @property cpuS the CPU time that the process has used since it started, in seconds
+ * @property sockets the number of open sockets, or -1 if they were not counted
+ */
 data class ProcessSample(val cpuS: Double, val residentMb: Double, val sockets: Int)
 
-/** One controller: a process that this run started, and that it alone ends. */
+/**
+ * A controller of a load test, run as a process that only the load test itself starts and kills.
+ *
+ * @param command the command line that starts the controller
+ * @param folder the folder of its log
+ */
 class ControllerProcess(
     val name: String,
     val zone: String,
@@ -19,94 +29,106 @@
 ) {
     private var process: Process? = null
 
-    /** How often the process was started. */
+    /** The number of times that the process was started. */
     var starts = 0
         private set
 
-    /** How often it ended though nobody ended it. */
+    /** The number of times that the process ended without [kill] or [close]. */
     var endedByItself = 0
         private set
 
-    val up: Boolean get() = process?.isAlive == true
+    /** Whether the process runs at present. */
+    val isRunning: Boolean get() = process?.isAlive == true
 
-    val log: File = File(folder, "$name.log")
+    /** The file that the process's standard error is appended to. */
+    val logFile: File = File(folder, "$name.log")
 
-    private var closed = false
+    private var isClosed = false
 
+    /** Starts the process; has no effect after [close]. */
     @Synchronized
     fun start() {
-        if (closed) return
+        if (isClosed) return
         starts++
         process = ProcessBuilder(command)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
-            .redirectError(ProcessBuilder.Redirect.appendTo(log))
+            .redirectError(ProcessBuilder.Redirect.appendTo(logFile))
             .apply { environment()["LOG_LEVEL"] = logLevel }
             .start()
     }
 
+    /** Kills the process, if there is one, and waits until it has ended; [start] may start it again. */
     @Synchronized
     fun kill() {
-        process?.destroyForcibly()?.waitFor(END_S, TimeUnit.SECONDS)
+        process?.destroyForcibly()?.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS)
         process = null
     }
 
-    /** Ends the process for good: nothing starts it again. */
+    /** Kills the process and prevents any further start. */
     @Synchronized
     fun close() {
-        closed = true
+        isClosed = true
         kill()
     }
 
-    /** Starts a process again that ended by itself, as the platform does. */
+    /** Restarts the process if it ended by itself, as the platform does in production. */
     @Synchronized
     fun restartIfEnded() {
-        val ended = process ?: return
-        if (ended.isAlive) return
+        val current = process ?: return
+        if (current.isAlive) return
         endedByItself++
         start()
     }
 
-    /** Null while there is no process. [withSockets]: counting them reads a link for each open file. */
+    /**
+     * Returns the present resource use, or null if the process does not run.
+     *
+     * @param withSockets whether to count the sockets, which reads a link for each open file
+     */
     fun sample(withSockets: Boolean): ProcessSample? {
         val pid = process?.takeIf { it.isAlive }?.pid() ?: return null
-        return ProcReader.read(pid, withSockets)
+        return ProcReader.readSample(pid, withSockets)
     }
 
     private companion object {
-        const val END_S = 5L
+        const val KILL_TIMEOUT_S = 5L
     }
 }
 
-/** Reads what Linux tells of a process under `/proc`. */
+/** Reads resource use and limits from the Linux `/proc` file system. */
 object ProcReader {
-    /** Clock ticks a second, which is 100 on every Linux that Java runs on. */
+    /** The number of clock ticks per second, which is 100 on every Linux that Java runs on. */
     private const val TICKS_PER_S = 100.0
 
-    /** Fields of `stat` behind the command's name, which may hold spaces: user and system time. */
-    private const val USER_TIME = 11
-    private const val SYSTEM_TIME = 12
+    /**
+     * The indices of the user and system time among the fields of `stat` that follow the command name. The fields are
+     * counted from there because the command name may contain spaces.
+     */
+    private const val USER_TIME_FIELD = 11
+    private const val SYSTEM_TIME_FIELD = 12
 
-    fun read(pid: Long, withSockets: Boolean): ProcessSample? = try {
+    /** Returns the resource use of the process [pid], or null if it has ended. */
+    fun readSample(pid: Long, withSockets: Boolean): ProcessSample? = try {
         val stat = File("/proc/$pid/stat").readText().substringAfterLast(") ").split(' ')
-        val ticks = stat[USER_TIME].toLong() + stat[SYSTEM_TIME].toLong()
+        val ticks = stat[USER_TIME_FIELD].toLong() + stat[SYSTEM_TIME_FIELD].toLong()
         val resident = residentMb(pid)
         if (resident == null) {
             null
         } else {
-            ProcessSample(ticks / TICKS_PER_S, resident, if (withSockets) sockets(pid) else -1)
+            ProcessSample(ticks / TICKS_PER_S, resident, if (withSockets) countSockets(pid) else -1)
         }
     } catch (_: java.io.IOException) {
         null
     }
 
-    /** Null of a process that has ended and was not waited for yet. */
+    /** Returns the resident memory in MB; null if the process has ended and its parent has not waited for it yet. */
     private fun residentMb(pid: Long): Double? =
         File("/proc/$pid/status").useLines { lines -> lines.firstOrNull { it.startsWith("VmRSS:") } }?.let { line ->
             line.filter { it.isDigit() }.toLong() /
                 1024.0
         }
 
-    private fun sockets(pid: Long): Int = File("/proc/$pid/fd").listFiles().orEmpty().count { file ->
+    private fun countSockets(pid: Long): Int = File("/proc/$pid/fd").listFiles().orEmpty().count { file ->
         try {
             Files.readSymbolicLink(file.toPath()).toString().startsWith("socket:")
         } catch (_: java.io.IOException) {
@@ -114,11 +136,12 @@
         }
     }
 
-    /** The hard limit of open files of this process. */
+    /** Returns the hard limit of open files of this process; [Long.MAX_VALUE] if it is unlimited. */
     fun openFilesLimit(): Long = File("/proc/self/limits").useLines { lines ->
         lines.first { it.startsWith("Max open files") }.substringAfter("Max open files").trim().split(Regex("\\s+"))[1]
     }.toLongOrNull() ?: Long.MAX_VALUE
 
+    /** Returns the total memory of this machine in MB. */
     fun totalMemoryMb(): Long = File("/proc/meminfo").useLines { lines ->
         lines.first { it.startsWith("MemTotal:") }
     }.filter { it.isDigit() }.toLong() /
--- a/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
+++ b/src/main/kotlin/plankwall/loadtest/FaultTimeline.kt
@@ -1,37 +1,46 @@
 package plankwall.loadtest
 
 /**
- * What a fault hit and how long it took until 99% of the workers had an answer to a report sent after it; null: not
- * within the run.
+ * The outcome of a fault.
+ *
+ * @property hit the names of the controllers, zones or services that the fault affected
+ * @property servedAgainS the time from the start of the fault until 99% of the workers had an answer to a heartbeat
+ * that they sent after that start, in seconds; null if the load test ended before that
  */
 data class FaultOutcome(val fault: Fault, val hit: List<String>, val servedAgainS: Double?)
 
-/** Brings the faults of a plan about. */
+/**
+ * Injects the faults of a plan at their times and measures how long the workers go without service.
+ *
+ * @property links the peer connections, by the indices of the sending and the receiving controller
+ */
 class FaultTimeline(
     private val cluster: LoadTestCluster,
     private val controllers: List<ControllerProcess>,
     private val links: Map<Pair<Int, Int>, PeerProxy>,
 ) {
     private val plan = cluster.plan
-    private val results = ArrayList<FaultOutcome>()
+    private val recordedOutcomes = ArrayList<FaultOutcome>()
 
-    val outcomes: List<FaultOutcome> get() = results
+    /** The outcomes of the faults that have begun, in the order in which they began. */
+    val outcomes: List<FaultOutcome> get() = recordedOutcomes
 
-    fun begin() = plan.faults.forEach { fault -> cluster.clock.after(fault.atS) { strike(fault) } }
+    /** Schedules all faults of the plan. Called once, at the start of the fault phase. */
+    fun schedule() = plan.faults.forEach { fault -> cluster.clock.after(fault.startS) { inject(fault) } }
 
-    private fun strike(fault: Fault) {
+    private fun inject(fault: Fault) {
         val hit = when (fault.kind) {
-            FaultKind.KILL -> kill(fault)
-            FaultKind.STATE_AWAY -> during(fault, {
+            FaultKind.KILL -> killControllers(fault)
+            FaultKind.STATE_AWAY -> applyFor(fault, {
                 cluster.state.outage = true
             }) { cluster.state.outage = false }.let { listOf("state service") }
             FaultKind.REPORTS_LOST -> zonesOf(fault.target).also { zones ->
-                during(fault, {
+                applyFor(fault, {
                     cluster.transport.zonesLosingHeartbeats.addAll(zones)
                 }) { cluster.transport.zonesLosingHeartbeats.removeAll(zones) }
             }
             FaultKind.ANSWERS_LOST -> zonesOf(fault.target).also { zones ->
-                during(fault, {
+                applyFor(fault, {
                     cluster.transport.zonesLosingAnswers.addAll(zones)
                 }) { cluster.transport.zonesLosingAnswers.removeAll(zones) }
             }
@@ -40,23 +49,23 @@
         awaitService(fault, hit, cluster.clock.now)
     }
 
-    private fun during(fault: Fault, begin: () -> Unit, end: () -> Unit) {
-        begin()
-        cluster.clock.after(fault.forS, end)
+    private fun applyFor(fault: Fault, onBegin: () -> Unit, onEnd: () -> Unit) {
+        onBegin()
+        cluster.clock.after(fault.durationS, onEnd)
     }
 
-    private fun kill(fault: Fault): List<String> {
+    private fun killControllers(fault: Fault): List<String> {
         val targets = nodesOf(fault.target)
         targets.forEach { controllers[it].kill() }
-        cluster.clock.after(fault.forS) { targets.forEach { controllers[it].start() } }
+        cluster.clock.after(fault.durationS) { targets.forEach { controllers[it].start() } }
         return targets.map(plan::nodeName)
     }
 
     private fun cutPeers(fault: Fault): List<String> {
-        val inside = nodesOf(fault.target).toSet()
-        val cut = links.filterKeys { (from, to) -> (from in inside) != (to in inside) }.values
-        during(fault, { cut.forEach { it.cut = true } }) { cut.forEach { it.cut = false } }
-        return inside.map(plan::nodeName)
+        val targetNodes = nodesOf(fault.target).toSet()
+        val cutLinks = links.filterKeys { (from, to) -> (from in targetNodes) != (to in targetNodes) }.values
+        applyFor(fault, { cutLinks.forEach { it.isCut = true } }) { cutLinks.forEach { it.isCut = false } }
+        return targetNodes.map(plan::nodeName)
     }
 
     private fun zonesOf(target: String): Set<String> = plan.zoneNames.filter {
@@ -65,28 +74,31 @@
             plan.regionOf(it) == target
     }.toSet()
 
+    /** Returns the indices of the controllers that [target] names; none if it is `leader` and there is no leader. */
     private fun nodesOf(target: String): List<Int> = when (target) {
         "all" -> controllers.indices.toList()
-        "leader" -> listOf(cluster.leader()).filter { it >= 0 }
+        "leader" -> listOf(cluster.leaderIndex()).filter { it >= 0 }
         else -> controllers.indices.filter { plan.nodeName(it) == target || plan.zoneOfNode(it) in zonesOf(target) }
     }
 
-    private fun awaitService(fault: Fault, hit: Collection<String>, from: Double) {
-        val at = results.size
-        results.add(FaultOutcome(fault, hit.toList(), null))
-        fun look() {
-            if (cluster.transport.servedSince(from) >= SERVED_SHARE) {
-                results[at] = results[at].copy(servedAgainS = cluster.clock.now - from)
+    /** Records the outcome of [fault], and its [FaultOutcome.servedAgainS] once enough workers are served again. */
+    private fun awaitService(fault: Fault, hit: Collection<String>, faultStartS: Double) {
+        val outcomeIndex = recordedOutcomes.size
+        recordedOutcomes.add(FaultOutcome(fault, hit.toList(), null))
+        fun checkServed() {
+            if (cluster.transport.servedSince(faultStartS) >= SERVED_AGAIN_SHARE) {
+                recordedOutcomes[outcomeIndex] =
+                    recordedOutcomes[outcomeIndex].copy(servedAgainS = cluster.clock.now - faultStartS)
             } else {
-                cluster.clock.after(LOOK_EVERY_S) { look() }
+                cluster.clock.after(SERVED_CHECK_INTERVAL_S) { checkServed() }
             }
         }
-        cluster.clock.after(LOOK_EVERY_S) { look() }
+        cluster.clock.after(SERVED_CHECK_INTERVAL_S) { checkServed() }
     }
 
     companion object {
-        /** Of the workers: when so many are served, a fault counts as over for them. */
-        const val SERVED_SHARE = 0.99
-        private const val LOOK_EVERY_S = 0.1
+        /** The share of the workers that must be served again for a fault to count as over. */
+        const val SERVED_AGAIN_SHARE = 0.99
+        private const val SERVED_CHECK_INTERVAL_S = 0.1
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/IoThread.kt
+++ b/src/main/kotlin/plankwall/loadtest/IoThread.kt
@@ -9,23 +9,29 @@
 import java.util.concurrent.Executors
 
 /**
- * A thread and a selector for a part of the workers' sockets. What a worker does with its sockets stays on one lane, so
- * it needs no lock.
+ * A thread and a selector for a share of the simulated workers. All code that uses the sockets of one worker runs on
+ * the same thread, so it needs no locks.
  */
 class IoThread(name: String) {
-    private val selecting = singleThread("$name-selector")
-    private val dispatcher = singleThread(name)
-    val scope = CoroutineScope(dispatcher + SupervisorJob())
-    val selector = SelectorManager(selecting)
+    private val selectorThread = singleThread("$name-selector")
+    private val taskThread = singleThread(name)
 
+    /** Runs its coroutines on the thread. */
+    val scope = CoroutineScope(taskThread + SupervisorJob())
+
+    /** The selector of the sockets; it has a thread of its own. */
+    val selector = SelectorManager(selectorThread)
+
+    /** Cancels the coroutines and stops both threads. */
     fun close() {
         scope.cancel()
         selector.close()
-        dispatcher.close()
-        selecting.close()
+        taskThread.close()
+        selectorThread.close()
     }
 
     companion object {
+        /** Returns a dispatcher with one daemon thread called [name]. */
         fun singleThread(name: String): ExecutorCoroutineDispatcher =
             Executors.newSingleThreadExecutor { Thread(it, name).apply { isDaemon = true } }.asCoroutineDispatcher()
     }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -25,8 +25,9 @@
 import java.util.Random
 
 /**
- * The stand-ins of a scale run, on one thread and one clock that follows real time: state service, cloud, workers and
- * the rule checker. Whoever comes from a socket goes through [enter], so that nothing sees the clock stand still.
+ * The simulated parts of a load test: the state service, the cloud, the workers and the rule checker. They share one
+ * thread and one clock that follows real time. Code that handles data from a socket calls [runCaughtUp], so that it
+ * sees the present time and not the time of the clock's last step.
  */
 class LoadTestCluster(
     val plan: LoadTestPlan,
@@ -39,54 +40,64 @@
     override val random = Random(plan.seed)
     override val checker = RuleChecker(settings)
     override val nodeNames: List<String> = List(plan.controllers, plan::nodeName)
+
+    /** The simulated state service. */
     val state = SimulatedStore(clock, settings.state).apply {
         limits = settings.state
         refusesBeyondRates = true
         historyLimit = STATE_HISTORY
     }
+
+    /** The sockets of the workers. */
     val transport = WorkerTransport(this)
+
+    /** The simulated cloud; it can provide as many machines as the plan has workers. */
     val cloud = SimulatedCloud(clock, random, catalog(plan), settings.cloud.listLagS, transport::addressOf) {
             id,
             group,
         ->
-        SimulatedWorker(this, id, group, transport.addressOf(id)).also(transport::attach)
+        SimulatedWorker(this, id, group, transport.addressOf(id)).also(transport::attachWorker)
     }.apply { capacity = plan.workers }
 
-    private val specs = HashMap<String, JobSpec>()
-    private val startedAt = System.nanoTime()
+    private val specsById = HashMap<String, JobSpec>()
+    private val startedAtNs = System.nanoTime()
 
-    /** How late the stand-ins' own events run, in microseconds: what they measure is off by as much. */
+    /** How late the clock's steps run, in microseconds; the measured latencies are wrong by up to as much. */
     val lagUs = Histogram(MAX_LAG_US, 3)
 
-    /** Called when a task has begun to run. */
+    /** Called when a worker has started to run a task of the job [id]; set by [LoadTestUsers]. */
     var onTaskStarted: (id: String, task: Int) -> Unit = { _, _ -> }
 
-    private fun elapsed(): Double = (System.nanoTime() - startedAt) / 1e9
+    private fun elapsedS(): Double = (System.nanoTime() - startedAtNs) / 1e9
 
-    suspend fun run() {
+    /** Advances the clock with real time until [scope] is cancelled. */
+    suspend fun runClock() {
         while (scope.isActive) {
-            val lag = ((elapsed() - clock.now) * 1e6).toLong() - TURN_MS * 1000
-            lagUs.recordValue(lag.coerceIn(0, MAX_LAG_US))
-            clock.runUntil(elapsed())
-            delay(TURN_MS)
+            val stepLagUs = ((elapsedS() - clock.now) * 1e6).toLong() - CLOCK_STEP_MS * 1000
+            lagUs.recordValue(stepLagUs.coerceIn(0, MAX_LAG_US))
+            clock.runUntil(elapsedS())
+            delay(CLOCK_STEP_MS)
         }
     }
 
-    /** Like [enter], for whoever is on another thread. */
-    suspend fun <T> onThread(action: () -> T): T = withContext(scope.coroutineContext) { enter(action) }
+    /** Runs [action] like [runCaughtUp], for callers on another thread. */
+    suspend fun <T> runOnClusterThread(action: () -> T): T = withContext(scope.coroutineContext) { runCaughtUp(action) }
 
-    inline fun <T> enter(action: () -> T): T {
-        catchUp()
+    /** Advances the clock to the present and then runs [action]. Only for callers on the thread of [scope]. */
+    inline fun <T> runCaughtUp(action: () -> T): T {
+        catchUpClock()
         return action()
     }
 
-    fun catchUp() = clock.runUntil(maxOf(clock.now, elapsed()))
+    /** Advances the clock to the present and runs the events that are due. */
+    fun catchUpClock() = clock.runUntil(maxOf(clock.now, elapsedS()))
 
-    fun register(spec: JobSpec) {
-        specs[spec.id] = spec
+    /** Makes [spec] known to the workers, which run its tasks. Called before the job is submitted. */
+    fun registerJob(spec: JobSpec) {
+        specsById[spec.id] = spec
     }
 
-    override fun specOf(id: String): JobSpec? = specs[id]
+    override fun specOf(id: String): JobSpec? = specsById[id]
 
     override fun isFaulty(id: String): Boolean = false
 
@@ -95,12 +106,12 @@
         node: Int,
         heartbeat: HeartbeatStatus,
         then: (status: Int, body: JsonNode) -> Unit,
-    ) = transport.send(worker, node, heartbeat, then)
+    ) = transport.sendHeartbeat(worker, node, heartbeat, then)
 
     override fun checkStored(id: String, task: Int) = Unit
 
     override fun onStarted(id: String, task: Int) {
-        meters.started(clock.now)
+        meters.recordStart(clock.now)
         onTaskStarted(id, task)
     }
 
@@ -110,10 +121,10 @@
         meters.leasesExpired++
     }
 
-    /** The controller that holds the leader's key, or -1. */
-    fun leader(): Int = nodeNames.indexOf((state.value(Keys.LEADER) as? LeaderRecord)?.node)
+    /** Returns the index of the controller that the leader's key names, or -1 if there is none. */
+    fun leaderIndex(): Int = nodeNames.indexOf((state.value(Keys.LEADER) as? LeaderRecord)?.node)
 
-    /** Adds the machines of the plan, spread over its zones; a third of them has accelerators. */
+    /** Adds the machines of the plan, spread evenly over its zones; a third of them has accelerators. */
     fun addMachines() {
         val groups = plan.zoneNames.flatMap { zone ->
             listOf(GroupKey(PLAIN, zone, false), GroupKey(PLAIN, zone, false), GroupKey(ACCELERATED, zone, false))
@@ -125,30 +136,41 @@
                 0
             }
         }
-        groups.forEachIndexed { i, group ->
-            cloud.addRunning(group, counts[i]) {
+        groups.forEachIndexed { index, group ->
+            cloud.addRunning(group, counts[index]) {
                 random.nextDouble() *
-                    maxOf(settings.workers.reportS, plan.workers / ARRIVING_PER_S)
+                    maxOf(settings.workers.reportS, plan.workers / FIRST_HEARTBEATS_PER_S)
             }
         }
     }
 
     companion object {
+        /** The name of the machine type without accelerators. */
         const val PLAIN = "plain"
+
+        /** The name of the machine type with accelerators. */
         const val ACCELERATED = "accelerated"
-        private const val TURN_MS = 2L
+
+        /** The interval between two steps of the clock. */
+        private const val CLOCK_STEP_MS = 2L
+
+        /** The largest lag that [lagUs] holds; larger ones are recorded as this. */
         private const val MAX_LAG_US = 60_000_000L
 
-        /** Changes that the state service keeps (PROTOCOL). */
+        /** The number of changes that the state service keeps, from PROTOCOL. */
         private const val STATE_HISTORY = 10_000
 
         private const val BOOT_S = 60.0
 
-        /** Workers that come for the first time, a second: a herd of all is a fault of its own. */
-        private const val ARRIVING_PER_S = 400.0
+        /**
+         * The mean number of workers per second that send their first heartbeat. If all of them did so at once, that
+         * would be a fault of its own.
+         */
+        private const val FIRST_HEARTBEATS_PER_S = 400.0
 
+        /** Returns the catalog of the simulated cloud: both machine types, in all zones of [plan]. */
         fun catalog(plan: LoadTestPlan): Catalog {
-            fun type(name: String, gpus: Long) = MachineType(
+            fun machineType(name: String, gpus: Long) = MachineType(
                 name,
                 Resources(10_000, gpus, 64_000),
                 100.0,
@@ -158,7 +180,7 @@
                 BOOT_S,
                 plan.zoneNames,
             )
-            return Catalog(listOf(type(PLAIN, 0), type(ACCELERATED, 4_000)))
+            return Catalog(listOf(machineType(PLAIN, 0), machineType(ACCELERATED, 4_000)))
         }
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -13,45 +13,52 @@
 import plankwall.simulation.SimulatedWorker
 import plankwall.wire.JobCodec
 
-/** Submits, polls and cancels as PROTOCOL has it, through a load balancer that passes over nodes that refuse. */
+/**
+ * The simulated users of a load test. They submit, poll and cancel jobs as PROTOCOL describes, through a simulated load
+ * balancer that avoids a controller for some time after a request without an answer.
+ */
 class LoadTestUsers(private val cluster: LoadTestCluster, private val apiAddresses: List<Address>) {
-    private class Open(val spec: JobSpec, val at: Double) {
-        val started = HashSet<Int>()
-        var over = false
+    /** A job that a user has submitted and that has not ended as far as the user knows. */
+    private class OpenJob(val spec: JobSpec, val submittedAtS: Double) {
+        val startedTasks = HashSet<Int>()
+        var hasEnded = false
     }
 
     private val plan = cluster.plan
     private val clients = apiAddresses.map {
-        HttpClient(cluster.selector, it, maxConnections = CONNECTIONS, maxWaiting = MAX_WAITING)
+        HttpClient(cluster.selector, it, maxConnections = CONNECTIONS_PER_NODE, maxWaiting = MAX_WAITING_REQUESTS)
     }
-    private val open = HashMap<String, Open>()
-    private var nextJob = 1
+    private val openJobs = HashMap<String, OpenJob>()
+    private var nextJobNumber = 1
 
-    /** When each node may be tried again: the load balancer passes over one that refused. */
-    private val avoidUntil = DoubleArray(apiAddresses.size)
+    /** When the load balancer may use each controller again, in seconds on the cluster's clock. */
+    private val avoidUntilS = DoubleArray(apiAddresses.size)
 
-    /** Service tasks that were asked for, and those of them that have begun. */
+    /** The number of tasks of all services that [submitServices] has scheduled. */
     var serviceTasks = 0
         private set
+
+    /** The number of service tasks that have started at least once. */
     var serviceTasksStarted = 0
         private set
 
-    /** Jobs that no node had accepted within the time that users go on trying. */
+    /** The number of jobs that no controller accepted before their users stopped retrying. */
     var givenUp = 0
         private set
 
-    /** Whether new jobs still come. */
-    var arriving = false
+    /** Whether new jobs are submitted; [startArrivals] sets it. */
+    var arrivalsEnabled = false
 
     init {
-        cluster.onTaskStarted = ::taskStarted
+        cluster.onTaskStarted = ::recordTaskStart
     }
 
-    private fun taskStarted(id: String, task: Int) {
-        val job = open[id] ?: return
-        if (!job.started.add(task)) return
+    /** Records the start latency of the job once all its tasks have started at least once. */
+    private fun recordTaskStart(id: String, task: Int) {
+        val job = openJobs[id] ?: return
+        if (!job.startedTasks.add(task)) return
         if (job.spec.shape == Shape.SERVICE) serviceTasksStarted++
-        if (job.started.size < job.spec.tasks) return
+        if (job.startedTasks.size < job.spec.tasks) return
         val latencies = cluster.meters.latencies
         val histogram = when {
             job.spec.shape == Shape.GANG -> latencies.gangStart
@@ -59,155 +66,176 @@
             job.spec.shape == Shape.ARRAY -> latencies.arrayStart
             else -> return
         }
-        histogram.recordSeconds(cluster.clock.now - job.at)
+        histogram.recordSeconds(cluster.clock.now - job.submittedAtS)
     }
 
-    private fun spec(kind: String, shape: Shape, tasks: Int, runS: Double, priority: Priority, gpus: Long): JobSpec {
-        val number = nextJob++
+    private fun newSpec(
+        jobClass: String,
+        shape: Shape,
+        tasks: Int,
+        runS: Double,
+        priority: Priority,
+        gpus: Long,
+    ): JobSpec {
+        val number = nextJobNumber++
         return JobSpec(
             "job-%06d".format(number),
-            kind, "team-${number % plan.teams + 1}", shape, priority, tasks, Resources(2_000, gpus, 8_000),
-            "image-${number % IMAGES}", 1.0, null, null, false, shape == Shape.SERVICE && plan.zones > 1, false, runS,
-            0.0, 0.0, null,
+            jobClass, "team-${number % plan.teams + 1}", shape, priority, tasks, Resources(2_000, gpus, 8_000),
+            "image-${number % IMAGE_COUNT}", 1.0, null, null, false, shape == Shape.SERVICE && plan.zones > 1, false,
+            runS, 0.0, 0.0, null,
         )
     }
 
-    /** Services that are to run throughout, submitted within some seconds. */
-    fun submitServices(overS: Double) {
+    /** Schedules the submission of the services of the plan, spread evenly over [periodS] seconds. */
+    fun submitServices(periodS: Double) {
         val jobs = plan.work.running / plan.work.replicas
-        repeat(jobs) { n ->
+        repeat(jobs) { jobIndex ->
             serviceTasks += plan.work.replicas
-            val gpus = if (n % ACCELERATED_EVERY == 0) 1_000L else 0L
-            cluster.clock.after(overS * n / jobs) {
-                submit(spec(LIVE, Shape.SERVICE, plan.work.replicas, 0.0, Priority.PRODUCTION, gpus))
+            val gpus = if (jobIndex % SERVICES_PER_ACCELERATED_SERVICE == 0) 1_000L else 0L
+            cluster.clock.after(periodS * jobIndex / jobs) {
+                submit(newSpec(LIVE, Shape.SERVICE, plan.work.replicas, 0.0, Priority.PRODUCTION, gpus))
             }
         }
     }
 
-    /** Lets arrays, urgent jobs and gangs come at the plan's rates while [arriving]. */
-    fun arrive() {
-        arriving = true
+    /** Submits arrays, urgent jobs and gangs at the mean rates of the plan for as long as [arrivalsEnabled] is set. */
+    fun startArrivals() {
+        arrivalsEnabled = true
         val work = plan.work
-        every(work.startsPerS / work.arrayTasks) { submitArray() }
-        every(work.urgentPerS) { submit(spec(URGENT, Shape.ARRAY, 1, work.arrayRunS, Priority.HIGH, 0)) }
+        scheduleArrivals(work.startsPerS / work.arrayTasks) { submitArray() }
+        scheduleArrivals(work.urgentPerS) { submit(newSpec(URGENT, Shape.ARRAY, 1, work.arrayRunS, Priority.HIGH, 0)) }
         if (work.gangTasks > 0) {
-            every(work.gangsPerMin / SECONDS_A_MINUTE) {
-                submit(spec(GANG, Shape.GANG, work.gangTasks, work.arrayRunS, Priority.HIGH, 0))
+            scheduleArrivals(work.gangsPerMin / SECONDS_PER_MINUTE) {
+                submit(newSpec(GANG, Shape.GANG, work.gangTasks, work.arrayRunS, Priority.HIGH, 0))
             }
         }
     }
 
     private fun submitArray() {
-        val spec = spec(BATCH, Shape.ARRAY, plan.work.arrayTasks, plan.work.arrayRunS, Priority.LOW, 0)
+        val spec = newSpec(BATCH, Shape.ARRAY, plan.work.arrayTasks, plan.work.arrayRunS, Priority.LOW, 0)
         submit(spec)
         if (cluster.random.nextDouble() < plan.work.cancelShare) {
             cluster.clock.after(1.0 + cluster.random.nextDouble() * plan.work.arrayRunS) { cancel(spec.id) }
         }
     }
 
-    private fun every(rate: Double, action: () -> Unit) {
-        if (rate <= 0) return
-        // Arrivals are independent of each other: exponential gaps.
-        val gap = -Math.log(1.0 - cluster.random.nextDouble()) / rate
-        cluster.clock.after(gap) {
-            if (!arriving) return@after
-            action()
-            every(rate, action)
+    /**
+     * Calls [onArrival] at random times with a mean rate of [ratePerS] per second for as long as [arrivalsEnabled] is
+     * set.
+     */
+    private fun scheduleArrivals(ratePerS: Double, onArrival: () -> Unit) {
+        if (ratePerS <= 0) return
+        // The arrivals are independent of each other, so the gaps between them are exponentially distributed.
+        val gapS = -Math.log(1.0 - cluster.random.nextDouble()) / ratePerS
+        cluster.clock.after(gapS) {
+            if (!arrivalsEnabled) return@after
+            onArrival()
+            scheduleArrivals(ratePerS, onArrival)
         }
     }
 
     private fun submit(spec: JobSpec) {
-        cluster.register(spec)
-        open[spec.id] = Open(spec, cluster.clock.now)
-        cluster.scope.launch { trySubmit(spec) }
+        cluster.registerJob(spec)
+        openJobs[spec.id] = OpenJob(spec, cluster.clock.now)
+        cluster.scope.launch { submitUntilAccepted(spec) }
     }
 
-    private suspend fun trySubmit(spec: JobSpec) {
-        val startedAt = cluster.clock.now
+    private suspend fun submitUntilAccepted(spec: JobSpec) {
+        val startedAtS = cluster.clock.now
         val body = JobCodec.description(spec)
-        while (cluster.clock.now - startedAt < GIVE_UP_S) {
-            val askedAt = cluster.clock.now
-            val node = pick() ?: continue
+        while (cluster.clock.now - startedAtS < GIVE_UP_AFTER_S) {
+            val askedAtS = cluster.clock.now
+            val node = pickNode() ?: continue
             cluster.meters.nodes[node].submissions++
-            val outcome = clients[node].call("POST", "/api/jobs", body, CHANGE_MS)
-            cluster.catchUp()
+            val outcome = clients[node].call("POST", "/api/jobs", body, CHANGE_TIMEOUT_MS)
+            cluster.catchUpClock()
             val status = recordOutcome("submission", node, outcome)
             val answer = outcome.json()
-            cluster.checker.submissionAnswered(spec, status, cluster.clock.now, answer?.get("stage")?.asText(), askedAt)
+            cluster.checker.submissionAnswered(
+                spec,
+                status,
+                cluster.clock.now,
+                answer?.get("stage")?.asText(),
+                askedAtS,
+            )
             if (status == 200 || status == 201) {
-                cluster.meters.latencies.submission.recordSeconds(cluster.clock.now - startedAt)
-                poll(spec.id)
+                cluster.meters.latencies.submission.recordSeconds(cluster.clock.now - startedAtS)
+                pollUntilEnded(spec.id)
                 return
             }
-            delay(RETRY_MS)
+            delay(RETRY_DELAY_MS)
         }
         givenUp++
-        open.remove(spec.id)
+        openJobs.remove(spec.id)
     }
 
-    /** Counts what was refused; the status, or 0 where there was no answer. */
-    private fun recordOutcome(what: String, node: Int, outcome: HttpOutcome): Int {
+    /**
+     * Counts the outcome as a refusal unless it is a success, and makes the load balancer avoid [node] if there was no
+     * answer. Returns the status, or 0 if there was no answer.
+     */
+    private fun recordOutcome(requestName: String, node: Int, outcome: HttpOutcome): Int {
         if (outcome is HttpOutcome.Answered) {
-            if (outcome.status >= 300) cluster.meters.refused("$what ${outcome.status}")
+            if (outcome.status >= 300) cluster.meters.recordRefusal("$requestName ${outcome.status}")
             return outcome.status
         }
-        cluster.meters.refused("$what without an answer")
-        avoidUntil[node] = cluster.clock.now + AVOID_S
+        cluster.meters.recordRefusal("$requestName without an answer")
+        avoidUntilS[node] = cluster.clock.now + NODE_AVOIDANCE_S
         return 0
     }
 
-    private suspend fun pick(): Int? {
-        val healthy = apiAddresses.indices.filter { avoidUntil[it] <= cluster.clock.now }
+    /** Returns a random controller that the load balancer does not avoid; null, after a pause, if it avoids all. */
+    private suspend fun pickNode(): Int? {
+        val healthy = apiAddresses.indices.filter { avoidUntilS[it] <= cluster.clock.now }
         if (healthy.isNotEmpty()) return healthy[cluster.random.nextInt(healthy.size)]
-        delay(RETRY_MS)
+        delay(RETRY_DELAY_MS)
         return null
     }
 
-    private suspend fun poll(id: String) {
-        val job = open.getValue(id)
+    private suspend fun pollUntilEnded(id: String) {
+        val job = openJobs.getValue(id)
         delay((plan.work.pollEveryS * 1000 * cluster.random.nextDouble()).toLong())
-        while (!job.over) {
-            val node = pick() ?: continue
-            val askedAt = cluster.clock.now
+        while (!job.hasEnded) {
+            val node = pickNode() ?: continue
+            val askedAtS = cluster.clock.now
             cluster.meters.nodes[node].polls++
-            val outcome = clients[node].call("GET", "/api/jobs/$id", null, LOOK_MS)
-            cluster.catchUp()
+            val outcome = clients[node].call("GET", "/api/jobs/$id", null, POLL_TIMEOUT_MS)
+            cluster.catchUpClock()
             val status = recordOutcome("poll", node, outcome)
             val stage = if (status == 200) outcome.json()?.get("stage")?.asText() else null
-            cluster.checker.statusAnswered(id, status, stage, cluster.clock.now, askedAt)
+            cluster.checker.statusAnswered(id, status, stage, cluster.clock.now, askedAtS)
             cluster.checker.pollEnded(id, status == 200 || status == 404, cluster.clock.now)
-            if (status == 200) cluster.meters.latencies.poll.recordSeconds(cluster.clock.now - askedAt)
-            if (stage == "done" || stage == "withdrawn") end(job)
+            if (status == 200) cluster.meters.latencies.poll.recordSeconds(cluster.clock.now - askedAtS)
+            if (stage == "done" || stage == "withdrawn") closeJob(job)
             delay((plan.work.pollEveryS * 1000).toLong())
         }
     }
 
-    private fun end(job: Open) {
-        job.over = true
-        open.remove(job.spec.id)
+    private fun closeJob(job: OpenJob) {
+        job.hasEnded = true
+        openJobs.remove(job.spec.id)
     }
 
     private fun cancel(id: String) {
         cluster.checker.cancelRequested(id)
-        cluster.scope.launch { tryCancel(id) }
+        cluster.scope.launch { cancelUntilAnswered(id) }
     }
 
-    private suspend fun tryCancel(id: String) {
-        val startedAt = cluster.clock.now
-        while (cluster.clock.now - startedAt < GIVE_UP_S) {
-            val node = pick() ?: continue
-            val askedAt = cluster.clock.now
+    private suspend fun cancelUntilAnswered(id: String) {
+        val startedAtS = cluster.clock.now
+        while (cluster.clock.now - startedAtS < GIVE_UP_AFTER_S) {
+            val node = pickNode() ?: continue
+            val askedAtS = cluster.clock.now
             cluster.meters.nodes[node].cancellations++
-            val outcome = clients[node].call("POST", "/api/jobs/$id/withdraw", NO_BODY, CHANGE_MS)
-            cluster.catchUp()
+            val outcome = clients[node].call("POST", "/api/jobs/$id/withdraw", NO_BODY, CHANGE_TIMEOUT_MS)
+            cluster.catchUpClock()
             val status = recordOutcome("cancellation", node, outcome)
             val stage = outcome.json()?.get("stage")?.asText()
             if (status == 200 && stage != null) {
-                cluster.checker.cancelAnswered(id, stage, cluster.clock.now, askedAt)
-                cluster.meters.latencies.cancellation.recordSeconds(cluster.clock.now - startedAt)
+                cluster.checker.cancelAnswered(id, stage, cluster.clock.now, askedAtS)
+                cluster.meters.latencies.cancellation.recordSeconds(cluster.clock.now - startedAtS)
                 return
             }
-            delay(RETRY_MS)
+            delay(RETRY_DELAY_MS)
         }
     }
 
@@ -216,24 +244,37 @@
     }?.let { SimulatedWorker.json.readTree(it.body) }
 
     companion object {
+        /** The class of the service jobs. */
         const val LIVE = "live"
+
+        /** The class of the array jobs. */
         const val BATCH = "batch"
+
+        /** The class of the urgent jobs of one task. */
         const val URGENT = "urgent"
+
+        /** The class of the gang jobs. */
         const val GANG = "gang"
         private val NO_BODY = ByteArray(0)
 
-        /** Of the services, one in so many takes an accelerator for each replica. */
-        private const val ACCELERATED_EVERY = 3
-        private const val IMAGES = 20
-        private const val CONNECTIONS = 24
-        private const val MAX_WAITING = 4_000
-        private const val SECONDS_A_MINUTE = 60.0
-
-        /** What users wait for, and for how long they go on trying (PROTOCOL). */
-        private const val CHANGE_MS = 5_000L
-        private const val LOOK_MS = 2_000L
-        private const val RETRY_MS = 1_000L
-        private const val GIVE_UP_S = 60.0
-        private const val AVOID_S = 3.0
+        /** One of this many services requests an accelerator for each replica. */
+        private const val SERVICES_PER_ACCELERATED_SERVICE = 3
+        private const val IMAGE_COUNT = 20
+
+        /** The limits of connections to one controller, and of requests that wait for one of them. */
+        private const val CONNECTIONS_PER_NODE = 24
+        private const val MAX_WAITING_REQUESTS = 4_000
+        private const val SECONDS_PER_MINUTE = 60.0
+
+        /**
+         * The users' timeouts for submissions and cancellations and for polls, and their retry limits, from PROTOCOL.
+         */
+        private const val CHANGE_TIMEOUT_MS = 5_000L
+        private const val POLL_TIMEOUT_MS = 2_000L
+        private const val RETRY_DELAY_MS = 1_000L
+        private const val GIVE_UP_AFTER_S = 60.0
+
+        /** How long the load balancer avoids a controller after a request without an answer. */
+        private const val NODE_AVOIDANCE_S = 3.0
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
+++ b/src/main/kotlin/plankwall/loadtest/PeerProxy.kt
@@ -12,46 +12,59 @@
 import kotlinx.coroutines.launch
 import plankwall.model.Address
 
-/** The link from one controller to another: counts what goes over it, and holds it back while [cut]. */
-class PeerProxy(private val cluster: LoadTestCluster, private val to: Address, private val sender: NodeMeter) {
+/**
+ * A proxy for the peer connections from one controller to another. It counts the bytes in the meter of the sender, and
+ * holds them back while [isCut].
+ *
+ * @param receiver the address at which the receiving controller listens for its peers
+ */
+class PeerProxy(
+    private val cluster: LoadTestCluster,
+    private val receiver: Address,
+    private val senderMeter: NodeMeter,
+) {
+    /** Whether the proxy holds all bytes back. */
     @Volatile
-    var cut = false
+    var isCut = false
 
-    suspend fun open(): Address {
+    /** Opens the listener of the proxy and returns its address, to which the sender connects. */
+    suspend fun openListener(): Address {
         val listener = aSocket(cluster.selector).tcp().bind(WorkerTransport.LOOPBACK, 0)
-        cluster.scope.launch { while (isActive) listener.accept().let { launch { carry(it) } } }
+        cluster.scope.launch { while (isActive) listener.accept().let { launch { forward(it) } } }
         return WorkerTransport.boundAddress(listener)
     }
 
-    private suspend fun carry(from: Socket) = try {
-        from.use { source ->
-            aSocket(cluster.selector).tcp().connect(to.host, to.port) { noDelay = true }.use { copy(source, it) }
+    private suspend fun forward(connection: Socket) = try {
+        connection.use { source ->
+            aSocket(cluster.selector).tcp().connect(receiver.host, receiver.port) {
+                noDelay = true
+            }.use { copyBytes(source, it) }
         }
     } catch (_: java.io.IOException) {
-        // The receiver is down: the sender's connection ends, as a refused one would.
+        // The receiver is down. The sender's connection closes, as if the receiver had refused it.
     }
 
-    private suspend fun copy(from: Socket, target: Socket) = coroutineScope {
-        val input = from.openReadChannel()
+    private suspend fun copyBytes(source: Socket, target: Socket) = coroutineScope {
+        val input = source.openReadChannel()
         val output = target.openWriteChannel(autoFlush = true)
-        val buffer = ByteArray(BUFFER)
-        // Nothing is ever sent back: the first thing read is the end.
-        val watch = launch {
+        val buffer = ByteArray(BUFFER_BYTES)
+        // Receivers never send anything back, so the first read returns when the receiver closes the connection.
+        val endWatcher = launch {
             target.openReadChannel().readAvailable(ByteArray(1))
-            from.close()
+            source.close()
         }
         while (true) {
-            val n = input.readAvailable(buffer)
-            if (n < 0) break
-            while (cut) delay(CUT_CHECK_MS)
-            sender.frameBytes += n
-            output.writeFully(buffer, 0, n)
+            val count = input.readAvailable(buffer)
+            if (count < 0) break
+            while (isCut) delay(CUT_CHECK_INTERVAL_MS)
+            senderMeter.frameBytes += count
+            output.writeFully(buffer, 0, count)
         }
-        watch.cancel()
+        endWatcher.cancel()
     }
 
     private companion object {
-        const val BUFFER = 16 * 1024
-        const val CUT_CHECK_MS = 50L
+        const val BUFFER_BYTES = 16 * 1024
+        const val CUT_CHECK_INTERVAL_MS = 50L
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
@@ -4,77 +4,93 @@
 import kotlinx.coroutines.isActive
 import plankwall.simulation.SimulatedWorker
 
-/** Samples the controllers once a second and sums up what happened since a phase began. */
+/** Samples the resource use of the controllers once a second, and computes the figures of each phase. */
 class ProcessSampler(private val cluster: LoadTestCluster, private val controllers: List<ControllerProcess>) {
-    private class Node {
-        var last: ProcessSample? = null
+    /** The resource use of one controller since the phase began. */
+    private class NodeUsage {
+        var lastSample: ProcessSample? = null
         var cpuS = 0.0
-        var busiest = 0.0
+        var cpuBusiestSecond = 0.0
         var residentMb = 0.0
         var sockets = 0
     }
 
     private val meters = cluster.meters
-    private var nodes = controllers.map { Node() }
-    private var startedAt = 0.0
-    private var base = Baseline()
-    private var ownCpuAt = 0.0
-    private var lastLeader = -1
+    private var usages = controllers.map { NodeUsage() }
+    private var startedAtS = 0.0
+    private var baseline = Baseline()
 
+    /** [ownCpuS] when the phase began. */
+    private var ownCpuAtStartS = 0.0
+
+    /** The index of the last known leader, or -1 if there was none yet. */
+    private var lastLeaderIndex = -1
+
+    /** The counts of the meters when the phase began. */
     private inner class Baseline {
-        val nodes = meters.nodes.map { it.copyOf() }
-        val served = meters.heartbeatsServed
-        val within1S = meters.heartbeatsWithin1S
-        val failed = meters.heartbeatsFailed
-        val leases = meters.leasesExpired
+        val nodes = meters.nodes.map { it.copyCounts() }
+        val heartbeatsServed = meters.heartbeatsServed
+        val heartbeatsWithin1S = meters.heartbeatsWithin1S
+        val heartbeatsFailed = meters.heartbeatsFailed
+        val leasesExpired = meters.leasesExpired
         val starts = meters.starts
         val refusals = HashMap(meters.refusals)
     }
 
+    /** Samples the controllers, and restarts those that ended by themselves, until the cluster's scope is cancelled. */
     suspend fun run() {
         var round = 0
         while (cluster.scope.isActive) {
-            delay(SAMPLE_MS)
-            if (cluster.leader() >= 0) lastLeader = cluster.leader()
+            delay(SAMPLE_INTERVAL_MS)
+            if (cluster.leaderIndex() >= 0) lastLeaderIndex = cluster.leaderIndex()
             controllers.forEach { it.restartIfEnded() }
-            controllers.forEachIndexed { i, c -> note(nodes[i], c.sample(withSockets = round % SOCKETS_EVERY == 0)) }
+            controllers.forEachIndexed { index, controller ->
+                addSample(
+                    usages[index],
+                    controller.sample(withSockets = round % SAMPLES_PER_SOCKET_COUNT == 0),
+                )
+            }
             round++
         }
     }
 
-    private fun note(node: Node, sample: ProcessSample?) {
-        val before = node.last
-        node.last = sample
+    private fun addSample(usage: NodeUsage, sample: ProcessSample?) {
+        val previous = usage.lastSample
+        usage.lastSample = sample
         if (sample == null) return
-        node.residentMb = maxOf(node.residentMb, sample.residentMb)
-        node.sockets = maxOf(node.sockets, sample.sockets)
-        // A new process counts from nothing.
-        val used = if (before == null || sample.cpuS < before.cpuS) sample.cpuS else sample.cpuS - before.cpuS
-        node.cpuS += used
-        node.busiest = maxOf(node.busiest, used * 1000 / SAMPLE_MS)
+        usage.residentMb = maxOf(usage.residentMb, sample.residentMb)
+        usage.sockets = maxOf(usage.sockets, sample.sockets)
+        // The CPU time of a restarted process begins at 0 again.
+        val usedS = if (previous == null || sample.cpuS < previous.cpuS) sample.cpuS else sample.cpuS - previous.cpuS
+        usage.cpuS += usedS
+        usage.cpuBusiestSecond = maxOf(usage.cpuBusiestSecond, usedS * 1000 / SAMPLE_INTERVAL_MS)
     }
 
-    fun begin() {
-        val before = nodes
-        nodes = controllers.indices.map { i -> Node().also { it.last = before[i].last } }
+    /** Begins a phase: resets the latencies and remembers the present counts. */
+    fun beginPhase() {
+        val previous = usages
+        usages = controllers.indices.map { index -> NodeUsage().also { it.lastSample = previous[index].lastSample } }
         meters.latencies = Latencies()
         cluster.lagUs.reset()
-        base = Baseline()
-        startedAt = cluster.clock.now
-        ownCpuAt = ownCpuS()
+        baseline = Baseline()
+        startedAtS = cluster.clock.now
+        ownCpuAtStartS = ownCpuS()
     }
 
-    private fun ownCpuS(): Double = ProcReader.read(ProcessHandle.current().pid(), withSockets = false)?.cpuS ?: 0.0
+    /** Returns the CPU time that this process, which runs the simulation, has used so far, in seconds. */
+    private fun ownCpuS(): Double =
+        ProcReader.readSample(ProcessHandle.current().pid(), withSockets = false)?.cpuS ?: 0.0
 
-    fun end(phase: String): PhaseFigures {
-        val seconds = cluster.clock.now - startedAt
+    /** Returns the figures since the last call of [beginPhase], under the name [phase]. */
+    fun endPhase(phase: String): PhaseFigures {
+        val seconds = cluster.clock.now - startedAtS
         val latencies = meters.latencies
         return PhaseFigures(
             phase = phase,
             seconds = seconds,
             workers = cluster.cloud.workers.size,
             running = cluster.cloud.workers.sumOf(SimulatedWorker::runningTasks),
-            nodes = controllers.indices.map { figures(it, seconds) },
+            nodes = controllers.indices.map { nodeFigures(it, seconds) },
             latencies = mapOf(
                 "report" to latencies.heartbeat,
                 "submission" to latencies.submission,
@@ -84,44 +100,46 @@
                 "urgent start" to latencies.urgentStart,
                 "gang start" to latencies.gangStart,
             ).mapValues { LatencyFigures.of(it.value) },
-            startsPerS = (meters.starts - base.starts) / seconds,
-            startsBusiestSecond = meters.busiest(startedAt, cluster.clock.now, 1),
-            startsBusiest10S = meters.busiest(startedAt, cluster.clock.now, 10),
-            heartbeatsServed = meters.heartbeatsServed - base.served,
-            heartbeatsWithin1S = meters.heartbeatsWithin1S - base.within1S,
-            heartbeatsFailed = meters.heartbeatsFailed - base.failed,
-            leasesExpired = meters.leasesExpired - base.leases,
-            refusals = meters.refusals.mapValues { (what, n) -> n - (base.refusals[what] ?: 0L) }
+            startsPerS = (meters.starts - baseline.starts) / seconds,
+            startsBusiestSecond = meters.busiestStartsPerS(startedAtS, cluster.clock.now, 1),
+            startsBusiest10S = meters.busiestStartsPerS(startedAtS, cluster.clock.now, 10),
+            heartbeatsServed = meters.heartbeatsServed - baseline.heartbeatsServed,
+            heartbeatsWithin1S = meters.heartbeatsWithin1S - baseline.heartbeatsWithin1S,
+            heartbeatsFailed = meters.heartbeatsFailed - baseline.heartbeatsFailed,
+            leasesExpired = meters.leasesExpired - baseline.leasesExpired,
+            refusals = meters.refusals.mapValues { (reason, count) -> count - (baseline.refusals[reason] ?: 0L) }
                 .filterValues { it > 0 },
-            standInCpu = (ownCpuS() - ownCpuAt) / seconds,
+            standInCpu = (ownCpuS() - ownCpuAtStartS) / seconds,
             standInLagP99Ms = cluster.lagUs.getValueAtPercentile(99.0) / 1000.0,
         )
     }
 
-    private fun figures(i: Int, seconds: Double): NodeFigures {
-        val node = nodes[i]
-        val now = meters.nodes[i]
-        val then = base.nodes[i]
-        fun rate(of: (NodeMeter) -> Long) = (of(now) - of(then)) / seconds
+    private fun nodeFigures(index: Int, seconds: Double): NodeFigures {
+        val usage = usages[index]
+        val currentMeter = meters.nodes[index]
+        val startMeter = baseline.nodes[index]
+        fun ratePerS(countOf: (NodeMeter) -> Long) = (countOf(currentMeter) - countOf(startMeter)) / seconds
         return NodeFigures(
-            node = controllers[i].name,
-            leads = lastLeader == i,
-            cpuMean = node.cpuS / seconds,
-            cpuBusiestSecond = node.busiest,
-            residentMb = node.residentMb,
-            sockets = node.sockets,
-            heartbeats = rate { it.heartbeats },
-            polls = rate { it.polls },
-            submissions = rate { it.submissions },
-            stateRequests = rate { it.stateRequests },
-            stateRefused = rate { it.stateRefused },
-            puts = rate { it.puts },
-            frameKb = rate { it.frameBytes } / 1024,
+            node = controllers[index].name,
+            leads = lastLeaderIndex == index,
+            cpuMean = usage.cpuS / seconds,
+            cpuBusiestSecond = usage.cpuBusiestSecond,
+            residentMb = usage.residentMb,
+            sockets = usage.sockets,
+            heartbeats = ratePerS { it.heartbeats },
+            polls = ratePerS { it.polls },
+            submissions = ratePerS { it.submissions },
+            stateRequests = ratePerS { it.stateRequests },
+            stateRefused = ratePerS { it.stateRefused },
+            puts = ratePerS { it.puts },
+            frameKb = ratePerS { it.frameBytes } / 1024,
         )
     }
 
     private companion object {
-        const val SAMPLE_MS = 1_000L
-        const val SOCKETS_EVERY = 5
+        const val SAMPLE_INTERVAL_MS = 1_000L
+
+        /** Sockets are counted in one of this many samples, because counting them reads a link for each open file. */
+        const val SAMPLES_PER_SOCKET_COUNT = 5
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/StoreEndpoint.kt
@@ -10,31 +10,36 @@
 import plankwall.wire.StateResult
 import plankwall.wire.StateServiceCodec
 
-/** The state service as one controller reaches it: each has a port of its own, so that requests can be told apart. */
+/**
+ * The HTTP interface of the simulated state service for one controller. Each controller gets a port of its own, so that
+ * its requests can be counted in its [meter].
+ */
 class StoreEndpoint(private val cluster: LoadTestCluster, private val meter: NodeMeter) {
+    /** Answers one request, after a random delay. */
     suspend fun handle(request: HttpRequest): HttpReply {
-        val op = read(request) ?: return HttpReply(404, JobCodec.error("no such path"))
+        val op = readOp(request) ?: return HttpReply(404, JobCodec.error("no such path"))
         meter.stateRequests++
         if (op is StateOp.Txn) meter.puts += op.writes.size
         val answer = CompletableDeferred<StateResult>()
-        cluster.enter { cluster.state.run(op) { answer.complete(it) } }
+        cluster.runCaughtUp { cluster.state.run(op) { answer.complete(it) } }
         val result = answer.await()
-        delay(lagMs())
+        delay(responseDelayMs())
         if (result == StateResult.Refused) meter.stateRefused++
-        return HttpReply(statusOf(result), StateServiceCodec.write(bounded(result)))
+        return HttpReply(statusOf(result), StateServiceCodec.write(truncated(result)))
     }
 
-    private fun lagMs(): Long = if (cluster.random.nextDouble() < SLOW_SHARE) {
-        SLOW_MS
+    private fun responseDelayMs(): Long = if (cluster.random.nextDouble() < SLOW_SHARE) {
+        SLOW_DELAY_MS
     } else {
-        1L + cluster.random.nextInt(USUAL_MS)
+        1L + cluster.random.nextInt(USUAL_DELAY_BOUND_MS)
     }
 
-    private fun read(r: HttpRequest): StateOp? {
-        val query = r.query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
-        val path = r.path
+    /** Returns the operation that [request] asks for, or null if there is none at its path. */
+    private fun readOp(request: HttpRequest): StateOp? {
+        val query = request.query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
+        val path = request.path
         return when {
-            path == "/multi" -> StateServiceCodec.readTxn(r.body)
+            path == "/multi" -> StateServiceCodec.readTxn(request.body)
             path == "/keys" -> StateOp.Range(
                 query["prefix"].orEmpty(),
                 query["from"],
@@ -44,17 +49,17 @@
                     ).coerceIn(1, MAX_ITEMS),
             )
             path.startsWith("/keys/") -> StateOp.Get(path.removePrefix("/keys/"))
-            path == "/changes" -> changes(query)
-            path == "/grants" -> StateServiceCodec.readGrant(r.body)
-            path.endsWith("/touch") -> leaseOf(path.removeSuffix("/touch"))?.let { StateOp.Renew(it) }
-            r.method == "DELETE" -> leaseOf(path)?.let { StateOp.Drop(it) }
+            path == "/changes" -> readChanges(query)
+            path == "/grants" -> StateServiceCodec.readGrant(request.body)
+            path.endsWith("/touch") -> leaseIdOf(path.removeSuffix("/touch"))?.let { StateOp.Renew(it) }
+            request.method == "DELETE" -> leaseIdOf(path)?.let { StateOp.Drop(it) }
             else -> null
         }
     }
 
-    private fun leaseOf(path: String): Long? = path.removePrefix("/grants/").toLongOrNull()
+    private fun leaseIdOf(path: String): Long? = path.removePrefix("/grants/").toLongOrNull()
 
-    private fun changes(query: Map<String, String>): StateOp {
+    private fun readChanges(query: Map<String, String>): StateOp {
         val prefix = query["prefix"].orEmpty()
         val from = query["from"]?.toLongOrNull() ?: 0L
         val blockMs = query["block_ms"]?.toLongOrNull() ?: 0L
@@ -65,13 +70,13 @@
         }
     }
 
-    /** A response holds at most [MAX_BYTES] of values. */
-    private fun bounded(result: StateResult): StateResult {
+    /** Returns [result] without the items that would make the response larger than [MAX_RESPONSE_BYTES]. */
+    private fun truncated(result: StateResult): StateResult {
         if (result !is StateResult.Items) return result
         var bytes = 0
         val fitting = result.items.takeWhile { item ->
-            bytes += StateCodec.sizeOf(item.value) + item.key.length + ITEM_OVERHEAD
-            bytes <= MAX_BYTES
+            bytes += StateCodec.sizeOf(item.value) + item.key.length + ITEM_OVERHEAD_BYTES
+            bytes <= MAX_RESPONSE_BYTES
         }
         return if (fitting.size == result.items.size) result else result.copy(items = fitting, more = true)
     }
@@ -88,13 +93,15 @@
 
     private companion object {
         const val MAX_ITEMS = 1_000
-        const val MAX_BYTES = 512 * 1024
-        const val ITEM_OVERHEAD = 40
+        const val MAX_RESPONSE_BYTES = 512 * 1024
+        const val ITEM_OVERHEAD_BYTES = 40
         const val MAX_BLOCK_MS = 60_000L
 
-        /** A response usually takes under 10 ms, occasionally a few hundred (PROTOCOL). */
-        const val USUAL_MS = 7
-        const val SLOW_MS = 250L
+        /**
+         * A response usually takes less than 10 ms and occasionally a few hundred milliseconds, as PROTOCOL describes.
+         */
+        const val USUAL_DELAY_BOUND_MS = 7
+        const val SLOW_DELAY_MS = 250L
         const val SLOW_SHARE = 0.003
     }
 }
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -17,78 +17,103 @@
 import plankwall.wire.WorkerCodec
 import java.util.concurrent.ConcurrentHashMap
 
-/** The sockets of the hollow workers: one connection to a controller and one listener for commands each. */
+/**
+ * The sockets of the simulated workers. Each worker has one connection to a controller and one listener for commands.
+ */
 class WorkerTransport(private val cluster: LoadTestCluster) {
-    /** Used on the worker's lane alone. */
-    private class Link(val node: Int, val client: HttpClient)
-
-    /** What the run knows of one worker. */
-    class Served {
-        /** When the newest answered report was sent; negative: none was. */
-        var sentAt = -1.0
+    /** The connection of a worker to the controller at index [node]. Only the worker's [IoThread] uses it. */
+    private class ControllerLink(val node: Int, val client: HttpClient)
+
+    /** Records when a worker was last served. */
+    class ServiceRecord {
+        /**
+         * When the worker sent the heartbeat whose answer (status 200) arrived last, in seconds on the cluster's clock;
+         * negative if no heartbeat was answered yet.
+         */
+        var lastServedSentAtS = -1.0
     }
 
-    private val slots = ArrayList<Address>()
-    private val bySlot = HashMap<Int, SimulatedWorker>()
-    private val links = ConcurrentHashMap<String, Link>()
+    /** The addresses of the workers' listeners, by slot. */
+    private val listenerAddresses = ArrayList<Address>()
+
+    /** The worker that was attached last to each slot. */
+    private val workersBySlot = HashMap<Int, SimulatedWorker>()
+    private val links = ConcurrentHashMap<String, ControllerLink>()
     private val ioThreads = List(IO_THREADS) { IoThread("workers-$it") }
-    private val served = HashMap<String, Served>()
+    private val serviceRecords = HashMap<String, ServiceRecord>()
     private var apiAddresses: List<Address> = emptyList()
 
-    /** Zones whose workers' reports arrive nowhere. */
+    /** Zones whose workers' heartbeats are lost before they reach a controller. Faults change it. */
     val zonesLosingHeartbeats: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
-    /** Zones whose workers get neither answers nor commands. */
+    /** Zones whose workers receive neither answers nor commands. Faults change it. */
     val zonesLosingAnswers: MutableSet<String> = ConcurrentHashMap.newKeySet()
 
-    /** Opens a listener for each of [count] workers. [apiAddresses]: where the controllers serve workers. */
-    suspend fun open(count: Int, apiAddresses: List<Address>) {
+    /**
+     * Opens a listener for each of [count] workers. [apiAddresses] are the addresses at which the controllers serve
+     * them.
+     */
+    suspend fun openListeners(count: Int, apiAddresses: List<Address>) {
         this.apiAddresses = apiAddresses
         repeat(count) { slot ->
             val ioThread = ioThreadOf(slot)
-            val server = HttpServer(ioThread.scope, ioThread.selector, MAX_COMMAND_CONNECTIONS) { handle(slot, it) }
-            slots.add(boundAddress(server.start(Address(LOOPBACK, 0))))
+            val server =
+                HttpServer(ioThread.scope, ioThread.selector, MAX_COMMAND_CONNECTIONS) { handleCommand(slot, it) }
+            listenerAddresses.add(boundAddress(server.start(Address(LOOPBACK, 0))))
         }
     }
 
+    /** Closes the sockets of all workers. */
     fun close() = ioThreads.forEach { it.close() }
 
     private fun ioThreadOf(slot: Int): IoThread = ioThreads[slot % ioThreads.size]
 
-    /** Where the machine [id] is reached; machines that come later take over the slots of those before. */
-    fun addressOf(id: String): String = slots[slotOf(id)].toString()
+    /**
+     * Returns the address of the listener of the machine [id]. There are as many listeners as the plan has workers, so
+     * a machine that is rented later gets the listener of an earlier one.
+     */
+    fun addressOf(id: String): String = listenerAddresses[slotOf(id)].toString()
 
-    private fun slotOf(id: String): Int = id.substring(ID_PREFIX).toInt() % slots.size
+    /** Returns the slot of the machine [id]: the index of its listener, derived from the number in its name. */
+    private fun slotOf(id: String): Int = id.substring(ID_PREFIX_LENGTH).toInt() % listenerAddresses.size
 
-    fun attach(worker: SimulatedWorker) {
-        bySlot[slotOf(worker.id)] = worker
-        served[worker.id] = Served()
+    /** Delivers commands to [worker] that arrive at the address of its machine. Called when the worker is created. */
+    fun attachWorker(worker: SimulatedWorker) {
+        workersBySlot[slotOf(worker.id)] = worker
+        serviceRecords[worker.id] = ServiceRecord()
     }
 
-    /** The share of the machines at work whose worker had a report answered that was sent after [time]. */
-    fun servedSince(time: Double): Double {
+    /**
+     * Returns the share of the workers that had a heartbeat answered which they sent after [sinceS], in seconds on the
+     * cluster's clock; 0 if there are no workers.
+     */
+    fun servedSince(sinceS: Double): Double {
         val workers = cluster.cloud.workers
         return if (workers.isEmpty()) {
             0.0
         } else {
-            workers.count { (served[it.id]?.sentAt ?: -1.0) > time } /
+            workers.count { (serviceRecords[it.id]?.lastServedSentAtS ?: -1.0) > sinceS } /
                 workers.size.toDouble()
         }
     }
 
-    fun send(
+    /**
+     * Sends [heartbeat] to the controller at index [node]. [onAnswer] gets the answer on the cluster's thread, with
+     * status 503 if the request failed; it is not called if a fault loses the heartbeat or its answer.
+     */
+    fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
-        val sentAt = cluster.clock.now
+        val sentAtS = cluster.clock.now
         val body = WorkerCodec.writeReport(heartbeat)
         cluster.meters.nodes[node].heartbeats++
         val ioThread = ioThreadOf(slotOf(worker.id))
         ioThread.scope.launch {
             if (worker.group.zone in zonesLosingHeartbeats) return@launch
-            val outcome = linkTo(
+            val outcome = clientFor(
                 worker,
                 node,
                 ioThread,
@@ -99,58 +124,68 @@
             } else {
                 JsonNodeFactory.instance.nullNode()
             }
-            cluster.onThread { answered(worker, outcome, sentAt, answer, then) }
+            cluster.runOnClusterThread { handleAnswer(worker, outcome, sentAtS, answer, onAnswer) }
         }
     }
 
-    private fun linkTo(worker: SimulatedWorker, node: Int, ioThread: IoThread): HttpClient {
-        val known = links[worker.id]
-        if (known != null && known.node == node) return known.client
-        known?.client?.closeIdle()
+    /** Returns the client of [worker] for [node], and replaces the one for the controller that it used before. */
+    private fun clientFor(worker: SimulatedWorker, node: Int, ioThread: IoThread): HttpClient {
+        val existing = links[worker.id]
+        if (existing != null && existing.node == node) return existing.client
+        existing?.client?.closeIdle()
         val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxWaiting = 2)
-        links[worker.id] = Link(node, client)
+        links[worker.id] = ControllerLink(node, client)
         return client
     }
 
-    private fun answered(
+    private fun handleAnswer(
         worker: SimulatedWorker,
         outcome: HttpOutcome,
-        sentAt: Double,
+        sentAtS: Double,
         answer: JsonNode,
-        then: (Int, JsonNode) -> Unit,
+        onAnswer: (Int, JsonNode) -> Unit,
     ) {
         if (outcome !is HttpOutcome.Answered) {
             cluster.meters.heartbeatsFailed++
-            return then(NO_ANSWER, answer)
+            return onAnswer(NO_ANSWER_STATUS, answer)
         }
-        val tookS = cluster.clock.now - sentAt
-        cluster.meters.latencies.heartbeat.recordSeconds(tookS)
+        val latencyS = cluster.clock.now - sentAtS
+        cluster.meters.latencies.heartbeat.recordSeconds(latencyS)
         if (outcome.status == 200) {
             cluster.meters.heartbeatsServed++
-            if (tookS <= 1.0) cluster.meters.heartbeatsWithin1S++
-            served[worker.id]?.sentAt = sentAt
+            if (latencyS <= 1.0) cluster.meters.heartbeatsWithin1S++
+            serviceRecords[worker.id]?.lastServedSentAtS = sentAtS
         }
-        then(outcome.status, answer)
+        onAnswer(outcome.status, answer)
     }
 
-    private suspend fun handle(slot: Int, request: HttpRequest): HttpReply {
+    /**
+     * Answers a command or a status request. It never answers if no worker uses [slot], or if a fault cuts the worker
+     * off: the request then runs into its timeout.
+     */
+    private suspend fun handleCommand(slot: Int, request: HttpRequest): HttpReply {
         val command = if (request.path == "/status") null else SimulatedWorker.json.readTree(request.body)
-        val answer = cluster.onThread {
-            val worker = bySlot[slot]?.takeIf { it.group.zone !in zonesLosingAnswers }
+        val answer = cluster.runOnClusterThread {
+            val worker = workersBySlot[slot]?.takeIf { it.group.zone !in zonesLosingAnswers }
             if (command == null) worker?.let { 200 to it.heartbeat() } else worker?.command(command)
         } ?: awaitCancellation()
         return HttpReply(answer.first, WorkerCodec.writeReport(answer.second))
     }
 
     companion object {
+        /** The address at which all parts of a load test listen. */
         const val LOOPBACK = "127.0.0.1"
-        private const val ID_PREFIX = 2
+
+        /** The number of characters before the number in the name of a machine. */
+        private const val ID_PREFIX_LENGTH = 2
+
         private const val IO_THREADS = 3
         private const val MAX_COMMAND_CONNECTIONS = 8
 
-        /** Stands for a connection that failed: to a worker, any status but 200 and 421 is the same. */
-        private const val NO_ANSWER = 503
+        /** The status that a worker gets if the request failed. A worker treats all statuses but 200 and 421 alike. */
+        private const val NO_ANSWER_STATUS = 503
 
+        /** Returns the address that [listener] is bound to. */
         internal fun boundAddress(listener: ServerSocket): Address =
             Address(LOOPBACK, (listener.localAddress as InetSocketAddress).port)
     }
