--- a/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerProcess.kt
@@ -57,7 +57,7 @@
             .start()
     }
 
-    /** Kills the process, if there is one, and waits until it has ended; [start] may start it again. */
+    /** Kills the process, if there is one, and waits at most [KILL_TIMEOUT_S] for its end. It may be started again. */
     @Synchronized
     fun kill() {
         process?.destroyForcibly()?.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS)
