--- a/src/test/kotlin/plankwall/build/ArchitectureTest.kt
+++ b/src/test/kotlin/plankwall/build/ArchitectureTest.kt
@@ -7,16 +7,20 @@
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
 
-/** Which package may use which. A direction that is not in the table has to be argued for in docs/design.md first. */
+/**
+ * Tests which package uses which others. A dependency that is not in the table has to be justified in docs/design.md
+ * before it is added.
+ */
 class ArchitectureTest {
-    private val core =
+    private val corePackages =
         setOf(
             "core.statemachine", "core.connectivity", "core.cancellations", "core.store", "core.election", "core.state",
             "core.queue", "core.placement",
             "core.failuredetector", "core.sessions", "core.relay", "core.autoscaling", "core.heartbeat", "core.api",
         )
 
-    private val allowed: Map<String, Set<String>> = mapOf(
+    /** The packages that each package may use. */
+    private val allowedPackages: Map<String, Set<String>> = mapOf(
         "model" to emptySet(),
         "wire" to setOf("model"),
         "core.statemachine" to setOf("model", "wire"),
@@ -64,7 +68,7 @@
                 "core.election",
                 "core.state",
             ),
-        "core" to setOf("model", "wire") + core,
+        "core" to setOf("model", "wire") + corePackages,
         "identity" to setOf("model", "wire", "core.statemachine"),
         "authorization.grammar" to emptySet(),
         "authorization" to setOf("model", "wire", "core.statemachine", "identity", "authorization.grammar"),
@@ -97,29 +101,30 @@
         ImportOption.DoNotIncludeTests(),
     ).importPackages("plankwall")
 
-    private fun name(c: JavaClass): String = c.baseComponentType.packageName.removePrefix("plankwall").removePrefix(".")
+    private fun packageOf(type: JavaClass): String =
+        type.baseComponentType.packageName.removePrefix("plankwall").removePrefix(".")
 
     @Test
-    fun `packages use only what stands below them`() {
-        val wrong = classes.flatMap { c ->
-            c.directDependenciesFromSelf.map { Triple(name(c), it.targetClass, it.description) }
+    fun `a package uses only the packages that the table allows it`() {
+        val violations = classes.flatMap { type ->
+            type.directDependenciesFromSelf.map { Triple(packageOf(type), it.targetClass, it.description) }
         }
             .filter { (from, target, _) ->
                 target.baseComponentType.packageName.startsWith("plankwall") &&
-                    name(target) != from
+                    packageOf(target) != from
             }
-            .filter { (from, target, _) -> name(target) !in allowed[from].orEmpty() }
+            .filter { (from, target, _) -> packageOf(target) !in allowedPackages[from].orEmpty() }
             .map { it.third }
-        assertEquals(emptyList<String>(), wrong)
+        assertEquals(emptyList<String>(), violations)
     }
 
     @Test
     fun `every package is in the table, and the table has no cycle`() {
-        assertEquals(allowed.keys, classes.map { name(it) }.toSet())
-        // Taking away what uses nothing that is left must in the end take away everything.
-        val left = allowed.toMutableMap()
-        while (left.keys.removeIf { from -> left.getValue(from).none { it in left.keys } }) Unit
-        assertTrue(left.isEmpty(), "a cycle among ${left.keys}")
+        assertEquals(allowedPackages.keys, classes.map { packageOf(it) }.toSet())
+        // Repeatedly removing the packages that use none of the remaining ones removes all, unless there is a cycle.
+        val remaining = allowedPackages.toMutableMap()
+        while (remaining.keys.removeIf { from -> remaining.getValue(from).none { it in remaining.keys } }) Unit
+        assertTrue(remaining.isEmpty(), "a cycle among ${remaining.keys}")
     }
 
     @Test
@@ -134,8 +139,10 @@
                 "io.ktor",
                 "java.time.Clock",
             )
-        val wrong = classes.filter { name(it).startsWith("core") }.flatMap { it.directDependenciesFromSelf }
-            .filter { d -> forbidden.any { d.targetClass.name.startsWith(it) } }.map { it.description }
-        assertEquals(emptyList<String>(), wrong)
+        val violations = classes.filter { packageOf(it).startsWith("core") }.flatMap { it.directDependenciesFromSelf }
+            .filter { dependency ->
+                forbidden.any { dependency.targetClass.name.startsWith(it) }
+            }.map { it.description }
+        assertEquals(emptyList<String>(), violations)
     }
 }
--- a/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
@@ -14,7 +14,7 @@
 import plankwall.wire.StateResult
 import java.util.Random
 
-/** Requests share reads of the store, and none is answered from a read that began before the request came. */
+/** Tests that requests share reads of the store, and that none is answered from a read that began before it arrived. */
 class JobCacheTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1, Random(1))
     private val jobCache = JobCache(ctx) {}
@@ -23,21 +23,21 @@
     private val key = Keys.job(JOB)
     private var now = 100.0
 
-    private fun pass(seconds: Double) {
+    private fun advanceTime(seconds: Double) {
         now += seconds
         ctx.time.advance(now, 0)
         jobCache.tick()
-        collect()
+        collectCalls()
     }
 
-    private fun collect() = ctx.out.drain().forEach { openCalls.addLast(it as Effect.StateCall) }
+    private fun collectCalls() = ctx.out.drain().forEach { openCalls.addLast(it as Effect.StateCall) }
 
-    private fun answer(result: StateResult) {
+    private fun answerCall(result: StateResult) {
         ctx.out.resume(openCalls.removeFirst().call, result)
-        collect()
+        collectCalls()
     }
 
-    private fun ask(answers: MutableList<String>) {
+    private fun requestFreshJobs(answers: MutableList<String>) {
         jobCache.whenFresh { fresh ->
             answers.add(
                 when {
@@ -47,53 +47,53 @@
                 },
             )
         }
-        collect()
+        collectCalls()
     }
 
-    private fun load() {
-        pass(0.0)
-        answer(StateResult.Items(listOf(StateItem(key, record, 5)), false, 5))
-        answer(StateResult.News(emptyList(), 6))
+    private fun loadJobs() {
+        advanceTime(0.0)
+        answerCall(StateResult.Items(listOf(StateItem(key, record, 5)), false, 5))
+        answerCall(StateResult.News(emptyList(), 6))
     }
 
     @Test
-    fun `many requests share one read`() {
-        load()
+    fun `requests that wait for the next read share it`() {
+        loadJobs()
         val answers = ArrayList<String>()
-        repeat(200) { ask(answers) }
-        pass(1.0)
+        repeat(200) { requestFreshJobs(answers) }
+        advanceTime(1.0)
         assertEquals(listOf<StateOp>(StateOp.Changes(Keys.JOBS, 6)), openCalls.map { it.op })
-        answer(StateResult.News(emptyList(), 7))
+        answerCall(StateResult.News(emptyList(), 7))
         assertEquals(List(200) { "false" }, answers)
         assertEquals(0, openCalls.size)
     }
 
     @Test
     fun `a request that comes during a read waits for the next one`() {
-        load()
+        loadJobs()
         val answers = ArrayList<String>()
-        pass(1.0)
-        ask(answers)
-        ask(answers)
-        answer(StateResult.News(emptyList(), 7))
-        assertEquals(listOf("false"), answers, "the second came after the read had begun")
-        pass(1.0)
-        answer(StateResult.News(listOf(StateEvent(key, record.copy(cancelledMs = 9), 8)), 8))
+        advanceTime(1.0)
+        requestFreshJobs(answers)
+        requestFreshJobs(answers)
+        answerCall(StateResult.News(emptyList(), 7))
+        assertEquals(listOf("false"), answers, "the second request came after the read had begun")
+        advanceTime(1.0)
+        answerCall(StateResult.News(listOf(StateEvent(key, record.copy(cancelledMs = 9), 8)), 8))
         assertEquals(listOf("false", "true"), answers)
     }
 
     @Test
-    fun `a job that is over is no longer live, and compacted changes are read anew`() {
-        load()
+    fun `after the changes were compacted all jobs are read anew, and a job that has ended is not live`() {
+        loadJobs()
         val answers = ArrayList<String>()
-        pass(1.0)
-        ask(answers)
-        answer(StateResult.TooOld)
+        advanceTime(1.0)
+        requestFreshJobs(answers)
+        answerCall(StateResult.TooOld)
         assertEquals(listOf("unread"), answers)
-        ask(answers)
-        pass(1.0)
-        answer(StateResult.Items(emptyList(), false, 20))
-        answer(StateResult.News(emptyList(), 20))
+        requestFreshJobs(answers)
+        advanceTime(1.0)
+        answerCall(StateResult.Items(emptyList(), false, 20))
+        answerCall(StateResult.News(emptyList(), 20))
         assertEquals(listOf("unread", "null"), answers)
     }
 
--- a/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
@@ -12,11 +12,12 @@
 import plankwall.wire.StateOp
 import plankwall.wire.StateResult
 
+/** Tests that the autoscaler decides nothing while its decisions can't be stored. */
 class AutoscalerTest {
     private val core = CoreParts()
     private val ctx = core.ctx
 
-    private fun win() {
+    private fun acquireLeadership() {
         core.leadership.tick()
         repeat(3) {
             val call = ctx.out.drain().filterIsInstance<Effect.StateCall>().single()
@@ -31,12 +32,15 @@
         }
     }
 
-    /** A leader cut off with its zone logged rentals and returns for half a minute after another had won. */
-    @ParameterizedTest(name = "{0} s after its lease was renewed: returned {1}")
+    /**
+     * Guards against decisions that are never stored: a leader that was partitioned off with its zone logged requests
+     * and returns of machines for half a minute after another node had become leader.
+     */
+    @ParameterizedTest(name = "{0} s after the lease was renewed: machine returned {1}")
     @CsvSource("0, true", "60, false")
-    fun `what can't be stored is not decided`(afterS: Double, returned: Boolean) {
-        win()
-        val loop =
+    fun `a leader returns a failed machine only while its lease is valid`(afterS: Double, returned: Boolean) {
+        acquireLeadership()
+        val autoscaler =
             Autoscaler(
                 ctx,
                 LeaderStore(ctx, core.leadership),
@@ -48,9 +52,9 @@
             ) {
                 0.0
             }
-        val failed = core.machine("i-000001").apply { listed = ListedState.FAILED }
+        val failedMachine = core.machine("i-000001").apply { listed = ListedState.FAILED }
         ctx.time.advance(ctx.now + afterS, 0)
-        loop.tick()
-        assertEquals(returned, failed.returning)
+        autoscaler.tick()
+        assertEquals(returned, failedMachine.returning)
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
@@ -11,69 +11,76 @@
 import plankwall.simulation.SimulatedCluster
 
 /**
- * Machines that come up late or never: when a group is troubled, and which of what is overdue still counts as room to
- * come.
+ * Tests when a group counts as delayed because its machines boot late or never, and which overdue machines still count
+ * as capacity about to arrive.
  */
 class BootDelayDetectorTest {
     private val ctx = CoreParts().ctx
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, overdue here, up here, overdue in another group, up there, seconds since the take-over, troubled,
-        // counted on, patience
-        "'all is well', 0, 10, 0, 10, 500, false, 0, 120",
-        "'a straggler is replaced at once', 1, 10, 0, 10, 500, false, 0, 120",
-        "'a handful among many', 4, 20, 0, 0, 500, false, 0, 120",
-        "'a third is late', 8, 16, 0, 0, 500, true, 4, 180",
-        "'nothing comes', 3, 0, 0, 0, 500, true, 1, 180",
-        "'two say nothing by themselves', 2, 0, 0, 50, 500, false, 0, 120",
-        "'but do where all groups are late', 2, 0, 9, 0, 500, true, 1, 180",
-        "'a new leader takes no sum of stragglers for trouble', 2, 0, 9, 0, 5, false, 0, 120",
-        "'but knows a group that has a handful', 8, 0, 0, 0, 5, true, 4, 180",
+        // name, overdue and booted machines of the group, overdue and booted machines of another group, seconds since
+        // this leader took over, whether the group is delayed, overdue machines that count, registration timeout in s
+        "'a group without overdue machines is not delayed', 0, 10, 0, 10, 500, false, 0, 120",
+        "'a single overdue machine is replaced at once', 1, 10, 0, 10, 500, false, 0, 120",
+        "'a group with four overdue and twenty booted machines is not delayed', 4, 20, 0, 0, 500, false, 0, 120",
+        "'a group with a third of its machines overdue is delayed', 8, 16, 0, 0, 500, true, 4, 180",
+        "'a group with three overdue and no booted machines is delayed', 3, 0, 0, 0, 500, true, 1, 180",
+        "'two overdue machines alone do not make a group delayed', 2, 0, 0, 50, 500, false, 0, 120",
+        "'two overdue machines make a group delayed when all groups are late', 2, 0, 9, 0, 500, true, 1, 180",
+        "'a new leader does not sum the overdue machines of all groups', 2, 0, 9, 0, 5, false, 0, 120",
+        "'a new leader finds a group that has many overdue machines itself', 8, 0, 0, 0, 5, true, 4, 180",
     )
-    fun `late or lost`(
+    fun `a group with many overdue machines is delayed, and part of those still count`(
         name: String,
-        late: Int,
-        up: Int,
-        lateThere: Int,
-        upThere: Int,
-        since: Double,
-        troubled: Boolean,
-        counted: Int,
-        patienceS: Double,
+        overdue: Int,
+        booted: Int,
+        overdueElsewhere: Int,
+        bootedElsewhere: Int,
+        sinceTakeoverS: Double,
+        delayed: Boolean,
+        countedOverdue: Int,
+        timeoutS: Double,
     ) {
-        val here = GroupKey("box", "a", false)
-        val there = GroupKey("box", "b", false)
-        val trouble = BootDelayDetector(ctx, BootDurations(), ctx.now - since)
-        repeat(up) { trouble.recordBoot(here) }
-        repeat(upThere) { trouble.recordBoot(there) }
-        fun arrivals(n: Int, g: GroupKey) = List(n) { BootingMachine("i-${g.zone}$it", g, ctx.now - 20.0, 0) }
-        val mine = arrivals(late, here)
-        val fresh = BootingMachine("i-fresh", here, ctx.now - 5.0, 0)
-        trouble.refresh(mine + arrivals(lateThere, there) + fresh, SimulatedCluster.CATALOG)
-        assertEquals(troubled, here in trouble.delayedGroups, name)
-        assertEquals(counted, mine.count { trouble.isCounted(it) }, name)
-        assertTrue(trouble.isCounted(fresh), "what is not overdue always counts")
-        assertEquals(patienceS, trouble.registrationTimeoutS(here), name)
+        val thisGroup = GroupKey("box", "a", false)
+        val otherGroup = GroupKey("box", "b", false)
+        val detector = BootDelayDetector(ctx, BootDurations(), ctx.now - sinceTakeoverS)
+        repeat(booted) { detector.recordBoot(thisGroup) }
+        repeat(bootedElsewhere) { detector.recordBoot(otherGroup) }
+        fun bootingMachines(count: Int, group: GroupKey) =
+            List(count) { BootingMachine("i-${group.zone}$it", group, ctx.now - 20.0, 0) }
+        val overdueMachines = bootingMachines(overdue, thisGroup)
+        val newMachine = BootingMachine("i-fresh", thisGroup, ctx.now - 5.0, 0)
+        detector.refresh(
+            overdueMachines + bootingMachines(overdueElsewhere, otherGroup) + newMachine,
+            SimulatedCluster.CATALOG,
+        )
+        assertEquals(delayed, thisGroup in detector.delayedGroups, name)
+        assertEquals(countedOverdue, overdueMachines.count { detector.isCounted(it) }, name)
+        assertTrue(detector.isCounted(newMachine), "a machine that is not overdue always counts")
+        assertEquals(timeoutS, detector.registrationTimeoutS(thisGroup), name)
     }
 
-    /** Ten times as long as usual, three in ten never, and the leader silent for a minute amid it. */
+    /**
+     * Guards against replacements of replacements without end: machines boot eight times as slowly as usual, three in
+     * ten never do, and the leader crashes for a minute meanwhile.
+     */
     @Test
-    fun `a wave that boots late is not rented for without end, nor lost, across a take-over`() {
-        val world = SimulatedCluster(31)
-        world.cloud.capacity = 400
-        world.cloud.bootFactor = 8.0
-        world.cloud.bootFailureShare = 0.3
-        for (n in 1..10) world.clock.after(2.0) { world.submit(SimulatedCluster.job(n, tasks = 16, runS = 30.0)) }
-        world.clock.after(45.0) { world.nodes.first { it.leading }.crash(60.0) }
-        world.clock.runUntil(110.0)
+    fun `a wave of late boots leads to bounded rentals and loses no job across a failover`() {
+        val cluster = SimulatedCluster(31)
+        cluster.cloud.capacity = 400
+        cluster.cloud.bootFactor = 8.0
+        cluster.cloud.bootFailureShare = 0.3
+        for (n in 1..10) cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(n, tasks = 16, runS = 30.0)) }
+        cluster.clock.after(45.0) { cluster.nodes.first { it.leading }.crash(60.0) }
+        cluster.clock.runUntil(110.0)
         assertTrue(
-            world.cloud.instancesCreated <= 80,
-            "${world.cloud.instancesCreated} machines rented for the work of 40",
+            cluster.cloud.instancesCreated <= 80,
+            "${cluster.cloud.instancesCreated} machines rented for the work of 40",
         )
-        world.cloud.bootFailureShare = 0.0
-        world.clock.runUntil(330.0)
-        assertEquals(emptyList<String>(), world.checker.violations)
-        assertEquals(List(10) { "done" }, (1..10).map { world.stageOf("job-%06d".format(it)) })
+        cluster.cloud.bootFailureShare = 0.0
+        cluster.clock.runUntil(330.0)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
+        assertEquals(List(10) { "done" }, (1..10).map { cluster.stageOf("job-%06d".format(it)) })
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/BootDurationsTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootDurationsTest.kt
@@ -5,29 +5,33 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.simulation.SimulatedCluster
 
-/** For how long a machine on its way is counted on, after boots of machines whose type should take 10 s. */
+/**
+ * Tests after how long a booting machine is overdue, given earlier boots of its type, which nominally boots in 10 s.
+ */
 class BootDurationsTest {
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "'nothing seen yet', 0, 0, 0, 0, 15",
-        "'too few seen', 5, 40, 0, 0, 15",
-        "'quick boots do not make it impatient', 100, 5, 0, 0, 15",
-        "'one straggler in twenty does not make it patient', 95, 10, 5, 80, 15",
-        "'when all are slow it waits longer', 60, 20, 0, 0, 24",
-        "'and forgets slow times', 60, 20, 100, 10, 15",
+        // name, earlier boots and the seconds that each took, later boots and the seconds that each took, seconds until
+        // a boot is overdue
+        "'the nominal limit holds before any boot', 0, 0, 0, 0, 15",
+        "'the nominal limit holds after too few boots', 5, 40, 0, 0, 15",
+        "'quick boots do not lower the limit', 100, 5, 0, 0, 15",
+        "'one slow boot in twenty does not raise the limit', 95, 10, 5, 80, 15",
+        "'the limit rises when all boots are slow', 60, 20, 0, 0, 24",
+        "'the limit falls again when boots become quick', 60, 20, 100, 10, 15",
     )
-    fun `stragglers are not counted on for long`(
+    fun `a boot is overdue when it takes clearly longer than nearly all others`(
         name: String,
-        first: Int,
-        firstS: Double,
-        then: Int,
-        thenS: Double,
+        earlierBoots: Int,
+        earlierS: Double,
+        laterBoots: Int,
+        laterS: Double,
         overdueAfterS: Double,
     ) {
         val type = SimulatedCluster.CATALOG.types.single()
         val boots = BootDurations()
-        repeat(first) { boots.record(type, firstS) }
-        repeat(then) { boots.record(type, thenS) }
+        repeat(earlierBoots) { boots.record(type, earlierS) }
+        repeat(laterBoots) { boots.record(type, laterS) }
         assertEquals(overdueAfterS, boots.overdueAfterS(type), 0.5, name)
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
@@ -12,83 +12,88 @@
 import plankwall.simulation.SimulatedCluster
 import java.util.Random
 
-/** The registry's questions (S1 to S3 of the paper) on fleets given as counts. */
+/**
+ * Tests the registry's answers to the questions S1 to S3 of the paper, on fleets that are given as numbers of machines.
+ */
 class ClusterStateRegistryTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1, Random(1)).apply {
         time.advance(1000.0, 0)
     }
     private val fleet = Fleet(ctx).apply { catalog = SimulatedCluster.CATALOG }
     private val registry = ClusterStateRegistry(ctx, fleet, FailureDetector(ctx, fleet, 0.0))
-    private var next = 0
+    private var nextNumber = 0
 
-    private fun add(zone: String, count: Int, heardAgo: Double, returning: Boolean = false) = repeat(count) {
-        val m = fleet.machine("i-%06d".format(next++))
-        fleet.describe(m, GroupKey("box", zone, false), "")
-        m.registeredAt = 1.0
-        m.lastHeard = ctx.now - heardAgo
-        m.returning = returning
+    /** Adds [count] registered machines that sent their last heartbeat [silentS] seconds ago. */
+    private fun addMachines(zone: String, count: Int, silentS: Double, returning: Boolean = false) = repeat(count) {
+        val machine = fleet.machine("i-%06d".format(nextNumber++))
+        fleet.describe(machine, GroupKey("box", zone, false), "")
+        machine.registeredAt = 1.0
+        machine.lastHeard = ctx.now - silentS
+        machine.returning = returning
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, ready in a, silent in a, returning and silent in a, ready in b, silent in b, good shape, cut zones
-        "'S1 all ready', 5, 0, 0, 5, 0, true, ''",
-        "'UC6 one silent', 5, 1, 0, 5, 0, true, ''",
-        "'UC8 broad unreadiness', 5, 3, 0, 5, 3, false, ''",
-        "'UC7 being returned explains silence', 5, 0, 4, 5, 0, true, ''",
-        "'two of three silent are a handful', 1, 2, 0, 0, 0, true, ''",
-        "'a zone that is cut does not halt the rest', 6, 0, 0, 0, 5, true, b",
-        "'everything silent is the leader cut off', 0, 5, 0, 0, 5, true, 'a b'",
+        // name, machines of zone a that are ready, silent, silent while being returned, machines of zone b that are
+        // ready, silent, whether the cluster is in good shape, partitioned zones
+        "'S1 the cluster is in good shape when all machines are ready', 5, 0, 0, 5, 0, true, ''",
+        "'UC6 the cluster is in good shape when one machine is silent', 5, 1, 0, 5, 0, true, ''",
+        "'UC8 the cluster is in bad shape when many machines of all zones are silent', 5, 3, 0, 5, 3, false, ''",
+        "'UC7 the cluster is in good shape when the silent machines are being returned', 5, 0, 4, 5, 0, true, ''",
+        "'the cluster is in good shape when only two machines are silent, even two of three', 1, 2, 0, 0, 0, true, ''",
+        "'the cluster is in good shape when the silent machines are in a partitioned zone', 6, 0, 0, 0, 5, true, b",
+        "'the leader is cut off from all zones when all machines are silent', 0, 5, 0, 0, 5, true, 'a b'",
     )
-    fun `judges the whole`(
+    fun `the cluster is in bad shape when many machines are silent without a known reason`(
         name: String,
-        ready: Int,
-        silent: Int,
-        leaving: Int,
+        readyA: Int,
+        silentA: Int,
+        returningA: Int,
         readyB: Int,
         silentB: Int,
-        good: Boolean,
-        cut: String,
+        goodShape: Boolean,
+        partitioned: String,
     ) {
-        add("a", ready, 1.0)
-        add("a", silent, 60.0)
-        add("a", leaving, 60.0, returning = true)
-        add("b", readyB, 1.0)
-        add("b", silentB, 60.0)
+        addMachines("a", readyA, 1.0)
+        addMachines("a", silentA, 60.0)
+        addMachines("a", returningA, 60.0, returning = true)
+        addMachines("b", readyB, 1.0)
+        addMachines("b", silentB, 60.0)
         registry.refresh(emptyMap())
-        assertEquals(good, registry.inGoodShape, name)
-        assertEquals(cut, registry.partitionedZones.sorted().joinToString(" "), name)
+        assertEquals(goodShape, registry.inGoodShape, name)
+        assertEquals(partitioned, registry.partitionedZones.sorted().joinToString(" "), name)
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, ready, silent, arriving of age 10, arriving of age 200, healthy, yet to arrive, late
-        "'S2 sound group', 5, 0, 0, 0, true, 0, 0",
-        "'UC1 and S3 just rented', 0, 0, 4, 0, true, 4, 0",
-        "'UC3 starts that fail', 1, 0, 0, 3, false, 0, 3",
-        "'S2 many unready', 2, 4, 0, 0, false, 0, 0",
-        "'one late start is nothing', 0, 0, 1, 1, true, 1, 1",
+        // name, ready machines, silent machines, machines requested 10 s ago, machines requested 200 s ago, whether the
+        // group is healthy, arriving machines, late machines
+        "'S2 a group is healthy when all its machines are ready', 5, 0, 0, 0, true, 0, 0",
+        "'UC1 and S3 a group is healthy when its machines were just requested', 0, 0, 4, 0, true, 4, 0",
+        "'UC3 a group is unhealthy when three of its machines fail to come up', 1, 0, 0, 3, false, 0, 3",
+        "'S2 a group is unhealthy when many of its machines are unready', 2, 4, 0, 0, false, 0, 0",
+        "'a group is healthy when one of its machines is late', 0, 0, 1, 1, true, 1, 1",
     )
-    fun `judges a group`(
+    fun `a group is healthy while few of its machines are unready or late`(
         name: String,
         ready: Int,
         silent: Int,
-        fresh: Int,
-        old: Int,
+        requestedLately: Int,
+        requestedLongAgo: Int,
         healthy: Boolean,
         arriving: Int,
         late: Int,
     ) {
-        add("a", ready, 1.0)
-        add("a", silent, 60.0)
-        add("b", 30, 1.0)
+        addMachines("a", ready, 1.0)
+        addMachines("a", silent, 60.0)
+        addMachines("b", 30, 1.0)
         val key = GroupKey("box", "a", false)
-        val arrivals = (List(fresh) { 10.0 } + List(old) { 200.0 }).mapIndexed { i, age ->
-            "i-9$i" to BootingMachine("i-9$i", key, ctx.now - age, 0)
+        val arrivals = (List(requestedLately) { 10.0 } + List(requestedLongAgo) { 200.0 }).mapIndexed { index, age ->
+            "i-9$index" to BootingMachine("i-9$index", key, ctx.now - age, 0)
         }.toMap()
         registry.refresh(arrivals)
         val group = registry.groupHealth(key)
-        // A cut zone's machines are explained, so this looks at a zone that is not wholly silent.
+        // A partitioned zone would explain the silent machines, so none of the groups tested here is wholly silent.
         assertEquals(Triple(healthy, arriving, late), Triple(group.healthy, group.arriving, group.late), name)
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/ConsolidationTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ConsolidationTest.kt
@@ -7,50 +7,57 @@
 import plankwall.model.Resources
 import plankwall.simulation.SimulatedCluster
 
-/** What the fleet could do without, and how much work is to be expected. */
+/** Tests which machines count as surplus, and how much work is expected to arrive. */
 class ConsolidationTest {
     private val core = CoreParts()
-    private var jobs = 0
+    private var jobCount = 0
 
-    private fun job(tasks: Int) = core.learn(SimulatedCluster.job(++jobs, tasks = tasks))
+    private fun learnJob(tasks: Int) = core.learn(SimulatedCluster.job(++jobCount, tasks = tasks))
 
-    @ParameterizedTest(name = "{0}: {1} accelerators in use, {2} more needed")
+    @ParameterizedTest(name = "{0}: {1} accelerators in use, {2} to keep free")
     @CsvSource(
-        // Hundreds of machines with a task or two on each were kept for ever, none of them empty.
-        "'a task on each of four', '1 1 1 1', 0, '0 1 2'",
-        "'some room is to be kept', '1 1 1 1', 5, '0'",
-        "'more room is to be kept', '1 1 1 1', 9, ''",
-        "'the emptiest first', '4 1 3 0', 0, '1 3'",
-        "'all full', '4 4 4 4', 0, ''",
-        "'not quite a machine to spare', '3 3 3 4', 0, ''",
+        // name, accelerators in use on each machine, accelerators to keep free, surplus machines Guards against a fleet
+        // that never shrinks: hundreds of machines with a task or two on each were kept for ever, since none of them
+        // was empty.
+        "'three of four machines with one task each are surplus', '1 1 1 1', 0, '0 1 2'",
+        "'fewer machines are surplus when some capacity is to be kept', '1 1 1 1', 5, '0'",
+        "'no machine is surplus when much capacity is to be kept', '1 1 1 1', 9, ''",
+        "'the emptiest machines are surplus first', '4 1 3 0', 0, '1 3'",
+        "'no machine is surplus when all are full', '4 4 4 4', 0, ''",
+        "'no machine is surplus when less than a machine is free', '3 3 3 4', 0, ''",
     )
-    fun `the emptiest machines are surplus as long as the others could do their work`(
+    fun `the emptiest machines are surplus as long as their tasks would fit on the others`(
         name: String,
-        used: String,
-        needed: Long,
-        surplus: String,
+        usedByMachine: String,
+        toKeep: Long,
+        expectedSurplus: String,
     ) {
-        val machines = used.split(' ').mapIndexed { i, n ->
-            val m = core.machine("i-$i")
-            val job = job(maxOf(1, n.toInt()))
-            repeat(n.toInt()) { core.schedulerState.place(job, it, m, it.toLong()) }
-            m
+        val machines = usedByMachine.split(' ').mapIndexed { index, used ->
+            val machine = core.machine("i-$index")
+            val job = learnJob(maxOf(1, used.toInt()))
+            repeat(used.toInt()) { core.schedulerState.place(job, it, machine, it.toLong()) }
+            machine
         }
-        Consolidation(core.fleet).refresh(machines, Resources(0, needed * 1000, 0))
-        assertEquals(surplus, machines.indices.filter { machines[it].surplus }.joinToString(" "), name)
+        Consolidation(core.fleet).refresh(machines, Resources(0, toKeep * 1000, 0))
+        assertEquals(expectedSurplus, machines.indices.filter { machines[it].surplus }.joinToString(" "), name)
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "'steady', '2 2 2 2 2 2', 2",
-        "'a burst at the start is no trend', '90 60 2 2 2 2 2', 2",
-        "'nor is one great job', '2 2 2 80 2 2 2', 2",
-        "'too little seen', '9 9', 0",
+        // name, tasks that arrived in each interval, tasks expected in the next
+        "'a steady rate is expected to go on', '2 2 2 2 2 2', 2",
+        "'a burst at the start is not expected again', '90 60 2 2 2 2 2', 2",
+        "'one large job is not expected again', '2 2 2 80 2 2 2', 2",
+        "'nothing is expected after too few intervals', '9 9', 0",
     )
-    fun `expects what usually comes`(name: String, perBucket: String, expected: Long) {
+    fun `the expected work is what usually arrives in an interval`(
+        name: String,
+        tasksByBucket: String,
+        expected: Long,
+    ) {
         val rate = ArrivalRate()
-        (perBucket.split(' ') + "0").forEachIndexed { i, tasks ->
-            rate.record(i * 5.0, if (tasks == "0") emptyList() else listOf(job(tasks.toInt())))
+        (tasksByBucket.split(' ') + "0").forEachIndexed { index, tasks ->
+            rate.record(index * 5.0, if (tasks == "0") emptyList() else listOf(learnJob(tasks.toInt())))
         }
         assertEquals(expected, rate.expectedWithin(5.0).gpus / 1000, name)
     }
--- a/src/test/kotlin/plankwall/core/autoscaling/EstimatorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/EstimatorTest.kt
@@ -7,7 +7,7 @@
 import plankwall.model.Shape
 import plankwall.simulation.SimulatedCluster
 
-/** What is rented for one waiting task beside one busy machine. */
+/** Tests how many machines are requested for a waiting task beside one busy machine, and for endangered replicas. */
 class EstimatorTest {
     private val core = CoreParts()
     private val ctx = core.ctx
@@ -17,65 +17,65 @@
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, accelerators wanted, seconds waited, seconds until the running task should end, arriving machines,
-        // machines rented
-        "'room comes free before a new machine could', 4, 0, 5, 0, 0",
-        "'a task put off with that for a while is put off no more', 4, 10, 5, 0, 1",
-        "'room comes free too late', 4, 0, 100, 0, 1",
-        "'room is left', 1, 60, 100, 0, 0",
-        "'a machine is on its way', 4, 60, 100, 1, 0",
+        // name, accelerators that the task needs, seconds waited, seconds until the running task should end, arriving
+        // machines, requested machines
+        "'no machine is requested when capacity comes free before a new one could boot', 4, 0, 5, 0, 0",
+        "'a machine is requested when the task has waited long enough for capacity to come free', 4, 10, 5, 0, 1",
+        "'a machine is requested when capacity comes free too late', 4, 0, 100, 0, 1",
+        "'no machine is requested when the running one has free capacity', 1, 60, 100, 0, 0",
+        "'no machine is requested when one is about to arrive', 4, 60, 100, 1, 0",
     )
-    fun `rents what nothing else will give`(
+    fun `a machine is requested only for a task that no other capacity will serve`(
         name: String,
         gpus: Long,
         waitedS: Double,
         endsInS: Double,
         arriving: Int,
-        rented: Int,
+        requested: Int,
     ) {
-        val m = core.machine("i-000001")
+        val machine = core.machine("i-000001")
         val runS = maxOf(20.0, endsInS * 2)
         val running = learn(1, 3, runS, 300.0)
-        core.schedulerState.place(running, 0, m, 1).runningSince = ctx.now - runS + endsInS
+        core.schedulerState.place(running, 0, machine, 1).runningSince = ctx.now - runS + endsInS
         val waiting = learn(4, gpus, 20.0, waitedS)
         val demand = ScaleOutDemand(
-            running = listOf(m),
+            running = listOf(machine),
             arriving = List(arriving) { CoreParts.GROUP },
             pending = listOf(waiting),
             waitingTasks = { it.waiting.size },
         )
-        val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG)
+        val requests = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG)
             .estimate(demand, ExpandableGroups({ true }) { 0 })
-        assertEquals(rented, wanted.values.sum(), name)
+        assertEquals(requested, requests.values.sum(), name)
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, replicas, of them on a machine believed lost, spread, healthy groups, where starts do not fail,
-        // machines rented
-        "'four replicas fill one machine', 8, 4, false, true, true, 1",
-        "'their own zone is open to them again', 8, 4, true, true, true, 1",
-        "'a limit that the lost ones still use up', 16, 8, false, true, true, 2",
-        "'no sound group: any where machines come up', 8, 4, false, false, true, 1",
-        "'nor there', 8, 4, false, false, false, 0",
+        // name, replicas, how many of them are on a machine presumed lost, whether they are spread over zones, whether
+        // the groups are healthy, whether starts succeed there, requested machines
+        "'one machine is requested for four replacements', 8, 4, false, true, true, 1",
+        "'replacements may go to the zone of the replicas that they replace', 8, 4, true, true, true, 1",
+        "'replacements take over the quota that the lost replicas still use', 16, 8, false, true, true, 2",
+        "'a machine is requested in any group where starts succeed when none is healthy', 8, 4, false, false, true, 1",
+        "'no machine is requested when no group is healthy and starts fail', 8, 4, false, false, false, 0",
     )
-    fun `rents for replicas that are believed lost`(
+    fun `machines are requested to replace replicas on machines that are presumed lost`(
         name: String,
-        tasks: Int,
-        lost: Int,
+        replicas: Int,
+        lostReplicas: Int,
         spread: Boolean,
         healthy: Boolean,
-        starts: Boolean,
-        rented: Int,
+        startsSucceed: Boolean,
+        requested: Int,
     ) {
-        val job = core.learn(SimulatedCluster.job(1, Shape.SERVICE, tasks = tasks, team = "red", spread = spread))
-        val silent = core.machine("i-000001")
-        val other = core.machine("i-000002")
-        val placed = (0 until tasks).map {
+        val job = core.learn(SimulatedCluster.job(1, Shape.SERVICE, tasks = replicas, team = "red", spread = spread))
+        val silentMachine = core.machine("i-000001")
+        val otherMachine = core.machine("i-000002")
+        val placements = (0 until replicas).map {
             core.schedulerState.place(
                 job,
                 it,
-                if (it < lost) silent else other,
+                if (it < lostReplicas) silentMachine else otherMachine,
                 it + 1L,
             )
         }
@@ -84,10 +84,10 @@
             arriving = emptyList(),
             pending = listOf(job),
             waitingTasks = { it.waiting.size },
-            endangered = mapOf(job to placed.take(lost).toSet()),
+            endangered = mapOf(job to placements.take(lostReplicas).toSet()),
         )
-        val groups = ExpandableGroups({ healthy }, mayExpandForService = { starts }) { if (it == "a") 0 else 5 }
-        val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG).estimate(demand, groups)
-        assertEquals(rented, wanted.values.sum(), name)
+        val groups = ExpandableGroups({ healthy }, mayExpandForService = { startsSucceed }) { if (it == "a") 0 else 5 }
+        val requests = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG).estimate(demand, groups)
+        assertEquals(requested, requests.values.sum(), name)
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -7,31 +7,39 @@
 import plankwall.fixtures.CoreParts
 import plankwall.simulation.SimulatedCluster
 
-/** What is marked faulty after tasks of jobs 1, 2, … failed (-) or succeeded (+) on machines A, B, …, in this order. */
+/** Tests which machines are marked as faulty, and which jobs are suspected, after tasks failed or succeeded. */
 class FaultAttributionTest {
     private val core = CoreParts()
     private val faultAttribution = FaultAttribution(core.ctx, core.schedulerState, core.fleet)
 
-    private fun job(number: Int): Job =
+    private fun findOrLearn(number: Int): Job =
         core.schedulerState.find("job-%06d".format(number)) ?: core.learn(SimulatedCluster.job(number, tasks = 20))
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        "'one failure is not enough', '1-A', '', ''",
-        // An array of 25 tasks failed at once; the machine that had two of them was returned with all its work.
-        "'several tasks of one job on one machine are no more', '1-A 1-A 1-A', '', ''",
-        "'a job that fails everywhere marks no machine', '1-A 1-B 1-C 2+A', '', '1'",
-        "'nor do two of them, that failed elsewhere first', '1-A 1-B 2-C 2-D 1-E 2-E', '', '1 2'",
-        "'two jobs that failed nowhere else mark it', '1-A 2-A', 'A', ''",
-        "'not if anything was done there meanwhile', '1-A 3+A 2-A', '', ''",
-        "'a job that is done elsewhere marks it alone', '1+B 1-A', 'A', ''",
-        "'also if it is done elsewhere later', '1-A 1+B', 'A', ''",
-        "'what failed on a faulty machine is cleared of it', '1-A 1-B 2-A 3-A', 'A', ''",
-        "'a job that ran on faulty machines only recovers at once, and both machines are marked', '1-A 1-B 1+C', 'A B', ''",
+        // name, events in order (1-A: a task of job 1 failed on machine A, 1+A: it succeeded), faulty machines,
+        // suspected jobs
+        "'one failure marks neither the machine nor the job', '1-A', '', ''",
+        // Guards against a sound machine being returned: an array of 25 tasks failed at once, and the machine that had
+        // two of them was returned with all its work.
+        "'several failures of one job on one machine count as one', '1-A 1-A 1-A', '', ''",
+        "'a job that fails everywhere is suspected and marks no machine', '1-A 1-B 1-C 2+A', '', '1'",
+        "'two jobs that failed elsewhere first mark no machine', '1-A 1-B 2-C 2-D 1-E 2-E', '', '1 2'",
+        "'two jobs that failed nowhere else mark the machine', '1-A 2-A', 'A', ''",
+        "'two jobs do not mark a machine on which another succeeded in between', '1-A 3+A 2-A', '', ''",
+        "'one failure marks the machine when the job succeeded elsewhere before', '1+B 1-A', 'A', ''",
+        "'one failure marks the machine when the job succeeds elsewhere later', '1-A 1+B', 'A', ''",
+        "'a failure on a faulty machine no longer counts against the job', '1-A 1-B 2-A 3-A', 'A', ''",
+        "'one success elsewhere clears a job and marks both machines that failed it', '1-A 1-B 1+C', 'A B', ''",
     )
-    fun `tells faulty machines from faulty jobs`(name: String, events: String, machines: String, jobs: String) {
+    fun `failures are attributed to a faulty machine or to a faulty job`(
+        name: String,
+        events: String,
+        machines: String,
+        jobs: String,
+    ) {
         for (event in events.split(' ')) {
-            val job = job(event.first().digitToInt())
+            val job = findOrLearn(event.first().digitToInt())
             val placement = core.schedulerState.place(
                 job,
                 job.waiting.first(),
@@ -47,31 +55,34 @@
             core.schedulerState.release(placement, "ended")
         }
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
-        val live = core.schedulerState.live.sortedBy { it.spec.id }
-        assertEquals(jobs, live.filter { it.suspect }.joinToString(" ") { it.spec.id.last().toString() }, name)
-        live.forEach {
+        val liveJobs = core.schedulerState.live.sortedBy { it.spec.id }
+        assertEquals(jobs, liveJobs.filter { it.suspect }.joinToString(" ") { it.spec.id.last().toString() }, name)
+        liveJobs.forEach {
             assertEquals(it.suspect, it.backoffUntil > core.ctx.now, "${it.spec.id} is delayed only while suspected")
         }
     }
 
-    @ParameterizedTest(name = "after {0} failures it is retried in {1} s")
+    @ParameterizedTest(name = "after {0} failures the job is retried in {1} s")
     @CsvSource("2, 3", "3, 6", "5, 24", "40, 120")
-    fun `a suspected job is retried with exponential backoff`(failures: Int, pauseS: Double) {
-        val job = job(1)
-        repeat(failures) { n ->
+    fun `a suspected job is retried with exponential backoff`(failures: Int, retryDelayS: Double) {
+        val job = findOrLearn(1)
+        repeat(failures) { index ->
             faultAttribution.onTaskFailed(
-                core.schedulerState.place(job, job.waiting.first(), core.machine("m$n"), 1).also {
+                core.schedulerState.place(job, job.waiting.first(), core.machine("m$index"), 1).also {
                     core.schedulerState.release(it, "ended")
                 },
             )
         }
-        assertEquals(pauseS, job.backoffUntil - core.ctx.now, 0.01)
+        assertEquals(retryDelayS, job.backoffUntil - core.ctx.now, 0.01)
     }
 
-    @ParameterizedTest(name = "after {0} s beside a failure at once: suspected {1}")
+    @ParameterizedTest(name = "a task ran for {0} s, others failed at once: job suspected {1}")
     @CsvSource("3, true", "7, false")
-    fun `running on for a while clears a job as much as its end`(ranS: Double, doubtful: Boolean) {
-        val job = job(1)
+    fun `a task that keeps running for a while clears its job like one that succeeds`(
+        ranS: Double,
+        suspected: Boolean,
+    ) {
+        val job = findOrLearn(1)
         listOf("A", "B").forEach {
             faultAttribution.onTaskFailed(core.schedulerState.place(job, job.waiting.first(), core.machine(it), 1))
         }
@@ -79,6 +90,6 @@
             runningSince = core.ctx.now - ranS
         }
         faultAttribution.onTaskRunning(placement)
-        assertEquals(doubtful, job.suspect)
+        assertEquals(suspected, job.suspect)
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -17,7 +17,7 @@
 import plankwall.wire.TaskStage
 import plankwall.wire.TaskStatus
 
-/** Which orders answer a heartbeat, and which tasks the leader counts as gone. */
+/** Tests which orders a heartbeat is answered with, and when the leader releases a placement. */
 class HeartbeatHandlerTest {
     private val core = CoreParts()
     private val schedulerState = core.schedulerState
@@ -29,36 +29,36 @@
     private fun heartbeat(session: Long, seq: Long, token: Long) =
         HeartbeatStatus("i-1", "addr:i-1", "box", "a", false, session, seq, token, null, emptyList())
 
-    private fun wait(seconds: Double) = core.ctx.time.advance(core.ctx.now + seconds, 0)
+    private fun advanceTime(seconds: Double) = core.ctx.time.advance(core.ctx.now + seconds, 0)
 
     private val placer = Placer(core.ctx, schedulerState, core.fleet)
 
     @Test
-    fun `an old heartbeat received first blocks a machine only until it shows our token`() {
+    fun `an old heartbeat received first blocks a machine only until it shows the leader's token`() {
         core.lead()
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = 2))
-        assertFalse(placer.usable(machine), "it may be one that no answer reaches")
+        assertFalse(placer.usable(machine), "the machine may be one that no answer reaches")
         handler.onHeartbeat(heartbeat(session = 2, seq = 10, token = CoreParts.EPOCH))
         assertTrue(placer.usable(machine))
     }
 
     @Test
-    fun `a machine that showed our token and lost its lease though answered is blocked for a lease`() {
+    fun `a machine that showed the leader's token and still lost its lease is blocked for a lease`() {
         core.lead()
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = CoreParts.EPOCH))
         assertFalse(placer.usable(machine))
-        wait(core.ctx.surelyOverS)
+        advanceTime(core.ctx.surelyOverS)
         handler.onHeartbeat(heartbeat(session = 2, seq = 12, token = CoreParts.EPOCH))
         assertTrue(placer.usable(machine))
     }
 
-    @ParameterizedTest(name = "the start was in an answer: {0}")
+    @ParameterizedTest(name = "the start was sent in an answer: {0}")
     @ValueSource(booleans = [false, true])
-    fun `a start never sent to a machine that misses a heartbeat is released, all else waits for proof`(
+    fun `when a machine misses a heartbeat a start never sent to it is released, a sent one waits for proof`(
         commanded: Boolean,
     ) {
         core.lead()
@@ -66,19 +66,19 @@
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply { stored = true }
         if (commanded) handler.onHeartbeat(heartbeat(session = 1, seq = 6, token = 2))
-        wait(core.ctx.settings.workers.missedS - 0.1)
+        advanceTime(core.ctx.settings.workers.missedS - 0.1)
         handler.releaseExpired()
-        assertTrue(placement.job.placements[0] === placement, "not late yet")
-        wait(0.2)
+        assertTrue(placement.job.placements[0] === placement, "the heartbeat is not late yet")
+        advanceTime(0.2)
         handler.releaseExpired()
         assertEquals(commanded, placement.job.placements[0] === placement)
-        assertEquals(commanded, placer.usable(machine), "no more is placed there")
+        assertEquals(commanded, placer.usable(machine), "no more tasks are placed there after a release")
         handler.onHeartbeat(heartbeat(session = 1, seq = 8, token = 2))
         assertTrue(placer.usable(machine))
     }
 
     @Test
-    fun `a heartbeat proves no absence before it shows our token`() {
+    fun `a heartbeat does not prove a task gone before it shows the leader's token`() {
         core.lead()
         val machine = core.machine("i-1").apply { session = 1 }
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply {
@@ -92,9 +92,11 @@
         assertTrue(placement.job.placements.isEmpty())
     }
 
-    @ParameterizedTest(name = "{0} while the other task is {1}")
+    @ParameterizedTest(name = "{0} of a task while the other is {1}")
     @CsvSource(
-        // Images of 25 GB arrive on the machines of a gang minutes apart; the first to wait must not end the attempt.
+        // cause of the exit, state of the other task, orders for the task, whether it keeps its placement
+        // Guards against a gang that never starts: images of 25 GB arrive on its machines minutes apart, and the first
+        // task that gives up waiting must not end the attempt.
         "GANG_INCOMPLETE, fetching, 'FORGET START', true",
         "GANG_INCOMPLETE, stopping, '', false",
         "GANG_INCOMPLETE, gone, '', false",
@@ -102,11 +104,11 @@
         "PEER_LOST, fetching, '', false",
         "DONE, fetching, '', false",
     )
-    fun `a gang task that gave up waiting is restarted`(
+    fun `a gang task that gave up waiting is restarted while the other fetches its image`(
         cause: ExitCause,
-        other: String,
-        orders: String,
-        stays: Boolean,
+        otherTask: String,
+        expectedOrders: String,
+        keepsPlacement: Boolean,
     ) {
         val spec = SimulatedCluster.job(1, Shape.GANG, tasks = 2)
         val job = core.learn(spec)
@@ -116,14 +118,14 @@
             schedulerState.place(job, task, machine, 7).apply { stored = true }
         }
         handler.onHeartbeat(heartbeat("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
-        when (other) {
+        when (otherTask) {
             "stopping" -> placed[1].apply { commanded = true }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
         val answer = handler.onHeartbeat(
             heartbeat("i-1", 3, listOf(TaskStatus(spec.id, 0, 7, TaskStage.EXITED, cause, false))),
         ).orEmpty()
-        assertEquals(orders, answer.filter { it.task == 0 }.joinToString(" ") { it.op.name })
-        assertEquals(stays, job.placements[0] === placed[0])
+        assertEquals(expectedOrders, answer.filter { it.task == 0 }.joinToString(" ") { it.op.name })
+        assertEquals(keepsPlacement, job.placements[0] === placed[0])
     }
 }
--- a/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
+++ b/src/test/kotlin/plankwall/core/placement/CandidateQueueTest.kt
@@ -11,16 +11,25 @@
 import plankwall.simulation.SimulatedCluster
 import java.util.Random
 
+/** Tests that the queue of candidate machines selects the same machine as a search of all machines. */
 class CandidateQueueTest {
-    @ParameterizedTest(name = "spread {0}, one zone {1}, seed {2}")
+    @ParameterizedTest(name = "tasks spread {0}, all in one zone {1}, seed {2}")
     @CsvSource("false,false,1", "true,false,2", "false,true,3", "false,false,4", "true,false,5", "false,true,6")
-    fun `each task goes where a look at all machines would send it`(spread: Boolean, oneZone: Boolean, seed: Long) {
+    fun `each task is placed on the machine that a search of all machines selects`(
+        spread: Boolean,
+        oneZone: Boolean,
+        seed: Long,
+    ) {
         val random = Random(seed)
         val core = CoreParts()
-        val machines = List(40) { n ->
-            core.fleet.machine("i-%06d".format(n)).also { m ->
-                core.fleet.describe(m, GroupKey("box", if (random.nextInt(3) == 0) "a" else "b", false), "addr:$n")
-                if (random.nextInt(4) == 0) m.recordImage(plankwall.model.ImageIndex(1), 2.0, core.ctx.now)
+        val machines = List(40) { index ->
+            core.fleet.machine("i-%06d".format(index)).also { machine ->
+                core.fleet.describe(
+                    machine,
+                    GroupKey("box", if (random.nextInt(3) == 0) "a" else "b", false),
+                    "addr:$index",
+                )
+                if (random.nextInt(4) == 0) machine.recordImage(plankwall.model.ImageIndex(1), 2.0, core.ctx.now)
             }
         }
         val running = core.learn(SimulatedCluster.job(1, tasks = 60))
@@ -28,8 +37,8 @@
             core.schedulerState.place(
                 running,
                 it,
-                machines[random.nextInt(machines.size)].takeIf { m -> running.spec.need.fitsIn(m.free) }
-                    ?: machines.first { m -> running.spec.need.fitsIn(m.free) },
+                machines[random.nextInt(machines.size)].takeIf { machine -> running.spec.need.fitsIn(machine.free) }
+                    ?: machines.first { machine -> running.spec.need.fitsIn(machine.free) },
                 it + 1L,
             )
         }
@@ -53,6 +62,6 @@
             queue.onPlaced()
             placed++
         }
-        assertTrue(placed > 10, "$placed placed")
+        assertTrue(placed > 10, "$placed tasks placed")
     }
 }
--- a/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
@@ -31,7 +31,7 @@
 import plankwall.wire.UnchangedHeartbeat
 import java.util.Random
 
-/** Heartbeats in batches: which are sent as references, and that a malformed frame is rejected. */
+/** Tests which heartbeats of a batch are sent as references to earlier ones, and that truncated frames are rejected. */
 class HeartbeatBatchTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1000, Random(1)).apply {
         time.advance(100.0, 0)
@@ -39,85 +39,86 @@
     private val batcher = HeartbeatBatcher(ctx, ReachabilityMatrix(ctx))
     private val leader = LeadershipClaim("n1", 5, 100.0)
     private val task = TaskStatus("job-000001", 3, 41, TaskStage.RUNNING, null, false)
-    private val base = HeartbeatStatus("i-000001", "10.0.0.1:9", "box", "a", false, 2, 10, 5, null, listOf(task))
+    private val baseline = HeartbeatStatus("i-000001", "10.0.0.1:9", "box", "a", false, 2, 10, 5, null, listOf(task))
 
-    private fun sent(report: HeartbeatStatus, id: Long, to: LeadershipClaim = leader) = batcher.run {
-        add(id, to, "", report)
+    /** Adds [heartbeat] for [recipient], and returns the form that it has in the batch that is due 0.3 s later. */
+    private fun sendInBatch(heartbeat: HeartbeatStatus, id: Long, recipient: LeadershipClaim = leader) = batcher.run {
+        add(id, recipient, "", heartbeat)
         ctx.time.advance(ctx.now + 0.3, 0)
-        takeDue(to.epoch) { true }.single().reports.single()
+        takeDue(recipient.epoch) { true }.single().reports.single()
     }
 
-    private fun changed(what: String): HeartbeatStatus = when (what) {
-        "nothing" -> base.copy(seq = 11)
-        "token" -> base.copy(seq = 11, token = 9)
-        "session" -> base.copy(seq = 11, session = 3)
-        "address" -> base.copy(seq = 11, address = "10.0.0.2:9")
-        "stage" -> base.copy(seq = 11, tasks = listOf(task.copy(stage = TaskStage.SAVING)))
-        "ended" -> base.copy(seq = 11, tasks = listOf(task.copy(stage = TaskStage.EXITED, cause = ExitCause.DONE)))
-        "attempt" -> base.copy(seq = 11, tasks = listOf(task.copy(attempt = 42)))
-        "one more" -> base.copy(seq = 11, tasks = listOf(task, task.copy(task = 4)))
-        "one less" -> base.copy(seq = 11, tasks = emptyList())
-        "notice" -> base.copy(seq = 11, noticeS = 30.0)
-        else -> error(what)
+    private fun changedHeartbeat(change: String): HeartbeatStatus = when (change) {
+        "nothing" -> baseline.copy(seq = 11)
+        "token" -> baseline.copy(seq = 11, token = 9)
+        "session" -> baseline.copy(seq = 11, session = 3)
+        "address" -> baseline.copy(seq = 11, address = "10.0.0.2:9")
+        "stage" -> baseline.copy(seq = 11, tasks = listOf(task.copy(stage = TaskStage.SAVING)))
+        "ended" -> baseline.copy(seq = 11, tasks = listOf(task.copy(stage = TaskStage.EXITED, cause = ExitCause.DONE)))
+        "attempt" -> baseline.copy(seq = 11, tasks = listOf(task.copy(attempt = 42)))
+        "one more" -> baseline.copy(seq = 11, tasks = listOf(task, task.copy(task = 4)))
+        "one less" -> baseline.copy(seq = 11, tasks = emptyList())
+        "notice" -> baseline.copy(seq = 11, noticeS = 30.0)
+        else -> error(change)
     }
 
-    @ParameterizedTest(name = "{0}")
+    @ParameterizedTest(name = "change of {0}: sent as a reference {1}")
     @CsvSource(
         "nothing,true", "token,true", "session,false", "address,false", "stage,false", "ended,false", "attempt,false",
         "one more,false", "one less,false", "notice,false",
     )
     fun `only a repeated heartbeat is sent as a reference, and the leader resolves it exactly`(
-        what: String,
+        change: String,
         asReference: Boolean,
     ) {
         val baselines = HeartbeatBaselines()
-        baselines.resolve("n0", sent(base, 1))
-        batcher.onAnswered(1, 5, base)
-        val next = sent(changed(what), 2)
-        assertEquals(asReference, next is UnchangedHeartbeat)
-        assertEquals(changed(what), baselines.resolve("n0", next))
+        baselines.resolve("n0", sendInBatch(baseline, 1))
+        batcher.onAnswered(1, 5, baseline)
+        val batched = sendInBatch(changedHeartbeat(change), 2)
+        assertEquals(asReference, batched is UnchangedHeartbeat)
+        assertEquals(changedHeartbeat(change), baselines.resolve("n0", batched))
     }
 
     @Test
     fun `no reference is sent before its baseline was answered, nor to another leader`() {
-        sent(base, 1)
-        assertEquals(true, sent(base.copy(seq = 11), 2) is FullHeartbeat)
-        batcher.onAnswered(2, 5, base.copy(seq = 11))
-        assertEquals(true, sent(base.copy(seq = 12), 3, LeadershipClaim("n2", 8, 100.0)) is FullHeartbeat)
-        assertEquals(true, sent(base.copy(seq = 13), 4) is UnchangedHeartbeat)
+        sendInBatch(baseline, 1)
+        assertEquals(true, sendInBatch(baseline.copy(seq = 11), 2) is FullHeartbeat)
+        batcher.onAnswered(2, 5, baseline.copy(seq = 11))
+        assertEquals(true, sendInBatch(baseline.copy(seq = 12), 3, LeadershipClaim("n2", 8, 100.0)) is FullHeartbeat)
+        assertEquals(true, sendInBatch(baseline.copy(seq = 13), 4) is UnchangedHeartbeat)
     }
 
     @Test
-    fun `a reference is resolved only by the very heartbeat that it names`() {
+    fun `a reference is resolved only to the very heartbeat that it names`() {
         val baselines = HeartbeatBaselines()
-        val reference = UnchangedHeartbeat(9, "", base.machine, 1, 11, 5)
-        assertNull(baselines.resolve("n0", reference), "never had it")
-        baselines.resolve("n0", FullHeartbeat(1, "", base))
+        val reference = UnchangedHeartbeat(9, "", baseline.machine, 1, 11, 5)
+        assertNull(baselines.resolve("n0", reference), "the baseline was never received")
+        baselines.resolve("n0", FullHeartbeat(1, "", baseline))
         assertEquals(11, baselines.resolve("n0", reference)?.seq)
-        assertNull(baselines.resolve("n2", reference), "another node's")
-        baselines.resolve("n0", FullHeartbeat(4, "", changed("ended")))
-        assertNull(baselines.resolve("n0", reference), "replaced since")
-        baselines.resolve("n0", FullHeartbeat(1, "", base))
-        assertNull(baselines.resolve("n0", reference), "a late copy replaces nothing")
+        assertNull(baselines.resolve("n2", reference), "the baseline was received from another node")
+        baselines.resolve("n0", FullHeartbeat(4, "", changedHeartbeat("ended")))
+        assertNull(baselines.resolve("n0", reference), "the baseline was replaced since")
+        baselines.resolve("n0", FullHeartbeat(1, "", baseline))
+        assertNull(baselines.resolve("n0", reference), "a late copy replaces no baseline")
     }
 
     @Test
-    fun `unchanged heartbeats wait a little for others, changed ones do not, and timed out ones are dropped`() {
-        batcher.add(1, leader, "", base)
+    fun `an unchanged heartbeat waits a little for others, a changed one does not, and timed out ones are dropped`() {
+        batcher.add(1, leader, "", baseline)
         assertEquals(1, batcher.takeDue(5) { true }.size)
-        batcher.onAnswered(1, 5, base)
-        batcher.add(2, leader, "", base.copy(seq = 11))
+        batcher.onAnswered(1, 5, baseline)
+        batcher.add(2, leader, "", baseline.copy(seq = 11))
         assertEquals(0, batcher.takeDue(5) { true }.size)
-        batcher.add(3, leader, "", base.copy(machine = "i-000002"))
+        batcher.add(3, leader, "", baseline.copy(machine = "i-000002"))
         assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().reports.map { it.id })
-        batcher.add(4, leader, "", base)
-        assertEquals(0, batcher.takeDue(6) { true }.size, "another epoch's")
+        batcher.add(4, leader, "", baseline)
+        assertEquals(0, batcher.takeDue(6) { true }.size, "the heartbeat was added for another epoch")
     }
 
     @Test
-    fun `many heartbeats take several frames, each within its size`() {
+    fun `many heartbeats are split over frames that are within the maximum size`() {
         val tasks = List(100) { task.copy(task = it) }
-        repeat(40) { batcher.add(it.toLong(), leader, "", base.copy(machine = "i-%06d".format(it), tasks = tasks)) }
+        repeat(40) { batcher.add(it.toLong(), leader, "", baseline.copy(machine = "i-%06d".format(it), tasks = tasks)) }
         val frames = batcher.takeDue(5) { true }
         assertEquals(40, frames.sumOf { it.reports.size })
         frames.forEach { assertEquals(true, PeerCodec.write(it).size <= PeerCodec.MAX_FRAME) }
@@ -129,7 +130,7 @@
             "n0",
             5,
             77,
-            listOf(FullHeartbeat(1, "10.0.0.1", base), UnchangedHeartbeat(2, "", "i-000002", 1, 12, 6)),
+            listOf(FullHeartbeat(1, "10.0.0.1", baseline), UnchangedHeartbeat(2, "", "i-000002", 1, 12, 6)),
         ),
         AnswerBatch(
             "n1",
@@ -154,7 +155,7 @@
     )
 
     @Test
-    fun `frames are read as written, and rejected where they are cut short`() {
+    fun `frames are read as they were written, and truncated ones are rejected`() {
         for (message in messages()) {
             val bytes = PeerCodec.write(message)
             assertEquals(message, PeerCodec.read(bytes))
--- a/src/test/kotlin/plankwall/core/state/DependencyGraphTest.kt
+++ b/src/test/kotlin/plankwall/core/state/DependencyGraphTest.kt
@@ -7,15 +7,15 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** What follows from how jobs end, on graphs written as `job:those it needs`. */
+/** Tests what follows from the ends of jobs, on graphs that are written as `job:dependency,dependency` for each job. */
 class DependencyGraphTest {
     private val graph = DependencyGraph()
 
-    private fun words(text: String?): List<String> = text.orEmpty().split(' ').filter { it.isNotEmpty() }
+    private fun splitWords(text: String?): List<String> = text.orEmpty().split(' ').filter { it.isNotEmpty() }
 
-    @ParameterizedTest(name = "{0}: {1}")
+    @ParameterizedTest(name = "graph {0}, ends {1}")
     @CsvSource(
-        // graph, what happens, ready, cancelled
+        // graph, ends of jobs in order (+: done, -: cancelled), jobs that become ready, jobs that are cancelled thereby
         "'b:a', '', '', ''",
         "'b:a', '+a', 'b', ''",
         "'b:a c:b', '+a', 'b', ''",
@@ -31,25 +31,37 @@
         "'c:b b:a', '-a', '', 'b c'",
         "'b:a', '-a +a', '', 'b'",
     )
-    fun `the end of a job spreads to its dependents`(jobs: String, events: String, ready: String, cancelled: String) {
+    fun `the end of a job makes its dependents ready or cancels them`(
+        jobs: String,
+        events: String,
+        ready: String,
+        cancelled: String,
+    ) {
         val cancelledBy = ArrayList<String>()
-        words(jobs).forEach { cancelledBy += graph.add(it.substringBefore(':'), it.substringAfter(':').split(',')) }
-        val all = words(jobs).map { it.substringBefore(':') }
+        splitWords(jobs).forEach {
+            cancelledBy += graph.add(it.substringBefore(':'), it.substringAfter(':').split(','))
+        }
+        val allJobs = splitWords(jobs).map { it.substringBefore(':') }
         val becameReady = ArrayList<String>()
-        for (event in words(events)) {
+        for (event in splitWords(events)) {
             if (event.startsWith('+')) {
                 becameReady += graph.markDone(event.drop(1))
             } else {
                 cancelledBy += graph.markCancelled(event.drop(1))
             }
         }
-        assertEquals(words(ready), becameReady.sorted(), "became ready")
-        assertEquals(words(cancelled), cancelledBy.sorted(), "reported as cancelled")
-        assertEquals(words(cancelled), all.filter { graph.isCancelled(it) && "-$it" !in words(events) }.sorted())
+        assertEquals(splitWords(ready), becameReady.sorted(), "became ready")
+        assertEquals(splitWords(cancelled), cancelledBy.sorted(), "reported as cancelled")
+        assertEquals(
+            splitWords(cancelled),
+            allJobs.filter {
+                graph.isCancelled(it) && "-$it" !in splitWords(events)
+            }.sorted(),
+        )
     }
 
     @Test
-    fun `a job added after the end of one it depends on and after its own dependents`() {
+    fun `a job added after a dependency was cancelled is cancelled with its earlier dependents`() {
         graph.add("c", listOf("b"))
         graph.markCancelled("a")
         assertEquals(listOf("b", "c"), graph.add("b", listOf("a")))
@@ -68,7 +80,7 @@
     }
 
     @Test
-    fun `a chain of a hundred thousand and a job with as many dependents`() {
+    fun `a cancellation reaches all dependents in a chain of a hundred thousand and of a job with as many`() {
         for (n in 1..100_000) graph.add("c$n", listOf("c${n - 1}"))
         for (n in 1..100_000) graph.add("w$n", listOf("c50000"))
         assertEquals(setOf("c0"), graph.unresolved("c100000") { it == "c0" })
--- a/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
+++ b/src/test/kotlin/plankwall/fuzz/FuzzTest.kt
@@ -7,48 +7,49 @@
 import java.util.Random
 
 /**
- * The bounded run: seeds, those of `src/test/resources` among them, and mutations of them that are the same every time.
+ * Runs each fuzz target on its seeds, those in `src/test/resources` among them, and on a bounded number of mutations of
+ * them, which are the same in every run.
  */
 class FuzzTest {
     @ParameterizedTest
     @ValueSource(strings = ["rights", "token", "frame", "trail", "network"])
-    fun `a bounded run on mutations`(name: String) {
-        val random = Random(name.hashCode().toLong())
+    fun `a target withstands its seeds and thousands of mutations of them`(target: String) {
+        val random = Random(target.hashCode().toLong())
         val corpus = File(
-            checkNotNull(javaClass.getResource("JazzerFuzzInputs/$name")).toURI(),
+            checkNotNull(javaClass.getResource("JazzerFuzzInputs/$target")).toURI(),
         ).listFiles().orEmpty().sortedBy {
             it.name
         }
         assertTrue(corpus.isNotEmpty())
-        val seeds = Targets.seeds(name) + corpus.map { it.readBytes() }
-        seeds.forEach { Targets.run(name, it) }
-        val tried = HashSet<Int>()
+        val seeds = Targets.seeds(target) + corpus.map { it.readBytes() }
+        seeds.forEach { Targets.run(target, it) }
+        val triedHashes = HashSet<Int>()
         repeat(4_000) {
             var bytes = seeds[random.nextInt(seeds.size)]
             repeat(1 + random.nextInt(6)) { bytes = mutate(bytes, random) }
-            tried.add(bytes.contentHashCode())
-            Targets.run(name, bytes)
+            triedHashes.add(bytes.contentHashCode())
+            Targets.run(target, bytes)
         }
-        assertTrue(tried.size > 2_000, "${tried.size} different inputs")
+        assertTrue(triedHashes.size > 2_000, "${triedHashes.size} different inputs")
     }
 
     private fun mutate(b: ByteArray, random: Random): ByteArray {
-        val at = random.nextInt(b.size + 1)
-        val end = minOf(b.size, at + random.nextInt(12))
-        val words =
+        val start = random.nextInt(b.size + 1)
+        val end = minOf(b.size, start + random.nextInt(12))
+        val fragments =
             listOf(
                 "(", ")", "\"", "not ", "{", "}", ";", ".", "e30", "=", "null", "-1", "99999999999999999999", "\u0000",
                 "ä", "::", "/0", "..",
             )
         return when (random.nextInt(6)) {
             0 -> if (b.isEmpty()) b else b.copyOf().also { it[random.nextInt(b.size)] = random.nextInt(256).toByte() }
-            1 -> b.copyOf(at)
-            2 -> b.copyOfRange(0, at) + b.copyOfRange(end, b.size)
-            3 -> b.copyOfRange(0, at) + words[random.nextInt(words.size)].encodeToByteArray() +
-                b.copyOfRange(at, b.size)
-            4 -> b.copyOfRange(0, end) + b.copyOfRange(at, b.size)
-            else -> b.copyOfRange(0, at) + ByteArray(random.nextInt(40)) { '('.code.toByte() } +
-                b.copyOfRange(at, b.size)
+            1 -> b.copyOf(start)
+            2 -> b.copyOfRange(0, start) + b.copyOfRange(end, b.size)
+            3 -> b.copyOfRange(0, start) + fragments[random.nextInt(fragments.size)].encodeToByteArray() +
+                b.copyOfRange(start, b.size)
+            4 -> b.copyOfRange(0, end) + b.copyOfRange(start, b.size)
+            else -> b.copyOfRange(0, start) + ByteArray(random.nextInt(40)) { '('.code.toByte() } +
+                b.copyOfRange(start, b.size)
         }
     }
 }
--- a/src/test/kotlin/plankwall/fuzz/JazzerFuzz.kt
+++ b/src/test/kotlin/plankwall/fuzz/JazzerFuzz.kt
@@ -4,9 +4,9 @@
 import com.code_intelligence.jazzer.junit.FuzzTest
 
 /**
- * Jazzer looks for inputs by what they reach. Not among the tests of a build, which give the same verdict every time:
- * one target is run by `JAZZER_FUZZ=1 mvn test -Dtest=JazzerFuzz#token`, and what it finds joins the seeds in
- * `src/test/resources`.
+ * Runs the fuzz targets with Jazzer, which searches for inputs by the code that they reach. It is not part of the tests
+ * of a build, which give the same result in every run. `JAZZER_FUZZ=1 mvn test -Dtest=JazzerFuzz#token` runs one
+ * target; inputs that it finds are added to the seeds in `src/test/resources`.
  */
 class JazzerFuzz {
     @FuzzTest(maxDuration = "10m")
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -22,12 +22,13 @@
 import plankwall.wire.PeerStatus
 
 /**
- * What strangers can send, and what must never come of it: another exception than the stated one, or being believed.
+ * The fuzz targets: the readers of input that anyone can send. A target fails if the input causes another exception
+ * than the documented one, or if forged input is accepted.
  */
 object Targets {
     const val NOW = 1_700_000_000_000L
 
-    /** Fixed keys, so that a run can be had again. */
+    /** A fixed key, so that a run can be repeated. */
     val key: SigningKey = SigningKey.parse(
         """{"kty":"OKP","crv":"Ed25519","kid":"k1","sub":"ada","d":"nWGxne_9WmC6hEr0kuwsxERJxWl7MmkZcDusAxyuf2A","x":"11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo"}""",
     )
@@ -40,7 +41,7 @@
         false,
         0,
     ).seal(PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)), NOW)
-    val line: String = AuditLines.write(
+    val auditLine: String = AuditLines.write(
         3,
         AuditLines.START,
         "n0",
@@ -48,21 +49,21 @@
             "a-1", NOW, 5, "ada", "k1", "10.0.0.0/24", "submit", "job-000001", true, "rule", 1, 201, "q",
         ),
     )
-    private val tokens = TokenReader("site", 2_000, 60_000)
+    private val tokenReader = TokenReader("site", 2_000, 60_000)
 
     fun rights(text: String) {
         try {
             val policy = PolicyReader.read(text, 1)
             for (who in policy.principals.keys.take(3)) for (action in Action.entries) policy.explain(who, action, null)
         } catch (e: InvalidPolicyException) {
-            check(e.line >= 1 && e.column >= 1) { "nowhere: ${e.message}" }
+            check(e.line >= 1 && e.column >= 1) { "an error without a position: ${e.message}" }
         }
     }
 
-    /** Only the token itself may be believed, or one that differs where base64 says nothing. */
+    /** Only the token itself may be accepted, or one that differs from it in bits that base64 ignores. */
     fun token(header: String) {
-        val result = tokens.read(header, NOW) { who, id ->
-            if (who == "ada" && id == "k1") {
+        val result = tokenReader.read(header, NOW) { principal, keyId ->
+            if (principal == "ada" && keyId == "k1") {
                 PublicKey.of("k1", key.x)
             } else {
                 null
@@ -72,7 +73,7 @@
             result is TokenResult.Refused ||
                 header.trim().substringAfterLast(' ') == token.substringAfterLast(' ') ||
                 sameSignature(header),
-        ) { "believed: $header" }
+        ) { "forged token accepted: $header" }
     }
 
     private fun sameSignature(header: String): Boolean = header.substringAfterLast(' ').substringBeforeLast('.') ==
@@ -103,12 +104,16 @@
         } catch (_: MalformedAuditLineException) {
             Unit
         }
-        check(!Seals.isSigned(bytes.decodeToString()) { _, _ -> PublicKey.of("k1", key.x) }) { "a seal was believed" }
-        for (read in listOf<
+        check(
+            !Seals.isSigned(bytes.decodeToString()) { _, _ ->
+                PublicKey.of("k1", key.x)
+            },
+        ) { "a forged seal was accepted" }
+        for (reader in listOf<
             (ByteArray) -> Any,
             >(AdminCodec::readSegment, AdminCodec::readSeal, AdminCodec::publication, AdminCodec::readRights)) {
             try {
-                read(bytes)
+                reader(bytes)
             } catch (_: MalformedMessageException) {
                 continue
             }
@@ -125,16 +130,17 @@
         }
     }
 
+    /** A fuzz target: the inputs that mutations start from, and the function that is run on each input. */
     private class Target(val seeds: List<ByteArray>, val run: (ByteArray) -> Unit)
 
-    private val all = mapOf(
+    private val targetsByName = mapOf(
         "rights" to Target(listOf(RIGHTS.encodeToByteArray())) { rights(it.decodeToString()) },
         "token" to Target(listOf(token.encodeToByteArray())) { token(it.decodeToString()) },
         "frame" to Target(listOf(frame, PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)))) { frame(it) },
         "trail" to
             Target(
                 listOf(
-                    line.encodeToByteArray(),
+                    auditLine.encodeToByteArray(),
                     """{"f":0,"b":"x","l":["a"]}""".encodeToByteArray(),
                     """{"base":3,"text":"x"}""".encodeToByteArray(),
                 ),
@@ -148,11 +154,11 @@
                 },
             ) { network(it.decodeToString()) },
     )
-    val names: Set<String> get() = all.keys
+    val names: Set<String> get() = targetsByName.keys
 
-    fun seeds(name: String): List<ByteArray> = all.getValue(name).seeds
+    fun seeds(name: String): List<ByteArray> = targetsByName.getValue(name).seeds
 
-    fun run(name: String, bytes: ByteArray) = all.getValue(name).run(bytes)
+    fun run(name: String, bytes: ByteArray) = targetsByName.getValue(name).run(bytes)
 
     private const val RIGHTS = """
         person lea { key k1 "11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo" from "2026-01-01T00:00:00Z" until "2027-01-01T00:00:00Z"; network "10.0.0.0/8", "::1"; }
