--- a/src/test/kotlin/plankwall/build/ArchitectureTest.kt
+++ b/src/test/kotlin/plankwall/build/ArchitectureTest.kt
@@ -140,9 +140,8 @@
                 "java.time.Clock",
             )
         val violations = classes.filter { packageOf(it).startsWith("core") }.flatMap { it.directDependenciesFromSelf }
-            .filter { dependency ->
-                forbidden.any { dependency.targetClass.name.startsWith(it) }
-            }.map { it.description }
+            .filter { dependency -> forbidden.any { dependency.targetClass.name.startsWith(it) } }
+            .map { it.description }
         assertEquals(emptyList<String>(), violations)
     }
 }
--- a/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
@@ -37,6 +37,10 @@
         collectCalls()
     }
 
+    /**
+     * Makes a request that waits for a fresh read. Its answer is added to [answers]: `unread` if the read failed, `null`
+     * if the job is not live, otherwise whether the job is cancelled.
+     */
     private fun requestFreshJobs(answers: MutableList<String>) {
         jobCache.whenFresh { fresh ->
             answers.add(
--- a/src/test/kotlin/plankwall/core/autoscaling/ConsolidationTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ConsolidationTest.kt
@@ -16,9 +16,9 @@
 
     @ParameterizedTest(name = "{0}: {1} accelerators in use, {2} to keep free")
     @CsvSource(
-        // name, accelerators in use on each machine, accelerators to keep free, surplus machines Guards against a fleet
-        // that never shrinks: hundreds of machines with a task or two on each were kept for ever, since none of them
-        // was empty.
+        // name, accelerators in use on each machine, accelerators to keep free, surplus machines
+        // Guards against a fleet that never shrinks: hundreds of machines with a task or two on each were kept for
+        // ever, since none of them was empty.
         "'three of four machines with one task each are surplus', '1 1 1 1', 0, '0 1 2'",
         "'fewer machines are surplus when some capacity is to be kept', '1 1 1 1', 5, '0'",
         "'no machine is surplus when much capacity is to be kept', '1 1 1 1', 9, ''",
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `a machine that showed the leader's token and still lost its lease is blocked for a lease`() {
+    fun `a machine that showed the leader's token and lost its lease although it was answered is blocked for a lease`() {
         core.lead()
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
@@ -104,7 +104,7 @@
         "PEER_LOST, fetching, '', false",
         "DONE, fetching, '', false",
     )
-    fun `a gang task that gave up waiting is restarted while the other fetches its image`(
+    fun `a gang task that gave up waiting is restarted only while the other fetches its image`(
         cause: ExitCause,
         otherTask: String,
         expectedOrders: String,
--- a/src/test/kotlin/plankwall/core/sessions/SessionSharesTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/SessionSharesTest.kt
@@ -10,8 +10,8 @@
 import plankwall.wire.SessionShare
 
 /**
- * Tests which node serves which worker: the assignment is stable, prefers nodes of the worker's own zone, and stays
- * within the nodes' capacity.
+ * Tests which node serves which worker: the assignment is the same on every node, stable, prefers nodes of the worker's
+ * own zone, and stays within the nodes' capacity.
  */
 class SessionSharesTest {
     private val machines = List(6_000) { "i-%06d".format(it) }
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -72,11 +72,11 @@
         check(
             result is TokenResult.Refused ||
                 header.trim().substringAfterLast(' ') == token.substringAfterLast(' ') ||
-                sameSignature(header),
+                hasSameSignedPart(header),
         ) { "forged token accepted: $header" }
     }
 
-    private fun sameSignature(header: String): Boolean = header.substringAfterLast(' ').substringBeforeLast('.') ==
+    private fun hasSameSignedPart(header: String): Boolean = header.substringAfterLast(' ').substringBeforeLast('.') ==
         token.substringAfterLast(' ').substringBeforeLast('.')
 
     fun frame(bytes: ByteArray) {
