--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -99,7 +99,7 @@
     fun tick() {
         inventory.poll()
         removeArrived()
-        // Nothing is decided that cannot be stored: a partitioned leader would log scaling that never happens.
+        // Decides nothing while decisions can't be stored: a partitioned leader would log scaling that never happens.
         if (ctx.now >= nextIterationAt && store.mayWrite) {
             nextIterationAt = ctx.now + ITERATION_INTERVAL_S
             runIteration()
@@ -146,7 +146,7 @@
 
     /**
      * Step 2, "Check if a cluster is, in general, in good health ... If not, alert the user, skip the iteration and
-     * wait 10 seconds" (UC8, S1), and forget the times of step 8. The wait is the setting `haltRetryS`. The
+     * wait 10 seconds" (UC8, S1). Also clears the times that step 8 records. The wait is the setting `haltRetryS`. The
      * only difference from the paper is [scaleOutDuringHalt]. Returns true while autoscaling is halted.
      */
     private fun haltIfUnhealthy(): Boolean {
@@ -164,8 +164,8 @@
 
     /**
      * Differs from the paper's step 2: during a halt machines are still requested for pending tasks of live services,
-     * since the store, not the silence of machines, tells which of these tasks wait. Machines that have not reconnected
-     * yet count as running, with the capacity that the placements stored for them leave free.
+     * since the store, not the silence of machines, determines which of these tasks wait. Machines that have not
+     * reconnected yet count as running, with the capacity that the placements stored for them leave free.
      */
     private fun scaleOutDuringHalt(catalog: Catalog, usable: List<Machine>, isHalted: Boolean) {
         val runningOrReconnecting = usable + fleet.machines.filter { it.type != null && failureDetector.isAwaited(it) }
--- a/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
@@ -44,7 +44,7 @@
 
     /**
      * Writes the record that [createRecord] returns if it has changed and no write is under way. [onStored] receives
-     * what was stored, which may be less than the whole record.
+     * the stored record, which may hold less than the returned one.
      */
     fun save(createRecord: () -> FleetRecord, onStored: (FleetRecord) -> Unit) {
         if (!isDirty || isWriting || store.availableWrites() < 1) return
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -9,14 +9,14 @@
 /**
  * Finds delayed groups: those in which many new machines boot late or not at all. A single overdue machine is replaced
  * at once. But where a third of a group is overdue, each replacement would become overdue too, and machines for one
- * wave of demand would be requested again and again. So in a delayed group an overdue machine is not taken for lost:
- * some of the overdue machines still count as capacity about to arrive, they are given up only after a longer time, and
- * other groups are expanded first.
+ * wave of demand would be requested again and again. So in a delayed group an overdue machine does not count as lost:
+ * some of the overdue machines still count as capacity about to arrive, they are abandoned only after a longer time,
+ * and other groups are expanded first.
  *
- * It needs no stored state of its own: the stored fleet record tells when each machine was requested, so a new leader
- * finds the same groups at once.
+ * It needs no stored state of its own: the stored fleet record contains the time at which each machine was requested,
+ * so a new leader finds the same groups at once.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt the time at which this leader took over, in seconds of the steady clock
  */
 class BootDelayDetector(
     private val ctx: Context,
@@ -124,7 +124,7 @@
          */
         const val RECENT_WINDOW_FACTOR = 2.0
 
-        /** How many times as long a machine of a delayed group may take to register. */
+        /** The factor by which the registration timeout of a machine is longer in a delayed group. */
         const val DELAYED_TIMEOUT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
@@ -55,7 +55,10 @@
     private fun newMachineStartS(job: Job, type: MachineType) = type.bootS + type.fetchS(job.spec.imageGb)
 
     private companion object {
-        /** How long a task waits for capacity that should be freed, as a part of the time to start on a new machine. */
+        /**
+         * The maximum time that a task waits for capacity that should be freed, as a share of the time to start on a
+         * new machine.
+         */
         const val MAX_WAIT_PART = 0.2
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -35,8 +35,8 @@
     val healthy: Boolean get() = unready + late <= tolerated
 
     /**
-     * Whether many new machines fail to come up. This is the part of S2 that concerns starts: machines that fail later
-     * tell nothing about what will become of new ones.
+     * Whether many new machines fail to start. This is the part of S2 that concerns starts: machines that fail later do
+     * not show whether new ones will start.
      */
     val startsAreFailing: Boolean get() = late > tolerated
 
@@ -57,8 +57,8 @@
  * each group is (S2), and which machines should arrive soon (S3). It only reads; the [Autoscaler] acts. Differs from
  * the paper: a partitioned zone justifies unreadiness.
  *
- * @param registrationTimeoutS returns the seconds after its request when a machine of a group that has not registered
- * is late
+ * @param registrationTimeoutS returns the time, in seconds since its request, after which an unregistered machine of a
+ * group is late
  */
 class ClusterStateRegistry(
     private val ctx: Context,
--- a/src/main/kotlin/plankwall/core/autoscaling/Consolidation.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Consolidation.kt
@@ -23,8 +23,8 @@
         var spareCapacity =
             machines.fold(Resources.NONE) { sum, machine -> sum + machine.free - machine.held } - capacityToKeep
         for (machine in machines.sortedBy { it.used.partOf(it.type?.capacity ?: Resources.NONE) }) {
-            // Its whole capacity is subtracted: the free part is lost, and its tasks, or those that follow them, take
-            // as much elsewhere as they use here.
+            // Subtracts the full capacity of the machine: its free part is lost, and its tasks, or those that follow
+            // them, use as much on other machines as they use on this one.
             spareCapacity -= machine.type?.capacity ?: break
             if (spareCapacity.cpus < 0 || spareCapacity.gpus < 0 || spareCapacity.memory < 0) break
             machine.surplus = machine.held === Resources.NONE && machine.reservations.isEmpty()
--- a/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
@@ -45,9 +45,10 @@
         machine.missingSince > Machine.NEVER && ctx.now - machine.missingSince > ctx.settings.cloud.listLagS
 
     /**
-     * Whether [machine] has tasks and is silent by itself, so that its answered deletion would free the tasks earlier
-     * than lease expiry. A zone or fleet that is silent as a whole is partitioned and keeps working, so its machines
-     * are not deleted. That also holds for a leader that never had a heartbeat from them.
+     * Whether [machine] has tasks and is silent independently of other machines, so that the confirmation of its
+     * deletion would free the tasks earlier than lease expiry. A zone or fleet in which all machines are silent is
+     * partitioned and keeps working, so its machines are not deleted. The same holds if this leader has never received
+     * a heartbeat from them.
      */
     private fun isSilentAlone(machine: Machine): Boolean {
         if (fleet.isReady(machine) || machine.placements.isEmpty()) return false
--- a/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -21,7 +21,7 @@
     private var isListing = false
     private var nextCatalogAt = 0.0
 
-    /** Requests the list and the catalog from the cloud if they are due. */
+    /** Requests the list of machines and the catalog from the cloud if their next poll is due. */
     fun poll() {
         if (!isListing && ctx.now >= nextListAt) {
             isListing = true
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -59,8 +59,8 @@
     /** Deletes the machines that are drained, cannot be reached, or have had their time to drain. */
     fun sendDeletions() {
         val dueMachines = fleet.machines.filter { mayDelete(it) }.take(MAX_MACHINES_PER_DELETION)
-        // One call at a time, so that machines that become due in the meantime share the next one: the cloud accepts
-        // few calls.
+        // Only one call is in flight at a time, so that machines that become due during it share the next one: the
+        // cloud accepts few calls.
         if (dueMachines.isEmpty() || isDeleting) return
         isDeleting = true
         dueMachines.forEach { it.deleting = true }
@@ -88,7 +88,7 @@
     }
 
     private companion object {
-        /** How long the tasks on a machine may take to save their state and stop before it is deleted. */
+        /** The maximum time for the tasks on a machine to save their state and stop before it is deleted. */
         const val DRAIN_TIMEOUT_S = 15.0
         const val MAX_MACHINES_PER_DELETION = 100
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
@@ -57,7 +57,7 @@
         fleet.arrivals.values.filter { mayBeCountedOn(it) }.map { it.group } +
             requests.unanswered.flatMap { request -> List(request.count) { request.group } }
 
-    /** Whether [booting] is likely to come up soon, so that no other machine is requested in its place. */
+    /** Whether [booting] is likely to register soon, so that no other machine is requested in its place. */
     private fun mayBeCountedOn(booting: BootingMachine): Boolean =
         fleet.catalog?.get(booting.group.type) != null && !registry.isLate(booting) && bootDelays.isCounted(booting)
 
@@ -121,12 +121,15 @@
     }
 
     private companion object {
-        /** How long a best-effort job waits before it counts as starving, in boot times of the slowest machine type. */
+        /**
+         * The time that a best-effort job waits before it counts as starving, in boot times of the slowest machine
+         * type.
+         */
         const val STARVING_AFTER_BOOTS = 2.0
 
         /**
-         * How long after a shortage a group is not expanded for best-effort jobs, in boot times of the slowest machine
-         * type.
+         * The time after a shortage during which a group is not expanded for best-effort jobs, in boot times of the
+         * slowest machine type.
          */
         const val SHORTAGE_PAUSE_BOOTS = 3.0
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -28,7 +28,10 @@
     private val pending = LinkedHashMap<String, PendingScaleOut>()
     private val requestedAtByGroup = HashMap<GroupKey?, Double>()
 
-    /** Until when a group is not requested because the cloud lacked machines, in seconds of the steady clock. */
+    /**
+     * By group, the time until which no machine is requested because the cloud lacked capacity, in seconds of the
+     * steady clock.
+     */
     private val noCapacityUntil = HashMap<GroupKey, Double>()
     private var lastNumber = 0L
 
@@ -145,7 +148,7 @@
     }
 
     private companion object {
-        /** How long a group is not requested after the cloud lacked machines of it. */
+        /** The time for which no machine of a group is requested after the cloud lacked capacity for it, in seconds. */
         const val NO_CAPACITY_S = 20.0
 
         /** The shortest delay before a request is sent again; up to a second is added at random. */
--- a/src/main/kotlin/plankwall/core/autoscaling/TaskChurn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/TaskChurn.kt
@@ -6,9 +6,9 @@
 import plankwall.model.Shape
 
 /**
- * Estimates how many tasks of a job one slot (the capacity for one task) serves in turn. Tasks that end long before a
- * new machine would be up can run one after the other on the existing machines, so an array of thousands of them does
- * not need thousands of slots.
+ * Estimates the number of tasks of a job that one slot (the capacity for one task) runs one after the other. Tasks that
+ * end long before a new machine would be ready can run one after the other on the existing machines, so an array of
+ * thousands of them does not need thousands of slots.
  */
 class TaskChurn(private val ctx: Context, private val catalog: Catalog) {
     /** Returns the number of slots that [waitingTasks] tasks of [job] need. */
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -20,7 +20,7 @@
     private val scaleIn: ScaleIn,
     private val lastScaleOutAt: (GroupKey?) -> Double,
 ) {
-    /** Forgets since when machines have been unneeded. Step 2 of the paper does so when it halts the loop. */
+    /** Clears the times since which machines have been unneeded. Step 2 of the paper does so when it halts the loop. */
     fun clear() = fleet.machines.forEach { it.unneededSince = Machine.NEVER }
 
     /** Step 8: records since when each machine has been unneeded. */
@@ -82,8 +82,8 @@
         if (machine.unneededSince <= Machine.NEVER) return false
         val bootS = machine.type?.bootS ?: DEFAULT_BOOT_S
         val derivedWaitS = if (machine.surplus) bootS * SURPLUS_WAIT_BOOTS else replacementTimeS(machine, neededImages)
-        // A scale-out of one group tells nothing about another: the waiting tasks may not be allowed to use its
-        // machines.
+        // Only scale-outs of the machine's own group count: tasks for which another group was expanded may not be
+        // allowed to use this machine.
         return ctx.now - machine.unneededSince >= configuredOr(ctx.tuning.unneededS, derivedWaitS) &&
             ctx.now - lastScaleOutAt(machine.group) >= configuredOr(ctx.tuning.afterRentalS, bootS)
     }
@@ -104,7 +104,7 @@
         /** Seconds to boot a machine whose type is unknown. */
         const val DEFAULT_BOOT_S = 60.0
 
-        /** How long a surplus machine must be unneeded, in boot times of its type. */
+        /** The time for which a surplus machine must be unneeded before it is removed, in boot times of its type. */
         const val SURPLUS_WAIT_BOOTS = 0.25
 
         /** The number of machines that may be removed in one iteration however small the fleet is. */
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Records that the task of [placement] succeeded: its job is proven sound, and earlier failures on its machine no
+     * Records that the task of [placement] succeeded: its job is proven healthy, and earlier failures on its machine no
      * longer count against the machine.
      */
     fun onTaskSucceeded(placement: Placement) {
@@ -44,8 +44,8 @@
 
     /**
      * Records that a heartbeat shows the task of [placement] as running. Once it has run for [PROVEN_AFTER_HEARTBEATS]
-     * heartbeat intervals, and for twice as long as any task of the job that failed, that proves the job as sound as a
-     * success would, many minutes earlier.
+     * heartbeat intervals, and for twice as long as any task of the job that failed, that proves the job healthy as a
+     * success would, but many minutes earlier.
      */
     fun onTaskRunning(placement: Placement) {
         val job = placement.job
@@ -64,7 +64,7 @@
         job.failedProbes = 0
         job.backoffUntil = 0.0
         if (wasSuspected) log.info("job no longer suspected job={} reason={}", job.spec.id, reason)
-        // Failures of a sound job are stronger evidence, so machines on which it failed may now count as faulty.
+        // Failures of a healthy job are stronger evidence, so machines on which it failed may now count as faulty.
         fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::markFaultyIfProven)
     }
 
@@ -117,7 +117,7 @@
         /** Bounds the exponent of the backoff, so that the shift can't overflow. */
         const val MAX_DOUBLINGS = 10
 
-        /** The least number of heartbeat intervals for which a task has to run to prove its job sound. */
+        /** The minimum number of heartbeat intervals for which a task has to run to prove its job healthy. */
         const val PROVEN_AFTER_HEARTBEATS = 2.0
     }
 }
--- a/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
@@ -47,7 +47,7 @@
         applyStatus(machine, task, placementOf(machine, task), isOvertaken = false)
     }
 
-    /** Returns the placement of the attempt that [task] reports, or null if this leader knows of none on [machine]. */
+    /** Returns the placement of the attempt that [task] reports, or null if this leader has none on [machine]. */
     private fun placementOf(machine: Machine, task: TaskStatus): Placement? =
         schedulerState.find(task.jobId)?.let { machine.placement(it, task.task) }?.takeIf { it.attempt == task.attempt }
 
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Whether [task] is a gang task that gave up because fetching the images of the gang's other tasks took longer than
-     * it may wait, while those tasks are all still placed and thus wait or fetch. Starting the same attempt here again
-     * completes the gang; ending the attempt would throw away every fetch under way.
+     * Whether [task] is a gang task that stopped waiting because fetching the images of the gang's other tasks took
+     * longer than it may wait, while all of those tasks are still placed and thus wait or fetch. Starting the same
+     * attempt here again completes the gang; ending the attempt would discard every fetch in progress.
      */
     private fun isRestartable(placement: Placement, task: TaskStatus): Boolean {
         val job = placement.job
@@ -185,10 +185,10 @@
     }
 
     private companion object {
-        /** How long no task is placed on a machine that refused to start one. */
+        /** The time for which no task is placed on a machine that refused to start one, in seconds. */
         const val MACHINE_BACKOFF_S = 5.0
 
-        /** How long no task of a job is placed after one exited for an unknown cause. */
+        /** The time for which no task of a job is placed after one exited for an unknown cause, in seconds. */
         const val JOB_BACKOFF_S = 2.0
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
+++ b/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Records that the limit of [scope] holds [jobs] back, and logs it if that is due. [describeLimit] returns the text
-     * that tells the limit.
+     * Records that the limit of [scope] holds [jobs] back, and logs it if the last log line of the scope is old enough.
+     * [describeLimit] returns the description of the limit for the log.
      */
     private fun logBinding(scope: String, jobs: List<Job>, describeLimit: () -> String) {
         scopesBoundInRound.add(scope)
--- a/src/main/kotlin/plankwall/core/queue/DeadlineFeasibility.kt
+++ b/src/main/kotlin/plankwall/core/queue/DeadlineFeasibility.kt
@@ -9,10 +9,10 @@
 class PendingWork<J>(val job: J, val workS: Double, val dueS: Double)
 
 /**
- * Selects which jobs to serve in time when not all can be: as many jobs as possible. It is the algorithm of Moore and
- * Hodgson for the smallest number of late jobs ("An n job, one machine sequencing algorithm for minimizing the number
- * of late jobs", 1968): take the jobs in the order of their due times, and whenever one would be late, leave out the
- * largest taken so far. If all jobs can be in time, none is left out.
+ * Selects the jobs to complete in time when not all can be: as many jobs as possible. It uses the algorithm of Moore
+ * and Hodgson for the smallest number of late jobs ("An n job, one machine sequencing algorithm for minimizing the
+ * number of late jobs", 1968): take the jobs in the order of their due times, and whenever one would be late, leave out
+ * the largest taken so far. If all jobs can be in time, none is left out.
  */
 object DeadlineFeasibility {
     /**
--- a/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
@@ -39,8 +39,8 @@
     private var pool = Resources.NONE
 
     /**
-     * Computes the shares anew, for the classes of the [live] jobs. [isScarce]: whether there is less capacity than
-     * work; otherwise no class has to give up any. [pool]: the capacity that replicas leave to other tasks.
+     * Recomputes the shares for the classes of the [live] jobs. [isScarce]: whether there is less capacity than work;
+     * otherwise no class has to yield capacity to another. [pool]: the capacity that replicas leave to other tasks.
      * [occupancyS] returns for how long, in seconds, a task of a job occupies its place.
      */
     fun refresh(live: Collection<Job>, isScarce: Boolean, pool: Resources, occupancyS: (Job) -> Double) {
--- a/src/main/kotlin/plankwall/core/queue/OverdueShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/OverdueShare.kt
@@ -2,16 +2,19 @@
 
 /**
  * The part of a job class's capacity that goes to its jobs that are out of reach, the oldest first. They come after all
- * jobs that can still meet an objective, so they would wait forever where new jobs never stop arriving. For the
- * capacity given to other jobs, the jobs out of reach are owed so much that they get [OVERDUE_PART] of all.
+ * jobs that can still meet an objective, so they would wait forever where new jobs never stop arriving. Capacity given
+ * to other jobs adds to a deficit of the jobs out of reach, of such a size that these jobs get [OVERDUE_PART] of all
+ * capacity.
  */
 class OverdueShare {
-    /** What jobs out of reach are owed, in seconds of the whole pool; negative if they got more than their part. */
+    /**
+     * The deficit of the jobs out of reach, in seconds of the whole pool; negative if they got more than their part.
+     */
     private var owedS = 0.0
 
     /**
      * Accounts for capacity worth [workS] seconds of the whole pool that went to a job of this [feasibility].
-     * [anyOverdue]: whether any job of the class is out of reach; otherwise nothing is owed.
+     * [anyOverdue]: whether any job of the class is out of reach; otherwise the deficit is 0.
      */
     fun onPlaced(feasibility: Feasibility, workS: Double, anyOverdue: Boolean) {
         owedS = when {
@@ -25,11 +28,11 @@
     val isDue: Boolean get() = owedS > 0.0
 
     companion object {
-        /** The part of the class's capacity that is owed to jobs out of reach. */
+        /** The part of the class's capacity that jobs out of reach get while any of them waits. */
         const val OVERDUE_PART = 0.125
 
         /**
-         * The most that is owed, in seconds of the whole pool, so that a debt of a long time is not paid back all at
+         * The maximum deficit, in seconds of the whole pool, so that a deficit of a long time is not made up all at
          * once.
          */
         private const val MAX_OWED_S = 5.0
--- a/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -35,7 +35,10 @@
     /** Whether the cloud has no machine now that a job may use; set by the autoscaler. */
     var isScarce: (Job) -> Boolean = { false }
 
-    /** What puts a job before others, whatever its feasibility: a guarantee, then a higher rank, then [isPreferred]. */
+    /**
+     * The criteria that order jobs regardless of their feasibility: a guarantee, then a higher rank, then
+     * [isPreferred].
+     */
     private data class Standing(val isGuaranteed: Boolean, val rank: Int, val isPreferred: Boolean)
 
     /**
@@ -195,7 +198,10 @@
             .thenByDescending { it.rank }
             .thenByDescending { it.isPreferred }
 
-        /** How often the waiting jobs are classified: it takes longer than sorting them, which each pass does. */
+        /**
+         * The interval between classifications of the waiting jobs, which take longer than the sorting that each pass
+         * does.
+         */
         const val CLASSIFICATION_INTERVAL_S = 1.0
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
+++ b/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
@@ -9,7 +9,7 @@
  * have cached.
  */
 internal class TaskOccupancy(private val ctx: Context, private val fleet: Fleet) {
-    /** How many machines have each image cached, by the image's index. */
+    /** The number of machines that have each image cached, by the image's index. */
     private var machineCountByImage = HashMap<Int, Int>()
 
     /** The number of machines that are not being returned to the cloud. */
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -22,11 +22,11 @@
     private val sessions: SessionPlanner,
 ) {
     /**
-     * What this leader knows of the network path between it and one worker. Times are in seconds of this node's steady
-     * clock, or [Machine.NEVER].
+     * The observed state of the network path between this leader and one worker. Times are in seconds of this node's
+     * steady clock, or [Machine.NEVER].
      */
     private class Path {
-        /** When a heartbeat of the worker last came directly. */
+        /** The time of the newest heartbeat that came directly from the worker. */
         var directHeartbeatAt = Machine.NEVER
 
         /** When a relayed heartbeat of the worker was last accepted. */
--- a/src/main/kotlin/plankwall/core/relay/LeaderZoneReach.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeaderZoneReach.kt
@@ -4,7 +4,7 @@
 import plankwall.core.connectivity.ReachabilityMatrix
 import plankwall.wire.ZoneReach
 
-/** Tells which zones' workers reach the leader directly, according to the newest status that it has published. */
+/** Determines which zones' workers reach the leader directly, according to the newest status that it has published. */
 internal class LeaderZoneReach(private val reachability: ReachabilityMatrix) {
     /**
      * Whether no worker of [zone] is known to have reached [leader] directly. All workers of a zone may be unable to
@@ -34,9 +34,9 @@
 
     private companion object {
         /**
-         * The share of late workers above which a zone counts as cut off. It is above the quarter or more of a zone
-         * that is late after machines have failed, and below the whole zone that is late behind a partition before the
-         * first worker is redirected.
+         * The share of late workers above which a zone counts as cut off. It is above the share that is late after
+         * machines have failed, a quarter or somewhat more, and below the share in a partition, where the whole zone is
+         * late before the first worker is redirected.
          */
         const val CUT_OFF_SHARE = 0.5
     }
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -24,8 +24,8 @@
 
     /** Resigns if too many workers are silent or have been relayed for too long. Called regularly by the leader. */
     fun tick() {
-        // Machines that a new leader knows of but has not yet had a heartbeat from count too. Otherwise a leader that
-        // no worker ever reached would stay leader, and the workers' leases would expire.
+        // Machines from which a new leader still awaits the first heartbeat count too. Otherwise a leader that no
+        // worker ever reached would stay leader, and the workers' leases would expire.
         val knownMachines = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
         if (knownMachines.size < 2 || !leadership.mayWrite || !failureDetector.heartbeatRoundElapsed) return
         val silentCount = knownMachines.count { ctx.now - it.lastHeard > workerTimes.missedS }
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -8,8 +8,8 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * What a node that does not lead remembers of a worker that sent it a heartbeat. Times are in seconds of this node's
- * steady clock.
+ * The state that a node that does not lead keeps of a worker that sent it a heartbeat. Times are in seconds of this
+ * node's steady clock.
  */
 internal class SeenWorker(var lastSeenAt: Double) {
     /**
@@ -144,7 +144,10 @@
     }
 
     private companion object {
-        /** How long a worker counts as unserved after its last heartbeat, and the interval between two probes of it. */
+        /**
+         * The time for which a worker counts as unserved after its last heartbeat, and the interval between two probes
+         * of it.
+         */
         const val UNSERVED_S = 5.0
 
         /** A worker answers a command within milliseconds, so one that has not answered by then can't be reached. */
--- a/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
+++ b/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
@@ -5,7 +5,7 @@
 
 /** Tracks which zones' workers can be reached directly: a message from one worker counts for its whole zone. */
 internal class ZonePaths(private val ctx: Context) {
-    /** By zone, when a worker last sent a direct heartbeat or answered a direct command, in seconds. */
+    /** By zone, the time at which a worker last sent a direct heartbeat or answered a direct command, in seconds. */
     private val lastOpenAt = HashMap<String, Double>()
 
     /** By zone, since when no direct command to a machine whose session another node serves has been answered. */
@@ -47,7 +47,7 @@
     }
 
     private companion object {
-        /** Longer than the 3 s after which the sender of an unanswered command gives up. */
+        /** Longer than the 3 s after which an unanswered command times out. */
         const val HOLD_BACK_PERIOD_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -11,7 +11,7 @@
 import java.util.BitSet
 
 /**
- * A live job: its specification, and what the leader knows of its tasks.
+ * A live job: its specification, and the leader's state of its tasks.
  *
  * Several classes set its fields: [SchedulerState] the state of the tasks ([done], [placements], [waiting]),
  * cancellation and readiness; [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] and the classes
@@ -23,8 +23,8 @@
  *
  * @property ix the number of the job, which is only valid as long as this node leads
  * @property pageSize the number of tasks in a stored page
- * @property submittedMs when the job was submitted, in milliseconds of the time of day
- * @property learnedAt when this leader first read the job's record, in seconds of the steady clock
+ * @property submittedMs the time at which the job was submitted, in milliseconds of the time of day
+ * @property learnedAt the time at which this leader first read the job's record, in seconds of the steady clock
  * @property hasServiceObjective whether a service-level objective or its team's guarantee applies to the job; such a
  * job is never [bestEffort]
  */
@@ -114,12 +114,12 @@
             equivalenceClass = equivalenceClassFor(value)
         }
 
-    /** Its own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
+    /** The job's own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
 
     /**
-     * Its own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time of
-     * day; [Long.MAX_VALUE] if there is neither.
+     * The job's own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time
+     * of day; [Long.MAX_VALUE] if there is neither.
      */
     var dueMs = ownDueMs
 
@@ -229,12 +229,13 @@
         cover(partStart, minOf(partStart + wholePage.partSize, pageStart + pageSize, spec.tasks))
     }
 
-    /** Records that [task] is done for good. */
+    /** Records that [task] is permanently done. */
     fun markDone(task: Int) {
         if (task >= spec.tasks || done[task]) return
         done.set(task)
         doneCount++
-        // A placed task is not among the waiting ones, and a huge job has too many of those to search them in vain.
+        // A placed task is not among the waiting ones, and a huge job has too many waiting tasks to search them in
+        // vain.
         if (task !in placements) waiting.remove(task)
         pageOf(task).dirty = true
     }
--- a/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
+++ b/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
@@ -50,7 +50,7 @@
         FinalRecord(stage, job.doneCount, endedMs, job.owner?.let { job.spec.factsFor(it) })
 
     private companion object {
-        /** The changes besides those of pages: the final record is put and the job's record is removed. */
+        /** The number of changes besides those of pages: one puts the final record, one removes the job's record. */
         const val RECORD_CHANGES = 2
     }
 }
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -9,21 +9,24 @@
 import plankwall.wire.ListedState
 
 /**
- * What the leader knows of one machine from its heartbeats, from the cloud's list of machines and from what was placed
- * on it. Times are in seconds of the steady clock, or [NEVER].
+ * The leader's state of one machine, from its heartbeats, the cloud's list of machines and the placements on it. Times
+ * are in seconds of the steady clock, or [NEVER].
  *
- * [Fleet] creates it and sets what describes it; [SchedulerState] adds and removes placements; the heartbeat handler
- * sets what heartbeats show, the autoscaler what concerns scale-in, placement [held] and [reservations]. The store only
- * holds which machines are to be scaled in; the autoscaler writes that.
+ * [Fleet] creates it and sets the fields that describe it; [SchedulerState] adds and removes placements; the heartbeat
+ * handler sets the fields that heartbeats show, the autoscaler those that concern scale-in, and the placement code
+ * [held] and [reservations]. The store only holds which machines are to be scaled in; the autoscaler writes that.
  *
  * @property ix the number of the machine, which is only valid as long as this node leads
  * @property id the name that the cloud gave it
  */
 class Machine(val ix: MachineIndex, val id: String) {
-    /** Its type, its zone and whether it is a spot machine; null until a heartbeat or the cloud's list states them. */
+    /**
+     * The machine's type and zone and whether it is a spot machine; null until a heartbeat or the cloud's list states
+     * them.
+     */
     var group: GroupKey? = null
 
-    /** Its machine type; null until [group] and the catalog are known. */
+    /** The machine type; null until [group] and the catalog are known. */
     var type: MachineType? = null
         set(value) {
             field = value
@@ -33,7 +36,7 @@
     /** The address of its worker, from its heartbeats or the cloud's list; empty if unknown. */
     var address: String = ""
 
-    /** Its address in the cloud's list; empty until it was listed. */
+    /** The machine's address in the cloud's list; empty until the machine was listed. */
     var listedAddress: String = ""
 
     /** The session of its newest heartbeat. A worker begins a new session whenever its lease has expired. */
@@ -72,10 +75,10 @@
     /** When its first heartbeat reached this leader. */
     var registeredAt = NEVER
 
-    /** Its state in the cloud's list; null until it was listed. */
+    /** The machine's state in the cloud's list; null until the machine was listed. */
     var listed: ListedState? = null
 
-    /** When the cloud's list was first found to lack it; [NEVER] while the list contains it. */
+    /** The time at which the cloud's list was first found to lack the machine; [NEVER] while the list contains it. */
     var missingSince = NEVER
 
     /** Whether it is to be scaled in. It gets no more tasks from then on. */
@@ -103,7 +106,7 @@
     val placements = LinkedHashMap<Long, Placement>()
 
     /**
-     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is told to forget
+     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is ordered to forget
      * it, which happens only once the end of the task is stored.
      */
     var exitsShown = 0
--- a/src/main/kotlin/plankwall/core/state/PageSplitter.kt
+++ b/src/main/kotlin/plankwall/core/state/PageSplitter.kt
@@ -8,7 +8,7 @@
 /**
  * Splits a page that no longer fits a stored value among several keys. The page itself is written last and states the
  * size of the parts. Until then every leader ignores the parts, and the stored page holds what it held before. Changes
- * made meanwhile are written afterwards, so the split alone marks nothing as stored.
+ * made during the split are written afterwards, so the split alone marks nothing as stored.
  */
 internal class PageSplitter(
     private val store: LeaderStore,
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -14,11 +14,12 @@
  * @property session the session of the worker for which it was planned; in any later one the task is not started
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val session: Long) {
-    /** Whether the state service holds it. Only then may the worker be told to start the task. */
+    /** Whether the placement is stored in the state service. Only then may the worker be ordered to start the task. */
     var stored = false
 
     /**
-     * Whether an answer of this leader told the worker to start the task, or one of an earlier leader may have done so.
+     * Whether an answer of this leader ordered the worker to start the task, or one of an earlier leader may have done
+     * so.
      */
     var commanded = false
 
@@ -28,7 +29,7 @@
     /** The stage of the task that the worker reported last; null if it has reported none. */
     var stage: TaskStage? = null
 
-    /** Why the task is being stopped; null while it may go on. */
+    /** The reason why the task is being stopped; null while it may continue to run. */
     var stopping: StopCause? = null
 
     /** When the stop was decided, in seconds of the steady clock. */
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -13,8 +13,8 @@
 
 /**
  * The leader's state in memory: the live jobs with their tasks, placements and attempts, and the resources that each
- * team uses. It may be ahead of the store until [flush] writes the changes. A worker is told to start a task only once
- * the store has confirmed the placement; a stop needs nothing stored.
+ * team uses. It may be ahead of the store until [flush] writes the changes. A worker is ordered to start a task only
+ * once the store has confirmed the placement; a stop requires no write.
  *
  * Only this class adds and removes jobs, attaches placements to jobs and machines, and detaches them. A newly elected
  * leader builds it from the stored job records and pages.
@@ -54,7 +54,10 @@
     fun withinLimit(team: TeamIndex, extra: Resources): Boolean =
         ctx.settings.teams[team.value].allows(used(team) + extra)
 
-    /** The number of times that a job was added, became ready or ended. Tells callers that they have to recompute. */
+    /**
+     * The number of times that a job was added, became ready or ended. A change of it shows callers that they have to
+     * recompute.
+     */
     var changes = 0
         private set
 
@@ -131,7 +134,9 @@
         usedByTeam[placement.job.team.value] += placement.job.spec.need
     }
 
-    /** Plans [task] onto [machine]. The worker is not told to start it before the store has confirmed the placement. */
+    /**
+     * Plans [task] onto [machine]. The worker is not ordered to start it before the store has confirmed the placement.
+     */
     fun place(job: Job, task: Int, machine: Machine, attempt: Long): Placement {
         val placement = Placement(job, task, attempt, machine, machine.session)
         placement.plannedAt = ctx.now
@@ -195,11 +200,11 @@
         if (!job.done[task]) job.waiting.addFirst(task)
         writer.markDirty(job)
         log.info("task released task={} machine={} proof=\"{}\"", placement.id, placement.machine.id, proof)
-        // The attempt of a gang has failed as a whole as soon as one of its tasks is lost.
+        // The whole attempt of a gang has failed as soon as one of its tasks is lost.
         if (job.isGang && !job.done[task]) stopAll(job, StopCause.GANG, 0.0)
     }
 
-    /** Records that [task] of [job] is done for good. */
+    /** Records that [task] of [job] is permanently done. */
     fun complete(job: Job, task: Int) {
         job.markDone(task)
         writer.markDirty(job)
--- a/src/main/kotlin/plankwall/core/state/StateWriter.kt
+++ b/src/main/kotlin/plankwall/core/state/StateWriter.kt
@@ -7,7 +7,7 @@
 /**
  * Writes the changes of [SchedulerState] to the store: pages of tasks, and the final records of jobs that ended.
  * [DirtyJobs] decides what is due, [PageBatch] collects page writes, and [PageWriteResults] handles their results.
- * [PageSplitter] and [JobFinalizer] write what takes more than one page.
+ * [PageSplitter] and [JobFinalizer] make the changes that involve more than one key.
  */
 internal class StateWriter(
     ctx: Context,
@@ -47,7 +47,7 @@
         batch.send()
     }
 
-    /** Writes the changes of [job] that are due. Returns how much of [budget], in changes, that takes. */
+    /** Writes the changes of [job] that are due. Returns the part of [budget], in changes, that this uses. */
     private fun writeJob(job: Job, batch: PageBatch, budget: Int): Int {
         if (job.version == 0L || job.finishing) return 0
         if (job.isFinalizable) return finalizer.finalize(job)
--- a/src/main/kotlin/plankwall/core/state/StopCause.kt
+++ b/src/main/kotlin/plankwall/core/state/StopCause.kt
@@ -5,12 +5,12 @@
     /** The user cancelled the job, or it depends on a job that was cancelled. */
     CANCELLED,
 
-    /** Its capacity is needed for another job. */
+    /** The task's capacity is needed for another job. */
     PREEMPTED,
 
-    /** Its machine is being scaled in or is about to be taken away by the cloud. */
+    /** The task's machine is being scaled in or is about to be reclaimed by the cloud. */
     DRAINED,
 
-    /** Another task of its gang was lost, which ends the attempt of the whole gang. */
+    /** Another task of the same gang was lost, which ends the attempt of the whole gang. */
     GANG,
 }
