--- a/src/main/kotlin/plankwall/audit/AuditBatch.kt
+++ b/src/main/kotlin/plankwall/audit/AuditBatch.kt
@@ -120,10 +120,10 @@
         /** The bytes that a segment takes as a stored value without its lines. */
         const val EMPTY_SEGMENT_BYTES = 90
 
-        /** The bytes that a transaction takes besides its segment and changes. */
+        /** The number of bytes of a transaction besides its segment and changes. */
         const val OVERHEAD_BYTES = 400
 
-        /** The guards that are counted for the batch itself, besides those of its changes. */
+        /** The number of guards of the batch itself, besides those of its changes. */
         const val OWN_GUARDS = 3
 
         /** The number of guards that a transaction may hold for each write that the store's limits permit. */
--- a/src/main/kotlin/plankwall/audit/AuditLogSealer.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogSealer.kt
@@ -30,7 +30,7 @@
     private var nextSealAt = 0.0
     private var isBusy = false
 
-    /** Writes a seal if it is due. [authority]: null while this node does not lead. */
+    /** Writes a seal if the next one is due. [authority]: null while this node does not lead. */
     fun tick(authority: LeaseAuthority?) {
         if (authority == null || key == null || isBusy || ctx.now < nextSealAt || !authority.mayWrite()) return
         if (epoch != authority.epoch) {
--- a/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
@@ -8,11 +8,13 @@
     override fun toString(): String = "$place: $problem"
 }
 
-/** A copy of a whole audit log, from the state service or an export: segments by node and number, seals by number. */
+/**
+ * A complete copy of an audit log, from the state service or an export: segments by node and number, seals by number.
+ */
 class AuditLogCopy(val chains: Map<String, Map<Long, AuditSegment>>, val seals: Map<Long, String>)
 
 /**
- * Verifies a whole audit log: that the entries of each chain and the seals form unbroken hash chains, that the seals
+ * Verifies a complete audit log: that the entries of each chain and the seals form unbroken hash chains, that the seals
  * are signed, and that the chains hold the entries that the seals name. It shares only the format with the writer.
  * [keyOf]: returns a public key of a node by its id, or null.
  */
@@ -76,7 +78,7 @@
             return true
         }
 
-        /** Returns what is wrong with the line [text]; null if it is sound. */
+        /** Returns the problem with the line [text], or null if the line is valid. */
         private fun findLineProblem(text: String, number: Long, before: String, node: String): String? = try {
             val line = AuditLines.read(text)
             when {
@@ -89,7 +91,7 @@
             "can't be read: ${e.message}"
         }
 
-        /** Verifies the seals; returns how many entries of each chain the last sound seal covers. */
+        /** Verifies the seals. Returns the number of entries of each chain that the last valid seal covers. */
         private fun checkSeals(): Map<String, Long> {
             var before = AuditLines.START
             var heads: Map<String, ChainHead> = emptyMap()
@@ -108,7 +110,9 @@
             return heads.mapValues { it.value.next }
         }
 
-        /** Returns what is wrong with a seal; null if it is sound. [earlier]: the heads in the seal before it. */
+        /**
+         * Returns the problem with a seal, or null if the seal is valid. [earlier]: the heads in the seal before it.
+         */
         private fun findSealProblem(
             jws: String,
             number: Long,
@@ -131,7 +135,7 @@
         /** Checks that the chains hold the [heads] that the seal at [place] names. */
         private fun checkHeads(place: String, heads: Map<String, ChainHead>) {
             for ((node, head) in heads) {
-                // A chain with a broken link is reported already, and what lies behind the link is not verified.
+                // A chain with a broken link is reported already, and the entries after the link are not verified.
                 if (failures.any { it.place.startsWith("trail of $node,") }) continue
                 val chain = hashes[node].orEmpty()
                 val storedHash = chain.getOrNull((head.next - 1).toInt())
--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -9,9 +9,10 @@
 /**
  * Appends to the audit log of one [node], which is a chain of hashed entries. An entry and the change that it allows
  * are stored in one transaction, so that neither is ever stored without the other, even if the transaction is applied
- * late or its answer is lost. Only one transaction at a time is in flight. Entries that arrive meanwhile share the next
- * one, so that a busy node needs few transactions. Each transaction is guarded on the newest segment's stamp and on the
- * absence of a segment behind it, so that of two transactions for the same place in the chain only one can be applied.
+ * late or its answer is lost. Only one transaction at a time is in flight. Entries that arrive while it is in flight
+ * share the next one, so that a busy node needs few transactions. Each transaction is guarded on the newest segment's
+ * stamp and on the absence of a segment after it, so that of two transactions for the same place in the chain only one
+ * can be applied.
  *
  * [writeShare]: the share of the store's write rate that the audit logs of all nodes may use together.
  */
--- a/src/main/kotlin/plankwall/audit/SealChainTail.kt
+++ b/src/main/kotlin/plankwall/audit/SealChainTail.kt
@@ -25,7 +25,7 @@
     private fun headsOf(number: Long, seal: AuditSeal): Map<String, ChainHead> = try {
         Seals.read(seal.jws).heads
     } catch (e: MalformedAuditLineException) {
-        // Somebody tampered with the seal. The next seal still refers to its hash, so the verifier reports it.
+        // The stored seal was tampered with. The next seal still refers to its hash, so the verifier reports it.
         log.error("seal unreadable number={} problem={}", number, e.message)
         emptyMap()
     }
--- a/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
+++ b/src/main/kotlin/plankwall/gateway/DenialLimiter.kt
@@ -33,7 +33,7 @@
     fun recordDenial(name: String) =
         budgets.getOrPut(name) { TokenBucket(time, perSecond, burst).also { it.spend(0) } }.spend(1)
 
-    /** The whole seconds after which a name that is over its limit may try again. */
+    /** The number of whole seconds after which a name that is over its limit may retry. */
     fun retryAfterS(): Int = maxOf(1, (1 / perSecond).toInt())
 
     /** Returns how many requests of each name were refused unchecked since the last call. */
--- a/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyChunks.kt
@@ -29,7 +29,7 @@
     /** Returns the SHA-256 hash of [text] by which the stored head identifies it. */
     fun digest(text: String): String = text.encodeUtf8().sha256().base64Url()
 
-    /** The most bytes that [char] takes in a JSON string, where some characters are escaped. */
+    /** Returns the maximum number of bytes of [char] in a JSON string, where some characters are escaped. */
     private fun encodedBytes(char: Char): Int = when {
         char == '\n' || char == '"' || char == '\\' || char == '\r' || char == '\t' -> ESCAPED_BYTES
         char < ' ' -> UNICODE_ESCAPE_BYTES
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -100,7 +100,7 @@
      */
     private fun onMissingHead() {
         if (firstRights == null || stamp > 0) {
-            // This program never removes the head, so somebody with access to the store did: nothing is allowed.
+            // This program never removes the head, so it was removed by direct access to the store: nothing is allowed.
             if (stamp > 0) log.error("policy missing from the state service: nothing is allowed")
             policy = Policy.DENY_ALL
             head = null
@@ -135,8 +135,8 @@
             log.info("policy loaded version={} by={} principals={}", head.version, head.by, it.principals.size)
         }
     } catch (e: InvalidPolicyException) {
-        // The text was checked before it was published. So either it uses a later version of the policy language, or
-        // somebody edited it in the store.
+        // The text was checked before it was published. So either it uses a later version of the policy language, or it
+        // was edited directly in the store.
         log.error("policy unreadable, nothing is allowed version={} problem={}", head.version, e.message)
         Policy.DENY_ALL
     }
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -127,8 +127,8 @@
 
     /** Records the refusal in the audit log and then answers [request] with [status] and [reason]. */
     private fun refuse(request: RequestId, origin: RequestOrigin, status: Int, reason: String) {
-        // The refusal does not count against the principal: anybody who replays a captured token could otherwise use up
-        // the denials of the token's owner, so that the owner is refused as well.
+        // The refusal does not count against the principal: otherwise an attacker who replays a captured token could
+        // use up the denials that the token's owner is allowed, and the owner would be refused as well.
         denials.byNetwork.recordDenial(origin.network)
         log.info("request refused caller={} network={} reason={}", origin.name, origin.network, reason)
         auditLog.record(entryFactory.create(origin, "enter", "", Verdict(false, reason), status)) { stored ->
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -122,7 +122,8 @@
                     note,
                 )
             } else {
-                // The job was changed meanwhile, or the result is unknown: the next pass examines it again.
+                // The job has been changed since it was read, or the result is unknown: the next pass examines it
+                // again.
                 pass.hasFailed = true
             }
             finishIfDone(term, pass)
--- a/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
+++ b/src/main/kotlin/plankwall/simulation/ControllerEffects.kt
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Passes [input] to the core unless its process has ended meanwhile. */
+    /** Passes [input] to the core unless the process for which it is intended has ended. */
     private fun deliver(processNumber: Int, input: Input) {
         if (controller.processNumber == processNumber) controller.onInput(input)
     }
@@ -75,7 +75,7 @@
             isStoreCut && op is StateOp.Watch -> clock.after(CUT_WATCH_TIMEOUT_S) { replyLater(StateResult.Unknown) }
             isStoreCut -> replyLater(StateResult.Refused)
             op is StateOp.Txn && random.nextDouble() < faults.lateWrites -> {
-                // The caller gets no answer and gives up; the store executes the transaction, mostly later than that.
+                // The caller gets no answer and stops waiting; the store executes the transaction, mostly after that.
                 faults.count("late writes")
                 replyAfter(STORE_TIMEOUT_S, processNumber, Input.StateReply(effect.call, StateResult.Unknown))
                 clock.after(random.nextDouble() * MAX_LATE_WRITE_DELAY_S) { state.run(op) {} }
@@ -175,10 +175,10 @@
         const val STORE_TIMEOUT_S = 1.5
         const val MAX_LATE_WRITE_DELAY_S = 30.0
 
-        /** A watch over a cut link fails after so long; other store calls are refused at once. */
+        /** The time after which a watch over a cut link fails, in seconds; other store calls are refused at once. */
         const val CUT_WATCH_TIMEOUT_S = 8.0
 
-        /** A watch may take so much longer than the time for which it was asked to wait. */
+        /** The maximum time, in seconds, by which a watch may exceed the time for which it was asked to wait. */
         const val WATCH_TIMEOUT_MARGIN_S = 4.0
         const val WATCH_RETRY_S = 0.1
     }
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -12,8 +12,8 @@
 class FaultCombinationScenario(private val seed: Long, private val nodes: Int) {
     /**
      * The outcome of a run. [faults] describes the faults, [violations] the broken rules; [cancelled] is the number of
-     * jobs that users cancelled. [unfinishedJobs] are the jobs that nobody cancelled and that were not done at the end,
-     * long after the last fault. [faultCounts] tells how often each kind of fault took effect.
+     * jobs that users cancelled. [unfinishedJobs] are the jobs that no user cancelled and that were not done at the
+     * end, long after the last fault. [faultCounts] holds the number of times that each kind of fault took effect.
      */
     class Result(
         val seed: Long,
@@ -36,7 +36,7 @@
         /** The leader reaches neither the store nor other controllers. */
         LEADER_ALONE,
 
-        /** Some store transactions are applied late, mostly after their caller gave up. */
+        /** Some store transactions are applied late, mostly after their caller stopped waiting. */
         LATE_WRITES,
 
         /** Copies of heartbeats arrive late. */
@@ -246,7 +246,7 @@
     private fun pickHalfOfMachines(): Set<String> =
         cluster.cloud.workers.filter { random.nextInt(2) == 0 }.map { it.id }.toSet()
 
-    /** Ids of the accepted jobs that nobody cancelled and whose tasks have not all completed. */
+    /** Returns the ids of the accepted jobs that no user cancelled and whose tasks have not all completed. */
     private fun findUnfinishedJobs(): List<String> = uncancelledJobs.filter {
         it !in jobsCancelledByFaults &&
             cluster.checker.isAccepted(it) &&
--- a/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/InjectedFaults.kt
@@ -9,8 +9,8 @@
     var answerLoss = 0.0
 
     /**
-     * The share of store transactions whose caller gets no answer and gives up after 1.5 s, while the store applies
-     * them at a random time within 30 s.
+     * The share of store transactions whose caller gets no answer and stops waiting after 1.5 s, while the store
+     * applies them at a random time within 30 s.
      */
     var lateWrites = 0.0
 
@@ -72,7 +72,8 @@
     val cancelledAtCompletion = HashSet<String>()
 
     /**
-     * How often each kind of fault took effect; a test checks this, as it proves nothing if its fault never occurred.
+     * The number of times that each kind of fault took effect. A test checks it, since the test proves nothing if its
+     * fault never occurred.
      */
     val counts = HashMap<String, Int>()
 
--- a/src/main/kotlin/plankwall/simulation/JobHistory.kt
+++ b/src/main/kotlin/plankwall/simulation/JobHistory.kt
@@ -2,7 +2,10 @@
 
 import plankwall.model.JobSpec
 
-/** What users and workers have seen of each job: acceptance, completed tasks, cancellation requests, final stage. */
+/**
+ * The events of each job that users and workers have observed: acceptance, completed tasks, cancellation requests,
+ * final stage.
+ */
 internal class JobHistory {
     private class FinalStage(val stage: String, val reportedAt: Double)
 
--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -16,8 +16,9 @@
 class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
     /**
      * The outcome of a run. [unfinishedJobs] are the jobs that had to be done at the end and were not: those without an
-     * error of their own that nobody cancelled and whose class has an objective, best-effort classes `sweep` and
-     * `probes` included. [maxInstances] is the most machines rented at one time, [starts] the number of task starts.
+     * error of their own that no user cancelled and whose class has an objective, best-effort classes `sweep` and
+     * `probes` included. [maxInstances] is the largest number of machines rented at one time, [starts] the number of
+     * task starts.
      */
     class Result(
         val seed: Long,
--- a/src/main/kotlin/plankwall/simulation/ProgressRules.kt
+++ b/src/main/kotlin/plankwall/simulation/ProgressRules.kt
@@ -83,16 +83,24 @@
     }
 
     private companion object {
-        /** How long the polls of one job may go unanswered while those of others are answered. */
+        /**
+         * The maximum time that the polls of one job may go unanswered while those of others are answered, in seconds.
+         */
         const val UNANSWERED_S = 90.0
 
-        /** How long the polls of one job may go unanswered after the last fault, whatever happens to other jobs. */
+        /**
+         * The maximum time that the polls of one job may go unanswered after the last fault, in seconds, whatever
+         * happens to other jobs.
+         */
         const val UNANSWERED_AFTER_FAULTS_S = 75.0
 
-        /** How long a job may wait beside free resources. */
+        /** The maximum time that a job may wait while enough resources for it are free, in seconds. */
         const val STALLED_S = 90.0
 
-        /** Without an answered poll of any job for so long, polls fail because of an outage. */
+        /**
+         * The time without an answered poll of any job, in seconds, after which failed polls are attributed to an
+         * outage.
+         */
         const val OUTAGE_S = 5.0
     }
 }
--- a/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -127,7 +127,7 @@
         clock.after(bootS()) { boot(rented) }
     }
 
-    /** Starts the worker of [rented] unless the machine was deleted meanwhile. */
+    /** Starts the worker of [rented] unless the machine was deleted while it booted. */
     private fun boot(rented: Rented) {
         if (machines[rented.id] === rented) rented.worker = newWorker(rented.id, rented.group)
     }
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -183,8 +183,8 @@
     override fun specOf(id: String): JobSpec? = specs[id]
 
     /**
-     * Records a violation if a worker is told to forget that a task of the job [id] is done before that is stored: the
-     * next leader would run the task again.
+     * Records a violation if a worker is ordered to forget that a task of the job [id] is done before that is stored:
+     * the next leader would run the task again.
      */
     override fun checkStored(id: String, task: Int) {
         val record = state.value(Keys.job(id)) as? JobRecord ?: return
--- a/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedNetwork.kt
@@ -1,6 +1,6 @@
 package plankwall.simulation
 
-/** How messages fail on a cut link. */
+/** The ways in which messages fail on a cut link. */
 enum class LinkCut {
     /** The sender gets an error at once: a reset or a refused connection. */
     REFUSE,
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -60,14 +60,14 @@
     var refusesBeyondRates = false
 
     /**
-     * The limits that are enforced, or null for none. Transactions that exceed a size limit are rejected for good;
-     * writes beyond twice the write rate within a second are refused for now.
+     * The limits that are enforced, or null for none. Transactions that exceed a size limit are rejected permanently;
+     * writes beyond twice the write rate within a second are refused temporarily.
      */
     var limits: StateLimits? = null
     private var currentSecond = -1L
     private var changesInSecond = 0
 
-    /** How often each oversized key or transaction size was rejected for good. */
+    /** The number of permanent rejections of each oversized key or transaction size. */
     val rejected = HashMap<String, Int>()
 
     /** Stores [value] under [key] directly, outside any transaction; watches are not answered. */
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -72,7 +72,7 @@
         clock.every(0.1) { if (isAlive) killTasksIfLeaseExpired() }
     }
 
-    /** Ends the machine and all of its tasks for good. */
+    /** Ends the machine and all of its tasks permanently. */
     fun die() {
         isAlive = false
         tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
@@ -96,7 +96,7 @@
         clock.after(host.settings.workers.reportS * (0.75 + host.random.nextDouble() / 2)) { sendPeriodically() }
     }
 
-    /** Sends a heartbeat 0.5 s after a change, unless one was sent meanwhile. */
+    /** Sends a heartbeat 0.5 s after a change, unless another was sent in the meantime. */
     private fun scheduleChangeHeartbeat() {
         clock.after(0.5) { if (isAlive && clock.now - lastSentAt >= 0.5) send() }
     }
@@ -259,7 +259,7 @@
         /** Returns the address of the machine [id] in a simulated cluster; [id] is `i-` and a number. */
         fun addressOf(id: String): String = "addr:${id.substring(2).toInt() + 1}"
 
-        /** How long a worker waits for the answer to a heartbeat, in seconds. */
+        /** The time that a worker waits for the answer to a heartbeat, in seconds. */
         const val ANSWER_TIMEOUT_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/wire/LeadershipRecords.kt
+++ b/src/main/kotlin/plankwall/wire/LeadershipRecords.kt
@@ -5,7 +5,7 @@
 
 /**
  * The current leader. The revision that wrote this key is the epoch: it is the fencing token for the workers, and every
- * write of the leader is guarded by it. [incarnation]: tells the runs of the same node apart.
+ * write of the leader is guarded by it. [incarnation]: distinguishes the runs of the same node.
  */
 data class LeaderRecord(val node: String, val incarnation: Long) : Stored
 
--- a/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
+++ b/src/main/kotlin/plankwall/wire/MalformedMessageException.kt
@@ -4,8 +4,8 @@
  * Thrown for a message or a stored value that does not have the form that the protocol requires. Its message, which
  * joins [field] and [problem], is shown to users. It is created without a stack trace.
  *
- * @property field the field or the kind of message that is wrong; null if the message as a whole is
- * @property problem what is wrong with it
+ * @property field the field or the kind of message that is malformed; null if the message as a whole is malformed
+ * @property problem a description of the error
  */
 class MalformedMessageException private constructor(
     val field: String?,
--- a/src/main/kotlin/plankwall/wire/PeerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/PeerMessages.kt
@@ -11,9 +11,9 @@
  */
 data class PeerStatus(
     val node: String,
-    /** Tells the runs of the node apart: a restart changes it. */
+    /** Distinguishes the runs of the node: it changes with each restart. */
     val incarnation: Long,
-    /** The newest epoch that the node knows of. */
+    /** The newest epoch that the node has observed. */
     val epochSeen: Long,
     val leading: Boolean,
     /**
@@ -26,9 +26,9 @@
     val unservedWorkers: Int,
     /** The record format level that the node can read: [PeerCodec.LEVEL] of its version. */
     val level: Int = PeerCodec.FIRST_LEVEL,
-    /** Null from a version that does not report it; such a node must not be sent [RelayedHeartbeat]s either. */
+    /** Null if the sender's version does not report it; such a node must not be sent [RelayedHeartbeat]s either. */
     val links: ReachabilityReport? = null,
-    /** Null from a version that does not report it; such a node confirms no cancellation. */
+    /** Null if the sender's version does not report it; such a node confirms no cancellation. */
     val cancellations: CancellationUpdate? = null,
     /** Null from a version that serves no workers' sessions for a leader and can't read a [HeartbeatBatch]. */
     val sessions: SessionUpdate? = null,
@@ -54,8 +54,10 @@
 data class CancellationUpdate(
     val first: Long,
     val jobs: List<String>,
-    /** How long ago the sender sent its newest answered read of the store, by its clock; negative if there is none. */
+    /**
+     * The time since the sender sent its newest answered read of the store, by its clock; negative if there is none.
+     */
     val readAgeMs: Long,
-    /** How long ago the sender started, by its clock. */
+    /** The time since the sender started, by its clock. */
     val upMs: Long,
 )
--- a/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
@@ -1,8 +1,9 @@
 package plankwall.wire
 
 /**
- * What a node can reach, by its own observation. Ages are in milliseconds of its monotonic clock, as of the creation of
- * the frame; a negative age means that the event has not happened yet.
+ * A node's own observations of what it can reach: peers, the state service, the cloud and workers. Ages are in
+ * milliseconds of its monotonic clock, as of the creation of the frame; a negative age means that the event has not
+ * happened yet.
  */
 data class ReachabilityReport(
     /** Increases with every frame of this node, also across restarts. A node that echoes it has received that frame. */
--- a/src/main/kotlin/plankwall/wire/RecordCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RecordCodec.kt
@@ -4,11 +4,12 @@
 import com.fasterxml.jackson.core.JsonParser
 
 /**
- * A value that the controllers keep in the state service. The key tells which kind it is, see [Keys] and [AccessKeys].
+ * A value that the controllers keep in the state service. The key determines the kind of the value, see [Keys] and
+ * [AccessKeys].
  */
 sealed interface Stored
 
-/** Codec of stored values as JSON. No other program reads them, so that short field names can keep them small. */
+/** Codec of stored values as JSON. No other program reads them, so short field names can keep them small. */
 internal object RecordCodec {
     /** Writes [record] as one JSON object. */
     fun write(generator: JsonGenerator, record: Stored) = when (record) {
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -1,7 +1,7 @@
 package plankwall.wire
 
 /**
- * What a node reports about workers' sessions.
+ * A node's report about workers' sessions.
  *
  * @property capacity the number of sessions that the node has connections for
  * @property plan the leader's plan while it shards the sessions over the nodes; otherwise, and from other nodes, null
--- a/src/main/kotlin/plankwall/wire/WorkerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerMessages.kt
@@ -53,7 +53,7 @@
     val tasks: List<TaskStatus>,
 )
 
-/** What a worker has to do with a task. [word]: the protocol's word for it. */
+/** The action that a worker has to perform on a task. [word]: the protocol's word for it. */
 enum class OrderOp(val word: String) { START("run"), STOP("stop"), FORGET("clear") }
 
 /**
