--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -47,8 +47,8 @@
 }
 
 /**
- * An attribute of a job that a condition may ask about. [word]: its name in the policy language. [valueIn]: returns its
- * value as the policy language writes it; null if it is unknown.
+ * An attribute of a job that a condition may test. [word]: its name in the policy language. [valueIn]: returns its
+ * value in the form that the policy language uses; null if it is unknown.
  */
 enum class Attribute(val word: String, val valueIn: (JobFacts) -> String?) {
     CLASS("class", { it.jobClass }),
@@ -83,12 +83,12 @@
 )
 
 /**
- * How a rule relates to a request: it decides the request; it applies but another rule decides; it is about other
+ * The relation of a rule to a request: it decides the request; it applies but another rule decides; it is about other
  * actions; or its condition does not hold.
  */
 enum class RuleOutcome { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
 
-/** A rule and its [standing]: how it relates to the request that [Policy.explain] was asked about. */
+/** A rule and its [standing]: its relation to the request that was passed to [Policy.explain]. */
 class RuleExplanation(val rule: Rule, val standing: RuleOutcome)
 
 /**
--- a/src/main/kotlin/plankwall/authorization/PolicyReader.kt
+++ b/src/main/kotlin/plankwall/authorization/PolicyReader.kt
@@ -23,7 +23,10 @@
     private const val MAX_SUGGESTED_FROM_CHARS = 60
     private const val MAX_EXPECTED = 8
 
-    /** The characters of a word for each edit that may separate it from a suggestion, as the limit of a misspelling. */
+    /**
+     * The number of characters of a word for each edit by which it may differ from a suggestion; with more edits it
+     * does not count as a misspelling.
+     */
     private const val CHARS_PER_EDIT = 3
 
     /** The keywords of the policy language that may also be used as names. */
@@ -91,7 +94,7 @@
         }
         val names = recognizer.expectedTokens.toList().map { recognizer.vocabulary.getDisplayName(it).trim('\'') }
         val expected = names.map(::displayName).distinct()
-            // Where a name is allowed, so is each such keyword; listing them all would not help.
+            // Each of these keywords is allowed wherever a name is; listing them all would not help the user.
             .let { all -> if ("a name" in all) all.filter { it !in nameableKeywords } else all }
         val found = if (offending.type == Token.EOF) {
             "the text ends"
--- a/src/main/kotlin/plankwall/cli/access/FollowAuditLog.kt
+++ b/src/main/kotlin/plankwall/cli/access/FollowAuditLog.kt
@@ -51,7 +51,10 @@
         }
     }
 
-    /** How far a node's audit log was read: the first [entriesRead] entries of the segment [segmentNumber]. */
+    /**
+     * The position up to which a node's audit log was read: the first [entriesRead] entries of the segment
+     * [segmentNumber].
+     */
     private data class Position(val segmentNumber: Long, val entriesRead: Int)
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -28,10 +28,11 @@
 
 /**
  * One controller node as a state machine: it reads no clock, does no I/O and runs on one thread. [step] takes one input
- * and returns what to send, write and answer. Creates the parts of the controller, passes each input to the part that
- * handles it, and owns the current [LeadershipTerm] while this node leads.
+ * and returns the resulting effects: messages to send, values to write and requests to answer. Creates the parts of the
+ * controller, passes each input to the part that handles it, and owns the current [LeadershipTerm] while this node
+ * leads.
  *
- * Without an [accessCheck] anybody may make requests; with one, a request without credentials is refused.
+ * Without an [accessCheck] every request is allowed; with one, a request without credentials is refused.
  */
 class Controller(
     settings: Settings,
--- a/src/main/kotlin/plankwall/core/HeartbeatOutcome.kt
+++ b/src/main/kotlin/plankwall/core/HeartbeatOutcome.kt
@@ -2,14 +2,14 @@
 
 import plankwall.wire.Order
 
-/** How the leader responds to a heartbeat. */
+/** The leader's response to a heartbeat. */
 internal sealed interface HeartbeatOutcome {
     /** The heartbeat was accepted, and its worker gets [orders]. */
     class Answered(val orders: List<Order>) : HeartbeatOutcome
 
-    /** The worker is told to send its heartbeats to [node]. */
+    /** The worker is redirected: it has to send its heartbeats to [node]. */
     class RedirectedTo(val node: String) : HeartbeatOutcome
 
-    /** The heartbeat is outdated and changes nothing; its worker is told to try again. */
+    /** The heartbeat is outdated and changes nothing; its worker has to retry. */
     data object Outdated : HeartbeatOutcome
 }
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -125,7 +125,7 @@
 
     /**
      * The access gateway's authority to write during this term. Its writes have the lowest priority: they must leave at
-     * least [LeaderStore.scarceWrites] for changes that somebody waits for.
+     * least [LeaderStore.scarceWrites] for changes that can't wait.
      */
     val leaseAuthority: LeaseAuthority = object : LeaseAuthority {
         override val epoch: Long get() = store.epoch
--- a/src/main/kotlin/plankwall/core/api/DependencyCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/DependencyCheck.kt
@@ -57,8 +57,8 @@
 
     /**
      * Checks that [caller] may see each dependency of [spec], since depending on a job reveals when and how it ends.
-     * The dependency's owner need not consent: whoever lets a job depend on somebody else's job accepts that it is
-     * cancelled together with that. [neverAccepted]: the dependencies that turned out never to have been accepted.
+     * The dependency's owner need not consent: a user whose job depends on another user's job accepts that it is
+     * cancelled together with that job. [neverAccepted]: the dependencies that turned out never to have been accepted.
      */
     private fun checkVisible(caller: Caller?, spec: JobSpec, neverAccepted: List<String>): DependencyCheckResult {
         if (caller != null) {
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -20,7 +20,7 @@
  * up the state service's whole rate limit, and the leader could not write.
  *
  * @param keepFacts whether to keep for each live job the facts that authorization rules evaluate
- * @param cancellations is told of each cancelled job that is read; null in tests only
+ * @param cancellations receives each cancelled job that is read; null in tests only
  * @param onJobOver called with the id of each job that is no longer live
  */
 class JobCache(
@@ -68,8 +68,8 @@
     fun isCancelled(id: String): Boolean = dependencies.isCancelled(id)
 
     /**
-     * Returns the jobs that [id] depends on, directly or through others, that are over with an outcome unknown here.
-     * Whether [id] is cancelled can't be told before these outcomes are known.
+     * Returns the jobs that [id] depends on, directly or through others, that have ended with an outcome that this node
+     * has not read. Whether [id] is cancelled can't be determined before these outcomes are known.
      */
     fun unresolvedDependencies(id: String): Set<String> = dependencies.unresolved(id) { it !in liveJobs }
 
@@ -181,7 +181,7 @@
     }
 
     private companion object {
-        /** Stands for the [revision] while the live jobs have to be read as a whole. */
+        /** The value of [revision] while all live jobs still have to be read. */
         const val UNREAD = -1L
 
         /** Keys in each page of a read of all live jobs. */
--- a/src/main/kotlin/plankwall/core/api/JobLookup.kt
+++ b/src/main/kotlin/plankwall/core/api/JobLookup.kt
@@ -68,8 +68,8 @@
     fun notKnownAccepted(ids: List<String>): List<String> = ids.filter { !jobCache.isLive(it) && it !in finalRecords }
 
     /**
-     * Returns the ids of the jobs whose final records have to be read to tell whether the live job [id] is cancelled
-     * through its dependencies. First passes the outcomes that are cached here on to the job cache.
+     * Returns the ids of the jobs whose final records have to be read to determine whether the live job [id] is
+     * cancelled through its dependencies. First passes the outcomes that are cached here on to the job cache.
      */
     fun unresolvedDependencies(id: String): List<String> {
         if (jobCache.isCancelled(id)) return emptyList()
--- a/src/main/kotlin/plankwall/core/api/PendingRequest.kt
+++ b/src/main/kotlin/plankwall/core/api/PendingRequest.kt
@@ -103,10 +103,10 @@
     }
 
     companion object {
-        /** How long users wait for the status of a job, by the protocol. */
+        /** The time that users wait for the status of a job, in seconds, as the protocol specifies. */
         const val STATUS_TIMEOUT_S = 2.0
 
-        /** How long users wait for a submission or a cancellation, by the protocol. */
+        /** The time that users wait for a submission or a cancellation, in seconds, as the protocol specifies. */
         const val CHANGE_TIMEOUT_S = 5.0
         private val DEADLINE_EXCEEDED = JobCodec.error("the answer would come too late")
     }
--- a/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
+++ b/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
@@ -16,7 +16,7 @@
     private var inFlight = 0
     private var nextRateUpdateAt = 0.0
 
-    /** How many peers reported at the last update of the rate that they don't reach the state service. */
+    /** The number of peers that had reported the state service as unreachable at the last update of the rate. */
     private var nodesWithoutStore = 0
 
     /** The rate limit of the state service calls that this node makes for users' requests. */
@@ -74,8 +74,8 @@
     fun tick() {
         if (ctx.now < nextRateUpdateAt) return
         nextRateUpdateAt = ctx.now + RATE_UPDATE_INTERVAL_S
-        // A silent peer may still be serving users; only a peer that reports the state service as unreachable gives up
-        // its share.
+        // A silent peer may still be serving users; only a peer that reports the state service as unreachable loses its
+        // share.
         val peersWithoutStore = reachability.freshPeers().count { !it.stateReachable }
         if (peersWithoutStore == nodesWithoutStore) return
         nodesWithoutStore = peersWithoutStore
@@ -88,7 +88,7 @@
         /** The share of the state service's request rate that all nodes have for users' requests. */
         const val SHARE_OF_STORE_RATE = 0.3
 
-        /** How many equal shares of the common rate each node gets. */
+        /** The number of equal shares of the common rate that each node gets. */
         const val UNEVEN_LOAD_FACTOR = 2.0
         const val RATE_UPDATE_INTERVAL_S = 1.0
     }
--- a/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
@@ -6,7 +6,7 @@
 import plankwall.model.Shape
 import plankwall.wire.JobRecord
 
-/** The HTTP [status] of a rejected submission, and the [reason] as the user is told. */
+/** The HTTP [status] of a rejected submission, and the [reason] that is sent to the user. */
 internal data class SubmissionRejection(val status: Int, val reason: String) {
     companion object {
         /** The job's record is larger than a value that the state service stores. */
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -7,12 +7,12 @@
 import plankwall.wire.PeerStatus
 
 /**
- * The cancelled jobs that this node knows of, and the moments up to which it knows all of them. A node that renews a
- * worker's lease keeps the worker's tasks running, among them those of a job whose cancellation was confirmed to a
- * user. So a leader has to learn of the cancellation in time even if the state service refuses its calls, and has to
- * withhold answers while it can't be sure that it has ([isUpToDate]).
+ * The cancelled jobs known to this node, and the times up to which it knows all of them. A node that renews a worker's
+ * lease keeps the worker's tasks running, among them those of a job whose cancellation was confirmed to a user. So a
+ * leader has to learn of the cancellation in time even if the state service refuses its calls, and has to withhold
+ * answers while it can't be sure that it has ([isUpToDate]).
  *
- * Two moments by this node's own clock, neither of which ever moves back:
+ * There are two such times by this node's own clock, neither of which ever moves back:
  * - [storedKnownUpTo]: every cancellation that was stored before it is known here, since this node or a peer began a
  * read of the store at that moment.
  * - [confirmedKnownUpTo]: every cancellation that was confirmed to a user before it is known here. A cancellation is
--- a/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
@@ -5,9 +5,9 @@
 
 /**
  * Determines the leader by the freshest evidence: the leader's key in the store, a status frame from the leader itself,
- * or what a peer knows by one of these two. The claim with the highest epoch counts. A node that knows of a higher
- * epoch than that of any claim names no leader; so the epochs to which a worker is redirected only rise, and the worker
- * can't go in circles.
+ * or a peer's claim that rests on one of these two. The claim with the highest epoch counts. A node that has observed a
+ * higher epoch than that of any claim reports no leader; so the epochs to which a worker is redirected only rise, and
+ * the worker is not redirected in a loop.
  *
  * @param leaseS the time to live of the lease on the leader's key, in seconds
  */
@@ -18,7 +18,7 @@
 ) {
     private var storedClaim: LeadershipClaim? = null
 
-    /** The highest epoch that this node knows of, from whatever source. */
+    /** The highest epoch that this node has observed, from any source. */
     var epochSeen = 0L
         private set
 
@@ -80,8 +80,8 @@
     private fun isCurrent(claim: LeadershipClaim): Boolean {
         if (claim.epoch < epochSeen) return false
         val status = reachability.statusOf(claim.node) ?: return true
-        // This is certain however old the status is: an epoch from which the node resigned is over, and a node that
-        // knows of the epoch without leading does not lead in it.
+        // This is certain however old the status is: an epoch from which the node resigned is over, and a node that has
+        // observed the epoch without leading does not lead in it.
         return status.resignedEpoch < claim.epoch && (status.leading || status.epochSeen < claim.epoch)
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -10,9 +10,9 @@
 import plankwall.wire.StoreUse
 
 /**
- * What this node knows about its own links and those of its peers, and how old that knowledge is. It only serves to
- * choose which node to ask and where to redirect a worker; no task is considered gone and no leader replaced because of
- * it.
+ * The state of this node's links and those of its peers as far as it is known here, with the age of each observation.
+ * It only serves to choose which node to ask and where to redirect a worker; no task is considered gone and no leader
+ * replaced because of it.
  *
  * A partition can hold frames back for minutes and then deliver them all at once. Therefore each frame echoes the
  * sequence number of the newest frame that its sender has received from this node. The frame was made after this node
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -53,7 +53,7 @@
     /** Decides when this node may try to acquire the leader's key. */
     val candidatePriority = CandidatePriority(ctx, reachability, recentWorkers)
 
-    /** The cancelled jobs that this node knows of. */
+    /** The cancelled jobs known to this node. */
     val cancellations = Cancellations(ctx, reachability)
 
     private val leaderKey = LeaderKey(ctx, ttlS)
@@ -91,16 +91,16 @@
      */
     private var successor: String? = null
 
-    /** Whether this node leads. Its lease may have expired meanwhile: see [mayWrite] and [mayAnswer]. */
+    /** Whether this node leads. Its lease may have expired already: see [mayWrite] and [mayAnswer]. */
     val leading: Boolean get() = epoch != 0L
 
     /** Whether this node may write to the store: it leads, and its lease has surely not expired. */
     val mayWrite: Boolean get() = leading && ctx.now < leaseExpiresAt
 
     /**
-     * Whether this node may answer workers. It stops a fixed time after the lease expired, so that a successor can tell
-     * when no more answers are surely given. It also stops while cancellations may be unknown here, so that no task
-     * goes on after its job was cancelled.
+     * Whether this node may answer workers. It stops a fixed time after the lease expired, so that a successor can
+     * determine when this node certainly no longer answers. It also stops while cancellations may be unknown here, so
+     * that no task goes on after its job was cancelled.
      */
     val mayAnswer: Boolean get() = leading && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isUpToDate
 
@@ -217,7 +217,7 @@
     }
 
     /**
-     * Resigns if this node leads. With [releaseKey] it also gives up the key, so that the next leader can be elected at
+     * Resigns if this node leads. With [releaseKey] it also releases the key, so that the next leader can be elected at
      * once.
      */
     fun resign(reason: String, releaseKey: Boolean = false) {
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -138,7 +138,7 @@
         /** The heartbeat of a machine is late after this many heartbeat intervals. */
         const val LATE_HEARTBEATS = 1.7
 
-        /** The part of a zone's machines that must be affected for the zone to count as affected nearly whole. */
+        /** The share of a zone's machines that must be affected for nearly the whole zone to count as affected. */
         const val PARTITIONED_SHARE = 0.8
 
         /** A zone is degraded if more than one in this many of its machines have late heartbeats. */
--- a/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
@@ -74,8 +74,8 @@
         const val CLEARLY_SOONER_PART = 0.5
 
         /**
-         * Where the longest allowed wait, in seconds, is shorter, the task fetches the image at once: little would be
-         * gained.
+         * The shortest limit of the wait, in seconds, for which a task waits at all. With a shorter limit it fetches
+         * the image at once, since waiting would gain little.
          */
         const val MIN_GAIN_S = 4.0
     }
--- a/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
@@ -7,7 +7,7 @@
 
 /**
  * The machines that can take tasks of one job within one placement pass, best first. It makes the same choices as
- * [FreeCapacity.findBest] for each task, but filters and scores the machines once for all of them. This is sound
+ * [FreeCapacity.findBest] for each task, but filters and scores the machines once for all of them. This is correct
  * because placing a task changes only the machine that it goes to, and a machine that can't take a task can't take a
  * later one of the same pass either.
  */
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -30,7 +30,7 @@
     /** Equivalence classes of tasks for which this pass found no machine with enough victims. */
     private val unsatisfiable = HashSet<EquivalenceClass>()
 
-    /** How many more searches over all machines this pass may make. */
+    /** The number of further searches over all machines that this pass may make. */
     private var searchesLeft = 0
 
     /**
@@ -225,8 +225,8 @@
 
     /** Whether [job] may preempt tasks of [victim]. */
     private fun mayPreempt(job: Job, victim: Job): Boolean {
-        // Stopping one task of a gang stops the whole gang, so only jobs of production priority, which have no other
-        // way, may do so.
+        // Stopping one task of a gang stops the whole gang, so only jobs of production priority, which have no
+        // alternative, may do so.
         if (victim.isGangOfSeveral && job.priority < Priority.PRODUCTION) return false
         if (victim.priority < job.priority) {
             return job.priority == Priority.PRODUCTION || job.guaranteed || !pendingQueue.isProtected(victim)
@@ -255,10 +255,10 @@
         /** For how long a gang gathers free capacity before it preempts. */
         const val GANG_GATHERING_TIME_S = 2.0
 
-        /** What a restart costs a preempted task, in seconds of work. */
+        /** The cost of a restart for a preempted task, in seconds of work. */
         const val RESTART_COST_S = 5.0
 
-        /** For how long freed capacity is reserved at most. */
+        /** The maximum time for which freed capacity is reserved, in seconds. */
         const val RESERVATION_TIMEOUT_S = 12.0
     }
 }
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -90,10 +90,10 @@
     }
 
     /**
-     * Removes the collected heartbeats for the leader of [epoch] and returns them as frames, once they are due; empty
-     * before. They are due at once if one of them is sent in full or the batch is as large as a frame, otherwise after
-     * [UNCHANGED_DELAY_S]. Heartbeats collected for another leader are not sent, since their workers retry. Those for
-     * which [isAwaited] is false are left out: nobody waits for their answer any more.
+     * Removes the collected heartbeats for the leader of [epoch] and returns them as frames, once they are due; returns
+     * an empty list before. They are due at once if one of them is sent in full or the batch is as large as a frame,
+     * otherwise after [UNCHANGED_DELAY_S]. Heartbeats collected for another leader are not sent, since their workers
+     * retry. Those for which [isAwaited] is false are left out: no worker waits for the answer to them any more.
      */
     fun takeDue(epoch: Long, isAwaited: (id: Long) -> Boolean): List<HeartbeatBatch> {
         val batch = openBatch?.takeIf { it.leader.epoch == epoch } ?: return emptyList()
@@ -139,7 +139,7 @@
         /** Below the size limit of a frame, with a margin for the error of the estimated sizes. */
         const val MAX_FRAME_BYTES = 40_000
 
-        /** How long unchanged heartbeats wait for others to share a frame with. */
+        /** The time that unchanged heartbeats wait for others to share a frame with, in seconds. */
         const val UNCHANGED_DELAY_S = 0.2
         const val MAX_BASELINES = 4_000
     }
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -104,8 +104,8 @@
 
     /**
      * Returns the other nodes that are connected in both directions, serve sessions, and have done so for a while. A
-     * node that is silent is kept for half a lease. Its workers find another path by themselves meanwhile, and if only
-     * this process was paused for a moment, removing the node would move all workers for no reason.
+     * node that is silent is kept for half a lease. Its workers find another path by themselves in that time, and if
+     * only this process was paused for a moment, removing the node would move all workers for no reason.
      */
     private fun availableNodes(): List<SessionNode> {
         for (status in reachability.freshPeers()) {
--- a/src/main/kotlin/plankwall/core/sessions/SessionShares.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionShares.kt
@@ -38,7 +38,7 @@
     private fun fitsLocally(zone: String, workers: Int, nodes: List<SessionNode>): Boolean =
         nodes.filter { it.zone == zone }.sumOf { it.capacity } * PLANNED_CAPACITY_SHARE >= workers
 
-    /** Subtracts [workers] from the remaining capacity of [zoneNodes], in proportion to their whole capacity. */
+    /** Subtracts [workers] from the remaining capacity of [zoneNodes], in proportion to their total capacity. */
     private fun subtractWorkers(
         zoneNodes: List<SessionNode>,
         workers: Int,
--- a/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
@@ -2,7 +2,7 @@
 
 /**
  * Access control for requests and heartbeats, used where the operators require every request to prove an identity. A
- * controller without an access check lets anybody make any request, as the protocol specifies.
+ * controller without an access check allows every request, as the protocol specifies.
  */
 interface AccessCheck {
     /** Calls [then] with the caller that [credentials] prove. If they prove none, answers [request] itself instead. */
--- a/src/main/kotlin/plankwall/core/statemachine/Caller.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Caller.kt
@@ -15,7 +15,7 @@
      */
     fun authorize(action: Action, job: JobFacts?): Verdict
 
-    /** Stores a [decision] that goes with no other change. [then] is told whether the caller may be answered now. */
+    /** Stores a [decision] that belongs to no other change. [then] receives whether the caller may be answered now. */
     fun record(decision: Decision, then: (stored: Boolean) -> Unit)
 
     /**
--- a/src/main/kotlin/plankwall/core/statemachine/Context.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Context.kt
@@ -7,7 +7,7 @@
 import java.util.Random
 
 /**
- * What all parts of the core share: settings, time, timers, randomness and the outbox.
+ * The state and services that all parts of the core share: settings, time, timers, randomness and the outbox.
  *
  * @property incarnation the number of this run of the node's process; higher in each later run
  */
--- a/src/main/kotlin/plankwall/core/statemachine/Decision.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Decision.kt
@@ -21,7 +21,7 @@
 data class Verdict(val allowed: Boolean, val rule: String, val cancelOnRevoke: Boolean = false)
 
 /**
- * What the audit log records of an authorization.
+ * The result of an authorization, as the audit log records it.
  *
  * @property subject the job or the record that the action concerns
  * @property status the HTTP status that the caller is answered with
--- a/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Returns the complete catalog that is stored as [items]. Null unless all chunks are there: with only some of the
-     * machine types a job that could run might be rejected.
+     * Returns the complete catalog that is stored as [items]. Returns null unless all chunks are present: with only
+     * some of the machine types, a job that could run might be rejected.
      */
     fun catalog(items: List<StateItem>): Catalog? {
         val first = items.firstOrNull { it.key == Keys.CATALOG }?.value as? CatalogRecord ?: return null
--- a/src/main/kotlin/plankwall/core/store/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -44,7 +44,7 @@
         active = false
     }
 
-    /** The number of [availableWrites] below which only changes that somebody waits for are written. */
+    /** The number of [availableWrites] below which only changes that can't wait are written. */
     val scarceWrites: Int = (ctx.settings.stateTight.writeRps * SCARCE_SHARE).toInt()
 
     /** Whether decisions made now could be stored at all. A leader that may have been replaced decides nothing. */
--- a/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
@@ -12,8 +12,8 @@
 /**
  * Tracks whether a process of an older version may still lead. During a rolling upgrade a node of either version may
  * take over from one of the other, so nothing may be stored that the older version would read only in part. Once every
- * node has shown the level of this version, that level is stored for good: nodes are not downgraded, and a node that is
- * down later need not show it again.
+ * node has shown the level of this version, that level is stored permanently: nodes are not downgraded, and a node that
+ * is down later need not show it again.
  *
  * Owns the key `level`, and sets [StoreLimits.mayDivide].
  */
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Guards [txn] on the head of the policy as well, so that it fails if another version has been published since the
-     * decision. The new version is then read before the result is passed on.
+     * Guards [txn] on the head of the policy as well, so that it fails if a version has been published that this node
+     * has not read. That version is then read before the result is passed on.
      */
     override fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit) {
         val hasPolicyGuard = txn.guards.any { it.key == AccessKeys.HEAD }
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -17,8 +17,8 @@
  * Therefore frames of an earlier incarnation, out of order or too old are dropped like forged ones.
  *
  * [node] and [incarnation]: the sender of the frames signed here. [allowUnsigned]: whether frames without a signature
- * are accepted, for the time in which keys are introduced. [toleranceMs]: the most that two machines' clocks may
- * differ.
+ * are accepted, which is needed while keys are being introduced. [toleranceMs]: the maximum difference between the
+ * clocks of two machines.
  */
 class PeerSeal(
     private val node: String,
@@ -94,7 +94,7 @@
     /**
      * Whether a frame is newer than the [last] one of its sender. Frames of one incarnation are ordered by their
      * number. Frames of different incarnations are ordered by time and not by the incarnation: a node whose clock was
-     * set back must not be excluded for good.
+     * set back must not be excluded permanently.
      */
     private fun isNewer(last: FrameHead?, head: FrameHead): Boolean = when {
         last == null -> true
--- a/src/main/kotlin/plankwall/io/Accept.kt
+++ b/src/main/kotlin/plankwall/io/Accept.kt
@@ -26,7 +26,8 @@
         } catch (e: CancellationException) {
             throw e
         } catch (
-            // The process has probably run out of sockets. Without a pause, this loop would use a whole processor.
+            // The process has probably run out of sockets. Without a pause, this loop would keep a processor fully
+            // busy.
             @Suppress("TooGenericExceptionCaught") e: Exception,
         ) {
             log.debug("accept failed error={}", e.toString())
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -30,7 +30,9 @@
 ) {
     private val log = LoggerFactory.getLogger("daemon")
 
-    /** The wall-clock time of the start in milliseconds; tells this process from earlier ones of the same node. */
+    /**
+     * The wall-clock time of the start in milliseconds; distinguishes this process from earlier ones of the same node.
+     */
     private val incarnation = System.currentTimeMillis()
     private val controller =
         Controller(
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -30,7 +30,7 @@
     val close: Boolean = false,
 )
 
-/** An HTTP request that was read whole. Properties that only authentication needs are computed on access. */
+/** An HTTP request that was read completely. Properties that only authentication needs are computed on access. */
 class HttpRequest(private val head: Request, val body: ByteArray, private val socketAddress: SocketAddress) {
     val method: String = head.method.value
 
@@ -86,7 +86,7 @@
                 parseHttpBody(headers, input, decoded)
                 decoded.flushAndClose()
             } catch (
-                // Whatever ends the decoding, also a cancellation, must end the read below too.
+                // Any failure of the decoding, including a cancellation, must also end the read below.
                 @Suppress("TooGenericExceptionCaught") e: Exception,
             ) {
                 decoded.cancel(e)
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -13,7 +13,7 @@
 import kotlinx.coroutines.withTimeout
 import plankwall.model.Address
 
-/** The outcome of a request. Its kinds tell whether the server may have executed the request. */
+/** The outcome of a request. Its kind shows whether the server may have executed the request. */
 sealed interface HttpOutcome {
     /** The server answered with [status] and [body]. */
     class Answered(val status: Int, val body: ByteArray) : HttpOutcome
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -75,7 +75,7 @@
                 connect(peer).use { sendFrames(it, queue) }
                 log.debug("peer connection ended, reconnecting peer={}", peer.node)
             } catch (
-                // Whatever ends a connection is followed by a new one, even the cancellation of its channels alone.
+                // A new connection is made whatever ended the last one, even if only its channels were cancelled.
                 @Suppress("TooGenericExceptionCaught") e: Exception,
             ) {
                 currentCoroutineContext().ensureActive()
--- a/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -96,6 +96,9 @@
         table.putObject("limits").put("memory_mb", plan.memoryMb).put("max_connections", shared.maxConnections)
     }
 
-    /** Quotas are held in thousandths of a CPU or GPU, and written in whole ones. */
+    /**
+     * The factor between the unit in which quotas are held, a thousandth of a CPU or GPU, and the unit in which they
+     * are written, a CPU or GPU.
+     */
     private const val MILLIS_PER_UNIT = 1000.0
 }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -62,7 +62,7 @@
     private val specsById = HashMap<String, JobSpec>()
     private val startedAtNs = System.nanoTime()
 
-    /** How late the clock's steps run, in microseconds; the measured latencies are wrong by up to as much. */
+    /** The delay of the clock's steps, in microseconds; the measured latencies are wrong by up to this delay. */
     val lagUs = Histogram(MAX_LAG_US, 3)
 
     /** Called when a worker has started to run a task of the job [id]; set by [LoadTestUsers]. */
--- a/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestReport.kt
@@ -90,7 +90,7 @@
  * @property serviceTasks the number of service tasks in the submitted services
  * @property serviceTasksStarted the number of service tasks that started at least once
  * @property givenUp the number of jobs that no controller accepted before their users stopped retrying
- * @property endedByItself how often a controller process ended although the load test had not killed it
+ * @property endedByItself the number of times that a controller process ended although the load test had not killed it
  * @property violations the rules that the controllers broke, one line each
  */
 data class LoadTestFigures(
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -257,7 +257,7 @@
         const val GANG = "gang"
         private val NO_BODY = ByteArray(0)
 
-        /** One of this many services requests an accelerator for each replica. */
+        /** The number of services of which one requests an accelerator for each replica. */
         private const val SERVICES_PER_ACCELERATED_SERVICE = 3
         private const val IMAGE_COUNT = 20
 
@@ -274,7 +274,7 @@
         private const val RETRY_DELAY_MS = 1_000L
         private const val GIVE_UP_AFTER_S = 60.0
 
-        /** How long the load balancer avoids a controller after a request without an answer. */
+        /** The time for which the load balancer avoids a controller after a request without an answer, in seconds. */
         private const val NODE_AVOIDANCE_S = 3.0
     }
 }
