--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -41,7 +41,7 @@
     private var sendsSingly = false
     private var retryAt = 0.0
 
-    /** When a transaction with a record was sent last. */
+    /** The time at which a transaction with a record was last sent. */
     private var lastRecordsAt = 0.0
 
     /** The waiting entries that allow a change. */
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -25,7 +25,7 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** When machines of each group recently came up, in seconds of the steady clock. */
+    /** The times at which machines of each group recently registered, in seconds of the steady clock. */
     private val bootTimesByGroup = HashMap<GroupKey, ArrayDeque<Double>>()
 
     /** The names of the overdue machines that no longer count as capacity about to arrive. */
@@ -120,7 +120,8 @@
         const val OVERDUE_PER_REPLACEMENT = 2
 
         /**
-         * For how long a boot counts as recent, as a multiple of the time after which a boot of its type is overdue.
+         * The time for which a boot counts as recent, as a multiple of the time after which a boot of its type is
+         * overdue.
          */
         const val RECENT_WINDOW_FACTOR = 2.0
 
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
@@ -26,7 +26,9 @@
     private val bootDelays: BootDelayDetector,
     private val requests: ScaleOutRequests,
 ) {
-    /** When a job that is not best-effort last had tasks without a slot, in seconds of the steady clock. */
+    /**
+     * The time at which a job that is not best-effort last had tasks without a slot, in seconds of the steady clock.
+     */
     private var contestedAt = Machine.NEVER
 
     /**
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -45,8 +45,8 @@
     val unanswered: List<StoredScaleOut> get() = pending.values.map { it.request }
 
     /**
-     * When this leader last requested machines of [group], in seconds of the steady clock; [Machine.NEVER] if it did
-     * not.
+     * The time at which this leader last requested machines of [group], in seconds of the steady clock; [Machine.NEVER]
+     * if it did not.
      */
     fun lastRequestedAt(group: GroupKey?): Double = requestedAtByGroup[group] ?: Machine.NEVER
 
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -26,11 +26,12 @@
     private val store = StoreReachability(ctx)
 
     /**
-     * When each kind of call to the state service last succeeded, by the ordinal of [StoreUse]; NaN if it never did.
+     * The time at which each kind of call to the state service last succeeded, by the ordinal of [StoreUse]; NaN if it
+     * never did.
      */
     private val storeSucceededAt = DoubleArray(StoreUse.entries.size) { Double.NaN }
 
-    /** When the cloud last answered a call; NaN if it never did. */
+    /** The time at which the cloud last answered a call; NaN if it never did. */
     private var cloudSucceededAt = Double.NaN
 
     // The sequence number of the newest frame. A restarted process begins above all numbers that it can have sent
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -71,7 +71,7 @@
     var resignedEpoch = 0L
         private set
 
-    /** When this node was last elected, in seconds of the steady clock. */
+    /** The time at which this node was last elected, in seconds of the steady clock. */
     var wonAt = 0.0
         private set
 
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -89,8 +89,8 @@
     }
 
     /**
-     * When the heartbeats of more than one machine in three of [zone], and of more than one, were last late, in seconds
-     * of the steady clock; [Machine.NEVER] if they were not.
+     * The time at which the heartbeats of more than one machine in three of [zone], and of more than one, were last
+     * late, in seconds of the steady clock; [Machine.NEVER] if they were not.
      */
     fun degradedAt(zone: String): Double = degradedAtByZone[zone] ?: Machine.NEVER
 
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -252,7 +252,7 @@
         /** Bounds the time of a pass: each search looks at all usable machines. */
         const val MAX_SEARCHES_PER_PASS = 16
 
-        /** For how long a gang gathers free capacity before it preempts. */
+        /** The time for which a gang gathers free capacity before it preempts other tasks. */
         const val GANG_GATHERING_TIME_S = 2.0
 
         /** The cost of a restart for a preempted task, in seconds of work. */
--- a/src/main/kotlin/plankwall/core/queue/Guarantees.kt
+++ b/src/main/kotlin/plankwall/core/queue/Guarantees.kt
@@ -7,7 +7,7 @@
 
 /** Marks the jobs that their teams' guarantees cover ([Job.guaranteed]). */
 internal class Guarantees(private val ctx: Context, private val schedulerState: SchedulerState) {
-    /** When the marks were last set, in seconds of the steady clock. */
+    /** The time at which the marks were last set, in seconds of the steady clock. */
     private var refreshedAt = Machine.NEVER
 
     /** The value of [SchedulerState.changes] when the marks were last set. */
--- a/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
+++ b/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
@@ -19,7 +19,7 @@
     /** The recent jobs of each class, in the order in which they became demand. */
     private val workByClass = HashMap<String, ArrayDeque<Work>>()
 
-    /** When this leader began to observe the load, in milliseconds of the time of day. */
+    /** The time at which this leader began to observe the load, in milliseconds of the time of day. */
     private val observedSinceMs = ctx.time.wallMs
 
     /** The highest [Job.demandIx] recorded so far. */
--- a/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -23,7 +23,7 @@
     private val bindingLimit = BindingLimit(ctx)
     private val occupancy = TaskOccupancy(ctx, fleet)
 
-    /** When the jobs were last classified, in seconds of the steady clock. */
+    /** The time at which the jobs were last classified, in seconds of the steady clock. */
     private var classifiedAt = Machine.NEVER
 
     /** The capacity of the whole fleet, while there is less capacity than work; otherwise null. */
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -29,16 +29,18 @@
         /** The time of the newest heartbeat that came directly from the worker. */
         var directHeartbeatAt = Machine.NEVER
 
-        /** When a relayed heartbeat of the worker was last accepted. */
+        /** The time at which a relayed heartbeat of the worker was last accepted. */
         var relayedHeartbeatAt = Machine.NEVER
 
-        /** When the worker last answered a direct command; [Machine.NEVER] again once it is called back. */
+        /**
+         * The time at which the worker last answered a direct command; [Machine.NEVER] again once it is called back.
+         */
         var commandAnsweredAt = Machine.NEVER
 
-        /** When the worker was last called back; [Machine.NEVER] again once that has failed. */
+        /** The time at which the worker was last called back; [Machine.NEVER] again once that has failed. */
         var calledBackAt = Machine.NEVER
 
-        /** When the worker was last sent a probe. */
+        /** The time at which the worker was last sent a probe. */
         var probedAt = Machine.NEVER
 
         /** The time before which the worker is not called back again, since the last call back failed. */
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -19,7 +19,7 @@
 ) {
     private val workerTimes = ctx.settings.workers
 
-    /** Since when the heartbeats of most workers have been relayed, in seconds; NaN while they are not. */
+    /** The time since which the heartbeats of most workers have been relayed, in seconds; NaN while they are not. */
     private var mostlyRelayedSince = Double.NaN
 
     /** Resigns if too many workers are silent or have been relayed for too long. Called regularly by the leader. */
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -23,7 +23,7 @@
     var redirectedEpoch = 0L
         private set
 
-    /** When the worker was last redirected. */
+    /** The time at which the worker was last redirected. */
     var redirectedAt = Double.NEGATIVE_INFINITY
         private set
 
@@ -43,7 +43,7 @@
     /** The agent epoch in the worker's last heartbeat, which a direct command has to name. */
     var session = 0L
 
-    /** When this node last sent the worker a direct command to find out whether it can be reached. */
+    /** The time at which this node last sent the worker a direct command to find out whether it can be reached. */
     var probedAt = Double.NEGATIVE_INFINITY
 
     /** Whether the worker has answered a direct command since the last probe was sent. */
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -50,7 +50,7 @@
     /** Whether its user cancelled it, or it depends on a cancelled job. No more tasks of it are started. */
     var cancelled = false
 
-    /** When it was cancelled, in milliseconds of the time of day; 0 if it was not. */
+    /** The time at which the job was cancelled, in milliseconds of the time of day; 0 if it was not. */
     var cancelledMs = 0L
 
     /** Whether the write of its final record is under way. */
@@ -65,12 +65,12 @@
     var ready = false
 
     /**
-     * When its waiting time began, in milliseconds of the time of day: its submission, or the end of the last job that
-     * it depends on.
+     * The time at which the job's waiting time began, in milliseconds of the time of day: its submission, or the end of
+     * the last job that it depends on.
      */
     var readyMs = submittedMs
 
-    /** When this leader found it ready, in seconds of the steady clock. */
+    /** The time at which this leader found the job ready, in seconds of the steady clock. */
     var readyAt = learnedAt
 
     /** Whether another job depends on it. */
@@ -147,7 +147,7 @@
     /** Whether a task was placed and cannot start before its page is written. */
     var urgent = false
 
-    /** When the oldest change that is not written yet was made, in seconds of the steady clock. */
+    /** The time at which the oldest change that is not written yet was made, in seconds of the steady clock. */
     var dirtySince = 0.0
 
     /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
@@ -197,7 +197,7 @@
      */
     var gatherZone: String? = null
 
-    /** When holding capacity in [gatherZone] began, in seconds of the steady clock. */
+    /** The time at which holding capacity in [gatherZone] began, in seconds of the steady clock. */
     var gatherSince = 0.0
 
     /** Returns the page, or the part of a split page, that holds [task]. */
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -54,25 +54,25 @@
     /** The highest fencing token that this leader has sent to the worker; 0 stands for the leader's epoch. */
     var token = 0L
 
-    /** When it was last sent a direct command only to make it send a heartbeat at once. */
+    /** The time at which the worker was last sent a direct command only to make it send a heartbeat at once. */
     var lastWokenAt = NEVER
 
-    /** When its last heartbeat arrived that was not out of date. */
+    /** The time at which the last heartbeat arrived that was not out of date. */
     var lastHeard = NEVER
 
     /**
-     * When the last heartbeat arrived that this leader answered or may have answered; the worker's lease starts then at
-     * the latest.
+     * The time at which the last heartbeat arrived that this leader answered or may have answered; the worker's lease
+     * starts then at the latest.
      */
     var lastAnswered = NEVER
 
     /** Whether the worker has seen this leader's fencing token, so that no older leader can command it any more. */
     var confirmed = false
 
-    /** When this leader first learned of it. */
+    /** The time at which this leader first learned of the machine. */
     var firstSeen = 0.0
 
-    /** When its first heartbeat reached this leader. */
+    /** The time at which the machine's first heartbeat reached this leader. */
     var registeredAt = NEVER
 
     /** The machine's state in the cloud's list; null until the machine was listed. */
@@ -90,10 +90,10 @@
     /** Whether the call to the cloud that deletes it is under way. */
     var deleting = false
 
-    /** When the cloud takes it away according to its termination notice. */
+    /** The time at which the cloud reclaims the machine according to its termination notice. */
     var noticeAt = NEVER
 
-    /** Since when the autoscaler has found its capacity to be unneeded. */
+    /** The time since which the autoscaler has found the machine's capacity to be unneeded. */
     var unneededSince = NEVER
 
     /**
@@ -128,7 +128,7 @@
      */
     val images = LinkedHashMap<Int, CachedImage>()
 
-    /** When the image fetches under way should be finished. */
+    /** The time at which the image fetches in progress should be finished. */
     var fetchBusyUntil = 0.0
 
     /** The indices of the jobs of which a task failed here since a task last succeeded here. */
@@ -140,7 +140,7 @@
     /** The time before which no task is placed here. */
     var blockedUntil = NEVER
 
-    /** When this leader last announced its fencing token to the worker by a direct command. */
+    /** The time at which this leader last announced its fencing token to the worker by a direct command. */
     var lastAnnounced = NEVER
 
     /**
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -32,16 +32,22 @@
     /** The reason why the task is being stopped; null while it may continue to run. */
     var stopping: StopCause? = null
 
-    /** When the stop was decided, in seconds of the steady clock. */
+    /** The time at which the stop was decided, in seconds of the steady clock. */
     var stopSince = 0.0
 
     /** Whether the stop was sent by a direct command, which is done once; answers to heartbeats repeat it. */
     var stopPosted = false
 
-    /** When the worker reported that the task had begun to run, in seconds of the steady clock; 0 before that. */
+    /**
+     * The time at which the worker reported that the task had begun to run, in seconds of the steady clock; 0 before
+     * that.
+     */
     var runningSince = 0.0
 
-    /** When it was planned, or read from the store by this leader, in seconds of the steady clock. */
+    /**
+     * The time at which the placement was planned, or read from the store by this leader, in seconds of the steady
+     * clock.
+     */
     var plannedAt = 0.0
 
     /** The number of seconds that a stopped task has for its checkpoint. */
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -31,7 +31,7 @@
     private val openJobs = HashMap<String, OpenJob>()
     private var nextJobNumber = 1
 
-    /** When the load balancer may use each controller again, in seconds on the cluster's clock. */
+    /** The time from which the load balancer may use each controller again, in seconds on the cluster's clock. */
     private val avoidUntilS = DoubleArray(apiAddresses.size)
 
     /** The number of tasks of all services that [submitServices] has scheduled. */
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -27,8 +27,8 @@
     /** Records when a worker was last served. */
     class ServiceRecord {
         /**
-         * When the worker sent the heartbeat whose answer (status 200) arrived last, in seconds on the cluster's clock;
-         * negative if no heartbeat was answered yet.
+         * The time at which the worker sent the heartbeat whose answer (status 200) arrived last, in seconds on the
+         * cluster's clock; negative if no heartbeat was answered yet.
          */
         var lastServedSentAtS = -1.0
     }
--- a/src/main/kotlin/plankwall/simulation/CancellationRule.kt
+++ b/src/main/kotlin/plankwall/simulation/CancellationRule.kt
@@ -6,7 +6,7 @@
     private val tasks: RunningTasks,
     private val violations: MutableList<String>,
 ) {
-    /** When the cancellation of a job was first confirmed, by job id. */
+    /** The time at which the cancellation of a job was first confirmed, by job id. */
     private val confirmedAt = HashMap<String, Double>()
 
     /** Ids of the cancelled jobs that may still have a running task. */
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -31,13 +31,13 @@
 
     private val log = LoggerFactory.getLogger("simulation")
 
-    /** When each worker last reached a node that could have served it, in seconds, by worker id. */
+    /** The time at which each worker last reached a node that could have served it, in seconds, by worker id. */
     private val lastServableAt = HashMap<String, Double>()
 
     /** The times from the start of each fault to the next answer that each worker got, in milliseconds. */
     private val recordedServedMs = Histogram(MAX_SERVED_MS, 3)
 
-    /** When each worker was last served, in seconds, by worker id. */
+    /** The time at which each worker was last served, in seconds, by worker id. */
     private val lastServedAt = HashMap<String, Double>()
     private var avoidableKills = 0
     private var leaderChanges = 0
--- a/src/main/kotlin/plankwall/simulation/ProgressRules.kt
+++ b/src/main/kotlin/plankwall/simulation/ProgressRules.kt
@@ -17,13 +17,13 @@
     /** The time from which on no fault is injected any more, see [RuleChecker.faultsOverAt]. */
     var faultsOverAt = Double.POSITIVE_INFINITY
 
-    /** Since when each waiting job could have started without a break, by job id. */
+    /** The time since which each waiting job could have started without interruption, by job id. */
     private val startableSince = HashMap<String, Double>()
 
-    /** Since when no poll of a job has been answered, by job id. */
+    /** The time since which no poll of a job has been answered, by job id. */
     private val unansweredSince = HashMap<String, Double>()
 
-    /** When a poll of any job was last answered. */
+    /** The time at which a poll of any job was last answered. */
     private var lastAnswerAt = Double.NEGATIVE_INFINITY
 
     /**
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -37,7 +37,7 @@
     /** The highest fencing token in an answer or command so far; it rises with each leader. */
     private var lastToken = 0L
 
-    /** When the last answered heartbeat was sent: the lease runs from then. */
+    /** The time at which the last answered heartbeat was sent: the lease runs from then. */
     private var leaseStartedAt = clock.now
 
     /** Index of the controller that gets the next heartbeat. */
