--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -20,7 +20,7 @@
     private val log = LoggerFactory.getLogger("audit")
     private val limits = ctx.settings.stateTight
 
-    /** The most bytes that a segment may take. */
+    /** The maximum number of bytes of a segment. */
     private var valueBytes = (limits.valueKb * 1024 * VALUE_FILL_SHARE).toInt()
 
     /** Limits this node's transactions a second. A node may use more than an equal share, since the load is uneven. */
@@ -50,7 +50,9 @@
     /** The waiting entries by themselves. */
     private val records = ArrayDeque<PendingAuditEntry>()
 
-    /** Stores a decision by itself. [onResult] gets whether it was stored; false at once if too many entries wait. */
+    /**
+     * Stores a decision by itself. [onResult] receives whether it was stored; false at once if too many entries wait.
+     */
     fun record(entry: AuditEntry, onResult: (stored: Boolean) -> Unit) = enqueue(
         records,
         PendingAuditEntry(entry, null, ctx.now, TIMEOUT_S) { onResult(it is StateResult.Committed) },
--- a/src/main/kotlin/plankwall/core/api/CapacityView.kt
+++ b/src/main/kotlin/plankwall/core/api/CapacityView.kt
@@ -50,7 +50,7 @@
     }
 
     private companion object {
-        /** The most keys over which the stored catalog may be split. */
+        /** The maximum number of keys over which the stored catalog may be split. */
         const val MAX_KEYS = 200
 
         /** The shortest delay between two reads; up to one second of jitter is added. */
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -35,7 +35,7 @@
     var delayedGroups: Set<GroupKey> = emptySet()
         private set
 
-    /** Records that a machine of [group] has just come up. */
+    /** Records that a machine of [group] has just registered. */
     fun recordBoot(group: GroupKey) {
         bootTimesByGroup.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
@@ -110,13 +110,16 @@
         ctx.tuning.unregisteredS * if (group in delayedGroups) DELAYED_TIMEOUT_FACTOR else 1.0
 
     private companion object {
-        /** The least number of overdue machines that makes a group delayed; one or two may be chance. */
+        /** The minimum number of overdue machines that makes a group delayed; one or two may be chance. */
         const val MIN_OVERDUE = 3
 
-        /** A group may be delayed if at least one in this many of its new machines is overdue. */
+        /**
+         * The inverse of the minimum share of overdue machines among a group's new machines for the group to be
+         * delayed.
+         */
         const val DELAYED_DIVISOR = 3
 
-        /** One in this many overdue machines of a delayed group is replaced. */
+        /** The number of overdue machines of a delayed group of which one is replaced. */
         const val OVERDUE_PER_REPLACEMENT = 2
 
         /**
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDurations.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDurations.kt
@@ -36,7 +36,7 @@
         /** The number of boots in a full histogram. Up to twice as many count. */
         const val BOOTS_PER_HISTOGRAM = 40L
 
-        /** The least number of observed boots for an estimate from them. */
+        /** The minimum number of observed boots for an estimate from them. */
         const val MIN_BOOTS = 10L
 
         /** The longest boot time that a histogram can hold; longer ones are recorded as this long. */
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -47,7 +47,7 @@
         /** The number of unready machines below which there is no broad failure, however large their share is. */
         const val MIN_BROAD_FAILURE = 3
 
-        /** One in this many machines of a group may be unready or late. */
+        /** The inverse of the share of a group's machines that may be unready or late. */
         private const val TOLERATED_DIVISOR = 3
     }
 }
@@ -79,7 +79,7 @@
     var unjustifiedUnready = 0
         private set
 
-    /** Counts all machines, and the booting ones in [arrivals], anew. To be called once in each iteration. */
+    /** Recounts all machines, and the booting ones in [arrivals]. To be called once in each iteration. */
     fun refresh(arrivals: Map<String, BootingMachine>) {
         failureDetector.refresh()
         val groupsByKey = HashMap<GroupKey, GroupHealth>()
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -171,7 +171,7 @@
     }
 
     private companion object {
-        /** The most tasks that one estimate considers. */
+        /** The maximum number of tasks that one estimate considers. */
         const val MAX_TASKS_CONSIDERED = 5000
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
@@ -47,7 +47,7 @@
             return minOf(paceLimit, shareLimit).coerceAtLeast(0)
         }
 
-        /** One machine may be arriving at a time for this many machines of the fleet. */
+        /** The number of machines of the fleet for each of which one machine may be arriving at a time. */
         private const val PACE_DIVISOR = 4
 
         /** The lower bound of both limits, so that a small fleet can grow. */
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
@@ -71,7 +71,10 @@
      */
     private fun mayExpandDelayed(group: GroupKey): Boolean = isAvailable(group) && registry.groupHealth(group).healthy
 
-    /** Whether [group] may be expanded for a live service: it may have unready machines, but new ones come up in it. */
+    /**
+     * Whether [group] may be expanded for a live service: it may have unready machines, but its new machines do
+     * register.
+     */
     private fun mayExpandForService(group: GroupKey): Boolean =
         isAvailable(group) && !registry.groupHealth(group).startsAreFailing
 
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -154,7 +154,7 @@
         /** The shortest delay before a request is sent again; up to a second is added at random. */
         const val MIN_RETRY_DELAY_S = 0.5
 
-        /** The most unanswered requests at a time. */
+        /** The maximum number of unanswered requests at a time. */
         const val MAX_PENDING_REQUESTS = 20
 
         /** The limit of the cloud's protocol. */
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -110,7 +110,7 @@
         /** The number of machines that may be removed in one iteration however small the fleet is. */
         const val MIN_REMOVALS_PER_ITERATION = 4
 
-        /** One in this many machines of the fleet may be removed in one iteration. */
+        /** The inverse of the share of the fleet that may be removed in one iteration. */
         const val FLEET_PER_REMOVAL = 50
     }
 }
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -94,7 +94,7 @@
     /** Whether this node leads. Its lease may have expired already: see [mayWrite] and [mayAnswer]. */
     val leading: Boolean get() = epoch != 0L
 
-    /** Whether this node may write to the store: it leads, and its lease has surely not expired. */
+    /** Whether this node may write to the store: it leads, and its lease has certainly not expired. */
     val mayWrite: Boolean get() = leading && ctx.now < leaseExpiresAt
 
     /**
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -28,7 +28,10 @@
      */
     private val reconnectTimeS = heartbeatS * RECONNECT_HEARTBEATS + RECONNECT_HOPS_S
 
-    /** By zone, when more than one machine in three last had late heartbeats, in seconds of the steady clock. */
+    /**
+     * By zone, the time at which more than one machine in three last had late heartbeats, in seconds of the steady
+     * clock.
+     */
     private val degradedAtByZone = HashMap<String, Double>()
 
     /**
@@ -51,7 +54,7 @@
     var silenceIsIsolated = true
         private set
 
-    /** Classifies all machines anew. To be called once in each iteration, before any other member is read. */
+    /** Reclassifies all machines. To be called once in each iteration, before any other member is read. */
     fun refresh() {
         val silentCounts = ZoneCounts()
         val lateCounts = ZoneCounts()
@@ -135,13 +138,13 @@
         .mapValues { it.value.toSet() }
 
     private companion object {
-        /** The heartbeat of a machine is late after this many heartbeat intervals. */
+        /** The number of heartbeat intervals after which the heartbeat of a machine is late. */
         const val LATE_HEARTBEATS = 1.7
 
         /** The share of a zone's machines that must be affected for nearly the whole zone to count as affected. */
         const val PARTITIONED_SHARE = 0.8
 
-        /** A zone is degraded if more than one in this many of its machines have late heartbeats. */
+        /** The inverse of the share of machines with late heartbeats above which a zone is degraded. */
         const val DEGRADED_DIVISOR = 3
 
         /** The number of silent machines below which silence is isolated, however large their share is. */
--- a/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
+++ b/src/main/kotlin/plankwall/core/placement/CandidateQueue.kt
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Scores anew the machine that [findBest] returned last; to be called once a task was placed on it. */
+    /** Recomputes the score of the machine that [findBest] returned last; to be called once a task was placed on it. */
     fun onPlaced() {
         val candidate = queue.remove()
         add(candidate.machine, candidate.listIndex)
--- a/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -158,22 +158,22 @@
 
     /** The weights of the score, in seconds of waiting that they are worth. */
     private companion object {
-        /** For a machine whose GPUs would all stay idle, and as much for its CPUs. */
+        /** The penalty for a machine whose GPUs would all stay idle, and the same for its CPUs. */
         const val TIGHT_FIT_WEIGHT_S = 4.0
 
-        /** For a task that ends, on a machine full of replicas. */
+        /** The penalty for a task that ends, on a machine full of replicas. */
         const val BESIDE_REPLICAS_PENALTY_S = 6.0
 
-        /** For a replica, on a machine without replicas. */
+        /** The penalty for a replica, on a machine without replicas. */
         const val REPLICA_TIE_BREAK_S = 1.5
 
-        /** For a replica, on a surplus machine. */
+        /** The penalty for a replica, on a surplus machine. */
         const val REPLICA_SURPLUS_PENALTY_S = 1.0
 
-        /** For an on-demand machine, if the job may use spot machines. */
+        /** The penalty for an on-demand machine, if the job may use spot machines. */
         const val SPOT_PREFERENCE_S = 6.0
 
-        /** The largest penalty for a surplus machine, as a part of the task's estimated run time. */
+        /** The largest penalty for a surplus machine, as a share of the task's estimated run time. */
         const val MAX_SURPLUS_PENALTY_PART = 0.15
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
+++ b/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
@@ -15,7 +15,7 @@
     /** The number of machines that are not being returned to the cloud. */
     private var fleetSize = 0
 
-    /** Counts anew how many machines have each image. */
+    /** Recounts the machines that have each image. */
     fun refresh() {
         machineCountByImage = HashMap()
         fleetSize = 0
--- a/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
+++ b/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
@@ -8,7 +8,9 @@
     /** By zone, the time at which a worker last sent a direct heartbeat or answered a direct command, in seconds. */
     private val lastOpenAt = HashMap<String, Double>()
 
-    /** By zone, since when no direct command to a machine whose session another node serves has been answered. */
+    /**
+     * By zone, the time since which no direct command to a machine whose session another node serves has been answered.
+     */
     private val unansweredSince = HashMap<String, Double>()
 
     /** Records that the worker on [machine] sent a heartbeat directly. */
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -92,7 +92,7 @@
     private companion object {
         const val MAX_DELETED_NAMES = 5000
 
-        /** A ready machine may be silent for this many heartbeat intervals and [READY_MARGIN_S] more. */
+        /** The number of heartbeat intervals, with [READY_MARGIN_S] added, for which a ready machine may be silent. */
         const val READY_HEARTBEATS = 3
         const val READY_MARGIN_S = 1.0
     }
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -47,16 +47,18 @@
     /** The principal that submitted the job; null where callers are not authenticated. */
     var owner: String? = null
 
-    /** Whether its user cancelled it, or it depends on a cancelled job. No more tasks of it are started. */
+    /** Whether the job's user cancelled it, or it depends on a cancelled job. No more of its tasks are started. */
     var cancelled = false
 
     /** The time at which the job was cancelled, in milliseconds of the time of day; 0 if it was not. */
     var cancelledMs = 0L
 
-    /** Whether the write of its final record is under way. */
+    /** Whether the write of the job's final record is in progress. */
     var finishing = false
 
-    /** Whether it was cancelled because a job that it depends on was, which follows from what is stored already. */
+    /**
+     * Whether the job was cancelled because a job that it depends on was, which follows from what is stored already.
+     */
     var cancelledByDependency = false
 
     /**
@@ -172,10 +174,10 @@
      */
     val suspect: Boolean get() = !provenSound && failedOn.size >= SUSPECT_MACHINES
 
-    /** Whether it fits into its team's guarantee together with the team's earlier unfinished jobs. */
+    /** Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
 
-    /** Whether its tasks start together or not at all. */
+    /** Whether the job's tasks start together or not at all. */
     val isGang: Boolean get() = spec.shape == Shape.GANG
 
     /**
@@ -255,7 +257,7 @@
         get() = (complete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
 
     private companion object {
-        /** Failures on this many machines are attributed to the job. */
+        /** The number of machines on which a job must have failed for the failures to be attributed to the job. */
         const val SUSPECT_MACHINES = 2
 
         /** The [demandIx] of a job that is not ready yet and so does not count as demand. */
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -33,13 +33,13 @@
             free = capacity - used
         }
 
-    /** The address of its worker, from its heartbeats or the cloud's list; empty if unknown. */
+    /** The address of the machine's worker, from its heartbeats or the cloud's list; empty if unknown. */
     var address: String = ""
 
     /** The machine's address in the cloud's list; empty until the machine was listed. */
     var listedAddress: String = ""
 
-    /** The session of its newest heartbeat. A worker begins a new session whenever its lease has expired. */
+    /** The session of the worker's newest heartbeat. A worker begins a new session whenever its lease has expired. */
     var session = 0L
 
     /** The highest sequence number within [session] of a heartbeat or of an answer to a direct command. */
@@ -47,7 +47,7 @@
 
     /**
      * The sequence number of the newest heartbeat alone. [seq] may be higher: the answer to a direct command may
-     * overtake a heartbeat that is under way.
+     * overtake a heartbeat that is in flight.
      */
     var heartbeatSeq = 0L
 
@@ -81,13 +81,13 @@
     /** The time at which the cloud's list was first found to lack the machine; [NEVER] while the list contains it. */
     var missingSince = NEVER
 
-    /** Whether it is to be scaled in. It gets no more tasks from then on. */
+    /** Whether the machine is to be scaled in. It gets no more tasks from then on. */
     var returning = false
 
-    /** Whether the store holds that it is to be scaled in. */
+    /** Whether the store holds that the machine is to be scaled in. */
     var returnStored = false
 
-    /** Whether the call to the cloud that deletes it is under way. */
+    /** Whether the call to the cloud that deletes the machine is in progress. */
     var deleting = false
 
     /** The time at which the cloud reclaims the machine according to its termination notice. */
@@ -97,55 +97,55 @@
     var unneededSince = NEVER
 
     /**
-     * The number of unfinished tasks in its last heartbeat that match no placement here. Until they are gone, the free
+     * The number of unfinished tasks in the last heartbeat that match no placement here. Until they are gone, the free
      * capacity is unknown and the machine gets no more tasks.
      */
     var unknownTasks = 0
 
-    /** The placements that count against its capacity, by job and task (see [keyOf]). */
+    /** The placements that count against the machine's capacity, by job and task (see [keyOf]). */
     val placements = LinkedHashMap<Long, Placement>()
 
     /**
-     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is ordered to forget
+     * The number of exited tasks in the last heartbeat. Heartbeats repeat an exit until the worker is ordered to forget
      * it, which happens only once the end of the task is stored.
      */
     var exitsShown = 0
 
     /**
-     * Whether one more task fits into its heartbeat. A heartbeat may have 64 KiB: no node could read a longer one, and
-     * the worker would lose its lease with all its tasks. Hundreds of small tasks of an array, along with as many
-     * exits, come close to that.
+     * Whether one more task fits into the worker's heartbeat. A heartbeat may have 64 KiB: no node could read a longer
+     * one, and the worker would lose its lease with all its tasks. Hundreds of small tasks of an array, along with as
+     * many exits, come close to that.
      */
     val fitsReport: Boolean get() = placements.size + exitsShown < MAX_TASKS_IN_HEARTBEAT
 
-    /** The resources that its [placements] take. */
+    /** The resources that the [placements] use. */
     var used = Resources.NONE
         private set
 
     /**
-     * The images expected in its cache by [ImageIndex], the least recently used first. Reading an entry does not count
-     * as use.
+     * The images expected in the machine's cache by [ImageIndex], the least recently used first. Reading an entry does
+     * not count as use.
      */
     val images = LinkedHashMap<Int, CachedImage>()
 
     /** The time at which the image fetches in progress should be finished. */
     var fetchBusyUntil = 0.0
 
-    /** The indices of the jobs of which a task failed here since a task last succeeded here. */
+    /** The indices of the jobs of which a task failed on this machine since a task last succeeded on it. */
     val failedJobs = HashSet<Int>()
 
-    /** Whether failures here are attributed to the machine, which then gets no more tasks. */
+    /** Whether failures of tasks on this machine are attributed to the machine, which then gets no more tasks. */
     var faulty = false
 
-    /** The time before which no task is placed here. */
+    /** The time before which no task is placed on this machine. */
     var blockedUntil = NEVER
 
     /** The time at which this leader last announced its fencing token to the worker by a direct command. */
     var lastAnnounced = NEVER
 
     /**
-     * Whether its session ended although its heartbeats were answered, and it has not yet shown that it receives this
-     * leader's answers.
+     * Whether the worker's session ended although its heartbeats were answered, and the worker has not yet shown that
+     * it receives this leader's answers.
      */
     var unresponsive = false
 
@@ -155,13 +155,13 @@
      */
     var awaitingHeartbeat = false
 
-    /** Whether the start or the stop of a task here may still have to be sent. */
+    /** Whether the start or the stop of a task on this machine may still have to be sent. */
     var unsent = false
 
     /** The session that the worker named when it refused an announcement of the fencing token; 0 if it refused none. */
     var announceSession = 0L
 
-    /** The capacity that preemption is freeing here. */
+    /** The capacity that preemption is freeing on this machine. */
     val reservations = ArrayList<Reservation>()
 
     /**
@@ -209,7 +209,7 @@
         free = capacity - used
     }
 
-    /** Removes [placement] and frees its resources; does nothing if it is not here. */
+    /** Removes [placement] and frees its resources; does nothing if it is not on this machine. */
     fun remove(placement: Placement) {
         if (placements.remove(keyOf(placement)) == null) return
         val need = placement.job.spec.need
@@ -218,7 +218,7 @@
         free = capacity - used
     }
 
-    /** Returns the placement of [task] of [job] here, or null if there is none. */
+    /** Returns the placement of [task] of [job] on this machine, or null if there is none. */
     fun placement(job: Job, task: Int): Placement? = placements[keyOf(job, task)]
 
     private fun keyOf(placement: Placement) = keyOf(placement.job, placement.task)
@@ -244,7 +244,10 @@
     /** Returns the seconds to fetch [gb] gigabytes, at one gigabyte per second while the machine type is unknown. */
     private fun fetchS(gb: Double): Double = type?.fetchS(gb) ?: gb
 
-    /** Records that a task that needs [image] was placed here, so that the worker will fetch it unless it is cached. */
+    /**
+     * Records that a task that needs [image] was placed on this machine, so that the worker will fetch it unless it is
+     * cached.
+     */
     fun scheduleFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
         if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
--- a/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
@@ -13,9 +13,9 @@
     val nodeKey: SigningKey? = null,
     /** The keys for frames of peers. The first one signs, all are accepted. If empty, frames are unsigned. */
     val peerKeys: List<PeerKey> = emptyList(),
-    /** Whether unsigned frames of peers are accepted too, for the time in which peer keys are introduced. */
+    /** Whether unsigned frames of peers are accepted too, which is needed while peer keys are being introduced. */
     val allowUnsignedPeers: Boolean = false,
-    /** The most milliseconds by which two machines' clocks may differ. */
+    /** The maximum difference between the clocks of two machines, in milliseconds. */
     val clockToleranceMs: Long = 2_000,
     /** The longest lifetime of a token, in seconds. */
     val maxTokenS: Double = 60.0,
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -221,7 +221,7 @@
         const val NEVER = -1e12
         const val READ_INTERVAL_S = 0.4
 
-        /** The most parts of one text that are read. */
+        /** The maximum number of parts of one text that are read. */
         const val MAX_PARTS = 400
     }
 }
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerSeal.kt
@@ -116,7 +116,10 @@
     }
 
     companion object {
-        /** The most bytes that [seal] adds to a frame: two names of up to 200 bytes, some numbers and the HMAC. */
+        /**
+         * The maximum number of bytes that [seal] adds to a frame: two names of up to 200 bytes, some numbers and the
+         * HMAC.
+         */
         const val OVERHEAD = 500
 
         /** The first byte of a signed frame. Frames without a signature never begin with it. */
--- a/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
+++ b/src/main/kotlin/plankwall/loadtest/ProcessSampler.kt
@@ -139,7 +139,9 @@
     private companion object {
         const val SAMPLE_INTERVAL_MS = 1_000L
 
-        /** Sockets are counted in one of this many samples, because counting them reads a link for each open file. */
+        /**
+         * The number of samples of which one counts the sockets, because counting them reads a link for each open file.
+         */
         const val SAMPLES_PER_SOCKET_COUNT = 5
     }
 }
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -123,7 +123,7 @@
         }
     }
 
-    /** For each fault its start and the ids of the workers that have not been served since. */
+    /** For each fault, its start and the ids of the workers that have not been served since. */
     private val workersUnservedSince = ArrayList<Pair<Double, HashSet<String>>>()
 
     private fun recordWaitingWorkers(cluster: SimulatedCluster, now: Double) {
--- a/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -48,7 +48,7 @@
     /** The factor on the time that machines take to boot. */
     var bootFactor = 1.0
 
-    /** The most machines that can be rented at one time. */
+    /** The maximum number of machines that can be rented at one time. */
     var capacity = 100
 
     /** The number of machines rented so far on request. */
