--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -28,9 +28,9 @@
 
 /**
  * One controller node as a state machine: it reads no clock, does no I/O and runs on one thread. [step] takes one input
- * and returns the resulting effects: messages to send, values to write and requests to answer. Creates the parts of the
- * controller, passes each input to the part that handles it, and owns the current [LeadershipTerm] while this node
- * leads.
+ * and returns the resulting effects: answers to requests, messages to send, and calls to the state service and the
+ * cloud. Creates the parts of the controller, passes each input to the part that handles it, and owns the current
+ * [LeadershipTerm] while this node leads.
  *
  * Without an [accessCheck] every request is allowed; with one, a request without credentials is refused.
  */
