--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -9,9 +9,10 @@
 /**
  * Appends to the audit log of one [node], which is a chain of hashed entries. An entry and the change that it allows
  * are stored in one transaction, so that neither is ever stored without the other, even if the transaction is applied
- * late or its answer is lost. Only one transaction at a time is in flight. Entries that arrive meanwhile share the next
- * one, so that a busy node needs few transactions. Each transaction is guarded on the newest segment's stamp and on the
- * absence of a segment behind it, so that of two transactions for the same place in the chain only one can be applied.
+ * late or its answer is lost. Only one transaction at a time is in flight. Entries that arrive while it is in flight
+ * share the next one, so that a busy node needs few transactions. Each transaction is guarded on the newest segment's
+ * stamp and on the absence of a segment after it, so that of two transactions for the same place in the chain only one
+ * can be applied.
  *
  * [writeShare]: the share of the store's write rate that the audit logs of all nodes may use together.
  */
@@ -19,7 +20,7 @@
     private val log = LoggerFactory.getLogger("audit")
     private val limits = ctx.settings.stateTight
 
-    /** The most bytes that a segment may take. */
+    /** The maximum number of bytes of a segment. */
     private var valueBytes = (limits.valueKb * 1024 * VALUE_FILL_SHARE).toInt()
 
     /** Limits this node's transactions a second. A node may use more than an equal share, since the load is uneven. */
@@ -40,7 +41,7 @@
     private var sendsSingly = false
     private var retryAt = 0.0
 
-    /** When a transaction with a record was sent last. */
+    /** The time at which a transaction with a record was last sent. */
     private var lastRecordsAt = 0.0
 
     /** The waiting entries that allow a change. */
@@ -49,7 +50,9 @@
     /** The waiting entries by themselves. */
     private val records = ArrayDeque<PendingAuditEntry>()
 
-    /** Stores a decision by itself. [onResult] gets whether it was stored; false at once if too many entries wait. */
+    /**
+     * Stores a decision by itself. [onResult] receives whether it was stored; false at once if too many entries wait.
+     */
     fun record(entry: AuditEntry, onResult: (stored: Boolean) -> Unit) = enqueue(
         records,
         PendingAuditEntry(entry, null, ctx.now, TIMEOUT_S) { onResult(it is StateResult.Committed) },
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -9,14 +9,14 @@
 /**
  * Finds delayed groups: those in which many new machines boot late or not at all. A single overdue machine is replaced
  * at once. But where a third of a group is overdue, each replacement would become overdue too, and machines for one
- * wave of demand would be requested again and again. So in a delayed group an overdue machine is not taken for lost:
- * some of the overdue machines still count as capacity about to arrive, they are given up only after a longer time, and
- * other groups are expanded first.
+ * wave of demand would be requested again and again. So in a delayed group an overdue machine does not count as lost:
+ * some of the overdue machines still count as capacity about to arrive, they are abandoned only after a longer time,
+ * and other groups are expanded first.
  *
- * It needs no stored state of its own: the stored fleet record tells when each machine was requested, so a new leader
- * finds the same groups at once.
+ * It needs no stored state of its own: the stored fleet record contains the time at which each machine was requested,
+ * so a new leader finds the same groups at once.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt the time at which this leader took over, in seconds of the steady clock
  */
 class BootDelayDetector(
     private val ctx: Context,
@@ -25,7 +25,7 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** When machines of each group recently came up, in seconds of the steady clock. */
+    /** The times at which machines of each group recently registered, in seconds of the steady clock. */
     private val bootTimesByGroup = HashMap<GroupKey, ArrayDeque<Double>>()
 
     /** The names of the overdue machines that no longer count as capacity about to arrive. */
@@ -35,7 +35,7 @@
     var delayedGroups: Set<GroupKey> = emptySet()
         private set
 
-    /** Records that a machine of [group] has just come up. */
+    /** Records that a machine of [group] has just registered. */
     fun recordBoot(group: GroupKey) {
         bootTimesByGroup.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
@@ -110,21 +110,25 @@
         ctx.tuning.unregisteredS * if (group in delayedGroups) DELAYED_TIMEOUT_FACTOR else 1.0
 
     private companion object {
-        /** The least number of overdue machines that makes a group delayed; one or two may be chance. */
+        /** The minimum number of overdue machines that makes a group delayed; one or two may be chance. */
         const val MIN_OVERDUE = 3
 
-        /** A group may be delayed if at least one in this many of its new machines is overdue. */
+        /**
+         * The inverse of the minimum share of overdue machines among a group's new machines for the group to be
+         * delayed.
+         */
         const val DELAYED_DIVISOR = 3
 
-        /** One in this many overdue machines of a delayed group is replaced. */
+        /** The number of overdue machines of a delayed group of which one is replaced. */
         const val OVERDUE_PER_REPLACEMENT = 2
 
         /**
-         * For how long a boot counts as recent, as a multiple of the time after which a boot of its type is overdue.
+         * The time for which a boot counts as recent, as a multiple of the time after which a boot of its type is
+         * overdue.
          */
         const val RECENT_WINDOW_FACTOR = 2.0
 
-        /** How many times as long a machine of a delayed group may take to register. */
+        /** The factor by which the registration timeout of a machine is longer in a delayed group. */
         const val DELAYED_TIMEOUT_FACTOR = 1.5
     }
 }
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -35,8 +35,8 @@
     val healthy: Boolean get() = unready + late <= tolerated
 
     /**
-     * Whether many new machines fail to come up. This is the part of S2 that concerns starts: machines that fail later
-     * tell nothing about what will become of new ones.
+     * Whether many new machines fail to start. This is the part of S2 that concerns starts: machines that fail later do
+     * not show whether new ones will start.
      */
     val startsAreFailing: Boolean get() = late > tolerated
 
@@ -47,7 +47,7 @@
         /** The number of unready machines below which there is no broad failure, however large their share is. */
         const val MIN_BROAD_FAILURE = 3
 
-        /** One in this many machines of a group may be unready or late. */
+        /** The inverse of the share of a group's machines that may be unready or late. */
         private const val TOLERATED_DIVISOR = 3
     }
 }
@@ -57,8 +57,8 @@
  * each group is (S2), and which machines should arrive soon (S3). It only reads; the [Autoscaler] acts. Differs from
  * the paper: a partitioned zone justifies unreadiness.
  *
- * @param registrationTimeoutS returns the seconds after its request when a machine of a group that has not registered
- * is late
+ * @param registrationTimeoutS returns the time, in seconds since its request, after which an unregistered machine of a
+ * group is late
  */
 class ClusterStateRegistry(
     private val ctx: Context,
@@ -79,7 +79,7 @@
     var unjustifiedUnready = 0
         private set
 
-    /** Counts all machines, and the booting ones in [arrivals], anew. To be called once in each iteration. */
+    /** Recounts all machines, and the booting ones in [arrivals]. To be called once in each iteration. */
     fun refresh(arrivals: Map<String, BootingMachine>) {
         failureDetector.refresh()
         val groupsByKey = HashMap<GroupKey, GroupHealth>()
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -10,9 +10,9 @@
 import plankwall.wire.StoreUse
 
 /**
- * What this node knows about its own links and those of its peers, and how old that knowledge is. It only serves to
- * choose which node to ask and where to redirect a worker; no task is considered gone and no leader replaced because of
- * it.
+ * The state of this node's links and those of its peers as far as it is known here, with the age of each observation.
+ * It only serves to choose which node to ask and where to redirect a worker; no task is considered gone and no leader
+ * replaced because of it.
  *
  * A partition can hold frames back for minutes and then deliver them all at once. Therefore each frame echoes the
  * sequence number of the newest frame that its sender has received from this node. The frame was made after this node
@@ -26,11 +26,12 @@
     private val store = StoreReachability(ctx)
 
     /**
-     * When each kind of call to the state service last succeeded, by the ordinal of [StoreUse]; NaN if it never did.
+     * The time at which each kind of call to the state service last succeeded, by the ordinal of [StoreUse]; NaN if it
+     * never did.
      */
     private val storeSucceededAt = DoubleArray(StoreUse.entries.size) { Double.NaN }
 
-    /** When the cloud last answered a call; NaN if it never did. */
+    /** The time at which the cloud last answered a call; NaN if it never did. */
     private var cloudSucceededAt = Double.NaN
 
     // The sequence number of the newest frame. A restarted process begins above all numbers that it can have sent
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -8,8 +8,8 @@
 import plankwall.wire.WorkerCodec
 
 /**
- * What a node that does not lead remembers of a worker that sent it a heartbeat. Times are in seconds of this node's
- * steady clock.
+ * The state that a node that does not lead keeps of a worker that sent it a heartbeat. Times are in seconds of this
+ * node's steady clock.
  */
 internal class SeenWorker(var lastSeenAt: Double) {
     /**
@@ -23,7 +23,7 @@
     var redirectedEpoch = 0L
         private set
 
-    /** When the worker was last redirected. */
+    /** The time at which the worker was last redirected. */
     var redirectedAt = Double.NEGATIVE_INFINITY
         private set
 
@@ -43,7 +43,7 @@
     /** The agent epoch in the worker's last heartbeat, which a direct command has to name. */
     var session = 0L
 
-    /** When this node last sent the worker a direct command to find out whether it can be reached. */
+    /** The time at which this node last sent the worker a direct command to find out whether it can be reached. */
     var probedAt = Double.NEGATIVE_INFINITY
 
     /** Whether the worker has answered a direct command since the last probe was sent. */
@@ -144,7 +144,10 @@
     }
 
     private companion object {
-        /** How long a worker counts as unserved after its last heartbeat, and the interval between two probes of it. */
+        /**
+         * The time for which a worker counts as unserved after its last heartbeat, and the interval between two probes
+         * of it.
+         */
         const val UNSERVED_S = 5.0
 
         /** A worker answers a command within milliseconds, so one that has not answered by then can't be reached. */
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -11,7 +11,7 @@
 import java.util.BitSet
 
 /**
- * A live job: its specification, and what the leader knows of its tasks.
+ * A live job: its specification, and the leader's state of its tasks.
  *
  * Several classes set its fields: [SchedulerState] the state of the tasks ([done], [placements], [waiting]),
  * cancellation and readiness; [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] and the classes
@@ -23,8 +23,8 @@
  *
  * @property ix the number of the job, which is only valid as long as this node leads
  * @property pageSize the number of tasks in a stored page
- * @property submittedMs when the job was submitted, in milliseconds of the time of day
- * @property learnedAt when this leader first read the job's record, in seconds of the steady clock
+ * @property submittedMs the time at which the job was submitted, in milliseconds of the time of day
+ * @property learnedAt the time at which this leader first read the job's record, in seconds of the steady clock
  * @property hasServiceObjective whether a service-level objective or its team's guarantee applies to the job; such a
  * job is never [bestEffort]
  */
@@ -47,16 +47,18 @@
     /** The principal that submitted the job; null where callers are not authenticated. */
     var owner: String? = null
 
-    /** Whether its user cancelled it, or it depends on a cancelled job. No more tasks of it are started. */
+    /** Whether the job's user cancelled it, or it depends on a cancelled job. No more of its tasks are started. */
     var cancelled = false
 
-    /** When it was cancelled, in milliseconds of the time of day; 0 if it was not. */
+    /** The time at which the job was cancelled, in milliseconds of the time of day; 0 if it was not. */
     var cancelledMs = 0L
 
-    /** Whether the write of its final record is under way. */
+    /** Whether the write of the job's final record is in progress. */
     var finishing = false
 
-    /** Whether it was cancelled because a job that it depends on was, which follows from what is stored already. */
+    /**
+     * Whether the job was cancelled because a job that it depends on was, which follows from what is stored already.
+     */
     var cancelledByDependency = false
 
     /**
@@ -65,12 +67,12 @@
     var ready = false
 
     /**
-     * When its waiting time began, in milliseconds of the time of day: its submission, or the end of the last job that
-     * it depends on.
+     * The time at which the job's waiting time began, in milliseconds of the time of day: its submission, or the end of
+     * the last job that it depends on.
      */
     var readyMs = submittedMs
 
-    /** When this leader found it ready, in seconds of the steady clock. */
+    /** The time at which this leader found the job ready, in seconds of the steady clock. */
     var readyAt = learnedAt
 
     /** Whether another job depends on it. */
@@ -114,12 +116,12 @@
             equivalenceClass = equivalenceClassFor(value)
         }
 
-    /** Its own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
+    /** The job's own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
 
     /**
-     * Its own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time of
-     * day; [Long.MAX_VALUE] if there is neither.
+     * The job's own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time
+     * of day; [Long.MAX_VALUE] if there is neither.
      */
     var dueMs = ownDueMs
 
@@ -147,7 +149,7 @@
     /** Whether a task was placed and cannot start before its page is written. */
     var urgent = false
 
-    /** When the oldest change that is not written yet was made, in seconds of the steady clock. */
+    /** The time at which the oldest change that is not written yet was made, in seconds of the steady clock. */
     var dirtySince = 0.0
 
     /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
@@ -172,10 +174,10 @@
      */
     val suspect: Boolean get() = !provenSound && failedOn.size >= SUSPECT_MACHINES
 
-    /** Whether it fits into its team's guarantee together with the team's earlier unfinished jobs. */
+    /** Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
 
-    /** Whether its tasks start together or not at all. */
+    /** Whether the job's tasks start together or not at all. */
     val isGang: Boolean get() = spec.shape == Shape.GANG
 
     /**
@@ -197,7 +199,7 @@
      */
     var gatherZone: String? = null
 
-    /** When holding capacity in [gatherZone] began, in seconds of the steady clock. */
+    /** The time at which holding capacity in [gatherZone] began, in seconds of the steady clock. */
     var gatherSince = 0.0
 
     /** Returns the page, or the part of a split page, that holds [task]. */
@@ -229,12 +231,13 @@
         cover(partStart, minOf(partStart + wholePage.partSize, pageStart + pageSize, spec.tasks))
     }
 
-    /** Records that [task] is done for good. */
+    /** Records that [task] is permanently done. */
     fun markDone(task: Int) {
         if (task >= spec.tasks || done[task]) return
         done.set(task)
         doneCount++
-        // A placed task is not among the waiting ones, and a huge job has too many of those to search them in vain.
+        // A placed task is not among the waiting ones, and a huge job has too many waiting tasks to search them in
+        // vain.
         if (task !in placements) waiting.remove(task)
         pageOf(task).dirty = true
     }
@@ -254,7 +257,7 @@
         get() = (complete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
 
     private companion object {
-        /** Failures on this many machines are attributed to the job. */
+        /** The number of machines on which a job must have failed for the failures to be attributed to the job. */
         const val SUSPECT_MACHINES = 2
 
         /** The [demandIx] of a job that is not ready yet and so does not count as demand. */
--- a/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCloud.kt
@@ -48,7 +48,7 @@
     /** The factor on the time that machines take to boot. */
     var bootFactor = 1.0
 
-    /** The most machines that can be rented at one time. */
+    /** The maximum number of machines that can be rented at one time. */
     var capacity = 100
 
     /** The number of machines rented so far on request. */
@@ -127,7 +127,7 @@
         clock.after(bootS()) { boot(rented) }
     }
 
-    /** Starts the worker of [rented] unless the machine was deleted meanwhile. */
+    /** Starts the worker of [rented] unless the machine was deleted while it booted. */
     private fun boot(rented: Rented) {
         if (machines[rented.id] === rented) rented.worker = newWorker(rented.id, rented.group)
     }
