--- a/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
@@ -113,7 +113,11 @@
         cluster.cloud.workers.take(3).forEach { it.die() }
         cluster.clock.runUntil(90.0)
         assertTrue(firstLeader.leading)
-        assertEquals(16 + 12, cluster.checker.starts, "the tasks of the dead machines did not start again exactly once")
+        assertEquals(
+            16 + 12,
+            cluster.checker.starts,
+            "lost tasks did not start again once, or the leader lost its proof that the machines are gone",
+        )
         assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
--- a/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
@@ -92,7 +92,7 @@
             outcomes.add(firstStage)
             cluster.assertSound()
         }
-        assertEquals(setOf<String?>("done", "withdrawn"), outcomes, "both outcomes of the race occur")
+        assertEquals(setOf<String?>("done", "withdrawn"), outcomes, "not both outcomes of the race occurred")
     }
 
     @Test
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -26,10 +26,10 @@
  * still be changed.
  */
 class SmallerLimitsTest {
-    private val smaller = StateLimits(250.0, 70.0, 2.0, 10)
+    private val smallerLimits = StateLimits(250.0, 70.0, 2.0, 10)
 
-    /** Stores an accepted job whose pages are laid out for values of 16 KiB, with [pageSize] tasks on each page. */
-    private fun SimulatedCluster.submitLaidOutLarge(
+    /** Stores an accepted job as a node with limits of 16 KiB per value lays it out: [pageSize] tasks on each page. */
+    private fun SimulatedCluster.submitWithLargePages(
         number: Int,
         tasks: Int,
         runS: Double,
@@ -53,13 +53,14 @@
         crashAfterS: Double,
         announced: Boolean,
     ) {
-        val cluster = SimulatedCluster(tasks + (crashAfterS * 10).toLong(), stateNext = smaller.takeIf { announced })
+        val cluster =
+            SimulatedCluster(tasks + (crashAfterS * 10).toLong(), stateNext = smallerLimits.takeIf { announced })
         cluster.cloud.capacity = 200
-        cluster.clock.after(2.0) { cluster.submitLaidOutLarge(1, tasks, runS = 40.0) }
+        cluster.clock.after(2.0) { cluster.submitWithLargePages(1, tasks, runS = 40.0) }
         cluster.clock.runUntil(40.0)
         val pageBytesBefore = cluster.state.value(Keys.page("job-000001", 0))?.let { StateCodec.sizeOf(it) } ?: 0
         assertTrue(announced || pageBytesBefore > 2048, "the stored page has only $pageBytesBefore bytes")
-        cluster.state.limits = smaller
+        cluster.state.limits = smallerLimits
         if (crashAfterS > 0) cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
         cluster.clock.runUntil(260.0)
         assertEquals("done", cluster.stageOf("job-000001"))
@@ -78,12 +79,12 @@
     fun `a job is done although the leader crashes while it splits a page of the job`(crashAfterS: Double) {
         // With twelve tasks per part and four changes per transaction, splitting a page of 252 tasks takes several
         // transactions.
-        val tiny = StateLimits(250.0, 70.0, 1.0, 4)
+        val tinyLimits = StateLimits(250.0, 70.0, 1.0, 4)
         val cluster = SimulatedCluster(7)
         cluster.cloud.capacity = 100
-        cluster.clock.after(2.0) { cluster.submitLaidOutLarge(1, 250, runS = 60.0) }
+        cluster.clock.after(2.0) { cluster.submitWithLargePages(1, 250, runS = 60.0) }
         cluster.clock.runUntil(25.0)
-        cluster.state.limits = tiny
+        cluster.state.limits = tinyLimits
         while (cluster.state.keys.count { it.startsWith("${Keys.PAGES}job-000001/") } < 2 &&
             cluster.clock.now < 120
         ) {
@@ -98,9 +99,9 @@
 
     @Test
     fun `a job whose stored record exceeds the new limits can still be cancelled`() {
-        val cluster = SimulatedCluster(8, stateNext = smaller)
+        val cluster = SimulatedCluster(8, stateNext = smallerLimits)
         cluster.clock.after(2.0) {
-            cluster.submitLaidOutLarge(
+            cluster.submitWithLargePages(
                 1,
                 4,
                 runS = 300.0,
@@ -110,7 +111,7 @@
         }
         cluster.clock.runUntil(40.0)
         assertEquals("running", cluster.stageOf("job-000001"))
-        cluster.state.limits = smaller
+        cluster.state.limits = smallerLimits
         cluster.cancel("job-000001")
         cluster.clock.runUntil(60.0)
         assertEquals("withdrawn", cluster.stageOf("job-000001"))
@@ -144,9 +145,9 @@
         returningCount: Int,
     ) {
         val record = fleet(scaleOutCount, arrivingCount, returningCount)
-        val chunks = checkNotNull(ChunkedValue.fleet(record, smaller.txnOps, 2048))
+        val chunks = checkNotNull(ChunkedValue.fleet(record, smallerLimits.txnOps, 2048))
         assertTrue(chunks.all { StateCodec.sizeOf(it) <= 2048 })
-        assertTrue(ChunkedValue.writes(Keys.FLEET, chunks, smaller.txnOps - 1).size <= smaller.txnOps)
+        assertTrue(ChunkedValue.writes(Keys.FLEET, chunks, smallerLimits.txnOps - 1).size <= smallerLimits.txnOps)
         assertEquals(record, ChunkedValue.fleet(items(Keys.FLEET, chunks)))
         assertEquals(
             1,
@@ -195,7 +196,7 @@
         changesAfter: Int,
         bytesAfter: Int,
     ) {
-        val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smaller))
+        val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smallerLimits))
         assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
         limits.onRejected(changes, largestBytes)
         assertEquals(
@@ -206,8 +207,8 @@
 
     @Test
     fun `a new leader knows arriving and returning machines from a fleet record in several chunks`() {
-        val tiny = smaller.copy(valueKb = 1.0)
-        val cluster = SimulatedCluster(9, stateNext = tiny)
+        val tinyLimits = smallerLimits.copy(valueKb = 1.0)
+        val cluster = SimulatedCluster(9, stateNext = tinyLimits)
         cluster.cloud.capacity = 2000
         // Machines are requested in small steps, alternately in two groups, so that few share an entry of the record.
         for (n in 1..160) {
@@ -222,7 +223,7 @@
                 )
             }
         }
-        cluster.state.limits = tiny
+        cluster.state.limits = tinyLimits
         cluster.clock.runUntil(12.0)
         val requestedMachines = cluster.cloud.instancesCreated
         assertTrue(requestedMachines >= 500, "$requestedMachines")
--- a/src/test/kotlin/plankwall/simulation/faults/FailoverCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailoverCombinationsTest.kt
@@ -110,7 +110,7 @@
         assertTrue(cluster.checker.startsAfterCancel == 0)
     }
 
-    @ParameterizedTest(name = "with an outage of the state service is {0}")
+    @ParameterizedTest(name = "outage of the state service is {0}")
     @ValueSource(booleans = [false, true])
     fun `jobs keep running while the leader crashes ten times in two minutes`(outage: Boolean) {
         startJobs(nodes = 5)
