--- a/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
+++ b/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
@@ -10,7 +10,7 @@
 import plankwall.wire.AuditSegment
 import java.util.Random
 
-/** Trails with which somebody has tampered. */
+/** Tests that the verifier accepts an intact audit log and reports every kind of tampering at the right place. */
 class AuditLogVerifierTest {
     private val key = SigningKey.generate("n0", "k1")
     private val verifier = AuditLogVerifier { node, id ->
@@ -21,218 +21,240 @@
         }
     }
 
-    private fun entry(n: Int) = AuditEntry(
-        "d$n", 1_000L + n, 3, "ada", "k1", "10.0.0.0/24", "show", "job-00000${n % 7}",
-        n % 3 != 0, "rule x", 2, 200, "q$n",
+    private fun entry(number: Int) = AuditEntry(
+        "d$number", 1_000L + number, 3, "ada", "k1", "10.0.0.0/24", "show", "job-00000${number % 7}",
+        number % 3 != 0, "rule x", 2, 200, "q$number",
     )
 
-    /** Three chains of 40 entries in segments of 4, sealed after every 10 of each. */
+    /** Returns a log of three chains of 40 entries in segments of 4, with a seal after every 10 entries of each chain. */
     private fun auditLog(): AuditLogCopy {
         val nodes = listOf("n0", "n1", "n2")
         val chains = nodes.associateWith { LinkedHashMap<Long, AuditSegment>() }
         val heads = LinkedHashMap<String, ChainHead>()
         val seals = LinkedHashMap<Long, String>()
-        var sealBefore = AuditLines.START
+        var previousSealHash = AuditLines.START
         for (n in 0 until 40) {
             for (node in nodes) {
-                val before = heads[node]?.hash ?: AuditLines.START
-                val line = AuditLines.write(n.toLong(), before, node, entry(n))
-                val segment = n / 4L
-                val old = chains.getValue(node)[segment]
-                chains.getValue(node)[segment] =
-                    if (old == null) {
-                        AuditSegment(n.toLong(), before, listOf(line))
+                val previousHash = heads[node]?.hash ?: AuditLines.START
+                val line = AuditLines.write(n.toLong(), previousHash, node, entry(n))
+                val segmentNumber = n / 4L
+                val existingSegment = chains.getValue(node)[segmentNumber]
+                chains.getValue(node)[segmentNumber] =
+                    if (existingSegment == null) {
+                        AuditSegment(n.toLong(), previousHash, listOf(line))
                     } else {
-                        old.copy(lines = old.lines + line)
+                        existingSegment.copy(lines = existingSegment.lines + line)
                     }
-                heads[node] = ChainHead(segment, n + 1L, AuditLines.hash(line))
+                heads[node] = ChainHead(segmentNumber, n + 1L, AuditLines.hash(line))
             }
             if (n % 10 == 9) {
                 val number = seals.size.toLong()
-                val jws = Seals.sign(Seal(number, sealBefore, n.toLong(), 3, "n0", heads.toMap()), key)
+                val jws = Seals.sign(Seal(number, previousSealHash, n.toLong(), 3, "n0", heads.toMap()), key)
                 seals[number] = jws
-                sealBefore = AuditLines.hash(jws)
+                previousSealHash = AuditLines.hash(jws)
             }
         }
         return AuditLogCopy(chains, seals)
     }
 
-    private fun AuditLogCopy.with(node: String, change: (LinkedHashMap<Long, AuditSegment>) -> Unit) =
-        AuditLogCopy(chains.mapValues { (n, s) -> if (n == node) LinkedHashMap(s).also(change) else s }, seals)
+    /** Returns a copy of the log in which [change] was applied to the chain of [node]. */
+    private fun AuditLogCopy.withChain(node: String, change: (LinkedHashMap<Long, AuditSegment>) -> Unit) =
+        AuditLogCopy(
+            chains.mapValues { (chainNode, segments) ->
+                if (chainNode == node) LinkedHashMap(segments).also(change) else segments
+            },
+            seals,
+        )
 
     private fun AuditLogCopy.withSeals(change: (LinkedHashMap<Long, String>) -> Unit) =
         AuditLogCopy(chains, LinkedHashMap(seals).also(change))
 
     @Test
-    fun `a whole trail holds together, also with a checkpoint that was kept`() {
+    fun `an intact audit log is verified without a failure, also against a checkpoint`() {
         val outcome = verifier.verify(auditLog(), listOf(auditLog().seals.getValue(1)))
         assertEquals(emptyList<VerificationFailure>(), outcome.broken)
         assertEquals(120L, outcome.entries)
         assertEquals(setOf(40L), outcome.sealed.values.toSet())
     }
 
-    /** All lines of a chain, put into segments anew as somebody would who can count, with or without links that fit. */
-    private fun rebuilt(node: String, entries: List<AuditEntry>): LinkedHashMap<Long, AuditSegment> {
-        var before = AuditLines.START
-        val found = LinkedHashMap<Long, AuditSegment>()
-        entries.chunked(4).forEachIndexed { s, some ->
-            val first = before
-            val lines = some.mapIndexed { n, e ->
-                AuditLines.write(s * 4L + n, before, node, e).also {
-                    before =
+    /** Returns a forged chain of [entries] whose segments, numbers and hashes are consistent with each other. */
+    private fun forgedChain(node: String, entries: List<AuditEntry>): LinkedHashMap<Long, AuditSegment> {
+        var previousHash = AuditLines.START
+        val chain = LinkedHashMap<Long, AuditSegment>()
+        entries.chunked(4).forEachIndexed { segmentNumber, segmentEntries ->
+            val hashBeforeSegment = previousHash
+            val lines = segmentEntries.mapIndexed { index, entry ->
+                AuditLines.write(segmentNumber * 4L + index, previousHash, node, entry).also {
+                    previousHash =
                         AuditLines.hash(it)
                 }
             }
-            found[s.toLong()] = AuditSegment(s * 4L, first, lines)
+            chain[segmentNumber.toLong()] = AuditSegment(segmentNumber * 4L, hashBeforeSegment, lines)
         }
-        return found
+        return chain
     }
 
-    /** Each kind of tampering at a random place; returns the tampered trail and where its first trace may show. */
-    private fun tamper(kind: Int, random: Random, whole: AuditLogCopy): Pair<AuditLogCopy, Set<String>> {
+    /**
+     * Returns a copy of the log [intact] with tampering of the given [kind] at a random place, and the places at one of
+     * which the verifier must report its first failure.
+     */
+    private fun tamper(kind: Int, random: Random, intact: AuditLogCopy): Pair<AuditLogCopy, Set<String>> {
         val node = "n${random.nextInt(3)}"
-        val at = random.nextInt(40)
-        val segment = at / 4L
-        val index = at % 4
-        val entries = whole.chains.getValue(node).values.flatMap { s -> s.lines.map { AuditLines.read(it).entry } }
-        fun lines(change: (MutableList<String>) -> Unit) = whole.with(node) { chain ->
-            val s = chain.getValue(segment)
-            chain[segment] = s.copy(lines = s.lines.toMutableList().also(change))
+        val entryNumber = random.nextInt(40)
+        val segmentNumber = entryNumber / 4L
+        val index = entryNumber % 4
+        val entries =
+            intact.chains.getValue(node).values.flatMap { segment -> segment.lines.map { AuditLines.read(it).entry } }
+        fun editLines(change: (MutableList<String>) -> Unit) = intact.withChain(node) { chain ->
+            val segment = chain.getValue(segmentNumber)
+            chain[segmentNumber] = segment.copy(lines = segment.lines.toMutableList().also(change))
         }
-        fun entry(n: Int) = "trail of $node, entry $n"
-        fun segment(n: Long) = "trail of $node, segment $n"
+        fun entryPlace(number: Int) = "trail of $node, entry $number"
+        fun segmentPlace(number: Long) = "trail of $node, segment $number"
 
-        /** The last entry that the first seal holds which holds entry [n]. */
-        fun sealed(n: Int) = entry(n / 10 * 10 + 9)
+        /** Returns the place of the last entry under the first seal that covers entry [number]. */
+        fun sealed(number: Int) = entryPlace(number / 10 * 10 + 9)
         return when (kind) {
-            // Edit: any one byte of a line, or its verdict with everything else as it was.
-            0 -> lines { l ->
-                val c = random.nextInt(l[index].length)
-                l[index] = l[index].replaceRange(c, c + 1, if (l[index][c] == '7') "8" else "7")
-            } to setOf(entry(at), entry(at + 1), segment(segment + 1))
-            1 -> lines { l ->
-                l[index] =
-                    if ("\"ok\":1" in l[index]) {
-                        l[index].replace("\"ok\":1", "\"ok\":0")
+            // An edited line: one byte, or only its verdict.
+            0 -> editLines { lines ->
+                val position = random.nextInt(lines[index].length)
+                lines[index] =
+                    lines[index].replaceRange(position, position + 1, if (lines[index][position] == '7') "8" else "7")
+            } to setOf(entryPlace(entryNumber), entryPlace(entryNumber + 1), segmentPlace(segmentNumber + 1))
+            1 -> editLines { lines ->
+                lines[index] =
+                    if ("\"ok\":1" in lines[index]) {
+                        lines[index].replace("\"ok\":1", "\"ok\":0")
                     } else {
-                        l[index].replace("\"ok\":0", "\"ok\":1")
+                        lines[index].replace("\"ok\":0", "\"ok\":1")
                     }
             } to
                 setOf(
-                    if (at == 39) {
-                        entry(39)
+                    if (entryNumber == 39) {
+                        entryPlace(39)
                     } else if (index == 3) {
-                        segment(segment + 1)
+                        segmentPlace(segmentNumber + 1)
                     } else {
-                        entry(at + 1)
+                        entryPlace(entryNumber + 1)
                     },
                 )
-            // Delete an entry, or a segment.
-            2 -> lines { it.removeAt(index) } to setOf(if (index == 3 && at != 39) segment(segment + 1) else entry(at))
-            3 -> whole.with(node) { it.remove(segment) } to setOf(if (segment == 9L) entry(39) else segment(segment))
-            // Reorder two entries of a segment, or two segments.
-            4 -> lines { l -> java.util.Collections.swap(l, index, (index + 1) % 4) } to
-                setOf(entry(if (index == 3) at - 3 else at))
-            5 -> ((segment + 1) % 10).let { other ->
-                whole.with(node) { c ->
-                    val a = c.getValue(segment)
-                    c[segment] = c.getValue(other)
-                    c[other] = a
+            // A deleted entry or segment.
+            2 -> editLines { it.removeAt(index) } to
+                setOf(if (index == 3 && entryNumber != 39) segmentPlace(segmentNumber + 1) else entryPlace(entryNumber))
+            3 -> intact.withChain(node) { it.remove(segmentNumber) } to
+                setOf(if (segmentNumber == 9L) entryPlace(39) else segmentPlace(segmentNumber))
+            // Two entries of a segment, or two segments, swapped.
+            4 -> editLines { lines -> java.util.Collections.swap(lines, index, (index + 1) % 4) } to
+                setOf(entryPlace(if (index == 3) entryNumber - 3 else entryNumber))
+            5 -> ((segmentNumber + 1) % 10).let { otherNumber ->
+                intact.withChain(node) { chain ->
+                    val movedSegment = chain.getValue(segmentNumber)
+                    chain[segmentNumber] = chain.getValue(otherNumber)
+                    chain[otherNumber] = movedSegment
                 } to
-                    setOf(segment(minOf(segment, other)))
+                    setOf(segmentPlace(minOf(segmentNumber, otherNumber)))
             }
-            // Truncate.
-            6 -> whole.with(node) { c -> (segment..9).forEach { c.remove(it) } } to setOf(sealed(segment.toInt() * 4))
-            // Splice: another chain's segment, or a segment of the same chain a second time.
-            7 -> whole.with(node) {
-                it[segment] =
-                    whole.chains.getValue(if (node == "n0") "n1" else "n0").getValue(segment)
+            // A truncated chain.
+            6 -> intact.withChain(node) { chain -> (segmentNumber..9).forEach { chain.remove(it) } } to
+                setOf(sealed(segmentNumber.toInt() * 4))
+            // A spliced chain: it holds a segment of another chain, or one of its own segments a second time.
+            7 -> intact.withChain(node) {
+                it[segmentNumber] =
+                    intact.chains.getValue(if (node == "n0") "n1" else "n0").getValue(segmentNumber)
             } to
-                setOf(if (segment == 0L) entry(0) else segment(segment))
-            8 -> whole.with(node) { it[10] = it.getValue(segment) } to setOf(segment(10))
-            // Fork: a chain that holds together by itself, without an entry or with another one.
-            9 -> whole.with(node) { c ->
-                c.clear()
-                c.putAll(rebuilt(node, entries.filterIndexed { n, _ -> n != at }))
+                setOf(if (segmentNumber == 0L) entryPlace(0) else segmentPlace(segmentNumber))
+            8 -> intact.withChain(node) { it[10] = it.getValue(segmentNumber) } to setOf(segmentPlace(10))
+            // A forged chain that is consistent by itself, but lacks an entry or holds a changed one.
+            9 -> intact.withChain(node) { chain ->
+                chain.clear()
+                chain.putAll(forgedChain(node, entries.filterIndexed { number, _ -> number != entryNumber }))
             } to
-                setOf(sealed(at))
-            10 -> whole.with(node) { c ->
-                c.clear()
-                c.putAll(
-                    rebuilt(
+                setOf(sealed(entryNumber))
+            10 -> intact.withChain(node) { chain ->
+                chain.clear()
+                chain.putAll(
+                    forgedChain(
                         node,
-                        entries.mapIndexed { n, e ->
-                            if (n == at) {
-                                e.copy(who = "eve")
+                        entries.mapIndexed { number, entry ->
+                            if (number == entryNumber) {
+                                entry.copy(who = "eve")
                             } else {
-                                e
+                                entry
                             }
                         },
                     ),
                 )
             } to
-                setOf(sealed(at))
-            // The seals themselves: edited, deleted, signed by somebody else, swapped.
-            11 -> random.nextInt(4).toLong().let { n ->
-                whole.withSeals {
-                    it[n] =
-                        it.getValue(n).replaceRange(40, 41, if (it.getValue(n)[40] == 'A') "B" else "A")
+                setOf(sealed(entryNumber))
+            // Seals: edited, deleted, signed with another key, swapped.
+            11 -> random.nextInt(4).toLong().let { sealNumber ->
+                intact.withSeals {
+                    it[sealNumber] =
+                        it.getValue(sealNumber)
+                            .replaceRange(40, 41, if (it.getValue(sealNumber)[40] == 'A') "B" else "A")
                 } to
-                    setOf("seal $n")
+                    setOf("seal $sealNumber")
             }
-            12 -> random.nextInt(4).toLong().let { n -> whole.withSeals { it.remove(n) } to setOf("seal $n") }
-            13 -> random.nextInt(4).toLong().let { n ->
-                whole.withSeals { it[n] = Seals.sign(Seals.read(it.getValue(n)), SigningKey.generate("n0", "k1")) } to
-                    setOf("seal $n")
+            12 -> random.nextInt(4).toLong().let { sealNumber ->
+                intact.withSeals { it.remove(sealNumber) } to setOf("seal $sealNumber")
             }
-            else -> random.nextInt(3).toLong().let { n ->
-                whole.withSeals {
-                    val a = it.getValue(n)
-                    it[n] =
-                        it.getValue(n + 1)
-                    it[n + 1] = a
+            13 -> random.nextInt(4).toLong().let { sealNumber ->
+                intact.withSeals {
+                    it[sealNumber] = Seals.sign(Seals.read(it.getValue(sealNumber)), SigningKey.generate("n0", "k1"))
                 } to
-                    setOf("seal $n")
+                    setOf("seal $sealNumber")
+            }
+            else -> random.nextInt(3).toLong().let { sealNumber ->
+                intact.withSeals {
+                    val movedSeal = it.getValue(sealNumber)
+                    it[sealNumber] = it.getValue(sealNumber + 1)
+                    it[sealNumber + 1] = movedSeal
+                } to
+                    setOf("seal $sealNumber")
             }
         }
     }
 
-    /** 15 kinds, 70 places each: 1,050 tamperings. */
+    /** 15 kinds of tampering at 70 random places each, 1,050 in all. */
     @ParameterizedTest
     @ValueSource(ints = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14])
-    fun `every tampering shows, at its place`(kind: Int) {
-        val whole = auditLog()
+    fun `a tampered audit log is rejected at the place of the tampering`(kind: Int) {
+        val intact = auditLog()
         val random = Random(kind * 1000L)
-        repeat(70) { n ->
-            val (tampered, places) = tamper(kind, random, whole)
-            // Somebody kept the last seal.
-            val broken = verifier.verify(tampered, listOf(whole.seals.getValue(3))).broken
-            assertTrue(broken.isNotEmpty(), "kind $kind, $n: nothing found")
-            assertTrue(broken.first().place in places, "kind $kind, $n: wanted $places, found $broken")
+        repeat(70) { round ->
+            val (tampered, expectedPlaces) = tamper(kind, random, intact)
+            // The last seal was kept elsewhere and serves as the checkpoint.
+            val broken = verifier.verify(tampered, listOf(intact.seals.getValue(3))).broken
+            assertTrue(broken.isNotEmpty(), "kind $kind, round $round: nothing found")
+            assertTrue(
+                broken.first().place in expectedPlaces,
+                "kind $kind, round $round: wanted $expectedPlaces, found $broken",
+            )
         }
     }
 
     @Test
-    fun `an edit is found at the entry that was edited or the one behind it`() {
-        val whole = auditLog()
-        for (at in 0 until 39) {
-            val tampered = whole.with("n1") { c ->
-                val s = c.getValue(at / 4L)
-                c[at / 4L] =
-                    s.copy(
-                        lines = s.lines.mapIndexed { n, l ->
-                            if (n == at % 4) {
-                                l.replace("\"w\":\"ada\"", "\"w\":\"eve\"")
+    fun `an edited entry is reported at the entry or segment that follows it`() {
+        val intact = auditLog()
+        for (entryNumber in 0 until 39) {
+            val tampered = intact.withChain("n1") { chain ->
+                val segment = chain.getValue(entryNumber / 4L)
+                chain[entryNumber / 4L] =
+                    segment.copy(
+                        lines = segment.lines.mapIndexed { index, line ->
+                            if (index == entryNumber % 4) {
+                                line.replace("\"w\":\"ada\"", "\"w\":\"eve\"")
                             } else {
-                                l
+                                line
                             }
                         },
                     )
             }
             val place = verifier.verify(tampered).broken.first().place
             assertTrue(
-                place == "trail of n1, entry ${at + 1}" || place == "trail of n1, segment ${at / 4 + 1}",
-                "$at: $place",
+                place == "trail of n1, entry ${entryNumber + 1}" ||
+                    place == "trail of n1, segment ${entryNumber / 4 + 1}",
+                "$entryNumber: $place",
             )
         }
     }
--- a/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
@@ -11,6 +11,7 @@
 import plankwall.model.Priority
 import plankwall.model.Shape
 
+/** Tests that policies are parsed, that they decide as written, and that errors are reported at their place. */
 class PolicyReaderTest {
     private val text = """
         # The ward lead may have the nightly solve run, and must not cancel another canton's.
@@ -30,14 +31,14 @@
     """.trimIndent()
 
     private fun job(
-        c: String,
+        jobClass: String,
         owner: String? = null,
-        p: Priority = Priority.NORMAL,
-        s: Shape = Shape.ARRAY,
+        priority: Priority = Priority.NORMAL,
+        shape: Shape = Shape.ARRAY,
         team: String = "t",
-    ) = JobFacts(owner, c, team, p, s)
+    ) = JobFacts(owner, jobClass, team, priority, shape)
 
-    @ParameterizedTest(name = "{0} {1} {2} of {3}, {4}, {5}, {6}: {7}")
+    @ParameterizedTest(name = "{0} {1}, class {2}, owner {3}, priority {4}, shape {5}, team {6}, allowed: {7}")
     @CsvSource(
         "lea, submit, rota-solve, , normal, sweep, t, true", "lea, submit, rota-solve, , urgent, sweep, t, false",
         "lea, submit, other, , normal, sweep, t, false",
@@ -54,23 +55,27 @@
         "max, audit, x, , low, sweep, locked, false",
         "max, submit, board-matcher, , low, sweep, t, false", "nobody, show, x, , low, sweep, t, false",
     )
-    fun `deny wins, and nothing is allowed that no rule allows`(
-        who: String,
+    fun `an action is allowed only if a rule allows it and none denies it`(
+        principal: String,
         action: String,
-        c: String,
+        jobClass: String,
         owner: String?,
-        p: String,
-        s: String,
+        priority: String,
+        shape: String,
         team: String,
-        may: Boolean,
+        expectedAllowed: Boolean,
     ) {
         val policy = PolicyReader.read(text, 7)
-        val facts = job(c, owner, PolicyWords.priorities.getValue(p), PolicyWords.shapes.getValue(s), team)
-        assertEquals(may, policy.authorize(who, Action.entries.first { it.word == action }, facts).allowed)
+        val facts =
+            job(jobClass, owner, PolicyWords.priorities.getValue(priority), PolicyWords.shapes.getValue(shape), team)
+        assertEquals(
+            expectedAllowed,
+            policy.authorize(principal, Action.entries.first { it.word == action }, facts).allowed,
+        )
     }
 
     @Test
-    fun `of a job that nothing is known of, only rules without a condition speak`() {
+    fun `only rules without a condition apply to an unknown job`() {
         val policy = PolicyReader.read(text, 7)
         assertTrue(policy.authorize("lea", Action.SHOW, null).allowed)
         assertEquals(
@@ -79,16 +84,20 @@
                 policy.authorize("lea", it, null).allowed
             },
         )
-        // Neither a condition nor its opposite holds: "team is not locked" must not let somebody at what has no team.
+        // For an unknown job neither a condition nor its negation holds: "team is not locked" must not allow access.
         assertEquals(false, policy.authorize("max", Action.AUDIT, null).allowed)
     }
 
     @Test
-    fun `the deciding rule is named, and how the others stand`() {
+    fun `a decision names its rule, and an explanation lists the outcome of each rule`() {
         val policy = PolicyReader.read(text, 7)
         assertEquals("rule live", policy.authorize("max", Action.SUBMIT, job("board-matcher")).rule)
-        val told = policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.standing}" }
-        assertEquals(listOf("6 CONDITION_FAILS", "7 OTHER_ACTION", "8 OTHER_ACTION", "12 DECIDES", "13 APPLIES"), told)
+        val explanation =
+            policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.standing}" }
+        assertEquals(
+            listOf("6 CONDITION_FAILS", "7 OTHER_ACTION", "8 OTHER_ACTION", "12 DECIDES", "13 APPLIES"),
+            explanation,
+        )
         assertEquals(true, policy.authorize("lea", Action.SUBMIT, job("rota-solve")).cancelOnRevoke)
     }
 
@@ -117,33 +126,33 @@
             "person a { } § | a character that means nothing",
         ],
     )
-    fun `errors name line and column, and what was meant`(wrong: String, expected: String) {
-        val e = assertThrows(InvalidPolicyException::class.java) { PolicyReader.read(wrong, 1) }
-        val (place, words) = if (expected[0].isDigit()) {
+    fun `an invalid policy is refused with line, column and problem`(invalidText: String, expected: String) {
+        val error = assertThrows(InvalidPolicyException::class.java) { PolicyReader.read(invalidText, 1) }
+        val (expectedPlace, expectedProblem) = if (expected[0].isDigit()) {
             expected.substringBefore(' ') to
                 expected.substringAfter(' ', "")
         } else {
             "" to expected
         }
-        if (place.isNotEmpty()) assertEquals(place, "${e.line}:${e.column}", e.message)
-        assertTrue(words in e.message.orEmpty(), e.message)
+        if (expectedPlace.isNotEmpty()) assertEquals(expectedPlace, "${error.line}:${error.column}", error.message)
+        assertTrue(expectedProblem in error.message.orEmpty(), error.message)
     }
 
     @Test
-    fun `depth and length are bounded`() {
-        fun rule(condition: String) = "person a { } rule r: allow show to a where $condition;"
-        PolicyReader.read(rule("(".repeat(30) + "class is x" + ")".repeat(30)), 1)
-        for (deep in listOf("(".repeat(20_000), "not ".repeat(10_000))) {
+    fun `a policy that is nested too deeply or too long is refused`() {
+        fun policyWith(condition: String) = "person a { } rule r: allow show to a where $condition;"
+        PolicyReader.read(policyWith("(".repeat(30) + "class is x" + ")".repeat(30)), 1)
+        for (deepCondition in listOf("(".repeat(20_000), "not ".repeat(10_000))) {
             assertTrue(
                 "deep" in
                     assertThrows(InvalidPolicyException::class.java) {
-                        PolicyReader.read(rule(deep), 1)
+                        PolicyReader.read(policyWith(deepCondition), 1)
                     }.message.orEmpty(),
             )
         }
-        // Wide is no matter.
+        // A condition of many parts is accepted as long as the policy is not too long.
         PolicyReader.read(
-            rule(
+            policyWith(
                 List(3000) {
                     "class is x"
                 }.joinToString(" or "),
--- a/src/test/kotlin/plankwall/cli/settings/IdentitiesFileTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/IdentitiesFileTest.kt
@@ -19,43 +19,50 @@
 import java.nio.file.Files
 import java.nio.file.attribute.PosixFilePermissions
 
+/** Tests the identities settings, key files, and the commands that write or check keys, rights and audit logs. */
 class IdentitiesFileTest {
     @TempDir
     lateinit var folder: File
 
+    /** Runs [command] with [args]; returns its exit code and what it printed. */
     private fun run(command: Any, vararg args: String): Pair<Int, String> {
         val out = ByteArrayOutputStream()
-        val old = System.out
+        val originalOut = System.out
         System.setOut(PrintStream(out))
         try {
-            val line = CommandLine(command).setExecutionExceptionHandler { e, _, _ ->
-                if (e is InvalidSettingsException) 2.also { println(e.message) } else throw e
+            val commandLine = CommandLine(command).setExecutionExceptionHandler { exception, _, _ ->
+                if (exception is InvalidSettingsException) 2.also { println(exception.message) } else throw exception
             }
-            return line.execute(*args) to out.toString()
+            return commandLine.execute(*args) to out.toString()
         } finally {
-            System.setOut(old)
+            System.setOut(originalOut)
         }
     }
 
-    private fun file(name: String, text: String): File = folder.resolve(name).also { it.writeText(text) }
+    private fun writeFile(name: String, text: String): File = folder.resolve(name).also { it.writeText(text) }
 
     @Test
-    fun `a key is made, kept from others, and makes its owner known`() {
-        val key = folder.resolve("lea.key")
-        val (code, statement) = run(KeysCommand(), "new", "lea", "--out", key.path)
-        assertEquals(0, code)
-        assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(key.toPath())))
-        assertEquals("lea", KeyFiles.readSigningKey(key).principal)
-        assertEquals(2, run(KeysCommand(), "new", "lea", "--out", key.path).first, "never written over")
-        val rights = file("rights", statement + "role r { allow show; allow administer; } grant r to lea;")
+    fun `a new key is readable by its owner only, is not overwritten, and its statement is accepted by the policy`() {
+        val keyFile = folder.resolve("lea.key")
+        val (exitCode, statement) = run(KeysCommand(), "new", "lea", "--out", keyFile.path)
+        assertEquals(0, exitCode)
+        assertEquals("rw-------", PosixFilePermissions.toString(Files.getPosixFilePermissions(keyFile.toPath())))
+        assertEquals("lea", KeyFiles.readSigningKey(keyFile).principal)
+        assertEquals(
+            2,
+            run(KeysCommand(), "new", "lea", "--out", keyFile.path).first,
+            "an existing key is not overwritten",
+        )
+        val policyFile = writeFile("rights", statement + "role r { allow show; allow administer; } grant r to lea;")
         assertTrue(
-            "1 people, services and nodes, 1 of them with rights" in run(RightsCommand(), "check", rights.path).second,
+            "1 people, services and nodes, 1 of them with rights" in
+                run(RightsCommand(), "check", policyFile.path).second,
         )
         for (mode in listOf("rw-r-----", "rw----r--", "rw--w----")) {
-            Files.setPosixFilePermissions(key.toPath(), PosixFilePermissions.fromString(mode))
+            Files.setPosixFilePermissions(keyFile.toPath(), PosixFilePermissions.fromString(mode))
             assertTrue(
                 "mode 0600" in assertThrows(InvalidSettingsException::class.java) {
-                    KeyFiles.readSigningKey(key)
+                    KeyFiles.readSigningKey(keyFile)
                 }.message.orEmpty(),
                 mode,
             )
@@ -63,27 +70,27 @@
     }
 
     @Test
-    fun `no word about a key holds any of it`() {
-        val key = folder.resolve("a.key")
-        run(KeysCommand(), "new", "a", "--out", key.path)
-        val secret = Regex("\"d\":\"([^\"]+)\"").find(key.readText())?.groupValues?.get(1).orEmpty()
+    fun `no error message or printed form of a key contains its secret`() {
+        val keyFile = folder.resolve("a.key")
+        run(KeysCommand(), "new", "a", "--out", keyFile.path)
+        val secret = Regex("\"d\":\"([^\"]+)\"").find(keyFile.readText())?.groupValues?.get(1).orEmpty()
         assertEquals(43, secret.length)
-        val read = KeyFiles.readSigningKey(key)
-        val broken =
+        val readKey = KeyFiles.readSigningKey(keyFile)
+        val brokenTexts =
             listOf(
-                key.readText().replace("Ed25519", "X25519"),
-                key.readText().replace("\"kid\"", "\"kit\""),
-                key.readText().dropLast(4),
-                key.readText().replace(
+                keyFile.readText().replace("Ed25519", "X25519"),
+                keyFile.readText().replace("\"kid\"", "\"kit\""),
+                keyFile.readText().dropLast(4),
+                keyFile.readText().replace(
                     secret,
                     secret.dropLast(3) + "!!!",
                 ),
             )
-        val words = broken.map { text ->
-            key.writeText(text)
-            assertThrows(InvalidSettingsException::class.java) { KeyFiles.readSigningKey(key) }.message.orEmpty()
-        } + read.toString()
-        words.forEach { assertFalse(secret.take(8) in it, it) }
+        val messages = brokenTexts.map { text ->
+            keyFile.writeText(text)
+            assertThrows(InvalidSettingsException::class.java) { KeyFiles.readSigningKey(keyFile) }.message.orEmpty()
+        } + readKey.toString()
+        messages.forEach { assertFalse(secret.take(8) in it, it) }
     }
 
     @ParameterizedTest(name = "{0}")
@@ -104,15 +111,18 @@
             "- audience | must be a map",
         ],
     )
-    fun `what may stand in the file, and one clear line for what may not`(text: String, wrong: String?) {
-        file("bad", "role { }")
-        file("open", "keys: []")
-        val root = YAMLMapper().readTree(text.replace("\\n", "\n"))
-        if (wrong == null) {
+    fun `valid identities settings are read, and an invalid key, value or file is named in the error`(
+        settingsText: String,
+        expectedProblem: String?,
+    ) {
+        writeFile("bad", "role { }")
+        writeFile("open", "keys: []")
+        val root = YAMLMapper().readTree(settingsText.replace("\\n", "\n"))
+        if (expectedProblem == null) {
             assertEquals("site", IdentitiesFile.read(root, folder).audience)
         } else {
             assertTrue(
-                wrong in
+                expectedProblem in
                     assertThrows(InvalidSettingsException::class.java) {
                         IdentitiesFile.read(root, folder)
                     }.message.orEmpty(),
@@ -121,60 +131,70 @@
     }
 
     @Test
-    fun `peer keys are read in their order, and short ones are refused`() {
-        val made = folder.resolve("peers.keys")
-        assertEquals(0, run(KeysCommand(), "peers", "--id", "2026-12", "--out", made.path).first)
-        assertEquals(listOf("2026-12"), KeyFiles.readPeerKeys(made).map { it.id })
-        made.writeText("keys:\n  - id: a\n    secret: c2hvcnQ=\n")
+    fun `generated peer keys are read, and a key shorter than 32 bytes is refused`() {
+        val keyFile = folder.resolve("peers.keys")
+        assertEquals(0, run(KeysCommand(), "peers", "--id", "2026-12", "--out", keyFile.path).first)
+        assertEquals(listOf("2026-12"), KeyFiles.readPeerKeys(keyFile).map { it.id })
+        keyFile.writeText("keys:\n  - id: a\n    secret: c2hvcnQ=\n")
         assertTrue(
             "32 bytes" in
-                assertThrows(InvalidSettingsException::class.java) { KeyFiles.readPeerKeys(made) }.message.orEmpty(),
+                assertThrows(InvalidSettingsException::class.java) { KeyFiles.readPeerKeys(keyFile) }.message.orEmpty(),
         )
     }
 
     @Test
-    fun `rights are explained and tested, also when nothing is expected of the job`() {
-        val rights =
-            file(
+    fun `rights explain names the deciding rule, and rights test accepts expectations without job attributes`() {
+        val policyFile =
+            writeFile(
                 "rights",
                 "person lea { } person max { }\nrole r { allow submit where class is solve; allow show; }\ngrant r to lea;\nrule no: deny show to lea where team is red;\n",
             )
-        val (code, told) = run(RightsCommand(), "explain", rights.path, "lea", "show", "--team", "red")
-        assertEquals(0, code)
-        assertTrue("lea may not show: rule no" in told && "line 4: deny show (rule no): decides" in told, told)
-        val good =
-            file(
+        val (exitCode, explanation) = run(RightsCommand(), "explain", policyFile.path, "lea", "show", "--team", "red")
+        assertEquals(0, exitCode)
+        assertTrue(
+            "lea may not show: rule no" in explanation && "line 4: deny show (rule no): decides" in explanation,
+            explanation,
+        )
+        val fulfilledFile =
+            writeFile(
                 "good.yaml",
                 "- {who: lea, may: [submit], class: solve}\n- {who: lea, may_not: submit, class: other}\n- {who: lea, may_not: administer}\n- {who: max, may_not: show}\n",
             )
-        assertEquals(0 to "4 passed, 0 failed\n", run(RightsCommand(), "test", rights.path, good.path))
-        val bad = file("bad.yaml", "- {who: lea, may: submit, class: other}\n- {who: max, may_not: show}\n")
+        assertEquals(0 to "4 passed, 0 failed\n", run(RightsCommand(), "test", policyFile.path, fulfilledFile.path))
+        val unfulfilledFile =
+            writeFile("bad.yaml", "- {who: lea, may: submit, class: other}\n- {who: max, may_not: show}\n")
         assertEquals(
             1 to "expectation 1: lea may not submit: nothing allows it\n1 passed, 1 failed\n",
-            run(RightsCommand(), "test", rights.path, bad.path),
+            run(RightsCommand(), "test", policyFile.path, unfulfilledFile.path),
         )
         assertEquals(
             2,
-            run(RightsCommand(), "test", rights.path, file("x.yaml", "- {whom: lea, may: show}\n").path).first,
+            run(RightsCommand(), "test", policyFile.path, writeFile("x.yaml", "- {whom: lea, may: show}\n").path).first,
         )
     }
 
     @Test
-    fun `a copy of a trail that is cut off or no copy at all is told from one that was tampered with`() {
-        val rights = file("rights", "person lea { }")
-        assertEquals(2, run(AuditCommand(), "verify", file("empty", "").path, "--rights", rights.path).first)
+    fun `verify exits with 2 for an empty or truncated copy of the audit log and with 1 for a tampered one`() {
+        val policyFile = writeFile("rights", "person lea { }")
+        assertEquals(2, run(AuditCommand(), "verify", writeFile("empty", "").path, "--rights", policyFile.path).first)
         assertEquals(
             2,
-            run(AuditCommand(), "verify", file("cut", "{\"node\":\"n0\",\"segm").path, "--rights", rights.path).first,
+            run(
+                AuditCommand(),
+                "verify",
+                writeFile("cut", "{\"node\":\"n0\",\"segm").path,
+                "--rights",
+                policyFile.path,
+            ).first,
         )
         assertEquals(
             1,
             run(
                 AuditCommand(),
                 "verify",
-                file("odd", "{\"node\":\"n0\",\"segment\":0,\"value\":{\"f\":0,\"b\":\"x\",\"l\":[\"a\"]}}").path,
+                writeFile("odd", "{\"node\":\"n0\",\"segment\":0,\"value\":{\"f\":0,\"b\":\"x\",\"l\":[\"a\"]}}").path,
                 "--rights",
-                rights.path,
+                policyFile.path,
             ).first,
         )
     }
--- a/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
@@ -10,8 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource
 import plankwall.model.StateLimits
 
+/** Tests the reading of the platform's settings file and of the tuning file. */
 class SettingsTest {
-    private val good = """
+    private val validToml = """
         node = "n0"
         site = "a"
         front = "10.0.0.1:8080"
@@ -35,8 +36,8 @@
     """.trimIndent()
 
     @Test
-    fun `unknown platform fields are ignored`() {
-        assertEquals(18.0, SettingsFile.read(TomlMapper().readTree(good)).workers.leaseS)
+    fun `an unknown field of the platform settings is ignored`() {
+        assertEquals(18.0, SettingsFile.read(TomlMapper().readTree(validToml)).workers.leaseS)
     }
 
     @ParameterizedTest
@@ -48,26 +49,29 @@
         "'[settings.cloud]', '[settings.fog]', settings.cloud",
         "'node = \"n0\"', '', node",
     )
-    fun `a bad platform file is refused by key`(old: String, new: String, key: String) {
-        val e =
+    fun `an invalid platform setting is refused with its key`(old: String, new: String, key: String) {
+        val exception =
             assertThrows(InvalidSettingsException::class.java) {
-                SettingsFile.read(TomlMapper().readTree(good.replace(old, new)))
+                SettingsFile.read(TomlMapper().readTree(validToml.replace(old, new)))
             }
-        assertTrue(key in e.message.orEmpty(), e.message)
+        assertTrue(key in exception.message.orEmpty(), exception.message)
     }
 
-    private val next = good.replace(
+    private val announcedToml = validToml.replace(
         "[settings.cloud]",
         "[settings.state.next]\nwrite_rps = 70.0\nvalue_kb = 2.0\ntxn_ops = 10\n[settings.cloud]",
     )
 
     @Test
-    fun `announced limits are kept to where they are smaller`() {
-        assertEquals(StateLimits(250.0, 70.0, 2.0, 10), SettingsFile.read(TomlMapper().readTree(next)).stateTight)
-        val larger = next.replace("value_kb = 2.0", "value_kb = 32.0")
-        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(larger)).stateTight.valueKb)
-        val unchanged = SettingsFile.read(TomlMapper().readTree(good))
-        assertEquals(unchanged.state, unchanged.stateTight)
+    fun `an announced limit of the state service already applies if it is lower than the present one`() {
+        assertEquals(
+            StateLimits(250.0, 70.0, 2.0, 10),
+            SettingsFile.read(TomlMapper().readTree(announcedToml)).stateTight,
+        )
+        val largerToml = announcedToml.replace("value_kb = 2.0", "value_kb = 32.0")
+        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(largerToml)).stateTight.valueKb)
+        val settingsWithoutNext = SettingsFile.read(TomlMapper().readTree(validToml))
+        assertEquals(settingsWithoutNext.state, settingsWithoutNext.stateTight)
     }
 
     @ParameterizedTest
@@ -77,12 +81,20 @@
         "'write_rps = 70.0', 'write_rps = \"few\"', state.next.write_rps, 1.0..1000000.0",
         "'txn_ops = 10', 'txn_ops = 10\nrps = 0', state.next.rps, 1.0..1000000.0",
     )
-    fun `bad announced limits are refused by key and range`(old: String, new: String, key: String, range: String) {
-        val e =
+    fun `an invalid announced limit is refused with its key and range`(
+        old: String,
+        new: String,
+        key: String,
+        range: String,
+    ) {
+        val exception =
             assertThrows(InvalidSettingsException::class.java) {
-                SettingsFile.read(TomlMapper().readTree(next.replace(old, new.replace("\\n", "\n"))))
+                SettingsFile.read(TomlMapper().readTree(announcedToml.replace(old, new.replace("\\n", "\n"))))
             }
-        assertTrue(key in e.message.orEmpty() && range in e.message.orEmpty(), e.message)
+        assertTrue(
+            key in exception.message.orEmpty() && range in exception.message.orEmpty(),
+            exception.message,
+        )
     }
 
     @ParameterizedTest
@@ -93,13 +105,14 @@
         "'- 3', map",
         "'leader_lease_s: true', leader_lease_s",
     )
-    fun `bad tuning is refused by key and range`(yaml: String, expected: String) {
-        val e = assertThrows(InvalidSettingsException::class.java) { TuningFile.read(YAMLMapper().readTree(yaml)) }
-        assertTrue(expected in e.message.orEmpty(), e.message)
+    fun `an invalid tuning setting is refused with its key or range`(yaml: String, expectedProblem: String) {
+        val exception =
+            assertThrows(InvalidSettingsException::class.java) { TuningFile.read(YAMLMapper().readTree(yaml)) }
+        assertTrue(expectedProblem in exception.message.orEmpty(), exception.message)
     }
 
     @Test
-    fun `tuning is read`() {
+    fun `a tuning setting is read, and an empty file gives the default`() {
         assertEquals(77.0, TuningFile.read(YAMLMapper().readTree("unneeded_s: 77")).unneededS)
         assertEquals(0.0, TuningFile.read(YAMLMapper().readTree("")).unneededS)
     }
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.ValueSource
 
 class NetworksTest {
-    @ParameterizedTest(name = "{1} in {0}: {2}")
+    @ParameterizedTest(name = "{1} lies in {0}: {2}")
     @CsvSource(
         "10.2.0.0/16, 10.2.3.4, true", "10.2.0.0/16, 10.3.3.4, false", "10.2.3.4, 10.2.3.4:8080, true",
         "10.2.3.4/32, 10.2.3.5, false",
@@ -19,8 +19,12 @@
         "10.0.0.0/8, 10.*.*.*, false",
         "10.0.0.0/8, '', false", "127.0.0.0/8, localhost, false",
     )
-    fun `an address lies in a range or it does not`(range: String, address: String, inside: Boolean) {
-        assertEquals(inside, Networks.of(listOf(range)) { error(it) }.contains(address))
+    fun `an address is contained in a network only if it lies in its range and is a literal address`(
+        range: String,
+        address: String,
+        expectedInside: Boolean,
+    ) {
+        assertEquals(expectedInside, Networks.of(listOf(range)) { error(it) }.contains(address))
     }
 
     @ParameterizedTest
@@ -30,13 +34,13 @@
             "10.0.0.0/255.0.255.0", "2001:db8::/129",
         ],
     )
-    fun `what is no range is refused`(text: String) {
+    fun `a text that is not a valid CIDR range is refused`(rangeText: String) {
         assertThrows(IllegalArgumentException::class.java) {
-            Networks.of(listOf(text)) { throw IllegalArgumentException(it) }
+            Networks.of(listOf(rangeText)) { throw IllegalArgumentException(it) }
         }
     }
 
-    @ParameterizedTest(name = "{0} and {1}: {2}")
+    @ParameterizedTest(name = "{0} and {1} are the same host: {2}")
     @CsvSource(
         "10.0.0.1:9000, 10.0.0.1, true",
         "::ffff:10.0.0.1, 10.0.0.1, true",
@@ -44,11 +48,16 @@
         "10.0.0.1, 10.0.0.2, false",
         "w1, w1, true",
     )
-    fun `one host is one host however it is written`(one: String, other: String, same: Boolean) =
-        assertEquals(same, Networks.sameHost(one, other))
+    fun `two addresses are the same host whatever their notation and port`(
+        first: String,
+        second: String,
+        expectedSame: Boolean,
+    ) = assertEquals(expectedSame, Networks.sameHost(first, second))
 
-    @ParameterizedTest(name = "{0} is limited as {1}")
+    @ParameterizedTest(name = "{0} belongs to {1}")
     @CsvSource("10.1.2.3, 10.1.2.0/24", "2001:db8::9:1, 2001:db8::/64", "x, unreadable")
-    fun `a neighbourhood is limited as one`(address: String, name: String) =
-        assertEquals(name, Networks.neighbourhood(address))
+    fun `an address is mapped to the network whose requests are limited together`(
+        address: String,
+        expectedName: String,
+    ) = assertEquals(expectedName, Networks.neighbourhood(address))
 }
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -20,7 +20,10 @@
 import plankwall.wire.StateResult
 import java.util.Random
 
-/** Frames on the peers' door that no peer has sent. */
+/**
+ * Tests the authentication of frames between controllers: a frame that was forged, changed, replayed, delayed or sent
+ * in another node's name must not be accepted as a message of a peer.
+ */
 class PeerFramesTest {
     private val key = PeerKey("2026-12", ByteArray(32) { it.toByte() })
     private val newKey = PeerKey("2027-01", ByteArray(32) { (it + 7).toByte() })
@@ -29,42 +32,42 @@
     private fun status(node: String, epoch: Long, leading: Boolean = false) =
         PeerStatus(node, 1, epoch, leading, 0, true, 0, PeerCodec.LEVEL)
 
-    private fun world(keys: List<PeerKey>) = SimulatedCluster(7, 3, gatewaySettings = {
+    private fun clusterWithPeerKeys(keys: List<PeerKey>) = SimulatedCluster(7, 3, gatewaySettings = {
         Callers.settings(it, peerKeys = keys)
     })
 
-    @ParameterizedTest(name = "signed links: {0}")
+    @ParameterizedTest(name = "frames are signed: {0}")
     @CsvSource("false", "true")
-    fun `a forged status that names a high epoch makes a leader yield only where frames are not signed`(
-        signed: Boolean,
-    ) {
-        val world = world(if (signed) listOf(key) else emptyList())
-        world.clock.runUntil(10.0)
-        val leader = world.nodes.single { it.leading }
+    fun `a forged status with a higher epoch makes a leader resign only if frames are not signed`(signed: Boolean) {
+        val cluster = clusterWithPeerKeys(if (signed) listOf(key) else emptyList())
+        cluster.clock.runUntil(10.0)
+        val leader = cluster.nodes.single { it.leading }
         leader.onFrame(PeerCodec.write(status("n9", 1L shl 50)))
-        assertEquals(signed, leader.leading, "the frame is believed by nobody but a node without keys")
+        assertEquals(signed, leader.leading, "only a node without peer keys accepts the unsigned frame")
     }
 
-    @ParameterizedTest(name = "signed links: {0}")
+    @ParameterizedTest(name = "frames are signed: {0}")
     @CsvSource("false", "true")
-    fun `forged words that peers follow prove older leaders silent only where frames are unsigned`(signed: Boolean) {
+    fun `forged statuses of all peers end the wait for older leaders only if frames are not signed`(signed: Boolean) {
         val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1, Random(1)).apply {
             time.advance(1000.0, this@PeerFramesTest.now)
         }
         val leadership = Leadership(ctx, {}, {})
         win(ctx, leadership)
-        val seal = PeerSeal("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
-        val door = PeerAuthenticator(seal) { null }
+        val frameSeal =
+            PeerSeal("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
+        val authenticator = PeerAuthenticator(frameSeal) { null }
         for (peer in listOf("n1", "n2")) {
-            door.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
+            authenticator.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
                 leadership.onPeerStatus(it as PeerStatus)
             }
         }
-        val grace = leadership.wonAt + ctx.outageGraceS
-        assertEquals(if (signed) grace else ctx.time.now, leadership.olderLeadersSilentAt)
-        if (signed) assertEquals(2L, seal.dropped)
+        val graceEnd = leadership.wonAt + ctx.outageGraceS
+        assertEquals(if (signed) graceEnd else ctx.time.now, leadership.olderLeadersSilentAt)
+        if (signed) assertEquals(2L, frameSeal.dropped)
     }
 
+    /** Lets [leadership] win its election: answers its state service calls so that its epoch is 41. */
     private fun win(ctx: Context, leadership: Leadership) {
         fun answer(result: (StateOp) -> StateResult) =
             ctx.out.drain().filterIsInstance<plankwall.core.statemachine.Effect.StateCall>().forEach {
@@ -76,8 +79,8 @@
         answer { op ->
             StateResult.Committed(41).also {
                 assertTrue(
-                    (op as StateOp.Txn).writes.any { w ->
-                        (w as plankwall.wire.Write.Put).value is LeaderRecord
+                    (op as StateOp.Txn).writes.any { write ->
+                        (write as plankwall.wire.Write.Put).value is LeaderRecord
                     },
                 )
             }
@@ -85,89 +88,99 @@
         assertEquals(41L, leadership.epoch)
     }
 
-    private fun seal(node: String = "n1", life: Long = 5, keys: List<PeerKey> = listOf(key)) =
-        PeerSeal(node, life, keys, false, 100)
+    /** Returns the seal of [node], which signs with the first of [keys]. */
+    private fun seal(node: String = "n1", incarnation: Long = 5, keys: List<PeerKey> = listOf(key)) =
+        PeerSeal(node, incarnation, keys, false, 100)
 
     @Test
-    fun `what is not believed`() {
-        val onFrame = PeerCodec.write(status("n1", 5))
-        fun open(bytes: ByteArray, at: Long = now, door: PeerAuthenticator = PeerAuthenticator(seal("n0")) { null }) =
-            door.open(bytes, at)
-        val good = seal().seal(onFrame, now)
-        assertNotNull(open(good))
-        assertNull(open(onFrame), "not signed")
-        assertNull(open(seal(keys = listOf(newKey)).seal(onFrame, now)), "signed by a key that is not known")
-        assertNull(open(seal("n0").seal(onFrame, now)), "sent back to its sender")
-        assertNull(open(seal("n2").seal(onFrame, now)), "one peer in another's name")
+    fun `a frame is rejected if it is unsigned, changed, truncated, too old, early or in a wrong name`() {
+        val statusFrame = PeerCodec.write(status("n1", 5))
+        fun open(
+            bytes: ByteArray,
+            wallMs: Long = now,
+            authenticator: PeerAuthenticator = PeerAuthenticator(seal("n0")) { null },
+        ) = authenticator.open(bytes, wallMs)
+        val signedFrame = seal().seal(statusFrame, now)
+        assertNotNull(open(signedFrame))
+        assertNull(open(statusFrame), "not signed")
+        assertNull(open(seal(keys = listOf(newKey)).seal(statusFrame, now)), "signed with an unknown key")
+        assertNull(open(seal("n0").seal(statusFrame, now)), "reflected to its sender")
+        assertNull(open(seal("n2").seal(statusFrame, now)), "a status sent by one peer in the name of another")
         val answer = PeerCodec.write(RelayedAnswer("n1", 7, 200, byteArrayOf(1)))
-        assertNull(open(seal("n2").seal(answer, now)), "an answer to a worker in the leader's name")
+        assertNull(open(seal("n2").seal(answer, now)), "a relayed answer sent by one peer in the name of another")
         assertNotNull(open(seal().seal(answer, now)))
-        assertNull(open(good, now + 11_000), "held back for long")
-        assertNull(open(good, now - 1_000), "from the future")
-        for (n in good.indices) {
+        assertNull(open(signedFrame, now + 11_000), "delivered too late")
+        assertNull(open(signedFrame, now - 1_000), "from the future")
+        for (n in signedFrame.indices) {
             assertNull(
                 open(
-                    good.copyOf().also {
+                    signedFrame.copyOf().also {
                         it[n] = (it[n].toInt() xor 4).toByte()
                     },
                 ),
                 "byte $n changed",
             )
         }
-        for (n in good.indices) assertNull(open(good.copyOf(n)), "cut after $n")
+        for (n in signedFrame.indices) assertNull(open(signedFrame.copyOf(n)), "truncated to length $n")
     }
 
     @Test
-    fun `a frame counts once, in order, also across a restart of its sender`() {
-        val onFrame = PeerCodec.write(status("n1", 5))
-        val door = PeerAuthenticator(seal("n0")) { null }
-        val first = seal(life = 5)
-        val frames = List(3) { first.seal(onFrame, now + it) }
-        assertNotNull(door.open(frames[1], now))
-        assertNull(door.open(frames[1], now), "again")
-        assertNull(door.open(frames[0], now), "an earlier one")
-        assertNotNull(door.open(frames[2], now))
-        // A clock that was set back gives the new life a lower number; it must not be shut out for that.
-        assertNotNull(door.open(seal(life = 3).seal(onFrame, now + 50), now + 60))
-        assertNull(door.open(first.seal(onFrame, now + 40), now + 60), "the old life is over")
+    fun `a replayed or reordered frame is rejected, also after its sender has restarted`() {
+        val statusFrame = PeerCodec.write(status("n1", 5))
+        val authenticator = PeerAuthenticator(seal("n0")) { null }
+        val sealBeforeRestart = seal(incarnation = 5)
+        val frames = List(3) { sealBeforeRestart.seal(statusFrame, now + it) }
+        assertNotNull(authenticator.open(frames[1], now))
+        assertNull(authenticator.open(frames[1], now), "a replayed frame")
+        assertNull(authenticator.open(frames[0], now), "a frame sent before an accepted one")
+        assertNotNull(authenticator.open(frames[2], now))
+        // If the sender's clock was set back, its incarnation after the restart is lower. It must still be accepted.
+        assertNotNull(authenticator.open(seal(incarnation = 3).seal(statusFrame, now + 50), now + 60))
+        assertNull(
+            authenticator.open(sealBeforeRestart.seal(statusFrame, now + 40), now + 60),
+            "a frame from before the restart",
+        )
     }
 
     @Test
-    fun `keys are replaced without a gap`() {
-        val onFrame = PeerCodec.write(status("n1", 5))
+    fun `frames are accepted throughout a key replacement while nodes are at most one step apart`() {
+        val statusFrame = PeerCodec.write(status("n1", 5))
         val steps = listOf(listOf(key), listOf(key, newKey), listOf(newKey, key), listOf(newKey))
-        // At any time two nodes may be one step apart.
-        for ((a, b) in steps.zipWithNext() + steps.zipWithNext { x, y -> y to x }) {
-            assertNotNull(PeerAuthenticator(seal("n0", keys = b)) { null }.open(seal(keys = a).seal(onFrame, now), now))
+        // Two nodes may be one step apart at any time.
+        for ((senderKeys, receiverKeys) in steps.zipWithNext() + steps.zipWithNext { old, new -> new to old }) {
+            assertNotNull(
+                PeerAuthenticator(seal("n0", keys = receiverKeys)) { null }
+                    .open(seal(keys = senderKeys).seal(statusFrame, now), now),
+            )
         }
         assertNull(
             PeerAuthenticator(seal("n0", keys = steps[3])) {
                 null
-            }.open(seal(keys = steps[0]).seal(onFrame, now), now),
+            }.open(seal(keys = steps[0]).seal(statusFrame, now), now),
         )
     }
 
     @Test
-    fun `a link from outside the peers' networks is not opened`() {
-        val door = PeerAuthenticator(seal()) { Networks.of(listOf("10.0.0.0/24")) { error(it) } }
+    fun `a connection from outside the peers' networks is not admitted`() {
+        val authenticator = PeerAuthenticator(seal()) { Networks.of(listOf("10.0.0.0/24")) { error(it) } }
         assertEquals(
             listOf(true, false, false),
             listOf("10.0.0.7:4100", "10.0.1.7:4100", "127.0.0.1:4100").map {
-                door.admits(it)
+                authenticator.admits(it)
             },
         )
     }
 
     @Test
-    fun `a site whose links are signed elects, works and replaces its leader`() {
-        val world = world(listOf(key))
-        val callers = Callers(world)
-        world.clock.runUntil(3.0)
+    fun `a cluster with signed frames elects a leader, runs a job and replaces a crashed leader`() {
+        val cluster = clusterWithPeerKeys(listOf(key))
+        val callers = Callers(cluster)
+        cluster.clock.runUntil(3.0)
         callers.submit("ada", SimulatedCluster.job(1, team = "red", runS = 10.0))
-        world.clock.runUntil(15.0)
-        world.nodes.single { it.leading }.crash(5.0)
-        world.clock.runUntil(80.0)
-        assertEquals("done", callers.show("ada", "job-000001").also { world.clock.runUntil(81.0) }.stage)
-        assertEquals(emptyList<String>(), world.checker.violations)
+        cluster.clock.runUntil(15.0)
+        cluster.nodes.single { it.leading }.crash(5.0)
+        cluster.clock.runUntil(80.0)
+        assertEquals("done", callers.show("ada", "job-000001").also { cluster.clock.runUntil(81.0) }.stage)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 }
--- a/src/test/kotlin/plankwall/identity/TokensTest.kt
+++ b/src/test/kotlin/plankwall/identity/TokensTest.kt
@@ -15,7 +15,7 @@
     private val hour = 3_600_000L
     private val reader = TokenReader("site", 2_000, 60_000)
 
-    /** The old key runs out an hour from now, the new one holds from half an hour before that. */
+    /** The old key expires in one hour, the new key becomes valid in half an hour: both are valid for half an hour. */
     private val keys = listOf(
         PublicKey.of("old", old.x, untilMs = now + hour),
         PublicKey.of(
@@ -26,43 +26,58 @@
         ),
     )
 
-    private fun proven(header: String, at: Long): Boolean =
-        reader.read(header, at) { who, id -> keys.find { who == "ada" && it.id == id } } is TokenResult.Proven
+    /** Whether the token in [header] is accepted at [wallMs] as proof of its principal. */
+    private fun isProven(header: String, wallMs: Long): Boolean = reader.read(header, wallMs) { principal, keyId ->
+        keys.find { principal == "ada" && it.id == keyId }
+    } is TokenResult.Proven
 
-    @ParameterizedTest(name = "{0} key, minute {1}: {2}")
+    @ParameterizedTest(name = "{0} key in minute {1}, accepted: {2}")
     @CsvSource("old, 0, true", "new, 0, false", "old, 45, true", "new, 45, true", "old, 61, false", "new, 61, true")
-    fun `one key replaces another with an overlap`(which: String, minute: Long, good: Boolean) {
-        val at = now + minute * 60_000
+    fun `a token is accepted only while its key is valid, also when the old and the new key overlap`(
+        keyName: String,
+        minute: Long,
+        expectedProven: Boolean,
+    ) {
+        val wallMs = now + minute * 60_000
         assertEquals(
-            good,
-            proven(
+            expectedProven,
+            isProven(
                 Tokens.authorization(
                     Tokens.sign(
-                        if (which == "old") {
+                        if (keyName == "old") {
                             old
                         } else {
                             new
                         },
                         "site",
                         "id",
-                        at,
+                        wallMs,
                         30,
                         null,
                     ),
                 ),
-                at,
+                wallMs,
             ),
         )
     }
 
-    @ParameterizedTest(name = "clock {0} ms ahead of the token: {1}")
+    @ParameterizedTest(name = "reader's clock {0} ms ahead of the signing time, accepted: {1}")
     @CsvSource("0, true", "-1999, true", "-2001, false", "29999, true", "31999, true", "32000, false")
-    fun `two clocks may differ by the tolerance, and no more`(ahead: Long, good: Boolean) {
-        val at = now + hour / 2 + 60_000
-        assertEquals(good, proven(Tokens.authorization(Tokens.sign(new, "site", "id", at, 30, null)), at + ahead))
+    fun `a token is accepted at most the clock tolerance before its issue time or after its expiry`(
+        clockLeadMs: Long,
+        expectedProven: Boolean,
+    ) {
+        val signedAtMs = now + hour / 2 + 60_000
+        assertEquals(
+            expectedProven,
+            isProven(
+                Tokens.authorization(Tokens.sign(new, "site", "id", signedAtMs, 30, null)),
+                signedAtMs + clockLeadMs,
+            ),
+        )
     }
 
-    /** Headers and claims as a stranger may write them, signed by a key that is known all the same. */
+    /** Headers that an attacker may write, validly signed with a known key. The claims below are of the same kind. */
     @ParameterizedTest
     @ValueSource(
         strings = [
@@ -77,8 +92,8 @@
             "[]", "", "x",
         ],
     )
-    fun `a header that is not exactly right proves nothing`(header: String) =
-        assertEquals(false, proven(signed(header, CLAIMS), now))
+    fun `a token whose header lacks a field or holds a wrong, repeated or unknown one is rejected`(header: String) =
+        assertEquals(false, isProven(signed(header, CLAIMS), now))
 
     @ParameterizedTest
     @ValueSource(
@@ -100,27 +115,31 @@
             "[]", "null", "",
         ],
     )
-    fun `claims that are not exactly right prove nothing`(claims: String) =
-        assertEquals(false, proven(signed(HEADER, claims), now))
+    fun `a token whose claims are missing, repeated, of a wrong type or out of range is rejected`(claims: String) =
+        assertEquals(false, isProven(signed(HEADER, claims), now))
 
     @Test
-    fun `what is exactly right does`() = assertTrue(proven(signed(HEADER, CLAIMS), now))
+    fun `a token with a valid header, valid claims and a valid signature is accepted`() =
+        assertTrue(isProven(signed(HEADER, CLAIMS), now))
 
+    /** Returns an authorization header with a token of [header] and [claims], signed by the old key. */
     private fun signed(header: String, claims: String): String {
-        val coder = java.util.Base64.getUrlEncoder().withoutPadding()
-        val text =
-            coder.encodeToString(header.encodeToByteArray()) + "." + coder.encodeToString(claims.encodeToByteArray())
+        val encoder = java.util.Base64.getUrlEncoder().withoutPadding()
+        val signedText =
+            encoder.encodeToString(header.encodeToByteArray()) + "." +
+                encoder.encodeToString(claims.encodeToByteArray())
         val signer = java.security.Signature.getInstance("Ed25519").apply { initSign(old.privateKey) }
-        signer.update(text.encodeToByteArray())
-        return "Bearer $text." + coder.encodeToString(signer.sign())
+        signer.update(signedText.encodeToByteArray())
+        return "Bearer $signedText." + encoder.encodeToString(signer.sign())
     }
 
     @Test
-    fun `two requests have two fingerprints`() {
-        val all = listOf("GET" to "/a", "POST" to "/a", "POST" to "/a/withdraw", "POST/" to "a").flatMap { (m, p) ->
-            listOf("", "b", "b ").map { Tokens.fingerprintOf(m, p, it.encodeToByteArray()) }
-        }
-        assertEquals(all.size, all.toSet().size)
+    fun `requests that differ in method, path or body have different fingerprints`() {
+        val fingerprints =
+            listOf("GET" to "/a", "POST" to "/a", "POST" to "/a/withdraw", "POST/" to "a").flatMap { (method, path) ->
+                listOf("", "b", "b ").map { Tokens.fingerprintOf(method, path, it.encodeToByteArray()) }
+            }
+        assertEquals(fingerprints.size, fingerprints.toSet().size)
     }
 
     @ParameterizedTest
@@ -130,7 +149,7 @@
             "__________________________________________8",
         ],
     )
-    fun `a point that anybody could sign for is no key`(x: String) {
+    fun `a public key that is not a valid point or has a low order is refused`(x: String) {
         assertThrows(MalformedKeyException::class.java) { PublicKey.of("k", x) }
     }
 
--- a/src/test/kotlin/plankwall/io/PeerLinksTest.kt
+++ b/src/test/kotlin/plankwall/io/PeerLinksTest.kt
@@ -19,44 +19,49 @@
 import java.net.ServerSocket
 import java.net.Socket
 
-/** Links between controllers against a peer that ends them, over loopback. */
+/** Tests outgoing connections between controllers over loopback, against a peer that ends them. */
 class PeerLinksTest {
     private val scope = CoroutineScope(Dispatchers.Default + SupervisorJob())
     private val selector = SelectorManager(Dispatchers.IO)
-    private val peer = ServerSocket(0, 10, InetAddress.getLoopbackAddress()).apply { soTimeout = PATIENCE_MS }
+    private val peerListener =
+        ServerSocket(0, 10, InetAddress.getLoopbackAddress()).apply { soTimeout = READ_TIMEOUT_MS }
 
     @AfterEach
     fun stop() {
         scope.cancel()
         selector.close()
-        peer.close()
+        peerListener.close()
     }
 
-    private fun statusFrom(socket: Socket): String {
-        socket.soTimeout = PATIENCE_MS
+    /** Reads one frame from [socket], which must be a status; returns the name of its sender. */
+    private fun readStatusSender(socket: Socket): String {
+        socket.soTimeout = READ_TIMEOUT_MS
         val input = DataInputStream(socket.getInputStream())
         val frame = ByteArray(input.readInt()).also { input.readFully(it) }
         return (PeerCodec.read(frame) as PeerStatus).node
     }
 
-    /** What is written goes nowhere and raises no error: all that tells is the end of what can be read. */
+    /**
+     * The peer closes only its sending direction. Writes still succeed although nobody processes them, so only the end of
+     * the incoming stream shows that the connection is lost.
+     */
     @Test
-    fun `a link that the other side has ended, and still takes all from, is made anew`() {
-        val links = PeerLinks(scope, selector, listOf(Peer("n1", "z", "127.0.0.1", peer.localPort))) {}
+    fun `a connection whose peer closed only its sending direction is replaced by a new one`() {
+        val links = PeerLinks(scope, selector, listOf(Peer("n1", "z", "127.0.0.1", peerListener.localPort))) {}
         scope.launch {
             while (isActive) {
                 links.send(PeerStatus("n0", 1, 7, false, 0, true, 0, PeerCodec.LEVEL))
                 delay(50)
             }
         }
-        peer.accept().use { first ->
-            assertEquals("n0", statusFrom(first))
+        peerListener.accept().use { first ->
+            assertEquals("n0", readStatusSender(first))
             first.shutdownOutput()
-            peer.accept().use { second -> assertEquals("n0", statusFrom(second)) }
+            peerListener.accept().use { second -> assertEquals("n0", readStatusSender(second)) }
         }
     }
 
     private companion object {
-        const val PATIENCE_MS = 20_000
+        const val READ_TIMEOUT_MS = 20_000
     }
 }
--- a/src/test/kotlin/plankwall/loadtest/LoadTestPlanTest.kt
+++ b/src/test/kotlin/plankwall/loadtest/LoadTestPlanTest.kt
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
 
-/** What a scale run is told, and what it refuses before it starts anything. */
+/** Tests the reading of load test plans, and that a plan which can't be run is refused before anything is started. */
 class LoadTestPlanTest {
     private fun read(yaml: String) = LoadTestPlanFile.read(YAMLMapper().readTree(yaml))
 
     @Test
-    fun `a plan is read, and what it does not say is the default`() {
+    fun `a plan is read, and a setting that it leaves out has its default`() {
         val plan =
             read(
                 "{workers: 40, phases: {fault_s: 20}, work: {running: 24}, faults: [{at_s: 3, kind: peers_apart, target: region-1, for_s: 5}]}",
@@ -40,12 +40,15 @@
             "{faults: [{at_s: 1}]} | faults.kind: missing",
         ],
     )
-    fun `a plan that can't be used is refused by its key`(yaml: String, reason: String) {
+    fun `a plan with an unknown key or an invalid value is refused with its key`(
+        yaml: String,
+        expectedProblem: String,
+    ) {
         val message = assertThrows(InvalidLoadTestPlanException::class.java) { read(yaml) }.message.orEmpty()
-        assertTrue(message.startsWith(reason), message)
+        assertTrue(message.startsWith(expectedProblem), message)
     }
 
-    @ParameterizedTest(name = "{0} workers, {1} controllers, {2} files, {3} MB")
+    @ParameterizedTest(name = "{0} workers, {1} controllers, {2} files, {3} MB, fits: {4}")
     @CsvSource(
         "500, 3, 20000, 24000, true",
         "6500, 15, 20000, 24000, true",
@@ -54,16 +57,16 @@
         "500, 3, 20000, 2000, false",
         "500, 60, 20000, 24000, false",
     )
-    fun `what does not fit this machine is refused`(
+    fun `a plan that needs more open files, memory or processes than the machine has is refused`(
         workers: Int,
         controllers: Int,
         files: Long,
         memoryMb: Long,
-        fits: Boolean,
+        expectedFits: Boolean,
     ) {
         val plan = LoadTestPlan(workers = workers, controllers = controllers)
         val check = { LoadTestLimits.check(plan, files, memoryMb) }
-        if (fits) {
+        if (expectedFits) {
             check()
         } else {
             assertThrows(InvalidLoadTestPlanException::class.java) { check() }
@@ -71,14 +74,14 @@
     }
 
     @Test
-    fun `zones belong to regions in turn, and quotas leave room for the work`() {
+    fun `zones are assigned to regions in turn, and each team's maximum exceeds its guaranteed CPUs`() {
         val plan = LoadTestPlan(workers = 100, zones = 5, regions = 2, teams = 7)
         assertEquals(
             listOf("region-1", "region-2", "region-1", "region-2", "region-1"),
             plan.zoneNames.map(plan::regionOf),
         )
-        val shared = LoadTestRun.sharedSettings(plan)
-        assertEquals(7, shared.teams.size)
-        assertTrue(shared.teams.all { it.cpusMax > it.cpus && it.cpus > 0 })
+        val sharedSettings = LoadTestRun.sharedSettings(plan)
+        assertEquals(7, sharedSettings.teams.size)
+        assertTrue(sharedSettings.teams.all { it.cpusMax > it.cpus && it.cpus > 0 })
     }
 }
