--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -17,44 +17,52 @@
 import plankwall.wire.Stored
 
 /**
- * 20,000 requests, allowed and denied, over seven nodes on a bad day; then the trail against what callers were told.
+ * Sends 20,000 requests, allowed and denied, to seven controllers during outages, crashes and lost answers. Then
+ * compares the audit log with the answers that the callers got.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class AuditLogReplayTest {
-    private val world =
-        SimulatedCluster(2026, 7, gatewaySettings = { Callers.settings(it, Callers.rights(red = RED), sealS = 15.0) })
-    private val callers = Callers(world)
+    private val cluster =
+        SimulatedCluster(2026, 7, gatewaySettings = {
+            Callers.settings(it, Callers.rights(redRules = RED_RULES), sealS = 15.0)
+        })
+    private val callers = Callers(cluster)
 
     init {
-        world.clock.runUntil(5.0)
-        for (n in 0 until REQUESTS) world.clock.after(n / 100.0) { request(n) }
-        // Two outages, lost answers, late transactions, crashes of one node or of all.
-        for ((from, to) in listOf(40.0 to 47.0, 120.0 to 132.0)) {
-            world.clock.after(from) { world.state.outage = true }
-            world.clock.after(to) { world.state.outage = false }
+        cluster.clock.runUntil(5.0)
+        for (n in 0 until REQUESTS) cluster.clock.after(n / 100.0) { sendRandomRequest(n) }
+        // Two outages of the state service, lost answers, late transactions, crashes of one node or of all.
+        for ((start, end) in listOf(40.0 to 47.0, 120.0 to 132.0)) {
+            cluster.clock.after(start) { cluster.state.outage = true }
+            cluster.clock.after(end) { cluster.state.outage = false }
         }
-        world.clock.after(60.0) { world.faults.answerLoss = 0.05 }
-        world.clock.after(100.0) { world.faults.answerLoss = 0.0 }
-        world.clock.after(70.0) { world.faults.lateWrites = 0.05 }
-        world.clock.after(160.0) { world.faults.lateWrites = 0.0 }
-        for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.up }?.crash(4.0) }
-        world.clock.after(110.0) { world.nodes.filter { it.up }.forEach { it.crash(6.0) } }
-        world.clock.after(150.0) {
-            callers.publish("root", 1, Callers.rights(red = RED, more = "rule calm: deny submit to ben;"))
+        cluster.clock.after(60.0) { cluster.faults.answerLoss = 0.05 }
+        cluster.clock.after(100.0) { cluster.faults.answerLoss = 0.0 }
+        cluster.clock.after(70.0) { cluster.faults.lateWrites = 0.05 }
+        cluster.clock.after(160.0) { cluster.faults.lateWrites = 0.0 }
+        for (n in 0 until 20) cluster.clock.after(15.0 + n * 9.0) { cluster.nodes[n % 7].takeIf { it.up }?.crash(4.0) }
+        cluster.clock.after(110.0) { cluster.nodes.filter { it.up }.forEach { it.crash(6.0) } }
+        cluster.clock.after(150.0) {
+            callers.publish(
+                "root",
+                1,
+                Callers.rights(redRules = RED_RULES, moreText = "rule calm: deny submit to ben;"),
+            )
         }
-        world.clock.after(170.0) { callers.publish("root", 2, Callers.rights(red = RED)) }
-        world.clock.runUntil(REQUESTS / 100.0 + 80.0)
+        cluster.clock.after(170.0) { callers.publish("root", 2, Callers.rights(redRules = RED_RULES)) }
+        cluster.clock.runUntil(REQUESTS / 100.0 + 80.0)
     }
 
-    private fun request(n: Int) {
-        val id = "job-%06d".format(world.random.nextInt(400))
-        val who = listOf("ada", "ben", "cas", "eve")[world.random.nextInt(4)]
-        when (world.random.nextInt(10)) {
-            in 0..3 -> callers.submit(who, job(n + 1000))
-            in 4..5 -> callers.submit(who, job(id.takeLast(6).toInt()))
-            in 6..7 -> callers.show(who, id)
-            8 -> callers.cancel(who, id)
-            else -> callers.show(who, id, spoil = {
+    /** Sends request number [n]: a random action of a random caller, one in ten without a valid token. */
+    private fun sendRandomRequest(n: Int) {
+        val jobId = "job-%06d".format(cluster.random.nextInt(400))
+        val principal = listOf("ada", "ben", "cas", "eve")[cluster.random.nextInt(4)]
+        when (cluster.random.nextInt(10)) {
+            in 0..3 -> callers.submit(principal, job(n + 1000))
+            in 4..5 -> callers.submit(principal, job(jobId.takeLast(6).toInt()))
+            in 6..7 -> callers.show(principal, jobId)
+            8 -> callers.cancel(principal, jobId)
+            else -> callers.show(principal, jobId, alterCredentials = {
                 Credentials(
                     it.method,
                     it.path,
@@ -70,27 +78,28 @@
         }
     }
 
-    /** The number decides the team, so that one id is one job whoever submits it. */
-    private fun job(n: Int) = SimulatedCluster.job(
-        n,
-        if (n % 200 == 0) {
+    /** Returns the job with this number. The number determines the team, so that the same id is always the same job. */
+    private fun job(number: Int) = SimulatedCluster.job(
+        number,
+        if (number % 200 == 0) {
             Shape.SERVICE
         } else {
             Shape.ARRAY
         },
         tasks = 1,
         runS = 2.0,
-        team = if (n % 3 == 0) "blue" else "red",
+        team = if (number % 3 == 0) "blue" else "red",
     )
 
+    /** All values in the state service after the last request, by key. */
     private val stored: Map<String, Stored> by lazy {
-        world.state.keys.associateWith { checkNotNull(world.state.value(it)) }
+        cluster.state.keys.associateWith { checkNotNull(cluster.state.value(it)) }
     }
 
     @Test
-    fun `each decision stands in the trail exactly once, and none that was not made`() {
-        val told = callers.asked.groupingBy { it.status }.eachCount()
-        assertEquals(emptyList<String>(), AuditLogChecker(stored).check(callers.asked).take(10), "$told")
+    fun `the audit log holds each decision exactly once and no decision that was not made`() {
+        val statusCounts = callers.sentRequests.groupingBy { it.status }.eachCount()
+        assertEquals(emptyList<String>(), AuditLogChecker(stored).check(callers.sentRequests).take(10), "$statusCounts")
         for (status in listOf(
             0,
             200,
@@ -99,14 +108,14 @@
             403,
             503,
         )) {
-            assertTrue((told[status] ?: 0) > 100, "status $status was met: $told")
+            assertTrue((statusCounts[status] ?: 0) > 100, "too few answers with status $status: $statusCounts")
         }
-        assertEquals(REQUESTS + 2, callers.asked.size)
-        assertEquals(emptyList<String>(), world.checker.violations)
+        assertEquals(REQUESTS + 2, callers.sentRequests.size)
+        assertEquals(emptyList<String>(), cluster.checker.violations)
     }
 
     @Test
-    fun `the chains hold together and are sealed to within the last seal's time`() {
+    fun `the chains of the audit log are intact and their last entries are sealed`() {
         val outcome = AuditLogVerifier { node, _ ->
             PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(AuditLogChecker(stored).copy)
@@ -115,10 +124,7 @@
         assertTrue(outcome.entries > 10_000, "${outcome.entries}")
     }
 
-    /**
-     * Faults planted into what is stored or was told: an entry lost, doubled, moved, turned, or made up; a job
-     * likewise.
-     */
+    /** Plants one fault into the stored values or the recorded answers. [fault] names it and selects it below. */
     @ParameterizedTest
     @ValueSource(
         strings = [
@@ -126,41 +132,47 @@
             "told otherwise", "denial lost", "withdrawn by nobody",
         ],
     )
-    fun `the checker finds what is planted`(fault: String) {
+    fun `the checker reports a lost, duplicated, changed or invented entry, answer or job`(fault: String) {
         val values = LinkedHashMap(stored)
-        val asked = ArrayList(callers.asked)
-        fun edit(pick: (com.fasterxml.jackson.databind.JsonNode) -> Boolean, change: (String) -> List<String>) {
-            val (key, line) = values.filterValues { it is AuditSegment }.firstNotNullOf { (key, s) ->
-                (s as AuditSegment).lines.firstOrNull { pick(SimulatedWorker.json.readTree(it)) }?.let { key to it }
+        val requests = ArrayList(callers.sentRequests)
+
+        /** Replaces the first line that [isWanted] accepts by the lines that [change] returns. */
+        fun editLine(isWanted: (com.fasterxml.jackson.databind.JsonNode) -> Boolean, change: (String) -> List<String>) {
+            val (key, line) = values.filterValues { it is AuditSegment }.firstNotNullOf { (key, segment) ->
+                (segment as AuditSegment).lines
+                    .firstOrNull { isWanted(SimulatedWorker.json.readTree(it)) }?.let { key to it }
             }
             val segment = values.getValue(key) as AuditSegment
             values[key] = segment.copy(lines = segment.lines.flatMap { if (it == line) change(it) else listOf(it) })
         }
-        val answered = callers.asked.filter { it.status == 200 }.map { it.id }.toSet()
+        val answeredIds = callers.sentRequests.filter { it.status == 200 }.map { it.id }.toSet()
         when (fault) {
-            "lost" -> edit({ it.path("q").asText() in answered }) { emptyList() }
-            "twice" -> edit({ it.path("q").asText() in answered }) { listOf(it, it) }
-            "another's" -> edit({
-                it.path("q").asText() in answered && it.path("w").asText() == "ada"
+            "lost" -> editLine({ it.path("q").asText() in answeredIds }) { emptyList() }
+            "twice" -> editLine({ it.path("q").asText() in answeredIds }) { listOf(it, it) }
+            "another's" -> editLine({
+                it.path("q").asText() in answeredIds && it.path("w").asText() == "ada"
             }) { listOf(it.replace("\"w\":\"ada\"", "\"w\":\"ben\"")) }
-            "turned" -> edit({ it.path("q").asText() in answered }) { listOf(it.replace("\"ok\":1", "\"ok\":0")) }
-            "made up" -> edit({
-                it.path("q").asText() in answered
+            "turned" -> editLine({
+                it.path("q").asText() in answeredIds
+            }) { listOf(it.replace("\"ok\":1", "\"ok\":0")) }
+            "made up" -> editLine({
+                it.path("q").asText() in answeredIds
             }) { listOf(it, it.replace("\"q\":\"", "\"q\":\"x").replace("\"i\":\"", "\"i\":\"x")) }
             "job without entry" -> values["f/job-999999"] = values.getValue(values.keys.first { it.startsWith("f/") })
             "entry without job" -> values.remove(values.keys.first { it.startsWith("f/") })
-            "told otherwise" -> asked.first { it.status == 403 }.let { a ->
-                asked[asked.indexOf(a)] =
-                    Callers.Asked(a.id, a.who, a.action, a.subject, a.at).also { it.status = 200 }
+            "told otherwise" -> requests.first { it.status == 403 }.let { denied ->
+                requests[requests.indexOf(denied)] =
+                    Callers.SentRequest(denied.id, denied.principal, denied.action, denied.subject, denied.sentAt)
+                        .also { it.status = 200 }
             }
-            "denial lost" -> edit({ it.path("o").asInt() == 401 }) { emptyList() }
+            "denial lost" -> editLine({ it.path("o").asInt() == 401 }) { emptyList() }
             else -> values["j/job-999999"] = JobRecord(SimulatedCluster.job(999999), 1, 5, 28)
         }
-        assertTrue(AuditLogChecker(values).check(asked).isNotEmpty())
+        assertTrue(AuditLogChecker(values).check(requests).isNotEmpty())
     }
 
     private companion object {
         const val REQUESTS = 20_000
-        const val RED = "allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"
+        const val RED_RULES = "allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"
     }
 }
--- a/src/test/kotlin/plankwall/gateway/Callers.kt
+++ b/src/test/kotlin/plankwall/gateway/Callers.kt
@@ -11,15 +11,24 @@
 import plankwall.simulation.SimulatedWorker
 import plankwall.wire.AdminCodec
 
-/** People and services of a test site, their keys, and every request they made with what they were told. */
-class Callers(private val world: SimulatedCluster) {
-    /** One request and its fate. [status] 0: not answered. */
-    class Asked(val id: String, val who: String, val action: String, val subject: String, val at: Double) {
+/** Sends requests as the principals of a simulated cluster, and records each request with the answer it got. */
+class Callers(private val cluster: SimulatedCluster) {
+    /** A request that [principal] sent at the virtual time [sentAt], and its answer. [subject]: the job, or empty. */
+    class SentRequest(
+        val id: String,
+        val principal: String,
+        val action: String,
+        val subject: String,
+        val sentAt: Double,
+    ) {
+        /** The HTTP status of the answer; 0 if there was none. */
         var status = 0
         var body = ""
 
-        /** What was sent as proof. */
+        /** The authorization header that was sent, if any. */
         var authorization: String? = null
+
+        /** The stage of the job that a successful answer shows. */
         val stage: String? get() = if (status in 200..201) {
             SimulatedWorker.json.readTree(body).get("stage")?.asText()
         } else {
@@ -27,23 +36,27 @@
         }
     }
 
-    val asked = ArrayList<Asked>()
+    val sentRequests = ArrayList<SentRequest>()
     private var nextId = 0
 
+    /** Returns a signed authorization header of [principal], bound to the request's [method], [path] and [body]. */
     fun authorization(
-        who: String,
+        principal: String,
         method: String,
         path: String,
         body: ByteArray,
         id: String,
-        key: SigningKey = KEYS.getValue(who),
+        key: SigningKey = KEYS.getValue(principal),
     ): String = Tokens.authorization(
-        Tokens.sign(key, AUDIENCE, id, world.wallMs(), 30, Tokens.fingerprintOf(method, path, body)),
+        Tokens.sign(key, AUDIENCE, id, cluster.wallMs(), 30, Tokens.fingerprintOf(method, path, body)),
     )
 
-    /** Asks [node], or any, as [who]; [credentials] may be spoilt by [spoil]. */
+    /**
+     * Sends a request as [principal] to [node], or to a random one. [alterCredentials] may change the credentials
+     * before they are sent. [input]: returns the controller's input for them.
+     */
     fun sendRequest(
-        who: String,
+        principal: String,
         action: String,
         subject: String,
         method: String,
@@ -51,119 +64,144 @@
         body: ByteArray = ByteArray(0),
         node: SimulatedController? = null,
         address: String = "127.0.0.1",
-        spoil: (Credentials) -> Credentials = { it },
+        alterCredentials: (Credentials) -> Credentials = { it },
         input: (plankwall.core.statemachine.RequestId, Credentials) -> Input,
-    ): Asked {
+    ): SentRequest {
         val id = "q${nextId++}"
-        val record = Asked(id, who, action, subject, world.clock.now).also { asked.add(it) }
-        val to = node ?: world.nodes[world.random.nextInt(world.nodes.size)]
-        val credentials = spoil(Credentials(method, path, body, authorization(who, method, path, body, id), address))
-        record.authorization = credentials.authorization
-        to.sendRequest({ input(it, credentials) }) { status, answer ->
-            record.status = status
-            record.body = answer.decodeToString()
+        val request = SentRequest(id, principal, action, subject, cluster.clock.now).also { sentRequests.add(it) }
+        val recipient = node ?: cluster.nodes[cluster.random.nextInt(cluster.nodes.size)]
+        val credentials =
+            alterCredentials(Credentials(method, path, body, authorization(principal, method, path, body, id), address))
+        request.authorization = credentials.authorization
+        recipient.sendRequest({ input(it, credentials) }) { status, answer ->
+            request.status = status
+            request.body = answer.decodeToString()
         }
-        return record
+        return request
     }
 
+    /** Submits [spec]. The cluster's checker then knows of the job. */
     fun submit(
-        who: String,
+        principal: String,
         spec: JobSpec,
         node: SimulatedController? = null,
-        spoil: (Credentials) -> Credentials = {
+        alterCredentials: (Credentials) -> Credentials = {
             it
         },
-    ): Asked {
-        world.expect(spec)
+    ): SentRequest {
+        cluster.expect(spec)
         return sendRequest(
-            who,
+            principal,
             "submit",
             spec.id,
             "POST",
             "/api/jobs",
             spec.id.encodeToByteArray(),
             node,
-            spoil = spoil,
+            alterCredentials = alterCredentials,
         ) {
-                r,
-                p,
+                requestId,
+                credentials,
             ->
-            Input.Submit(r, spec, p)
+            Input.Submit(requestId, spec, credentials)
         }
     }
 
     fun show(
-        who: String,
+        principal: String,
         job: String,
         node: SimulatedController? = null,
-        spoil: (Credentials) -> Credentials = {
+        alterCredentials: (Credentials) -> Credentials = {
             it
         },
-    ): Asked = sendRequest(who, "show", job, "GET", "/api/jobs/$job", node = node, spoil = spoil) { r, p ->
-        Input.Show(r, job, p)
+    ): SentRequest = sendRequest(
+        principal,
+        "show",
+        job,
+        "GET",
+        "/api/jobs/$job",
+        node = node,
+        alterCredentials = alterCredentials,
+    ) { requestId, credentials ->
+        Input.Show(requestId, job, credentials)
     }
 
     fun cancel(
-        who: String,
+        principal: String,
         job: String,
         node: SimulatedController? = null,
-        spoil: (Credentials) -> Credentials = {
+        alterCredentials: (Credentials) -> Credentials = {
             it
         },
-    ): Asked = sendRequest(who, "withdraw", job, "POST", "/api/jobs/$job/withdraw", node = node, spoil = spoil) {
-            r,
-            p,
+    ): SentRequest = sendRequest(
+        principal,
+        "withdraw",
+        job,
+        "POST",
+        "/api/jobs/$job/withdraw",
+        node = node,
+        alterCredentials = alterCredentials,
+    ) {
+            requestId,
+            credentials,
         ->
-        Input.Cancel(r, job, p)
+        Input.Cancel(requestId, job, credentials)
     }
 
-    fun publish(who: String, base: Long, text: String, node: SimulatedController? = null): Asked = keep(
-        who,
-        "administer",
-        AdminRequest.Publish(base, text),
-        "POST",
-        "/api/rights",
-        AdminCodec.publish(base, text),
-        node,
-    )
+    /** Publishes the rights [text] as the successor of version [base]. */
+    fun publish(principal: String, base: Long, text: String, node: SimulatedController? = null): SentRequest =
+        sendAdminRequest(
+            principal,
+            "administer",
+            AdminRequest.Publish(base, text),
+            "POST",
+            "/api/rights",
+            AdminCodec.publish(base, text),
+            node,
+        )
 
-    fun keep(
-        who: String,
+    /** Sends the administrative [request], which acts on rights or on the audit log. */
+    fun sendAdminRequest(
+        principal: String,
         action: String,
-        wanted: AdminRequest,
+        request: AdminRequest,
         method: String,
         path: String,
         body: ByteArray = ByteArray(0),
         node: SimulatedController? = null,
-    ): Asked = sendRequest(who, action, "", method, path, body, node) { r, p -> Input.Admin(r, wanted, p) }
+    ): SentRequest = sendRequest(principal, action, "", method, path, body, node) { requestId, credentials ->
+        Input.Admin(requestId, request, credentials)
+    }
 
     companion object {
         const val AUDIENCE = "test-site"
 
-        /** Made once: only who holds which key matters to a test, never the key itself. */
+        /** The keys of all principals. They are generated once, since no test depends on the value of a key. */
         val KEYS: Map<String, SigningKey> = (
             listOf("ada", "ben", "cas", "root", "eve") + (0..6).map {
                 "n$it"
             }
             ).associateWith { SigningKey.generate(it, "k1") }
 
-        fun person(name: String, more: String = ""): String =
-            """person $name { key k1 "${KEYS.getValue(name).x}"; $more }"""
+        /** Returns the policy text that declares the person [name] with their key. [moreText]: further properties. */
+        fun person(name: String, moreText: String = ""): String =
+            """person $name { key k1 "${KEYS.getValue(name).x}"; $moreText }"""
 
         private val NODES = (0..6).joinToString("\n") { """node n$it { key k1 "${KEYS.getValue("n$it").x}"; }""" }
 
         /**
-         * ada runs red's jobs, ben blue's; cas may look; root keeps rights and trail. eve holds a key that nobody
-         * knows.
+         * Returns a policy: ada may run the jobs of team red and ben his own of team blue, cas may only look at them,
+         * and root administers rights and reads the audit log. eve has a key that the policy does not name. [people]:
+         * the declarations of persons. [redRules]: the rules for team red. [moreText]: further statements.
          */
         fun rights(
             people: String = listOf("ada", "ben", "cas", "root").joinToString("\n") { person(it) },
-            red: String = """allow submit, resubmit, show, withdraw where team is red;""",
-            more: String = "",
+            redRules: String = """allow submit, resubmit, show, withdraw where team is red;""",
+            moreText: String = "",
         ): String = """
             $people
             $NODES
-            role red-runner { $red }
+            role red-runner { $redRules }
             role blue-runner { allow submit, resubmit, withdraw where team is blue and owner is self; allow show where team is blue; }
             role keeper { allow administer, audit, show; }
             grant red-runner to ada;
@@ -171,9 +209,10 @@
             rule looking: allow show to cas where team in (red, blue);
             grant keeper to root;
             rule matcher: deny submit, withdraw to everyone where priority is critical;
-            $more
+            $moreText
         """.trimIndent()
 
+        /** Returns gateway settings for [node] with limits so high that no request of a test exceeds them. */
         fun settings(
             node: String = "n0",
             rights: String = rights(),
--- a/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
@@ -14,19 +14,20 @@
 import plankwall.wire.StateOp
 import plankwall.wire.Write
 
-/** Whole sites in virtual time on which every request is tied to somebody. */
+/** Runs simulated clusters on which every request must be authenticated and authorized, and checks their audit log. */
 class GatewayScenarioTest {
-    private fun site(
+    /** Starts a cluster with the policy [rights]. [limitsWillShrink]: whether lower store limits are announced. */
+    private fun startCluster(
         seed: Long,
         nodes: Int = 3,
         rights: String = Callers.rights(),
-        small: Boolean = false,
+        limitsWillShrink: Boolean = false,
     ): Pair<SimulatedCluster, Callers> {
-        val world =
+        val cluster =
             SimulatedCluster(
                 seed,
                 nodes,
-                stateNext = if (small) {
+                stateNext = if (limitsWillShrink) {
                     StateLimits(
                         250.0,
                         70.0,
@@ -40,13 +41,14 @@
                     Callers.settings(it, rights)
                 },
             )
-        world.clock.runUntil(3.0)
-        return world to Callers(world)
+        cluster.clock.runUntil(3.0)
+        return cluster to Callers(cluster)
     }
 
+    /** Asserts that the audit log is intact and matches the answers to [callers], and that no invariant is violated. */
     private fun SimulatedCluster.assertSound(callers: Callers) {
         val checker = AuditLogChecker.of(state)
-        assertEquals(emptyList<String>(), checker.check(callers.asked))
+        assertEquals(emptyList<String>(), checker.check(callers.sentRequests))
         val verified = AuditLogVerifier { node, _ ->
             plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(checker.copy)
@@ -54,60 +56,65 @@
         assertEquals(emptyList<String>(), this.checker.violations)
     }
 
-    private fun SimulatedCluster.until(asked: Callers.Asked): Int {
+    /** Runs the cluster until [request] is answered, 6 seconds at most. Returns its status; 0 if there is no answer. */
+    private fun SimulatedCluster.awaitStatus(request: Callers.SentRequest): Int {
         val end = clock.now + 6.0
-        while (asked.status == 0 && clock.now < end) clock.runUntil(clock.now + 0.02)
-        return asked.status
+        while (request.status == 0 && clock.now < end) clock.runUntil(clock.now + 0.02)
+        return request.status
     }
 
     @Test
-    fun `each may do what his rights say, and no more`() {
-        val (world, callers) = site(1)
-        val red = SimulatedCluster.job(1, team = "red", runS = 500.0)
-        val blue = SimulatedCluster.job(2, team = "blue", runS = 500.0)
-        val table = listOf<Pair<() -> Callers.Asked, Int>>(
-            { callers.submit("ada", red) } to 201,
-            { callers.submit("ben", blue) } to 201,
+    fun `each principal may do only what the rights allow`() {
+        val (cluster, callers) = startCluster(1)
+        val redJob = SimulatedCluster.job(1, team = "red", runS = 500.0)
+        val blueJob = SimulatedCluster.job(2, team = "blue", runS = 500.0)
+        val expectedStatuses = listOf<Pair<() -> Callers.SentRequest, Int>>(
+            { callers.submit("ada", redJob) } to 201,
+            { callers.submit("ben", blueJob) } to 201,
             { callers.submit("ada", SimulatedCluster.job(3, team = "blue")) } to 403,
             { callers.submit("ada", SimulatedCluster.job(4, team = "red", priority = Priority.PRODUCTION)) } to 403,
             { callers.submit("eve", SimulatedCluster.job(5, team = "red")) } to 401,
             { callers.submit("cas", SimulatedCluster.job(6, team = "red")) } to 403,
-            { callers.submit("ada", red) } to 200,
-            // Another's retry of the same id learns nothing of it.
+            { callers.submit("ada", redJob) } to 200,
+            // Submitting the id of another owner's job reveals nothing about that job.
             { callers.submit("ben", SimulatedCluster.job(1, team = "blue")) } to 403,
-            { callers.show("ada", red.id) } to 200,
-            { callers.show("cas", blue.id) } to 200,
-            { callers.show("ben", red.id) } to 403,
-            // Nor does a look at what was never submitted; who may see all is told so.
+            { callers.show("ada", redJob.id) } to 200,
+            { callers.show("cas", blueJob.id) } to 200,
+            { callers.show("ben", redJob.id) } to 403,
+            // A job that does not exist is denied like a job of others; only a principal who may see all jobs gets 404.
             { callers.show("ben", "job-000099") } to 403,
             { callers.show("root", "job-000099") } to 404,
-            { callers.cancel("cas", red.id) } to 403,
-            { callers.cancel("ben", red.id) } to 403,
-            // Waiting for a job tells when it ends.
+            { callers.cancel("cas", redJob.id) } to 403,
+            { callers.cancel("ben", redJob.id) } to 403,
+            // A dependency on a job reveals when that job ends, so it requires the right to see the job.
             { callers.submit("ben", SimulatedCluster.job(7, team = "blue", after = listOf(1))) } to 403,
             { callers.submit("ben", SimulatedCluster.job(8, team = "blue", after = listOf(2))) } to 201,
             { callers.submit("ben", SimulatedCluster.job(9, team = "blue", after = listOf(98))) } to 403,
-            { callers.cancel("ada", red.id) } to 200,
-            { callers.cancel("ben", blue.id) } to 200,
+            { callers.cancel("ada", redJob.id) } to 200,
+            { callers.cancel("ben", blueJob.id) } to 200,
         )
-        for ((n, row) in table.withIndex()) {
-            val asked = row.first()
+        for ((index, row) in expectedStatuses.withIndex()) {
+            val request = row.first()
             assertEquals(
                 row.second,
-                world.until(asked),
-                "row $n: ${asked.who} ${asked.action} ${asked.subject}: ${asked.body}",
+                cluster.awaitStatus(request),
+                "row $index: ${request.principal} ${request.action} ${request.subject}: ${request.body}",
             )
-            // What a job's end makes of it is read by its new record.
-            world.clock.runUntil(world.clock.now + 0.3)
+            // Lets the nodes learn the changed record of a job before the next request.
+            cluster.clock.runUntil(cluster.clock.now + 0.3)
         }
-        world.clock.runUntil(60.0)
-        assertEquals("withdrawn", callers.show("ben", "job-000008").also { world.until(it) }.stage)
-        assertEquals(403, world.until(callers.show("ada", blue.id)), "over, and still not hers")
-        world.clock.runUntil(world.clock.now + 30.0)
-        world.assertSound(callers)
+        cluster.clock.runUntil(60.0)
+        assertEquals("withdrawn", callers.show("ben", "job-000008").also { cluster.awaitStatus(it) }.stage)
+        assertEquals(
+            403,
+            cluster.awaitStatus(callers.show("ada", blueJob.id)),
+            "a finished job is still not visible to her",
+        )
+        cluster.clock.runUntil(cluster.clock.now + 30.0)
+        cluster.assertSound(callers)
     }
 
-    @ParameterizedTest(name = "{0}: {1}")
+    @ParameterizedTest(name = "{0}: status {1}")
     @CsvSource(
         "as it was, 201", "no header, 401", "another request's body, 401", "another path, 401", "used already, 401",
         "wrong audience, 401",
@@ -115,91 +122,101 @@
         "64 KiB, 401",
         "alg none, 401", "a header that names a user, 401",
     )
-    fun `a proof that is none gets 401, from loopback as from anywhere`(spoilt: String, expected: Int) {
-        val (world, callers) = site(2)
+    fun `a request whose token is missing, invalid, expired or used already gets 401, also from loopback`(
+        tokenCase: String,
+        expectedStatus: Int,
+    ) {
+        val (cluster, callers) = startCluster(2)
         val spec = SimulatedCluster.job(1, team = "red")
         val key = Callers.KEYS.getValue("ada")
-        val bound = plankwall.identity.Tokens.fingerprintOf("POST", "/api/jobs", spec.id.encodeToByteArray())
+        val fingerprint = plankwall.identity.Tokens.fingerprintOf("POST", "/api/jobs", spec.id.encodeToByteArray())
         fun token(
             audience: String = Callers.AUDIENCE,
-            at: Long = world.wallMs(),
-            life: Int = 30,
-            binds: String? = bound,
+            issuedMs: Long = cluster.wallMs(),
+            lifetimeS: Int = 30,
+            boundTo: String? = fingerprint,
             by: plankwall.identity.SigningKey = key,
         ) = plankwall.identity.Tokens.authorization(
-            plankwall.identity.Tokens.sign(by, audience, "spoilt", at, life, binds),
+            plankwall.identity.Tokens.sign(by, audience, "spoilt", issuedMs, lifetimeS, boundTo),
         )
-        val asked = callers.submit("ada", spec, world.nodes[0]) { p ->
-            val header = when (spoilt) {
-                "as it was", "another request's body", "another path" -> p.authorization
+        val request = callers.submit("ada", spec, cluster.nodes[0]) { original ->
+            val header = when (tokenCase) {
+                "as it was", "another request's body", "another path" -> original.authorization
                 "no header" -> null
-                "used already" -> p.authorization.also { first ->
-                    callers.submit("ada", spec, world.nodes[0]) {
+                "used already" -> original.authorization.also { first ->
+                    callers.submit("ada", spec, cluster.nodes[0]) {
                         plankwall.core.statemachine.Credentials(it.method, it.path, it.body, first, it.address)
                     }
                 }
                 "wrong audience" -> token(audience = "elsewhere")
-                "expired" -> token(at = world.wallMs() - 40_000)
-                "not yet valid" -> token(at = world.wallMs() + 10_000)
-                "lives too long" -> token(life = 3600)
+                "expired" -> token(issuedMs = cluster.wallMs() - 40_000)
+                "not yet valid" -> token(issuedMs = cluster.wallMs() + 10_000)
+                "lives too long" -> token(lifetimeS = 3600)
                 "wrong key" -> token(by = Callers.KEYS.getValue("eve"))
-                "unbound" -> token(binds = null)
-                "truncated" -> p.authorization?.dropLast(5)
+                "unbound" -> token(boundTo = null)
+                "truncated" -> original.authorization?.dropLast(5)
                 "64 KiB" -> "Bearer " + "e30.".repeat(16_000)
-                "alg none" -> "Bearer eyJhbGciOiJub25lIn0." + p.authorization.orEmpty().split('.')[1] + "."
+                "alg none" -> "Bearer eyJhbGciOiJub25lIn0." + original.authorization.orEmpty().split('.')[1] + "."
                 else -> "ada"
             }
-            val body = if (spoilt == "another request's body") "job-000002".encodeToByteArray() else p.body
+            val body = if (tokenCase == "another request's body") "job-000002".encodeToByteArray() else original.body
             plankwall.core.statemachine.Credentials(
-                p.method,
-                if (spoilt == "another path") {
+                original.method,
+                if (tokenCase == "another path") {
                     "/api/jobs?"
                 } else {
-                    p.path
+                    original.path
                 },
                 body,
                 header,
                 "127.0.0.1",
             )
         }
-        assertEquals(expected, world.until(asked), asked.body)
-        assertTrue(expected == 201 || "error" in asked.body)
+        assertEquals(expectedStatus, cluster.awaitStatus(request), request.body)
+        assertTrue(expectedStatus == 201 || "error" in request.body)
     }
 
     @Test
-    fun `what was revoked is refused by every node within a second, and its jobs are seen to`() {
-        val red = """allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"""
-        val (world, callers) = site(3, nodes = 7, rights = Callers.rights(red = red))
-        val mine = SimulatedCluster.job(1, Shape.SERVICE, team = "red")
-        val other = SimulatedCluster.job(2, Shape.SERVICE, team = "blue")
-        assertEquals(201, world.until(callers.submit("ada", mine)))
-        assertEquals(201, world.until(callers.submit("ben", other)))
-        world.clock.runUntil(40.0)
-        assertEquals("running", callers.show("ada", mine.id).also { world.until(it) }.stage)
-        // ada may only look now, and ben, whose rule says nothing, not even that.
-        val now = Callers.rights(red = "allow show where team is red;", more = "rule away: deny anything to ben;")
-        assertEquals(200, world.until(callers.publish("root", 1, now)))
-        world.clock.runUntil(world.clock.now + 1.0)
-        for (node in world.nodes) {
-            assertEquals(403, world.until(callers.submit("ada", SimulatedCluster.job(3, team = "red"), node)))
-            assertEquals(403, world.until(callers.show("ben", other.id, node)))
+    fun `a revoked right is refused by every node within a second, and jobs are cancelled where the rule says so`() {
+        val redRules = """allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"""
+        val (cluster, callers) = startCluster(3, nodes = 7, rights = Callers.rights(redRules = redRules))
+        val redJob = SimulatedCluster.job(1, Shape.SERVICE, team = "red")
+        val blueJob = SimulatedCluster.job(2, Shape.SERVICE, team = "blue")
+        assertEquals(201, cluster.awaitStatus(callers.submit("ada", redJob)))
+        assertEquals(201, cluster.awaitStatus(callers.submit("ben", blueJob)))
+        cluster.clock.runUntil(40.0)
+        assertEquals("running", callers.show("ada", redJob.id).also { cluster.awaitStatus(it) }.stage)
+        // Now ada may only look, and ben may do nothing. His old rule does not cancel jobs when it is revoked.
+        val reducedRights = Callers.rights(
+            redRules = "allow show where team is red;",
+            moreText = "rule away: deny anything to ben;",
+        )
+        assertEquals(200, cluster.awaitStatus(callers.publish("root", 1, reducedRights)))
+        cluster.clock.runUntil(cluster.clock.now + 1.0)
+        for (node in cluster.nodes) {
+            assertEquals(403, cluster.awaitStatus(callers.submit("ada", SimulatedCluster.job(3, team = "red"), node)))
+            assertEquals(403, cluster.awaitStatus(callers.show("ben", blueJob.id, node)))
         }
-        world.clock.runUntil(world.clock.now + 20.0)
-        assertEquals("withdrawn", callers.show("ada", mine.id).also { world.until(it) }.stage)
-        assertEquals("running", callers.show("cas", other.id).also { world.until(it) }.stage, "his rule lets it finish")
-        val links = AuditLogChecker.of(world.state).entries.filter { it.get("a").asText() == "revoke" }
+        cluster.clock.runUntil(cluster.clock.now + 20.0)
+        assertEquals("withdrawn", callers.show("ada", redJob.id).also { cluster.awaitStatus(it) }.stage)
         assertEquals(
-            mapOf(mine.id to "withdraw", other.id to "finish"),
-            links.associate {
+            "running",
+            callers.show("cas", blueJob.id).also { cluster.awaitStatus(it) }.stage,
+            "ben's rule did not ask for cancellation on revocation",
+        )
+        val revocations = AuditLogChecker.of(cluster.state).entries.filter { it.get("a").asText() == "revoke" }
+        assertEquals(
+            mapOf(redJob.id to "withdraw", blueJob.id to "finish"),
+            revocations.associate {
                 it.get("s").asText() to
                     it.get("x").asText()
             },
         )
-        assertEquals(2, links.size)
+        assertEquals(2, revocations.size)
         assertEquals(
             200,
-            world.until(
-                callers.keep(
+            cluster.awaitStatus(
+                callers.sendAdminRequest(
                     "root",
                     "administer",
                     plankwall.core.statemachine.AdminRequest.Rollback(2, 1),
@@ -208,139 +225,150 @@
                 ),
             ),
         )
-        world.clock.runUntil(world.clock.now + 1.0)
+        cluster.clock.runUntil(cluster.clock.now + 1.0)
         assertEquals(
             201,
-            world.until(callers.submit("ada", SimulatedCluster.job(9, team = "red"))),
-            "as it was at first",
+            cluster.awaitStatus(callers.submit("ada", SimulatedCluster.job(9, team = "red"))),
+            "the first rights are in force again",
         )
-        world.clock.runUntil(world.clock.now + 25.0)
-        world.assertSound(callers)
+        cluster.clock.runUntil(cluster.clock.now + 25.0)
+        cluster.assertSound(callers)
     }
 
-    /** The day on which a node dies at its n-th effect of one kind, for every n that there is. */
+    /** Crashes a node at its n-th state service call that concerns [step], for every n there is. */
     @ParameterizedTest
     @CsvSource("submit", "withdraw", "publish", "revoke", "seal", "deny", "turn")
-    fun `a crash at any step leaves entry and effect, or neither`(step: String) {
+    fun `after a crash at any step both the audit log entry and its effect are stored or neither is`(step: String) {
         var crashes = 0
         for (n in 0 until 40) {
-            val red = """allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"""
-            val (world, callers) = site(100L + n, rights = Callers.rights(red = red), small = step == "turn")
+            val redRules = """allow submit, resubmit, show, withdraw where team is red on revoke withdraw;"""
+            val (cluster, callers) =
+                startCluster(100L + n, rights = Callers.rights(redRules = redRules), limitsWillShrink = step == "turn")
             val spec = SimulatedCluster.job(1, Shape.SERVICE, team = "red")
-            if (step != "submit") world.until(callers.submit("ada", spec))
-            world.clock.runUntil(18.0)
-            var left = n
+            if (step != "submit") cluster.awaitStatus(callers.submit("ada", spec))
+            cluster.clock.runUntil(18.0)
+            var callsBeforeCrash = n
             var crashed = false
-            world.onEffect = { node, e ->
-                if (!crashed && e is Effect.StateCall && concerns(step, e.op) && left-- == 0) {
+            cluster.onEffect = { node, effect ->
+                if (!crashed && effect is Effect.StateCall && belongsTo(step, effect.op) && callsBeforeCrash-- == 0) {
                     crashed = true
                     crashes++
-                    // Half of them after it was sent: it is executed, and nobody hears of it.
-                    if (n % 2 == 1) world.clock.after(0.002) { world.state.run(e.op) {} }
+                    // In every second run the call is sent before the crash: it is executed, but its result is lost.
+                    if (n % 2 == 1) cluster.clock.after(0.002) { cluster.state.run(effect.op) {} }
                     node.crash(4.0)
                 }
             }
-            repeat(4) { k ->
-                world.clock.after(k * 1.5) {
+            repeat(4) { round ->
+                cluster.clock.after(round * 1.5) {
                     when (step) {
                         "submit" -> callers.submit("ada", spec)
                         "withdraw" -> callers.cancel("ada", spec.id)
                         "publish", "revoke" -> callers.publish(
                             "root",
                             1L,
-                            Callers.rights(red = "allow show where team is red;"),
+                            Callers.rights(redRules = "allow show where team is red;"),
                         )
-                        "deny" -> callers.submit("cas", SimulatedCluster.job(10 + k, team = "red"))
+                        "deny" -> callers.submit("cas", SimulatedCluster.job(10 + round, team = "red"))
                         "turn" -> repeat(12) { callers.show("cas", spec.id) }
                         else -> callers.show("ada", spec.id)
                     }
                 }
             }
-            world.clock.runUntil(75.0)
+            cluster.clock.runUntil(75.0)
             if (step == "revoke") {
-                assertEquals("withdrawn", callers.show("root", spec.id).also { world.until(it) }.stage, "crash $n")
+                assertEquals(
+                    "withdrawn",
+                    callers.show("root", spec.id).also { cluster.awaitStatus(it) }.stage,
+                    "crash $n",
+                )
             }
-            if (step == "publish") assertEquals(2L, world.nodes[0].accessGateway?.version, "crash $n")
-            world.clock.runUntil(world.clock.now + 45.0)
-            world.assertSound(callers)
+            if (step == "publish") assertEquals(2L, cluster.nodes[0].accessGateway?.version, "crash $n")
+            cluster.clock.runUntil(cluster.clock.now + 45.0)
+            cluster.assertSound(callers)
             if (!crashed) break
         }
         assertTrue(crashes >= 2, "met $crashes steps")
     }
 
     @Test
-    fun `a right that is revoked between check and store allows nothing any more`() {
+    fun `a submission whose right is revoked between its check and its write is not stored`() {
         val outcomes = HashSet<Int>()
         for (n in 0 until 30) {
-            val (world, callers) = site(300L + n)
-            val at = world.clock.now + 1.0
-            world.clock.after(1.0) {
-                callers.publish("root", 1, Callers.rights(red = "allow show where team is red;"), world.nodes[0])
+            val (cluster, callers) = startCluster(300L + n)
+            val publishedAt = cluster.clock.now + 1.0
+            cluster.clock.after(1.0) {
+                callers.publish("root", 1, Callers.rights(redRules = "allow show where team is red;"), cluster.nodes[0])
             }
-            // The whole time from the publication's first write to the last node's hearing of it.
-            val asked = List(6) { k ->
-                SimulatedCluster.job(k + 1, team = "red", runS = 500.0) to world.nodes[1 + k % 2]
-            }.mapIndexed { k, (spec, node) ->
-                ArrayList<Callers.Asked>().also { into ->
-                    world.clock.after(1.0 + n * 0.002 + k * 0.004) { into.add(callers.submit("ada", spec, node)) }
+            // All runs together cover the time from the publication's first write until the last node knows of it.
+            val submissions = List(6) { index ->
+                SimulatedCluster.job(index + 1, team = "red", runS = 500.0) to cluster.nodes[1 + index % 2]
+            }.mapIndexed { index, (spec, node) ->
+                ArrayList<Callers.SentRequest>().also { sent ->
+                    cluster.clock.after(1.0 + n * 0.002 + index * 0.004) { sent.add(callers.submit("ada", spec, node)) }
                 }
             }
-            world.clock.runUntil(at + 4.0)
-            val published = world.state.version("access/head")
-            for (a in asked.flatten()) {
-                outcomes.add(a.status)
-                val stored = world.state.firstVersion("j/${a.subject}")
-                assertEquals(a.status == 201, stored > 0, "${a.subject} of run $n")
-                assertTrue(stored < published, "${a.subject} of run $n was stored by rights that were replaced")
+            cluster.clock.runUntil(publishedAt + 4.0)
+            val publishedVersion = cluster.state.version("access/head")
+            for (submission in submissions.flatten()) {
+                outcomes.add(submission.status)
+                val storedVersion = cluster.state.firstVersion("j/${submission.subject}")
+                assertEquals(submission.status == 201, storedVersion > 0, "${submission.subject} of run $n")
+                assertTrue(
+                    storedVersion < publishedVersion,
+                    "${submission.subject} of run $n was stored by rights that were replaced",
+                )
             }
-            world.clock.runUntil(at + 40.0)
-            world.assertSound(callers)
+            cluster.clock.runUntil(publishedAt + 40.0)
+            cluster.assertSound(callers)
         }
-        assertEquals(setOf(201, 403), outcomes, "both sides of the race were met")
+        assertEquals(setOf(201, 403), outcomes, "both outcomes of the race must occur")
     }
 
     @Test
-    fun `beside a node of an older version, which knows no owners, nothing is lost and nothing is let through`() {
-        var old = setOf("n0")
-        val world = SimulatedCluster(31, 3, gatewaySettings = { if (it in old) null else Callers.settings(it) })
-        val callers = Callers(world)
-        world.clock.runUntil(3.0)
-        // The older one leads, so it ends jobs without saying whose they were.
-        while (!world.nodes[0].leading) {
-            world.nodes.first { it.leading }.crash(3.0)
-            world.clock.runUntil(world.clock.now + 6.0)
+    fun `beside an older node that knows no owners, access is checked and a revocation takes effect later`() {
+        var nodesWithoutGateway = setOf("n0")
+        val cluster = SimulatedCluster(31, 3, gatewaySettings = {
+            if (it in nodesWithoutGateway) null else Callers.settings(it)
+        })
+        val callers = Callers(cluster)
+        cluster.clock.runUntil(3.0)
+        // Makes the older node the leader, so that it stores the end of jobs without their owners.
+        while (!cluster.nodes[0].leading) {
+            cluster.nodes.first { it.leading }.crash(3.0)
+            cluster.clock.runUntil(cluster.clock.now + 6.0)
         }
-        val short = SimulatedCluster.job(1, tasks = 1, team = "red", runS = 5.0)
-        val long = SimulatedCluster.job(2, Shape.SERVICE, team = "red")
-        assertEquals(201, world.until(callers.submit("ada", short, world.nodes[1])))
-        assertEquals(201, world.until(callers.submit("ada", long, world.nodes[2])))
-        world.clock.runUntil(world.clock.now + 40.0)
-        assertEquals("done", callers.show("ada", short.id, world.nodes[1]).also { world.until(it) }.stage)
-        assertEquals(403, world.until(callers.show("ben", short.id, world.nodes[1])))
-        // Then it is replaced, and what was published meanwhile is seen to by whoever leads next.
+        val shortJob = SimulatedCluster.job(1, tasks = 1, team = "red", runS = 5.0)
+        val longJob = SimulatedCluster.job(2, Shape.SERVICE, team = "red")
+        assertEquals(201, cluster.awaitStatus(callers.submit("ada", shortJob, cluster.nodes[1])))
+        assertEquals(201, cluster.awaitStatus(callers.submit("ada", longJob, cluster.nodes[2])))
+        cluster.clock.runUntil(cluster.clock.now + 40.0)
+        assertEquals("done", callers.show("ada", shortJob.id, cluster.nodes[1]).also { cluster.awaitStatus(it) }.stage)
+        assertEquals(403, cluster.awaitStatus(callers.show("ben", shortJob.id, cluster.nodes[1])))
+        // The older node is upgraded; the next leader applies the rights that were published before.
         assertEquals(
             200,
-            world.until(
+            cluster.awaitStatus(
                 callers.publish(
                     "root",
                     1,
                     Callers.rights(
-                        red = "allow show where team is red;",
-                        more = "rule out: deny submit to ada on revoke withdraw;",
+                        redRules = "allow show where team is red;",
+                        moreText = "rule out: deny submit to ada on revoke withdraw;",
                     ),
-                    world.nodes[1],
+                    cluster.nodes[1],
                 ),
             ),
         )
-        world.clock.runUntil(world.clock.now + 5.0)
-        old = emptySet()
-        world.nodes[0].crash(3.0)
-        world.clock.runUntil(world.clock.now + 40.0)
-        assertEquals("withdrawn", callers.show("ada", long.id).also { world.until(it) }.stage)
-        world.assertSound(callers)
+        cluster.clock.runUntil(cluster.clock.now + 5.0)
+        nodesWithoutGateway = emptySet()
+        cluster.nodes[0].crash(3.0)
+        cluster.clock.runUntil(cluster.clock.now + 40.0)
+        assertEquals("withdrawn", callers.show("ada", longJob.id).also { cluster.awaitStatus(it) }.stage)
+        cluster.assertSound(callers)
     }
 
-    private fun concerns(step: String, op: StateOp): Boolean {
+    /** Whether the state service operation [op] belongs to [step] of the crash test. */
+    private fun belongsTo(step: String, op: StateOp): Boolean {
         val keys = (op as? StateOp.Txn)?.writes.orEmpty().filterIsInstance<Write.Put>().map { it.key }
         return when (step) {
             "publish" -> keys.any { it.startsWith("access/v/") || it == "access/head" }
@@ -356,33 +384,39 @@
     }
 
     @Test
-    fun `without the state service nobody may do anything, but look at what is his`() {
-        val (world, callers) = site(5)
+    fun `during an outage of the state service an owner may only look at a job that the node remembers`() {
+        val (cluster, callers) = startCluster(5)
         val spec = SimulatedCluster.job(1, team = "red", tasks = 1, runS = 3.0)
-        assertEquals(201, world.until(callers.submit("ada", spec, world.nodes[1])))
-        world.clock.runUntil(40.0)
-        assertEquals("done", callers.show("ada", spec.id, world.nodes[1]).also { world.until(it) }.stage)
-        assertEquals("done", callers.show("cas", spec.id, world.nodes[1]).also { world.until(it) }.stage)
-        world.state.outage = true
-        world.clock.runUntil(50.0)
+        assertEquals(201, cluster.awaitStatus(callers.submit("ada", spec, cluster.nodes[1])))
+        cluster.clock.runUntil(40.0)
+        assertEquals("done", callers.show("ada", spec.id, cluster.nodes[1]).also { cluster.awaitStatus(it) }.stage)
+        assertEquals("done", callers.show("cas", spec.id, cluster.nodes[1]).also { cluster.awaitStatus(it) }.stage)
+        cluster.state.outage = true
+        cluster.clock.runUntil(50.0)
         assertEquals(
             "done",
-            callers.show("ada", spec.id, world.nodes[1]).also {
-                world.until(it)
+            callers.show("ada", spec.id, cluster.nodes[1]).also {
+                cluster.awaitStatus(it)
             }.stage,
-            "her own, which this node remembers",
+            "her own job, which this node remembers",
         )
         assertEquals(
             503,
-            world.until(callers.show("cas", spec.id, world.nodes[1])),
-            "not hers, and the denial can't be recorded",
+            cluster.awaitStatus(callers.show("cas", spec.id, cluster.nodes[1])),
+            "another owner's job, and the decision can't be recorded",
+        )
+        assertEquals(
+            503,
+            cluster.awaitStatus(callers.submit("ada", SimulatedCluster.job(2, team = "red"), cluster.nodes[1])),
+        )
+        assertEquals(503, cluster.awaitStatus(callers.cancel("ada", spec.id, cluster.nodes[1])))
+        cluster.state.outage = false
+        cluster.clock.runUntil(60.0)
+        assertEquals(
+            201,
+            cluster.awaitStatus(callers.submit("ada", SimulatedCluster.job(3, team = "red"), cluster.nodes[1])),
         )
-        assertEquals(503, world.until(callers.submit("ada", SimulatedCluster.job(2, team = "red"), world.nodes[1])))
-        assertEquals(503, world.until(callers.cancel("ada", spec.id, world.nodes[1])))
-        world.state.outage = false
-        world.clock.runUntil(60.0)
-        assertEquals(201, world.until(callers.submit("ada", SimulatedCluster.job(3, team = "red"), world.nodes[1])))
-        world.clock.runUntil(85.0)
-        world.assertSound(callers)
+        cluster.clock.runUntil(85.0)
+        cluster.assertSound(callers)
     }
 }
--- a/src/test/kotlin/plankwall/load/RevocationReach.kt
+++ b/src/test/kotlin/plankwall/load/RevocationReach.kt
@@ -15,7 +15,7 @@
             cluster.clock.runUntil(5.0)
             for (n in 1L..25) {
                 cluster.clock.runUntil(cluster.clock.now + cluster.random.nextDouble())
-                val asked = callers.publish("root", n, Callers.rights(more = "# $n"))
+                val asked = callers.publish("root", n, Callers.rights(moreText = "# $n"))
                 while (asked.status == 0) cluster.clock.runUntil(cluster.clock.now + 0.001)
                 check(asked.status == 200) { asked.body }
                 val told = cluster.clock.now
