--- a/src/test/kotlin/plankwall/load/GatewayCost.kt
+++ b/src/test/kotlin/plankwall/load/GatewayCost.kt
@@ -16,7 +16,8 @@
 import plankwall.wire.Write
 
 /**
- * What the gate's parts take, by hand; with the flags of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`.
+ * Measures the time that each step of the gateway takes. Run by hand with the JVM flags of the small machine:
+ * `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`.
  */
 object GatewayCost {
     @JvmStatic
@@ -48,10 +49,10 @@
                                 StateOp.Txn(listOf(Guard("a", 1)), listOf(Write.Put("trail/n0/1", segment))),
                             ).size
                         },
-                ).joinToString(", ") { (name, run) ->
-                    val began = System.nanoTime()
-                    repeat(500) { run(it) }
-                    "%s %.3f ms".format(name, (System.nanoTime() - began) / 500e6)
+                ).joinToString(", ") { (name, runStep) ->
+                    val startedNs = System.nanoTime()
+                    repeat(500) { runStep(it) }
+                    "%s %.3f ms".format(name, (System.nanoTime() - startedNs) / 500e6)
                 },
             )
         }
--- a/src/test/kotlin/plankwall/load/LoopbackServices.kt
+++ b/src/test/kotlin/plankwall/load/LoopbackServices.kt
@@ -11,51 +11,58 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * State service and cloud as PROTOCOL has them, over HTTP on loopback, for real processes. The cloud has types and no
- * machines.
+ * An HTTP server on loopback that stands in for the state service and the cloud, for controllers that run as real
+ * processes. The cloud offers machine types but has no machines.
  */
 class LoopbackServices : AutoCloseable {
-    private class Entry(val data: JsonNode, val stamp: Long, val lease: Long?)
+    /** A stored value. [revision]: that of its last write. [lease]: the id of the lease it is bound to, if any. */
+    private class Entry(val data: JsonNode, val revision: Long, val lease: Long?)
 
-    private class Lease(val lifeMs: Long, var until: Long)
+    /** A lease. [expiresMs]: when it expires, by [nowMs]. */
+    private class Lease(val durationMs: Long, var expiresMs: Long)
 
-    private class News(val key: String, val data: JsonNode?, val stamp: Long)
+    /** A write in the history. [data]: the new value; null if the key was removed. */
+    private class Change(val key: String, val data: JsonNode?, val revision: Long)
 
     private val json = ObjectMapper()
     private val entries = TreeMap<String, Entry>()
     private val leases = HashMap<Long, Lease>()
-    private val history = ArrayDeque<News>()
+    private val history = ArrayDeque<Change>()
     private var revision = 0L
     private var nextLease = 1L
     private val lock = Object()
 
+    /** The number of requests to the state service so far. */
     val requests = AtomicLong()
+
+    /** The number of keys that were written or removed so far. */
     val changes = AtomicLong()
     private val pool = Executors.newCachedThreadPool { Thread(it).apply { isDaemon = true } }
     private val server = HttpServer.create(InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 200).apply {
         executor = pool
-        createContext("/") { e -> answer(e) }
+        createContext("/") { exchange -> answer(exchange) }
         start()
     }
 
     val address: String get() = "127.0.0.1:${server.address.port}"
 
-    private fun answer(e: HttpExchange) {
-        val body = e.requestBody.readBytes()
+    private fun answer(exchange: HttpExchange) {
+        val body = exchange.requestBody.readBytes()
         val (status, answer) = try {
-            handle(e.requestMethod, e.requestURI.path, query(e.requestURI.rawQuery), body)
-        } catch (x: RuntimeException) {
-            400 to """{"error":${json.writeValueAsString(x.toString())}}"""
+            handle(exchange.requestMethod, exchange.requestURI.path, parseQuery(exchange.requestURI.rawQuery), body)
+        } catch (exception: RuntimeException) {
+            400 to """{"error":${json.writeValueAsString(exception.toString())}}"""
         }
         val bytes = answer.encodeToByteArray()
-        e.sendResponseHeaders(status, if (bytes.isEmpty()) -1 else bytes.size.toLong())
-        if (bytes.isNotEmpty()) e.responseBody.write(bytes)
-        e.close()
+        exchange.sendResponseHeaders(status, if (bytes.isEmpty()) -1 else bytes.size.toLong())
+        if (bytes.isNotEmpty()) exchange.responseBody.write(bytes)
+        exchange.close()
     }
 
-    private fun query(raw: String?): Map<String, String> =
-        raw?.split('&')?.associate { it.substringBefore('=') to it.substringAfter('=', "") }.orEmpty()
+    private fun parseQuery(rawQuery: String?): Map<String, String> =
+        rawQuery?.split('&')?.associate { it.substringBefore('=') to it.substringAfter('=', "") }.orEmpty()
 
+    /** Answers one request: returns the status and the body. */
     private fun handle(method: String, path: String, query: Map<String, String>, body: ByteArray): Pair<Int, String> {
         if (path == "/catalog") return 200 to CATALOG
         if (path == "/machines" && method == "GET") return 200 to """{"berths":[],"has_next":false}"""
@@ -63,24 +70,24 @@
         requests.incrementAndGet()
         return when {
             path == "/multi" -> synchronized(lock) {
-                expire()
+                dropExpiredLeases()
                 transact(json.readTree(body))
             }
             path == "/keys" -> synchronized(lock) {
-                expire()
+                dropExpiredLeases()
                 200 to range(query)
             }
             path == "/changes" -> changes(query)
             path.startsWith("/keys/") -> synchronized(lock) {
-                expire()
+                dropExpiredLeases()
                 get(path.removePrefix("/keys/"))
             }
-            path == "/grants" -> synchronized(lock) { grant(json.readTree(body).get("life_ms").asLong()) }
+            path == "/grants" -> synchronized(lock) { grantLease(json.readTree(body).get("life_ms").asLong()) }
             path.endsWith("/touch") -> synchronized(lock) {
-                touch(path.removePrefix("/grants/").removeSuffix("/touch").toLong())
+                renewLease(path.removePrefix("/grants/").removeSuffix("/touch").toLong())
             }
             path.startsWith("/grants/") -> synchronized(lock) {
-                drop(path.removePrefix("/grants/").toLong())
+                dropLease(path.removePrefix("/grants/").toLong())
                 200 to
                     "{}"
             }
@@ -88,74 +95,78 @@
         }
     }
 
-    private fun now() = System.nanoTime() / 1_000_000
+    /** The time of a monotonic clock, in ms. */
+    private fun nowMs() = System.nanoTime() / 1_000_000
 
-    private fun expire() = leases.filterValues { it.until < now() }.keys.toList().forEach { drop(it) }
+    private fun dropExpiredLeases() =
+        leases.filterValues { it.expiresMs < nowMs() }.keys.toList().forEach { dropLease(it) }
 
-    private fun drop(lease: Long) {
+    /** Removes a lease together with the keys that are bound to it. */
+    private fun dropLease(lease: Long) {
         leases.remove(lease)
-        val gone = entries.filterValues { it.lease == lease }.keys.toList()
-        if (gone.isEmpty()) return
+        val removedKeys = entries.filterValues { it.lease == lease }.keys.toList()
+        if (removedKeys.isEmpty()) return
         revision++
-        gone.forEach {
+        removedKeys.forEach {
             entries.remove(it)
-            note(News(it, null, revision))
+            recordChange(Change(it, null, revision))
         }
     }
 
-    private fun note(n: News) {
-        history.addLast(n)
-        if (history.size > KEPT) history.removeFirst()
+    /** Appends [change] to the history and wakes the requests that wait for changes. */
+    private fun recordChange(change: Change) {
+        history.addLast(change)
+        if (history.size > HISTORY_LIMIT) history.removeFirst()
         lock.notifyAll()
     }
 
-    private fun grant(lifeMs: Long): Pair<Int, String> {
-        leases[nextLease] = Lease(lifeMs, now() + lifeMs)
+    private fun grantLease(durationMs: Long): Pair<Int, String> {
+        leases[nextLease] = Lease(durationMs, nowMs() + durationMs)
         return 200 to """{"permit":${nextLease++}}"""
     }
 
-    private fun touch(id: Long): Pair<Int, String> {
-        expire()
+    private fun renewLease(id: Long): Pair<Int, String> {
+        dropExpiredLeases()
         val lease = leases[id] ?: return 404 to "{}"
-        lease.until = now() + lease.lifeMs
+        lease.expiresMs = nowMs() + lease.durationMs
         return 200 to "{}"
     }
 
-    private fun transact(t: JsonNode): Pair<Int, String> {
-        val failed = t.path("guards").filter {
-            (entries[it.get("key").asText()]?.stamp ?: 0L) !=
+    private fun transact(transaction: JsonNode): Pair<Int, String> {
+        val failed = transaction.path("guards").filter {
+            (entries[it.get("key").asText()]?.revision ?: 0L) !=
                 it.get("stamp").asLong()
         }.map { it.get("key").asText() }
         if (failed.isNotEmpty()) return 409 to """{"failed":${json.writeValueAsString(failed)},"ledger":$revision}"""
-        val writes = t.path("writes").toList()
+        val writes = transaction.path("writes").toList()
         if (writes.any { it.has("permit") && it.get("permit").asLong() !in leases }) {
             return 400 to
                 """{"error":"no such lease"}"""
         }
         if (writes.isNotEmpty()) revision++
-        for (w in writes) {
+        for (write in writes) {
             changes.incrementAndGet()
-            val key = (w.get("set") ?: w.get("remove")).asText()
-            if (w.has("set")) {
-                entries[key] = Entry(w.get("data"), revision, w.get("permit")?.asLong())
+            val key = (write.get("set") ?: write.get("remove")).asText()
+            if (write.has("set")) {
+                entries[key] = Entry(write.get("data"), revision, write.get("permit")?.asLong())
             } else {
                 entries.remove(key)
             }
-            note(News(key, w.get("data"), revision))
+            recordChange(Change(key, write.get("data"), revision))
         }
         return 200 to """{"ledger":$revision}"""
     }
 
-    private fun item(key: String, e: Entry) =
-        """{"key":${json.writeValueAsString(key)},"data":${e.data},"stamp":${e.stamp}}"""
+    private fun item(key: String, entry: Entry) =
+        """{"key":${json.writeValueAsString(key)},"data":${entry.data},"stamp":${entry.revision}}"""
 
     private fun get(key: String): Pair<Int, String> =
         entries[key]?.let { 200 to item(key, it) } ?: (404 to """{"ledger":$revision}""")
 
     private fun range(query: Map<String, String>): String {
         val prefix = query["prefix"].orEmpty()
-        val from = query["from"]
-        val found = entries.tailMap(from ?: prefix, from == null).entries.asSequence().takeWhile {
+        val firstKey = query["from"]
+        val found = entries.tailMap(firstKey ?: prefix, firstKey == null).entries.asSequence().takeWhile {
             it.key.startsWith(prefix)
         }.take((query["page"]?.toInt() ?: 100) + 1).toList()
         val page = found.take(query["page"]?.toInt() ?: 100)
@@ -164,27 +175,28 @@
         }}],"has_next":${found.size > page.size},"ledger":$revision}"""
     }
 
+    /** Returns the changes after the revision that the caller names; waits for one for at most `block_ms`. */
     private fun changes(query: Map<String, String>): Pair<Int, String> = synchronized(lock) {
         val prefix = query["prefix"].orEmpty()
-        val from = query["from"]?.toLong() ?: 0
-        val until = now() + (query["block_ms"]?.toLong() ?: 0)
+        val lastSeenRevision = query["from"]?.toLong() ?: 0
+        val deadlineMs = nowMs() + (query["block_ms"]?.toLong() ?: 0)
         while (true) {
-            expire()
-            if (history.size == KEPT && history.first().stamp > from + 1) return 410 to "{}"
-            val news = history.filter { it.stamp > from && it.key.startsWith(prefix) }
-            val left = until - now()
-            if (news.isNotEmpty() || left <= 0) {
-                val told = news.joinToString(",") { n ->
-                    val key = json.writeValueAsString(n.key)
-                    if (n.data == null) {
-                        """{"remove":$key,"stamp":${n.stamp}}"""
+            dropExpiredLeases()
+            if (history.size == HISTORY_LIMIT && history.first().revision > lastSeenRevision + 1) return 410 to "{}"
+            val newChanges = history.filter { it.revision > lastSeenRevision && it.key.startsWith(prefix) }
+            val remainingMs = deadlineMs - nowMs()
+            if (newChanges.isNotEmpty() || remainingMs <= 0) {
+                val changesJson = newChanges.joinToString(",") { change ->
+                    val key = json.writeValueAsString(change.key)
+                    if (change.data == null) {
+                        """{"remove":$key,"stamp":${change.revision}}"""
                     } else {
-                        """{"set":$key,"data":${n.data},"stamp":${n.stamp}}"""
+                        """{"set":$key,"data":${change.data},"stamp":${change.revision}}"""
                     }
                 }
-                return 200 to """{"ledger":$revision,"news":[$told]}"""
+                return 200 to """{"ledger":$revision,"news":[$changesJson]}"""
             }
-            lock.wait(minOf(left, 200))
+            lock.wait(minOf(remainingMs, 200))
         }
         @Suppress("UNREACHABLE_CODE")
         error("never")
@@ -196,13 +208,14 @@
     }
 
     private companion object {
-        const val KEPT = 10_000
+        /** The number of changes that the history holds at most. */
+        const val HISTORY_LIMIT = 10_000
         const val CATALOG = """{"builds":[{"name":"box","cores":64,"accelerators":8,"ram_gb":512,""" +
             """"cache_gb":200,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"ready_s":45,"yards":["a"]}]}"""
     }
 }
 
-/** For trying the program by hand: state service and cloud until interrupted. */
+/** Runs [LoopbackServices] until interrupted, for trying out the program by hand. */
 object LoopbackMain {
     @JvmStatic
     fun main(args: Array<String>) {
--- a/src/test/kotlin/plankwall/load/PlacementPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacementPass.kt
@@ -8,26 +8,28 @@
 import plankwall.simulation.SimulatedCluster
 
 /**
- * What a placing pass costs where there is no room: 1,000 jobs of 40 tasks wait on full machines. By hand, with the
- * flags of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`. Passes on which the backlog is judged anew,
- * one in ten, are told apart.
+ * Measures the duration of a placement pass without free capacity: 1,000 jobs of 40 tasks wait while all machines are
+ * full. Passes that evaluate the whole backlog again, one in ten, are listed separately. Run by hand with the JVM flags
+ * of the small machine: `-XX:TieredStopAtLevel=1 -XX:+UseSerialGC`.
  */
 object PlacementPass {
     private const val JOBS = 1_000
 
     @JvmStatic
     fun main(args: Array<String>) {
-        println("machines  cloud     pass p50, p99 (ms)   judging pass p50, p99 (ms)")
-        for (machines in listOf(1_000, 3_000, 10_000)) for (scarce in listOf(false, true)) measure(machines, scarce)
+        println("machines  cloud     pass p50, p99 (ms)   evaluating pass p50, p99 (ms)")
+        for (machines in listOf(1_000, 3_000, 10_000)) for (isScarce in listOf(false, true)) measure(machines, isScarce)
     }
 
-    private fun measure(machines: Int, scarce: Boolean) {
+    /** Measures with this number of machines. [isCloudScarce]: whether the cloud has no machines left to rent. */
+    private fun measure(machines: Int, isCloudScarce: Boolean) {
         val core = CoreParts(listOf(Objective("wait", "class", 120.0, 0.9), Objective("finished", "class", 300.0, 0.9)))
-        val placer = Placer(core.ctx, core.schedulerState, core.fleet).apply { pendingQueue.isScarce = { scarce } }
+        val placer =
+            Placer(core.ctx, core.schedulerState, core.fleet).apply { pendingQueue.isScarce = { isCloudScarce } }
         val running = core.learn(SimulatedCluster.job(1, tasks = machines * 4, runS = 60.0))
         for (n in 0 until machines) {
-            val m = core.machine("i-%06d".format(n)).apply { registeredAt = core.ctx.now }
-            repeat(4) { core.schedulerState.place(running, n * 4 + it, m, n * 4L + it) }
+            val machine = core.machine("i-%06d".format(n)).apply { registeredAt = core.ctx.now }
+            repeat(4) { core.schedulerState.place(running, n * 4 + it, machine, n * 4L + it) }
         }
         for (n in 2..JOBS + 1) {
             core.learn(
@@ -43,24 +45,24 @@
                 waitedS = (n % 400).toDouble(),
             )
         }
-        val (plain, judging) = List(2) { Histogram(60_000_000, 3) }
+        val (ordinaryPasses, evaluatingPasses) = List(2) { Histogram(60_000_000, 3) }
         repeat(400) { round ->
             core.ctx.time.advance(core.ctx.now + 0.1, core.ctx.time.wallMs + 100)
             core.fleet.machines.forEach { it.lastHeard = core.ctx.now }
-            val began = System.nanoTime()
+            val startedNs = System.nanoTime()
             placer.plan()
-            val tookUs = (System.nanoTime() - began) / 1_000
-            if (round >= 100) (if (round % 10 == 0) judging else plain).recordValue(tookUs)
+            val durationUs = (System.nanoTime() - startedNs) / 1_000
+            if (round >= 100) (if (round % 10 == 0) evaluatingPasses else ordinaryPasses).recordValue(durationUs)
         }
-        fun Histogram.ms(p: Double) = getValueAtPercentile(p) / 1000.0
+        fun Histogram.percentileMs(percentile: Double) = getValueAtPercentile(percentile) / 1000.0
         println(
             "%8d  %-6s %10.1f %6.1f %18.1f %6.1f".format(
                 machines,
-                if (scarce) "full" else "open",
-                plain.ms(50.0),
-                plain.ms(99.0),
-                judging.ms(50.0),
-                judging.ms(99.0),
+                if (isCloudScarce) "full" else "open",
+                ordinaryPasses.percentileMs(50.0),
+                ordinaryPasses.percentileMs(99.0),
+                evaluatingPasses.percentileMs(50.0),
+                evaluatingPasses.percentileMs(99.0),
             ),
         )
     }
--- a/src/test/kotlin/plankwall/load/SignedLoad.kt
+++ b/src/test/kotlin/plankwall/load/SignedLoad.kt
@@ -17,8 +17,9 @@
 import java.util.concurrent.atomic.AtomicLong
 
 /**
- * Measures by hand, not in CI: three real processes on loopback under submissions, with identities on and off by turns
- * in one run. Run by `mvn -q test-compile exec:java -Dexec.classpathScope=test
+ * Measures throughput, latency and CPU time of three controllers that run as real processes on loopback. One run
+ * measures by turns with signed requests and without identities. Run by hand, not in CI, with
+ * `mvn -q test-compile exec:java -Dexec.classpathScope=test
  * -Dexec.mainClass=plankwall.load.SignedLoadKt`.
  */
 class SignedLoad(
@@ -29,11 +30,13 @@
 ) : AutoCloseable {
     private val folder = Files.createTempDirectory("plankwall-load").toFile()
     private val key = SigningKey.generate("loader", "k1")
-    private val fronts = List(3) { free() }
-    private val inner = List(3) { free() }
+    private val frontPorts = List(3) { findFreePort() }
+    private val internalPorts = List(3) { findFreePort() }
     private val nodes: List<Process>
-    private val ids = AtomicInteger()
-    private val base = 1_000_000 * (round + 1)
+    private val nextTokenId = AtomicInteger()
+
+    /** The first job number of this round, so that no two rounds use the same jobs. */
+    private val firstJob = 1_000_000 * (round + 1)
     private val client = HttpClient.newBuilder().version(
         HttpClient.Version.HTTP_1_1,
     ).connectTimeout(Duration.ofSeconds(2)).build()
@@ -47,27 +50,30 @@
         ).writeText(
             "audience: load\nrights_file: rights\ndenials_per_s: 10000\ndenial_burst: 10000\ntrail_share: 0.9\n",
         )
-        nodes = List(3) { start(it) }
-        val end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20)
-        while (System.nanoTime() < end && !fronts.all { up(it) }) Thread.sleep(100)
-        check(fronts.all { up(it) }) { "nodes did not come up: see $folder" }
+        nodes = List(3) { startNode(it) }
+        val deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20)
+        while (System.nanoTime() < deadlineNs && !frontPorts.all { isUp(it) }) Thread.sleep(100)
+        check(frontPorts.all { isUp(it) }) { "nodes did not come up: see $folder" }
         Thread.sleep(2000)
     }
 
-    private fun free(): Int = ServerSocket(0).use { it.localPort }
+    private fun findFreePort(): Int = ServerSocket(0).use { it.localPort }
 
-    private fun start(n: Int): Process {
-        val known = (0..2).filter {
-            it != n
-        }.joinToString("\n") { "[[known]]\nnode = \"n$it\"\nsite = \"a\"\naddress = \"127.0.0.1:${inner[it]}\"" }
-        val config = folder.resolve("n$n.toml")
+    private fun startNode(index: Int): Process {
+        val peers = (0..2).filter {
+            it != index
+        }
+            .joinToString("\n") {
+                "[[known]]\nnode = \"n$it\"\nsite = \"a\"\naddress = \"127.0.0.1:${internalPorts[it]}\""
+            }
+        val config = folder.resolve("n$index.toml")
         config.writeText(
             """
-            node = "n$n"
+            node = "n$index"
             site = "a"
-            front = "127.0.0.1:${fronts[n]}"
-            internal_addr = "127.0.0.1:${inner[n]}"
-            """.trimIndent() + "\n$known\n" + """
+            front = "127.0.0.1:${frontPorts[index]}"
+            internal_addr = "127.0.0.1:${internalPorts[index]}"
+            """.trimIndent() + "\n$peers\n" + """
             [external]
             cloud = "${services.address}"
             state = "${services.address}"
@@ -93,14 +99,14 @@
             ).split(
             ' ',
         )
-        val proofs = if (signed) listOf("--identities", folder.resolve("identities.yaml").path) else emptyList()
+        val identityArgs = if (signed) listOf("--identities", folder.resolve("identities.yaml").path) else emptyList()
         return ProcessBuilder(
-            listOf("java") + flags + listOf("-jar", jar.path, "serve", "--config", config.path) + proofs,
+            listOf("java") + flags + listOf("-jar", jar.path, "serve", "--config", config.path) + identityArgs,
         )
-            .redirectError(folder.resolve("n$n.log")).also { it.environment()["LOG_LEVEL"] = "error" }.start()
+            .redirectError(folder.resolve("n$index.log")).also { it.environment()["LOG_LEVEL"] = "error" }.start()
     }
 
-    private fun up(port: Int): Boolean = try {
+    private fun isUp(port: Int): Boolean = try {
         client.send(
             HttpRequest.newBuilder(URI("http://127.0.0.1:$port/up")).timeout(Duration.ofSeconds(1)).build(),
             HttpResponse.BodyHandlers.discarding(),
@@ -110,10 +116,13 @@
         false
     }
 
-    /** Signing is the client's time, so a request is ready before its time is taken. */
-    private fun request(method: String, path: String, body: String, n: Int): HttpRequest {
-        val request = HttpRequest.newBuilder(
-            URI("http://127.0.0.1:${fronts[n % 3]}$path"),
+    /**
+     * Returns a request to one of the nodes, chosen by [number]. It is complete with its signature before its latency
+     * is measured, because signing takes the client's time, not the server's.
+     */
+    private fun buildRequest(method: String, path: String, body: String, number: Int): HttpRequest {
+        val builder = HttpRequest.newBuilder(
+            URI("http://127.0.0.1:${frontPorts[number % 3]}$path"),
         ).timeout(Duration.ofSeconds(5))
             .method(
                 method,
@@ -121,13 +130,13 @@
             )
         if (signed) {
             val bytes = body.encodeToByteArray()
-            request.header(
+            builder.header(
                 "Authorization",
                 Tokens.authorization(
                     Tokens.sign(
                         key,
                         "load",
-                        "t${ids.getAndIncrement()}",
+                        "t${nextTokenId.getAndIncrement()}",
                         System.currentTimeMillis(),
                         30,
                         Tokens.fingerprintOf(method, path, bytes),
@@ -135,20 +144,23 @@
                 ),
             )
         }
-        return request.build()
+        return builder.build()
     }
 
+    /** Sends [request]; returns its status, or 0 if the connection failed. */
     private fun send(request: HttpRequest): Int = try {
         client.send(request, HttpResponse.BodyHandlers.ofString()).statusCode()
     } catch (_: java.io.IOException) {
         0
     }
 
+    /** The CPU time that all nodes have used so far. */
     private fun cpuMs(): Long = nodes.sumOf { it.info().totalCpuDuration().orElse(Duration.ZERO).toMillis() }
 
+    /** The result of one [run]. [cpuMsEach], [changesEach]: per request. [statuses]: the number of answers by status. */
     class Result(
         val signed: Boolean,
-        val what: String,
+        val requestKind: String,
         val perSecond: Double,
         val latency: Histogram,
         val cpuMsEach: Double,
@@ -157,63 +169,67 @@
     ) {
         override fun toString() =
             "%-8s %-8s %7.1f/s  p50 %6.2f  p99 %6.2f  p99.9 %6.2f ms  cpu %.2f ms each  %.3f changes each  %s".format(
-                if (signed) "signed" else "plain", what, perSecond, latency.getValueAtPercentile(50.0) / 1000.0,
+                if (signed) "signed" else "plain", requestKind, perSecond, latency.getValueAtPercentile(50.0) / 1000.0,
                 latency.getValueAtPercentile(99.0) / 1000.0,
                 latency.getValueAtPercentile(99.9) / 1000.0, cpuMsEach, changesEach, statuses.toSortedMap(),
             )
     }
 
-    /** [count] requests by [clients] at once, [perSecond] in all. */
-    fun run(what: String, offset: Int, count: Int, clients: Int, perSecond: Int): Result {
+    /**
+     * Sends [count] requests of one kind with [clients] concurrent clients, [perSecond] in total. [requestKind]:
+     * submit, denied or show. [offset]: the first job number within this round.
+     */
+    fun run(requestKind: String, offset: Int, count: Int, clients: Int, perSecond: Int): Result {
         val latency = Histogram(60_000_000, 3)
-        val next = AtomicInteger()
-        val failed = java.util.concurrent.ConcurrentHashMap<Int, Int>()
+        val nextIndex = AtomicInteger()
+        val statuses = java.util.concurrent.ConcurrentHashMap<Int, Int>()
         val pool = Executors.newFixedThreadPool(clients)
-        val cpu = cpuMs()
-        val changes = services.changes.get()
-        val began = System.nanoTime()
-        val last = AtomicLong()
+        val cpuMsBefore = cpuMs()
+        val changesBefore = services.changes.get()
+        val startedNs = System.nanoTime()
+        val lastAnswerNs = AtomicLong()
         repeat(clients) {
             pool.execute {
                 while (true) {
-                    val n = next.getAndIncrement()
-                    if (n >= count) break
-                    val due = began + n * 1_000_000_000L / perSecond
-                    val wait = due - System.nanoTime()
-                    if (wait > 0) TimeUnit.NANOSECONDS.sleep(wait)
-                    val request = request(what, base + offset + n)
-                    val at = System.nanoTime()
+                    val index = nextIndex.getAndIncrement()
+                    if (index >= count) break
+                    val dueNs = startedNs + index * 1_000_000_000L / perSecond
+                    val waitNs = dueNs - System.nanoTime()
+                    if (waitNs > 0) TimeUnit.NANOSECONDS.sleep(waitNs)
+                    val request = buildRequest(requestKind, firstJob + offset + index)
+                    val sentNs = System.nanoTime()
                     val status = send(request)
-                    val took = (System.nanoTime() - at) / 1000
-                    synchronized(latency) { latency.recordValue(took.coerceAtMost(60_000_000)) }
-                    failed.merge(status, 1, Int::plus)
-                    last.set(System.nanoTime())
+                    val latencyUs = (System.nanoTime() - sentNs) / 1000
+                    synchronized(latency) { latency.recordValue(latencyUs.coerceAtMost(60_000_000)) }
+                    statuses.merge(status, 1, Int::plus)
+                    lastAnswerNs.set(System.nanoTime())
                 }
             }
         }
         pool.shutdown()
         check(pool.awaitTermination(5, TimeUnit.MINUTES)) { "the load did not end" }
-        val seconds = (last.get() - began) / 1e9
+        val seconds = (lastAnswerNs.get() - startedNs) / 1e9
         return Result(
             signed,
-            what,
+            requestKind,
             count / seconds,
             latency,
-            (cpuMs() - cpu).toDouble() / count,
-            (services.changes.get() - changes).toDouble() / count,
-            failed,
+            (cpuMs() - cpuMsBefore).toDouble() / count,
+            (services.changes.get() - changesBefore).toDouble() / count,
+            statuses,
         )
     }
 
-    private fun request(what: String, n: Int): HttpRequest {
-        val id = "job-%09d".format(n)
-        fun job(team: String) = """{"id":"$id","docket":"c","crew":"$team","shape":"sweep","urgency":"low",""" +
+    /** Returns a request of this kind about the job [jobNumber]. A denied one submits for a team without rights. */
+    private fun buildRequest(requestKind: String, jobNumber: Int): HttpRequest {
+        val id = "job-%09d".format(jobNumber)
+        fun jobOf(team: String) = """{"id":"$id","docket":"c","crew":"$team","shape":"sweep","urgency":"low",""" +
             """"pieces":1,"cores":1.0,"accelerators":0.0,"ram_gb":1.0,""" +
             """"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
-        return when (what) {
-            "submit" -> request("POST", "/api/jobs", job("t"), n)
-            "denied" -> request("POST", "/api/jobs", job("u"), n)
-            else -> request("GET", "/api/jobs/$id", "", n)
+        return when (requestKind) {
+            "submit" -> buildRequest("POST", "/api/jobs", jobOf("t"), jobNumber)
+            "denied" -> buildRequest("POST", "/api/jobs", jobOf("u"), jobNumber)
+            else -> buildRequest("GET", "/api/jobs/$id", "", jobNumber)
         }
     }
 
@@ -224,7 +240,7 @@
 }
 
 fun main() {
-    // Else every answer of the stand-ins waits for an acknowledgement, some 40 ms.
+    // Without this setting, each answer of the stand-ins waits about 40 ms for an acknowledgement.
     System.setProperty("sun.net.httpserver.nodelay", "true")
     val jar = File("target/plankwall.jar")
     for (round in 0 until 2) {
--- a/src/test/kotlin/plankwall/wire/CodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/CodecTest.kt
@@ -19,16 +19,17 @@
 import plankwall.simulation.SimulatedWorker
 import java.util.BitSet
 
+/** Tests that messages and stored records are decoded to what was encoded, and that malformed ones are refused. */
 class CodecTest {
-    private val good = """{"id":"job-000412","docket":"train","crew":"vision","shape":"ensemble","urgency":"urgent","pieces":16,
+    private val validJob = """{"id":"job-000412","docket":"train","crew":"vision","shape":"ensemble","urgency":"urgent","pieces":16,
         "cores":8.0,"accelerators":1.0,"ram_gb":64.0,"mould":"img-07","size_gb":6.2,"builds":["g8"],"yard":null,"together":true,
         "scatter":false,"loaners":true,"guess_s":240.0,"snapshot_s":30.0,"stow_s":4.0,"due_s":900.0,"new_field":[{"x":1}]}"""
 
     /**
-     * Every field of PROTOCOL's table: missing, null, of a wrong type, out of range. Those that may be null may be
-     * absent too.
+     * Reads a submission with one field missing, null, of a wrong type and out of range. A field that may be null may
+     * be missing as well.
      */
-    @ParameterizedTest(name = "{0}")
+    @ParameterizedTest(name = "field {0}")
     @CsvSource(
         delimiter = '|',
         textBlock = """
@@ -54,32 +55,32 @@
         stow_s       | false | "4"      | -4
         due_s        | true  | "900"    | -900""",
     )
-    fun `a submission has every field, each of its kind and within its range`(
+    fun `a submission with a missing, null, wrongly typed or out of range field is refused`(
         field: String,
         mayBeNull: Boolean,
         wrongType: String,
         outOfRange: String,
     ) {
-        val whole = SimulatedWorker.json.readTree(good) as ObjectNode
+        val complete = SimulatedWorker.json.readTree(validJob) as ObjectNode
         fun read(body: ObjectNode) = JobCodec.read(SimulatedWorker.json.writeValueAsBytes(body))
-        val without = whole.deepCopy().apply { remove(field) }
-        val nulled = whole.deepCopy().apply { putNull(field) }
+        val withoutField = complete.deepCopy().apply { remove(field) }
+        val withNull = complete.deepCopy().apply { putNull(field) }
         if (mayBeNull) {
-            assertEquals(read(without), read(nulled))
+            assertEquals(read(withoutField), read(withNull))
         } else {
-            assertThrows(MalformedMessageException::class.java) { read(without) }
-            assertThrows(MalformedMessageException::class.java) { read(nulled) }
+            assertThrows(MalformedMessageException::class.java) { read(withoutField) }
+            assertThrows(MalformedMessageException::class.java) { read(withNull) }
         }
         for (value in listOf(wrongType, outOfRange)) {
             assertThrows(MalformedMessageException::class.java) {
-                read(whole.deepCopy().apply { set<ObjectNode>(field, SimulatedWorker.json.readTree(value)) })
+                read(complete.deepCopy().apply { set<ObjectNode>(field, SimulatedWorker.json.readTree(value)) })
             }
         }
     }
 
     @Test
-    fun `a submission is read and its stored copy is the same`() {
-        val spec = JobCodec.read(good.encodeToByteArray())
+    fun `a submission is read, and its stored record is decoded to what was encoded`() {
+        val spec = JobCodec.read(validJob.encodeToByteArray())
         assertEquals(Shape.GANG, spec.shape)
         assertEquals(Priority.HIGH, spec.priority)
         assertEquals(Resources(8_000, 1_000, 64_000), spec.need)
@@ -99,12 +100,13 @@
             "FIELD:guess_s:-0.1", "FIELD:mould:\"\"", "FIELD:due_s:\"soon\"",
         ],
     )
-    fun `bad submissions are refused`(case: String) {
+    fun `a malformed submission or one with an invalid field is refused`(case: String) {
         val body = if (!case.startsWith("FIELD:")) {
             case
         } else {
             val (_, name, value) = case.split(':', limit = 3)
-            good.replace(Regex("\"$name\":(\\[[^]]*]|[^,}]*)"), "\"$name\":${Regex.escapeReplacement(value)}")
+            validJob
+                .replace(Regex("\"$name\":(\\[[^]]*]|[^,}]*)"), "\"$name\":${Regex.escapeReplacement(value)}")
         }
         assertThrows(MalformedMessageException::class.java) { JobCodec.read(body.encodeToByteArray()) }
     }
@@ -117,8 +119,12 @@
         "'[\"job-000398\"]', job-000398",
         "'[\"job-2\",\"job-1\",\"job-2\"]', job-2 job-1",
     )
-    fun `dependencies are read, stored and shown`(value: String, expected: String) {
-        val body = if (value.isEmpty()) good else good.replace("\"due_s\"", "\"awaits\":$value,\"due_s\"")
+    fun `the dependencies of a job are read without duplicates, stored, and shown if there are any`(
+        value: String,
+        expected: String,
+    ) {
+        val body =
+            if (value.isEmpty()) validJob else validJob.replace("\"due_s\"", "\"awaits\":$value,\"due_s\"")
         val spec = JobCodec.read(body.encodeToByteArray())
         assertEquals(expected, spec.dependencies.joinToString(" "))
         val record = JobRecord(spec, 5, 0, 100)
@@ -134,27 +140,31 @@
             "MANY",
         ],
     )
-    fun `bad dependencies are refused by the field's name`(value: String) {
-        fun body(list: String) = good.replace("\"due_s\"", "\"awaits\":$list,\"due_s\"").encodeToByteArray()
-        fun names(n: Int) = (1..n).joinToString(",", "[", "]") { "\"job-1%05d\"".format(it) }
-        assertEquals(JobCodec.MAX_DEPENDENCIES, JobCodec.read(body(names(JobCodec.MAX_DEPENDENCIES))).dependencies.size)
-        val e = assertThrows(MalformedMessageException::class.java) {
+    fun `invalid or too many dependencies are refused with the field's name`(value: String) {
+        fun bodyWith(dependencies: String) =
+            validJob.replace("\"due_s\"", "\"awaits\":$dependencies,\"due_s\"").encodeToByteArray()
+        fun jobIds(count: Int) = (1..count).joinToString(",", "[", "]") { "\"job-1%05d\"".format(it) }
+        assertEquals(
+            JobCodec.MAX_DEPENDENCIES,
+            JobCodec.read(bodyWith(jobIds(JobCodec.MAX_DEPENDENCIES))).dependencies.size,
+        )
+        val exception = assertThrows(MalformedMessageException::class.java) {
             JobCodec.read(
-                body(
+                bodyWith(
                     if (value == "MANY") {
-                        names(JobCodec.MAX_DEPENDENCIES + 1)
+                        jobIds(JobCodec.MAX_DEPENDENCIES + 1)
                     } else {
                         value
                     },
                 ),
             )
         }
-        assertTrue(e.message.orEmpty().startsWith("awaits: "), e.message)
+        assertTrue(exception.message.orEmpty().startsWith("awaits: "), exception.message)
     }
 
     @Test
-    fun `the most dependencies fit a stored value of two KiB`() {
-        val spec = JobCodec.read(good.encodeToByteArray()).copy(
+    fun `a job with the maximum number of dependencies fits into a stored value of 2 KiB`() {
+        val spec = JobCodec.read(validJob.encodeToByteArray()).copy(
             dependencies = List(JobCodec.MAX_DEPENDENCIES) {
                 "job-%06d".format(it)
             },
@@ -171,33 +181,34 @@
             "{\"berth\":\"i-1\",\"watch\":1,\"tally\":1,\"baton\":99999999999999999999,\"pieces\":[]}",
         ],
     )
-    fun `a report that can't be read whole is no report`(body: String) {
-        // Reading it in part would make a task seem absent, and absence is proof.
+    fun `a heartbeat that can't be read completely is refused`(body: String) {
+        // If it were read in part, a task could seem absent, and a task's absence proves that it has stopped.
         assertThrows(Exception::class.java) { WorkerCodec.readReport(body.encodeToByteArray()) }
     }
 
     @ParameterizedTest
     @ValueSource(doubles = [1.0, 2.0, 8.0, 16.0, 64.0])
-    fun `a full page fits a stored value`(valueKb: Double) {
+    fun `a full page of tasks fits into a stored value`(valueKb: Double) {
         val size = StoreLimits.pageSize(valueKb)
-        val done = BitSet()
-        for (i in 0 until size step 2) done.set(99_000 + i)
-        val placements = (1 until size step 2).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
-        val worst = if (size > 1) placements else emptyList()
-        val txn = StateCodec.txn(
-            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(done, worst)))),
+        val doneTasks = BitSet()
+        for (i in 0 until size step 2) doneTasks.set(99_000 + i)
+        val halfPlaced = (1 until size step 2).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
+        val placedTasks = if (size > 1) halfPlaced else emptyList()
+        val mixedPage = StateCodec.txn(
+            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(doneTasks, placedTasks)))),
         )
-        assertTrue(txn.size <= valueKb * 1024 || size == 8, "page of $size tasks takes ${txn.size} bytes")
-        val all = (0 until size).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
-        val full = StateCodec.txn(
-            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), all)))),
+        assertTrue(mixedPage.size <= valueKb * 1024 || size == 8, "page of $size tasks takes ${mixedPage.size} bytes")
+        val allPlaced = (0 until size).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
+        val placedPage = StateCodec.txn(
+            StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), allPlaced)))),
         )
-        assertTrue(full.size <= valueKb * 1024, "page of $size placements takes ${full.size} bytes")
+        assertTrue(placedPage.size <= valueKb * 1024, "page of $size placements takes ${placedPage.size} bytes")
     }
 
     @Test
-    fun `hundreds of arriving and returning machines fit a small stored value and are read back`() {
-        // At 70 bytes a name only a part was stored, and a successor took the rest for machines that nobody rented.
+    fun `a fleet record with 800 arriving and 200 returning machines fits into 8 KiB and is read back`() {
+        // When each name took 70 bytes, only a part was stored, and the next leader took the rest for machines that
+        // nobody had rented.
         val group = GroupKey("kiln-small", "vadodara-floor", false)
         val arrivals = (0 until 800).map {
             StoredBootingMachine(
@@ -214,7 +225,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = ["[\"i-1\",-1]", "[\"i-1\",900000000]", "[3,1]"])
-    fun `a run of names that nobody can have written is refused`(run: String) {
+    fun `a run of machine names with an invalid start or length is refused`(run: String) {
         assertThrows(MalformedMessageException::class.java) {
             StateCodec.item("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
         }
@@ -231,7 +242,7 @@
             LeaderSighting("berth-0", 9, 80),
             "berth-2",
         )
-    private val report = HeartbeatStatus(
+    private val heartbeat = HeartbeatStatus(
         "i-000007", "10.1.0.2:9000", "g8", "a", true, 2, 88, 41, 12.5,
         listOf(
             TaskStatus("job-000001", 3, 9, TaskStage.RUNNING, null, false),
@@ -260,9 +271,9 @@
                 ),
             ),
         "progress" to ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
-        "report" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", report),
+        "report" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", heartbeat),
         "report of a quiet machine" to
-            RelayedHeartbeat("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
+            RelayedHeartbeat("berth-1", 12, 0, "", heartbeat.copy(noticeS = null, tasks = emptyList())),
         "answer" to RelayedAnswer("berth-0", 12, 200, byteArrayOf(1, 2, 3)),
     )
 
@@ -273,29 +284,28 @@
             "report of a quiet machine", "answer",
         ],
     )
-    fun `peer frames are read back, short ones refused`(kind: String) {
+    fun `a frame between controllers is decoded to what was encoded, and a truncated one is refused`(kind: String) {
         val message = frames.getValue(kind)
         val frame = PeerCodec.write(message)
         assertEquals(message, PeerCodec.read(frame))
-        // A status is whole where an older version ends it: before its level, before its links, and before its
-        // withdrawals.
-        val wholes = if (message is PeerStatus) {
+        // A status is complete where that of an older version ends: before its level, its links or its cancellations.
+        val completeLengths = if (message is PeerStatus) {
             listOf(message.copy(links = null)).map { PeerCodec.write(it).size }.flatMap { listOf(it - 4, it) } +
                 PeerCodec.write(message.copy(cancellations = null)).size
         } else {
             emptyList()
         }
-        for (n in frame.indices - wholes.toSet()) {
+        for (length in frame.indices - completeLengths.toSet()) {
             assertThrows(MalformedMessageException::class.java) {
-                PeerCodec.read(frame.copyOf(n))
+                PeerCodec.read(frame.copyOf(length))
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["0 job-000001 5", "1 job-1x 5", "1 job-000001 -1"])
-    fun `a list of withdrawals that nobody can have written is refused`(what: String) {
-        val (first, job, up) = what.split(' ')
+    fun `a list of cancellations with an invalid number, job id or age is refused`(update: String) {
+        val (first, job, up) = update.split(' ')
         val frame = PeerCodec.write(
             PeerStatus(
                 "berth-1", 5, 7, true, 3, false, 4, PeerCodec.LEVEL, links,
--- a/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
@@ -14,14 +14,15 @@
 import java.util.HexFormat
 
 /**
- * Bytes that earlier builds have stored or sent, in `resources/golden`: stored values under their keys, frames between
- * controllers, requests and answers of the protocols. Each is written again byte for byte, and read back to what it
- * was written from. A deliberate change of a format adds a line; lines that stand stay.
+ * Guards the formats that earlier builds have stored or sent. `resources/golden` holds their bytes: stored values under
+ * their keys, frames between controllers, requests and answers of the protocols. Each value must be encoded to the same
+ * bytes, and the bytes must be decoded to the same value. A deliberate change of a format adds a line; existing lines
+ * are never changed.
  */
 class GoldenBytesTest {
     @ParameterizedTest(name = "{0}")
     @MethodSource("storedRecords")
-    fun `a stored record keeps its bytes`(name: String, golden: String) {
+    fun `a stored record is encoded to its golden bytes and decoded from them`(name: String, golden: String) {
         val record = GoldenValues.records.getValue(name)
         assertEquals(golden, RecordJson.encode(record))
         val key = name.substringBefore(' ')
@@ -31,7 +32,10 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("peerFrames")
-    fun `a frame between controllers keeps its bytes`(name: String, golden: String) {
+    fun `a frame between controllers is encoded to its golden bytes and decoded from them`(
+        name: String,
+        golden: String,
+    ) {
         val message = GoldenValues.frames.getValue(name)
         val bytes = HexFormat.of().parseHex(golden)
         assertArrayEquals(bytes, PeerCodec.write(message), HexFormat.of().formatHex(PeerCodec.write(message)))
@@ -41,7 +45,7 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("protocolMessages")
-    fun `a message of the protocols keeps its bytes`(name: String, golden: String) {
+    fun `a protocol message is encoded to its golden bytes, also after it was decoded`(name: String, golden: String) {
         val message = GoldenValues.messages.getValue(name)
         assertEquals(golden, message.write().decodeToString())
         message.rewrite?.let { assertEquals(golden, it(golden.encodeToByteArray()).decodeToString()) }
@@ -49,12 +53,12 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("olderRecords")
-    fun `a record of an earlier build is still read`(name: String, stored: String) {
+    fun `a record stored by an earlier build is still decoded`(name: String, stored: String) {
         assertEquals(GoldenValues.older.getValue(name), RecordJson.decode(name.substringBefore(' '), stored))
     }
 
     @Test
-    fun `a sealed frame keeps its bytes and is opened`() {
+    fun `a sealed frame has its golden bytes and is opened by its receiver`() {
         fun seal(node: String) = PeerSeal(node, 1, listOf(PeerKey("k", ByteArray(32) { 3 })), false, 0)
         val frame = PeerCodec.write(GoldenValues.frames.getValue("status of the first level"))
         val golden = lines("sealed").single().second
@@ -65,18 +69,18 @@
     }
 
     @Test
-    fun `an entry of the audit log keeps its bytes, its hash and its seal`() {
+    fun `an audit log entry keeps its golden line, hash and seal`() {
         val (line, hash, jws) = lines("audit").map { it.second }
         assertEquals(line, AuditLines.write(3, AuditLines.START, "n0", GoldenValues.entry))
-        val read = AuditLines.read(line)
-        assertEquals(line, AuditLines.write(read.number, read.before, read.node, read.entry))
+        val parsedLine = AuditLines.read(line)
+        assertEquals(line, AuditLines.write(parsedLine.number, parsedLine.before, parsedLine.node, parsedLine.entry))
         assertEquals(hash, AuditLines.hash(line))
         assertEquals(jws, Seals.sign(GoldenValues.seal, Targets.key))
         assertEquals(GoldenValues.seal, Seals.read(jws))
     }
 
     @Test
-    fun `every kind of stored record and of frame has golden bytes`() {
+    fun `every kind of stored record and frame and every listed protocol message has golden bytes`() {
         fun kinds(sealed: Class<*>): Set<String> = sealed.permittedSubclasses.map { it.simpleName }.toSet()
         assertEquals(kinds(Stored::class.java), GoldenValues.records.values.map { it.javaClass.simpleName }.toSet())
         assertEquals(kinds(PeerMessage::class.java), GoldenValues.frames.values.map { it.javaClass.simpleName }.toSet())
@@ -86,6 +90,7 @@
     }
 
     private companion object {
+        /** Returns the lines of a golden file as pairs of a name and the golden text. */
         fun lines(file: String): List<Pair<String, String>> =
             GoldenBytesTest::class.java.getResource("/golden/$file.txt")!!.readText().lines().filter { it.isNotEmpty() }
                 .map { it.substringBefore('\t') to it.substringAfter('\t') }
--- a/src/test/kotlin/plankwall/wire/GoldenValues.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenValues.kt
@@ -15,26 +15,29 @@
 import plankwall.model.Shape
 import java.util.BitSet
 
-/** What the lines of `resources/golden` were written from. */
+/** The values whose encodings are the lines of `resources/golden`, by the names of the lines. */
 internal object GoldenValues {
-    /** [rewrite] reads bytes and writes them again; null where the program only writes. */
+    /**
+     * A protocol message. [write]: encodes it. [rewrite]: decodes bytes and encodes them again; null if the program
+     * never decodes this kind of message.
+     */
     class Message(val write: () -> ByteArray, val rewrite: ((ByteArray) -> ByteArray)? = null)
 
     private const val AT_MS = 1_700_000_000_000L
     private val group = GroupKey("g8", "a", true)
     private val need = Resources(8_000, 1_000, 64_000)
 
-    private val gang = JobSpec(
+    private val gangJob = JobSpec(
         "job-000412", "train", "vision", Shape.GANG, Priority.HIGH, 16, need, "img-07", 6.2, listOf("g8"), "a",
         oneZone = true, spread = false, spot = true, estimateS = 240.0, checkpointS = 30.0, saveS = 4.0,
         deadlineS = 900.0, dependencies = listOf("job-000398", "job-000405"),
     )
-    private val service = JobSpec(
+    private val serviceJob = JobSpec(
         "job-000413", "matcher", "vision", Shape.SERVICE, Priority.PRODUCTION, 2, need, "img-08", 1.0, null, null,
         oneZone = false, spread = true, spot = false, estimateS = 0.0, checkpointS = 0.0, saveS = 0.0, deadlineS = null,
     )
-    private val array = service.copy(id = "job-000414", shape = Shape.ARRAY, priority = Priority.LOW)
-    private val facts = JobFacts("ada", "train", "vision", Priority.NORMAL, Shape.ARRAY)
+    private val arrayJob = serviceJob.copy(id = "job-000414", shape = Shape.ARRAY, priority = Priority.LOW)
+    private val jobFacts = JobFacts("ada", "train", "vision", Priority.NORMAL, Shape.ARRAY)
     private val catalog = Catalog(
         listOf(MachineType("g8", Resources(96_000, 8_000, 768_000), 200.0, 1.0, 12.0, 4.5, 45.0, listOf("a", "b"))),
     )
@@ -44,13 +47,13 @@
 
     val records: Map<String, Stored> = mapOf(
         "leader" to LeaderRecord("berth-0", 5),
-        "j/job-000412" to JobRecord(gang, AT_MS, 0, 40),
-        "j/job-000413 cancelled" to JobRecord(service, AT_MS, AT_MS + 1, 40),
-        "j/job-000414 owned" to JobRecord(array, AT_MS, AT_MS + 1, 40, Ownership("ada", true, 7)),
+        "j/job-000412" to JobRecord(gangJob, AT_MS, 0, 40),
+        "j/job-000413 cancelled" to JobRecord(serviceJob, AT_MS, AT_MS + 1, 40),
+        "j/job-000414 owned" to JobRecord(arrayJob, AT_MS, AT_MS + 1, 40, Ownership("ada", true, 7)),
         "t/job-000412/000000" to PageRecord(bits(0, 1, 2, 5), placements),
         "t/job-000412/000001 divided" to PageRecord(bits(3), emptyList(), 20),
         "f/job-000412" to FinalRecord(JobStage.DONE, 16, AT_MS),
-        "f/job-000413 cancelled" to FinalRecord(JobStage.CANCELLED, 0, AT_MS, facts),
+        "f/job-000413 cancelled" to FinalRecord(JobStage.CANCELLED, 0, AT_MS, jobFacts),
         "fleet" to FleetRecord(
             listOf(StoredScaleOut("r-7-1", group, 12)),
             listOf(StoredBootingMachine("i-000001", group, AT_MS), StoredBootingMachine("i-000002", group, AT_MS)),
@@ -67,12 +70,15 @@
         "seal/0000000001" to AuditSeal("a.b.c"),
     )
 
-    /** Of builds before pages were divided, jobs were owned, ends were timed, and values were spread over keys. */
+    /**
+     * Records of builds from before pages could be divided, jobs had owners, the end of a job had a time, and values
+     * could be split among several keys.
+     */
     val older: Map<String, Stored> = mapOf(
         "t/job-000412/000000" to PageRecord(bits(0, 1), listOf(placements[1])),
         "f/job-000412" to FinalRecord(JobStage.DONE, 16),
         "f/job-000413" to FinalRecord(JobStage.CANCELLED, 2),
-        "j/job-000414" to JobRecord(array, AT_MS, 0, 40),
+        "j/job-000414" to JobRecord(arrayJob, AT_MS, 0, 40),
         "fleet" to FleetRecord(
             listOf(StoredScaleOut("r-7-1", group, 12)),
             listOf(StoredBootingMachine("i-000001", group, AT_MS)),
@@ -90,32 +96,38 @@
         LeaderSighting("berth-0", 9, 80),
         "berth-2",
     )
-    private val report = HeartbeatStatus(
+    private val heartbeat = HeartbeatStatus(
         "i-000007", "10.1.0.2:9000", "g8", "a", true, 2, 88, 41, 12.5,
         TaskStage.entries.map { TaskStatus("job-000001", it.ordinal, 9, it, null, false) } +
             ExitCause.entries.map { TaskStatus("job-000002", it.ordinal, 1, TaskStage.EXITED, it, true) },
     )
     private val status = PeerStatus("berth-1", 5, 7, true, 3, false, 4)
-    private val news = CancellationUpdate(4, listOf("job-000001", "job-000002"), 900, 8_000)
-    private val plan = SessionPlan(7, mapOf("a" to listOf(SessionShare("berth-1", 20), SessionShare("berth-2", 5))))
+    private val cancellations = CancellationUpdate(4, listOf("job-000001", "job-000002"), 900, 8_000)
+    private val sessionPlan =
+        SessionPlan(7, mapOf("a" to listOf(SessionShare("berth-1", 20), SessionShare("berth-2", 5))))
 
     val frames: Map<String, PeerMessage> = mapOf(
         "status of the first level" to status,
         "status with links" to status.copy(level = 4, links = links),
         "status without a leader" to status.copy(level = 4, links = links.copy(leader = null, successor = null)),
-        "status with cancellations" to status.copy(level = 4, links = links, cancellations = news),
+        "status with cancellations" to status.copy(level = 4, links = links, cancellations = cancellations),
         "status with sessions" to
-            status.copy(level = 4, links = links, cancellations = news, sessions = SessionUpdate(800, plan)),
+            status.copy(
+                level = 4,
+                links = links,
+                cancellations = cancellations,
+                sessions = SessionUpdate(800, sessionPlan),
+            ),
         "progress" to ProgressUpdate(9, listOf(JobProgress("job-000001", 3, 4), JobProgress("job-000002", 0, 120))),
-        "relayed heartbeat" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", report),
+        "relayed heartbeat" to RelayedHeartbeat("berth-1", 12, 700, "10.1.0.2", heartbeat),
         "relayed heartbeat, no tasks" to
-            RelayedHeartbeat("berth-1", 12, 0, "", report.copy(noticeS = null, tasks = emptyList())),
+            RelayedHeartbeat("berth-1", 12, 0, "", heartbeat.copy(noticeS = null, tasks = emptyList())),
         "relayed answer" to RelayedAnswer("berth-0", 12, 200, byteArrayOf(1, 2, 3)),
         "heartbeat batch" to HeartbeatBatch(
             "berth-1",
             7,
             700,
-            listOf(FullHeartbeat(3, "10.1.0.2", report), UnchangedHeartbeat(4, "", "i-000008", 2, 9, 41)),
+            listOf(FullHeartbeat(3, "10.1.0.2", heartbeat), UnchangedHeartbeat(4, "", "i-000008", 2, 9, 41)),
         ),
         "answer batch" to AnswerBatch("berth-0", 7, listOf(BatchedAnswer(3, 200, byteArrayOf(9)))),
     )
@@ -141,7 +153,7 @@
 
     val messages: Map<String, Message> = mapOf(
         "heartbeat" to
-            Message({ WorkerCodec.writeReport(report) }, { WorkerCodec.writeReport(WorkerCodec.readReport(it)) }),
+            Message({ WorkerCodec.writeReport(heartbeat) }, { WorkerCodec.writeReport(WorkerCodec.readReport(it)) }),
         "answer to a heartbeat" to Message({ WorkerCodec.answer(41, orders) }),
         "direct commands" to Message({ WorkerCodec.commands(41, 1, orders) }),
         "another node to report to" to Message({ WorkerCodec.reportTo("berth-2") }),
--- a/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
@@ -11,13 +11,13 @@
 import plankwall.simulation.SimulatedCluster
 import plankwall.simulation.SimulatedStore
 
-/** The stand-ins' side of the protocols is read by the controllers' own, and the other way round. */
+/** Tests that the server codecs of the simulated services and the controllers' client codecs can read each other. */
 class ServerCodecTest {
     private val record = JobRecord(SimulatedCluster.job(7), 1_000, 0, 100)
     private val leader = LeaderRecord("n1", 5)
 
     @Test
-    fun `the state service understands transactions and is understood`() {
+    fun `requests to and answers of the state service are decoded to what was encoded`() {
         val txn = StateOp.Txn(
             listOf(Guard(Keys.LEADER, 3)),
             listOf(Write.Put(Keys.job(record.spec.id), record), Write.Put(Keys.LEADER, leader, 9), Write.Remove("x/1")),
@@ -45,11 +45,11 @@
     }
 
     @Test
-    fun `the cloud understands requests and is understood`() {
-        val rent = CloudOp.Rent("r-1", GroupKey("box", "a", true), 12)
-        assertEquals(rent, CloudServiceCodec.readRent(CloudCodec.rent(rent)))
-        val delete = CloudOp.Delete(listOf("i-1", "i-2"))
-        assertEquals(delete, CloudServiceCodec.readDelete(CloudCodec.delete(delete)))
+    fun `requests to and answers of the cloud are decoded to what was encoded, and too large a request is refused`() {
+        val rentRequest = CloudOp.Rent("r-1", GroupKey("box", "a", true), 12)
+        assertEquals(rentRequest, CloudServiceCodec.readRent(CloudCodec.rent(rentRequest)))
+        val deleteRequest = CloudOp.Delete(listOf("i-1", "i-2"))
+        assertEquals(deleteRequest, CloudServiceCodec.readDelete(CloudCodec.delete(deleteRequest)))
         val catalog = LoadTestCluster.catalog(LoadTestPlan())
         assertEquals(catalog, CloudCodec.catalog(CloudServiceCodec.catalog(catalog)))
         val listed = CloudResult.Listed(
@@ -59,49 +59,51 @@
         assertEquals(listed, CloudCodec.listed(CloudServiceCodec.listed(listed)))
         assertEquals(CloudResult.Rented(listOf("i-3")), CloudCodec.rented(CloudServiceCodec.rented(listOf("i-3"))))
         assertThrows(MalformedMessageException::class.java) {
-            CloudServiceCodec.readRent(CloudCodec.rent(rent.copy(count = 51)))
+            CloudServiceCodec.readRent(CloudCodec.rent(rentRequest.copy(count = 51)))
         }
     }
 
     @Test
-    fun `reports and submissions are read as they were sent`() {
-        val tasks = TaskStage.entries.mapIndexed { n, stage ->
+    fun `heartbeats and job submissions are decoded to what was encoded`() {
+        val tasks = TaskStage.entries.mapIndexed { index, stage ->
             TaskStatus(
                 "job-000001",
-                n,
+                index,
                 9,
                 stage,
                 if (stage == TaskStage.EXITED) ExitCause.STOPPED else null,
-                n % 2 == 0,
+                index % 2 == 0,
             )
         }
-        val report = HeartbeatStatus("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
-        assertEquals(report, WorkerCodec.readReport(WorkerCodec.writeReport(report)))
+        val heartbeat = HeartbeatStatus("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
+        assertEquals(heartbeat, WorkerCodec.readReport(WorkerCodec.writeReport(heartbeat)))
         assertEquals(record.spec, JobCodec.read(JobCodec.description(record.spec)))
     }
 
     @Test
-    fun `beyond its rates the state service refuses, and what it has forgotten is too old`() {
+    fun `the simulated state service refuses writes above its rate and changes older than its history`() {
         val clock = SimulatedClock()
         val state = SimulatedStore(clock, StateLimits(4.0, 2.0, 8.0, 32)).apply {
             refusesBeyondRates = true
             historyLimit = 3
         }
-        fun put(): StateResult? {
+
+        /** Writes the leader record once; returns the result. */
+        fun putLeader(): StateResult? {
             var result: StateResult? = null
             state.run(StateOp.Txn(emptyList(), listOf(Write.Put(Keys.LEADER, leader)))) { result = it }
             return result
         }
-        assertEquals(listOf(true, true, false), List(3) { put() is StateResult.Committed })
+        assertEquals(listOf(true, true, false), List(3) { putLeader() is StateResult.Committed })
         for (second in 1..10) {
             clock.runUntil(second.toDouble())
-            put()
+            putLeader()
         }
         clock.runUntil(12.0)
-        var seen: StateResult? = null
-        state.run(StateOp.Changes("", 1)) { seen = it }
-        assertEquals(StateResult.TooOld, seen)
-        state.run(StateOp.Changes("", state.version(Keys.LEADER) - 1)) { seen = it }
-        assertEquals(1, (seen as StateResult.News).events.size)
+        var changes: StateResult? = null
+        state.run(StateOp.Changes("", 1)) { changes = it }
+        assertEquals(StateResult.TooOld, changes)
+        state.run(StateOp.Changes("", state.version(Keys.LEADER) - 1)) { changes = it }
+        assertEquals(1, (changes as StateResult.News).events.size)
     }
 }
