--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -53,7 +53,7 @@
         cluster.clock.runUntil(REQUESTS / 100.0 + 80.0)
     }
 
-    /** Sends request number [n]: a random action of a random caller, one in ten without a valid token. */
+    /** Sends request number [n]: a random action of a random caller, one in ten with a missing or truncated token. */
     private fun sendRandomRequest(n: Int) {
         val jobId = "job-%06d".format(cluster.random.nextInt(400))
         val principal = listOf("ada", "ben", "cas", "eve")[cluster.random.nextInt(4)]
--- a/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
@@ -235,7 +235,7 @@
         cluster.assertSound(callers)
     }
 
-    /** Crashes a node at its n-th state service call that concerns [step], for every n there is. */
+    /** Crashes the node that makes the n-th state service call of [step], in one run for every n there is. */
     @ParameterizedTest
     @CsvSource("submit", "withdraw", "publish", "revoke", "seal", "deny", "turn")
     fun `after a crash at any step both the audit log entry and its effect are stored or neither is`(step: String) {
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -48,7 +48,7 @@
         "10.0.0.1, 10.0.0.2, false",
         "w1, w1, true",
     )
-    fun `two addresses are the same host whatever their notation and port`(
+    fun `two addresses are the same host if they differ only in notation or port`(
         first: String,
         second: String,
         expectedSame: Boolean,
--- a/src/test/kotlin/plankwall/load/PlacementPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacementPass.kt
@@ -21,7 +21,7 @@
         for (machines in listOf(1_000, 3_000, 10_000)) for (isScarce in listOf(false, true)) measure(machines, isScarce)
     }
 
-    /** Measures with this number of machines. [isCloudScarce]: whether the cloud has no machines left to rent. */
+    /** Measures with [machines] machines. [isCloudScarce]: whether the cloud has no machine that the jobs may use. */
     private fun measure(machines: Int, isCloudScarce: Boolean) {
         val core = CoreParts(listOf(Objective("wait", "class", 120.0, 0.9), Objective("finished", "class", 300.0, 0.9)))
         val placer =
--- a/src/test/kotlin/plankwall/load/SignedLoad.kt
+++ b/src/test/kotlin/plankwall/load/SignedLoad.kt
@@ -157,7 +157,7 @@
     /** The CPU time that all nodes have used so far. */
     private fun cpuMs(): Long = nodes.sumOf { it.info().totalCpuDuration().orElse(Duration.ZERO).toMillis() }
 
-    /** The result of one [run]. [cpuMsEach], [changesEach]: per request. [statuses]: the number of answers by status. */
+    /** The result of one [run]. [cpuMsEach], [changesEach]: per request. [statuses]: the count of answers by status. */
     class Result(
         val signed: Boolean,
         val requestKind: String,
