--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -45,7 +45,7 @@
     }
 
     @Test
-    fun `a machine that showed the leader's token and lost its lease although it was answered is blocked for a lease`() {
+    fun `a machine that showed the leader's token and lost its lease although answered is blocked for a lease`() {
         core.lead()
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
