--- a/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/SettingsFile.kt
@@ -37,7 +37,7 @@
             teams = readList(settingsTable, "teams").map { readTeam(it) },
             objectives = readList(settingsTable, "objectives").map { readObjective(it) },
             workers = WorkerTimes(
-                reportS = readNumber(workersTable, "report_s", null, 0.1, 600.0),
+                heartbeatIntervalS = readNumber(workersTable, "report_s", null, 0.1, 600.0),
                 leaseS = readNumber(workersTable, "lease_s", null, 1.0, 3600.0),
                 gangWaitS = readNumber(workersTable, "gang_wait_s", 60.0, 0.0, 3600.0),
                 gangPeerS = readNumber(workersTable, "gang_peer_s", 5.0, 0.0, 3600.0),
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -79,7 +79,7 @@
         is Input.Heartbeat -> heartbeats.onHeartbeat(input)
         is Input.StateReply -> ctx.out.resume(input.call, input.result)
         is Input.CloudReply -> ctx.out.resume(input.call, input.result)
-        is Input.WorkerReply -> onWorkerReply(input.report)
+        is Input.WorkerReply -> onWorkerReply(input.heartbeat)
         is Input.PeerMessageReceived -> onPeerMessage(input.message)
     }
 
@@ -118,7 +118,7 @@
         if (check == null) {
             ctx.out.answer(input.request, 404, JobCodec.error("not found"))
         } else {
-            check.handleAdmin(input.request, input.credentials, input.asked)
+            check.handleAdmin(input.request, input.credentials, input.adminRequest)
         }
     }
 
--- a/src/main/kotlin/plankwall/core/HeartbeatRouter.kt
+++ b/src/main/kotlin/plankwall/core/HeartbeatRouter.kt
@@ -43,10 +43,10 @@
 
     /** Handles a heartbeat that came directly from its worker. */
     fun onHeartbeat(input: Input.Heartbeat) {
-        val refusal = findRefusal(input.from, input.report)
+        val refusal = findRefusal(input.from, input.heartbeat)
         if (refusal != null) return ctx.out.answer(input.request, 403, JobCodec.error(refusal))
-        currentTerm()?.resignIfFenced(input.report)
-        val answer = answerAsLeader(input.report, ctx.settings.node)
+        currentTerm()?.resignIfFenced(input.heartbeat)
+        val answer = answerAsLeader(input.heartbeat, ctx.settings.node)
         if (answer == null) {
             relay.onHeartbeat(input)
         } else {
@@ -57,7 +57,7 @@
     /** Handles a heartbeat that a peer relays because its worker can't reach this node. */
     fun onRelayedHeartbeat(message: RelayedHeartbeat) {
         if (isDelayed(message.echo)) return
-        val answer = answerRelayed(message.from, message.address, message.report)
+        val answer = answerRelayed(message.from, message.address, message.heartbeat)
         send(RelayedAnswer(ctx.settings.node, message.id, answer.status, answer.body), message.from)
     }
 
@@ -70,7 +70,7 @@
         if (batch.epoch != epoch || isDelayed(batch.echo)) return
         val answers = ArrayList<BatchedAnswer>()
         var batchBytes = 0
-        for (sent in batch.reports) {
+        for (sent in batch.heartbeats) {
             val heartbeat = baselines.resolve(batch.from, sent)
             val answer = heartbeat?.let { answerRelayed(batch.from, sent.address, it) }
             val batched = BatchedAnswer(sent.id, answer?.status ?: BatchedAnswer.RESEND, answer?.body ?: NO_BODY)
--- a/src/main/kotlin/plankwall/core/TermHeartbeats.kt
+++ b/src/main/kotlin/plankwall/core/TermHeartbeats.kt
@@ -35,7 +35,7 @@
         }
         if (receivingNode == ctx.settings.node) {
             directReachability.onDirectHeartbeat(machine)
-        } else if (directReachability.onIndirectHeartbeat(machine, heartbeat.zone)) {
+        } else if (directReachability.onRelayedHeartbeat(machine, heartbeat.zone)) {
             return HeartbeatOutcome.RedirectedTo(ctx.settings.node)
         }
         val orders = if (isLoaded()) heartbeatHandler.onHeartbeat(heartbeat) else answerBeforeLoad(machine, heartbeat)
@@ -48,7 +48,7 @@
      */
     private fun answerBeforeLoad(machine: Machine, heartbeat: HeartbeatStatus): List<Order> {
         fleet.describe(machine, heartbeat)
-        machine.lastAnswered = ctx.now
+        machine.lastAnsweredAt = ctx.now
         // A job that is known to be cancelled can be stopped without the state: renewing the lease must not keep its
         // tasks running.
         return heartbeat.tasks
@@ -59,7 +59,7 @@
     /** Handles the [heartbeat] that a worker sent as its answer to a direct command. */
     fun onCommandReply(heartbeat: HeartbeatStatus) {
         if (resignIfFenced(heartbeat)) return
-        if (store.active && isLoaded()) heartbeatHandler.onRelayedHeartbeat(heartbeat)
+        if (store.active && isLoaded()) heartbeatHandler.onCommandReply(heartbeat)
         val machine = fleet.find(heartbeat.machine) ?: return
         directReachability.onCommandAnswered(machine)
         workerCommands.retryRefusedAnnouncement(machine, heartbeat)
--- a/src/main/kotlin/plankwall/core/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/core/WorkerCommands.kt
@@ -14,7 +14,7 @@
 
 /**
  * Sends the leader's direct commands to workers: urgent orders, announcements of its fencing token, and probes. Owns
- * [Machine.lastAnnounced] and [Machine.announceSession].
+ * [Machine.lastAnnouncedAt] and [Machine.announceSession].
  */
 internal class WorkerCommands(
     private val ctx: Context,
@@ -40,7 +40,7 @@
      */
     private fun sendUrgentOrders() {
         for (machine in fleet.machines) {
-            if (!machine.unsent || directReachability.isUnreachable(machine)) continue
+            if (!machine.hasUnsentOrders || directReachability.isUnreachable(machine)) continue
             val orders = heartbeatHandler.urgentOrders(machine) ?: continue
             machine.token = maxOf(machine.token, store.lastRevision)
             sendCommand(machine, machine.session, orders)
@@ -57,27 +57,27 @@
         for (machine in fleet.machines) {
             if (remainingAnnouncements == 0) return
             if (!isAnnouncementDue(machine) || ctx.now < leadership.wonAt + FIRST_ANNOUNCEMENT_DELAY_S) continue
-            machine.lastAnnounced = ctx.now
+            machine.lastAnnouncedAt = ctx.now
             remainingAnnouncements--
             val placedSession = machine.placements.values.firstOrNull()?.session ?: 1L
             sendCommand(machine, maxOf(machine.session, machine.announceSession, placedSession), emptyList())
         }
     }
 
-    private fun isAnnouncementDue(machine: Machine): Boolean = !machine.confirmed &&
+    private fun isAnnouncementDue(machine: Machine): Boolean = !machine.hasSeenToken &&
         machine.address.isNotEmpty() &&
-        !machine.deleting &&
-        ctx.now - machine.lastAnnounced >= ANNOUNCEMENT_INTERVAL_S
+        !machine.isDeletionPending &&
+        ctx.now - machine.lastAnnouncedAt >= ANNOUNCEMENT_INTERVAL_S
 
     /**
      * Adopts the session that [heartbeat], the worker's answer to an announcement that it refused, names for [machine].
      * The next announcement is then sent on the next tick.
      */
     fun retryRefusedAnnouncement(machine: Machine, heartbeat: HeartbeatStatus) {
-        if (machine.confirmed || heartbeat.token >= leadership.epoch) return
+        if (machine.hasSeenToken || heartbeat.token >= leadership.epoch) return
         if (heartbeat.session <= machine.announceSession) return
         machine.announceSession = heartbeat.session
-        machine.lastAnnounced = Machine.NEVER
+        machine.lastAnnouncedAt = Machine.NEVER
     }
 
     /**
--- a/src/main/kotlin/plankwall/core/api/PendingRequest.kt
+++ b/src/main/kotlin/plankwall/core/api/PendingRequest.kt
@@ -41,9 +41,9 @@
         isAnswered = true
         onAnswered()
         if (ctx.now - startedAt > timeoutS) {
-            ctx.out.answer(request, 503, DEADLINE_EXCEEDED, 1, close = true)
+            ctx.out.answer(request, 503, DEADLINE_EXCEEDED, 1, closeConnection = true)
         } else {
-            ctx.out.answer(request, status, body, retryAfterS, close = status == 503 && onlyOthersCanServe())
+            ctx.out.answer(request, status, body, retryAfterS, closeConnection = status == 503 && onlyOthersCanServe())
         }
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
@@ -10,7 +10,7 @@
 class ArrivalRate {
     private val buckets = ArrayDeque<Bucket>()
 
-    /** The highest [Job.demandIx] recorded so far. */
+    /** The highest [Job.demandIndex] recorded so far. */
     private var newestIndex = -1
 
     /** An interval that began at [openedAt]; [need] is the sum of what the jobs that arrived in it need. */
@@ -18,15 +18,15 @@
 
     /**
      * Records those of [jobs] that became demand since the last call. [now] is in seconds of the steady clock. Jobs
-     * that become demand later have a higher [Job.demandIx].
+     * that become demand later have a higher [Job.demandIndex].
      */
     fun record(now: Double, jobs: List<Job>) {
         if (buckets.isEmpty() || now >= buckets.last().openedAt + BUCKET_S) buckets.addLast(Bucket(now, Resources.NONE))
         while (buckets.size > MAX_BUCKETS) buckets.removeFirst()
         val newestBefore = newestIndex
         for (job in jobs) {
-            if (job.demandIx <= newestBefore) continue
-            newestIndex = maxOf(newestIndex, job.demandIx)
+            if (job.demandIndex <= newestBefore) continue
+            newestIndex = maxOf(newestIndex, job.demandIndex)
             buckets.last().need += job.spec.need * job.spec.tasks
         }
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -80,15 +80,15 @@
      */
     fun restore(items: List<StateItem>) {
         val record = autoscalerState.restore(items) ?: return
-        record.arrivals.forEach { restoreArrival(it) }
-        scaleIn.restore(record.returning)
-        scaleOutRequests.restore(record.rentals)
+        record.bootingMachines.forEach { restoreArrival(it) }
+        scaleIn.restore(record.machinesBeingScaledIn)
+        scaleOutRequests.restore(record.scaleOutRequests)
     }
 
     private fun restoreArrival(stored: StoredBootingMachine) {
-        val ageS = ((ctx.time.wallMs - stored.rentedMs) / 1000.0).coerceAtLeast(0.0)
-        fleet.arrivals[stored.machine] =
-            BootingMachine(stored.machine, stored.group, ctx.now - ageS, stored.rentedMs)
+        val ageS = ((ctx.time.wallMs - stored.requestedMs) / 1000.0).coerceAtLeast(0.0)
+        fleet.bootingMachines[stored.machine] =
+            BootingMachine(stored.machine, stored.group, ctx.now - ageS, stored.requestedMs)
         fleet.describe(fleet.machine(stored.machine), stored.group, "")
     }
 
@@ -140,8 +140,8 @@
      * machines that are silent.
      */
     private fun refreshRegistry(catalog: Catalog) {
-        bootDelays.refresh(fleet.arrivals.values, catalog)
-        registry.refresh(fleet.arrivals)
+        bootDelays.refresh(fleet.bootingMachines.values, catalog)
+        registry.refresh(fleet.bootingMachines)
     }
 
     /**
@@ -185,8 +185,8 @@
     }
 
     private fun isRegistrationOverdue(machine: Machine): Boolean {
-        if (machine.registered || machine.returning || machine.placements.isNotEmpty()) return false
-        val waitingSince = maxOf(fleet.arrivals[machine.id]?.rentedAt ?: machine.firstSeen, startedAt)
+        if (machine.isRegistered || machine.isBeingScaledIn || machine.placements.isNotEmpty()) return false
+        val waitingSince = maxOf(fleet.bootingMachines[machine.id]?.requestedAt ?: machine.firstSeen, startedAt)
         val timeoutS = machine.group?.let { bootDelays.registrationTimeoutS(it) } ?: ctx.tuning.unregisteredS
         return ctx.now - waitingSince > timeoutS
     }
@@ -198,9 +198,10 @@
      * a heartbeat ever showed are deleted. Returns true if there were any.
      */
     private fun shrinkShortGroups(): Boolean {
-        val missing = fleet.arrivals.values.filter {
+        val missing = fleet.bootingMachines.values.filter {
             // Counted from the failover at the earliest: before it, this leader received neither list nor heartbeats.
-            ctx.now - maxOf(it.rentedAt, startedAt) > ctx.tuning.shortGroupS && fleet.find(it.machine)?.listed == null
+            ctx.now - maxOf(it.requestedAt, startedAt) > ctx.tuning.shortGroupS &&
+                fleet.find(it.machine)?.listed == null
         }
         for (booting in missing) {
             val machine = fleet.find(booting.machine) ?: continue
@@ -236,26 +237,26 @@
     private fun removeUnneeded(usable: List<Machine>, forecast: DemandForecast) =
         unneededMachines.remove(usable, forecast)
 
-    private fun removeArrived() = fleet.arrivals.values.removeIf { hasArrived(it) }
+    private fun removeArrived() = fleet.bootingMachines.values.removeIf { hasArrived(it) }
 
     private fun hasArrived(booting: BootingMachine): Boolean {
         val machine = fleet.find(booting.machine) ?: return true
-        if (machine.registered) {
+        if (machine.isRegistered) {
             // A machine that an earlier leader requested may have been up long before it reconnected to this one.
-            if (booting.rentedAt > startedAt) {
-                machine.type?.let { bootDurations.record(it, machine.registeredAt - booting.rentedAt) }
+            if (booting.requestedAt > startedAt) {
+                machine.type?.let { bootDurations.record(it, machine.registeredAt - booting.requestedAt) }
             }
             bootDelays.recordBoot(booting.group)
         }
         // The stored record is written only on decisions, so it may still list a machine as booting that has come up
         // since. Tasks on it prove that it has.
-        return machine.registered || machine.placements.isNotEmpty()
+        return machine.isRegistered || machine.placements.isNotEmpty()
     }
 
     private fun createRecord() = FleetRecord(
         scaleOutRequests.unanswered,
-        fleet.arrivals.values.map { StoredBootingMachine(it.machine, it.group, it.rentedMs) },
-        fleet.machines.filter { it.returning }.map { it.id },
+        fleet.bootingMachines.values.map { StoredBootingMachine(it.machine, it.group, it.requestedMs) },
+        fleet.machines.filter { it.isBeingScaledIn }.map { it.id },
     )
 
     /** Allows the requests and deletions in [record], which is stored now, to be sent to the cloud. */
--- a/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
@@ -102,8 +102,8 @@
             if (keptShare < MIN_KEPT_SHARE) return listOf(record)
             log.warn(
                 "fleet record exceeds a transaction arrivals={} returns={}",
-                fullRecord.arrivals.size,
-                fullRecord.returning.size,
+                fullRecord.bootingMachines.size,
+                fullRecord.machinesBeingScaledIn.size,
             )
             keptShare *= SHRINK_FACTOR
         }
@@ -111,9 +111,9 @@
 
     /** All scale-out requests of [fullRecord], with the [keptShare] of its booting and its returning machines. */
     private fun reduce(fullRecord: FleetRecord, keptShare: Double) = FleetRecord(
-        fullRecord.rentals,
-        fullRecord.arrivals.takeLast((fullRecord.arrivals.size * keptShare).toInt()),
-        fullRecord.returning.take((fullRecord.returning.size * keptShare).toInt()),
+        fullRecord.scaleOutRequests,
+        fullRecord.bootingMachines.takeLast((fullRecord.bootingMachines.size * keptShare).toInt()),
+        fullRecord.machinesBeingScaledIn.take((fullRecord.machinesBeingScaledIn.size * keptShare).toInt()),
     )
 
     /** Reads the record's version anew after a conflict; no write may start in the meantime. */
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -40,9 +40,12 @@
         bootTimesByGroup.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
 
-    /** Finds the delayed groups among [arrivals], the booting machines, anew. To be called once in each iteration. */
-    fun refresh(arrivals: Collection<BootingMachine>, catalog: Catalog) {
-        val overdueByGroup = findOverdueByGroup(arrivals, catalog)
+    /**
+     * Finds the delayed groups among [bootingMachines], the booting machines, anew. To be called once in each
+     * iteration.
+     */
+    fun refresh(bootingMachines: Collection<BootingMachine>, catalog: Catalog) {
+        val overdueByGroup = findOverdueByGroup(bootingMachines, catalog)
         val bootedByGroup = overdueByGroup.keys.associateWith { countRecentBoots(it, catalog) }
         // A new leader does not know which machines came up before the failover. It counts the overdue machines of each
         // group, but not yet their sum over all groups.
@@ -68,13 +71,13 @@
     }
 
     private fun findOverdueByGroup(
-        arrivals: Collection<BootingMachine>,
+        bootingMachines: Collection<BootingMachine>,
         catalog: Catalog,
     ): Map<GroupKey, List<BootingMachine>> {
         val overdueByGroup = LinkedHashMap<GroupKey, ArrayList<BootingMachine>>()
-        for (booting in arrivals) {
+        for (booting in bootingMachines) {
             val type = catalog[booting.group.type] ?: continue
-            if (ctx.now - booting.rentedAt < bootDurations.overdueAfterS(type)) continue
+            if (ctx.now - booting.requestedAt < bootDurations.overdueAfterS(type)) continue
             overdueByGroup.getOrPut(booting.group) { ArrayList() }.add(booting)
         }
         return overdueByGroup
--- a/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/CapacityBin.kt
@@ -26,14 +26,14 @@
 internal class VacatingBin(private val ctx: Context, private val machine: Machine, group: GroupKey) :
     CapacityBin(group, Resources.NONE) {
     private val taskEnds = machine.placements.values.mapNotNull { placement ->
-        placement.endsIn(ctx.now)?.let { TaskEnd(it, placement.job.spec.need) }
+        placement.secondsUntilEnd(ctx.now)?.let { TaskEnd(it, placement.job.spec.need) }
     }
 
     /** A task that should end in [endsInS] seconds and so free the capacity [freed]. */
     private class TaskEnd(val endsInS: Double, val freed: Resources)
 
     // `free` starts at zero, so it is the negative sum of what has been packed here.
-    override val freeNow: Resources get() = machine.free - machine.held + free
+    override val freeNow: Resources get() = machine.free - machine.heldCapacity + free
 
     override fun freeFor(job: Job): Resources {
         val type = machine.type ?: return Resources.NONE
@@ -45,7 +45,7 @@
         // several others to end could then wait for such capacity for ever. So a job that has waited for a while is
         // packed only into capacity that is free now.
         if (ctx.time.wallMs - job.readyMs > newMachineStartS * 1000 * MAX_WAIT_PART) return currentlyFree
-        val limitS = newMachineStartS - machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+        val limitS = newMachineStartS - machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
         var expectedFree = currentlyFree
         for (end in taskEnds) if (end.endsInS < limitS) expectedFree += end.freed
         return expectedFree
--- a/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ClusterStateRegistry.kt
@@ -79,17 +79,17 @@
     var unjustifiedUnready = 0
         private set
 
-    /** Counts all machines, and the booting ones in [arrivals], anew. To be called once in each iteration. */
-    fun refresh(arrivals: Map<String, BootingMachine>) {
+    /** Counts all machines, and the booting ones in [bootingMachines], anew. To be called once in each iteration. */
+    fun refresh(bootingMachines: Map<String, BootingMachine>) {
         failureDetector.refresh()
         val groupsByKey = HashMap<GroupKey, GroupHealth>()
         registered = 0
         unjustifiedUnready = 0
         for (machine in fleet.machines) {
             val key = machine.group ?: continue
-            if (machine.registered) countRegistered(machine, groupsByKey.getOrPut(key) { GroupHealth(key) })
+            if (machine.isRegistered) countRegistered(machine, groupsByKey.getOrPut(key) { GroupHealth(key) })
         }
-        for (booting in arrivals.values) {
+        for (booting in bootingMachines.values) {
             val group = groupsByKey.getOrPut(booting.group) { GroupHealth(booting.group) }
             if (isLate(booting)) group.late++ else group.arriving++
         }
@@ -109,13 +109,13 @@
         }
     }
 
-    private fun isUnreadinessJustified(machine: Machine, key: GroupKey): Boolean = machine.returning ||
-        machine.noticeAt > Machine.NEVER ||
+    private fun isUnreadinessJustified(machine: Machine, key: GroupKey): Boolean = machine.isBeingScaledIn ||
+        machine.terminationNoticeAt > Machine.NEVER ||
         machine.listed == ListedState.FAILED ||
         key.zone in partitionedZones
 
     /** Whether [booting] was requested so long ago that it should have registered by now. */
-    fun isLate(booting: BootingMachine): Boolean = ctx.now - booting.rentedAt > registrationTimeoutS(booting.group)
+    fun isLate(booting: BootingMachine): Boolean = ctx.now - booting.requestedAt > registrationTimeoutS(booting.group)
 
     /** The counts of the group [key] as of the last [refresh]; all are zero if it has no machines. */
     fun groupHealth(key: GroupKey): GroupHealth = groups[key] ?: GroupHealth(key)
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -101,7 +101,7 @@
         /**
          * The zone in which capacity is gathered for the gang [job]; null if there is none or it cannot be expanded.
          */
-        private fun gatheringZone(job: Job): String? = job.gatherZone?.takeIf { zone ->
+        private fun gatheringZone(job: Job): String? = job.heldZone?.takeIf { zone ->
             catalog.types.any { groups.mayExpand(GroupKey(it.name, zone, false)) }
         }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
@@ -24,7 +24,7 @@
     /** Requests the scale-in of every machine that failed. */
     fun remove() {
         for (machine in fleet.machines.toList()) {
-            if (machine.returning) continue
+            if (machine.isBeingScaledIn) continue
             failureOf(machine)?.let { scaleIn.request(machine, it) }
         }
     }
@@ -32,7 +32,7 @@
     /** Returns why [machine] counts as failed, for the log, or null if it does not. */
     private fun failureOf(machine: Machine): String? = when {
         machine.listed == ListedState.FAILED -> "listed as failed"
-        machine.registered && isUnlisted(machine) && !fleet.isReady(machine) -> "silent and no longer listed"
+        machine.isRegistered && isUnlisted(machine) && !fleet.isReady(machine) -> "silent and no longer listed"
         machine.faulty -> "faulty"
         isSilentAlone(machine) -> "silent while its zone is not: its deletion proves its tasks gone"
         hasOverdueCancellation(machine) -> "unreachable with a cancelled task"
@@ -52,10 +52,11 @@
     private fun isSilentAlone(machine: Machine): Boolean {
         if (fleet.isReady(machine) || machine.placements.isEmpty()) return false
         if (!registry.inGoodShape || !failureDetector.silenceIsIsolated) return false
-        if (!machine.registered && machine.id in fleet.arrivals) return false
+        if (!machine.isRegistered && machine.id in fleet.bootingMachines) return false
         val zone = machine.group?.zone ?: return false
         if (zone in failureDetector.partitionedZones || !isWorthDeleting(machine)) return false
-        return ctx.now - reconnectingSince(machine, zone) > ctx.settings.workers.reportS * RECONNECT_HEARTBEATS
+        return ctx.now - reconnectingSince(machine, zone) >
+            ctx.settings.workers.heartbeatIntervalS * RECONNECT_HEARTBEATS
     }
 
     /**
@@ -63,8 +64,13 @@
      * last worker reconnects many seconds after the first. The failover does not count for a machine that has sent a
      * heartbeat since: it had reconnected already.
      */
-    private fun reconnectingSince(machine: Machine, zone: String): Double =
-        if (machine.registered) failureDetector.degradedAt(zone) else maxOf(startedAt, failureDetector.degradedAt(zone))
+    private fun reconnectingSince(machine: Machine, zone: String): Double = if (machine.isRegistered) {
+        failureDetector.degradedAt(
+            zone,
+        )
+    } else {
+        maxOf(startedAt, failureDetector.degradedAt(zone))
+    }
 
     /**
      * Whether the tasks on [machine] are worth its deletion. It may only hang and come back with its images, and then a
@@ -86,8 +92,8 @@
         }
 
     /** UC6: whether [machine] has been silent for long and has no tasks. */
-    private fun isUnreadyAndEmpty(machine: Machine): Boolean = machine.registered &&
-        ctx.now - machine.lastHeard > ctx.tuning.unreadyS &&
+    private fun isUnreadyAndEmpty(machine: Machine): Boolean = machine.isRegistered &&
+        ctx.now - machine.lastHeartbeatAt > ctx.tuning.unreadyS &&
         machine.placements.isEmpty()
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -81,12 +81,12 @@
         fleet.describe(machine, listed)
         machine.listed = listed.state
         machine.missingSince = Machine.NEVER
-        if (machine.registered || machine.returning || listed.id in fleet.arrivals) return
+        if (machine.isRegistered || machine.isBeingScaledIn || listed.id in fleet.bootingMachines) return
         if (listed.state != ListedState.BOOTING) return
         // An earlier leader requested it and its record of it was lost. It counts as booting since the time that
         // follows from the age in the list.
         val ageMs = (listed.ageS * 1000).toLong()
-        fleet.arrivals[listed.id] =
+        fleet.bootingMachines[listed.id] =
             BootingMachine(listed.id, listed.group, ctx.now - listed.ageS, ctx.time.wallMs - ageMs)
         autoscalerState.isDirty = true
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -30,10 +30,10 @@
      * the log. Does nothing if it is being scaled in already.
      */
     fun request(machine: Machine, reason: String) {
-        if (machine.returning) return
-        machine.returning = true
+        if (machine.isBeingScaledIn) return
+        machine.isBeingScaledIn = true
         autoscalerState.isDirty = true
-        fleet.arrivals.remove(machine.id)
+        fleet.bootingMachines.remove(machine.id)
         log.info(
             "scale in requested machine={} group={} tasks={} reason=\"{}\"",
             machine.id,
@@ -48,13 +48,13 @@
     fun restore(machines: List<String>) {
         for (id in machines) {
             val machine = fleet.machine(id)
-            machine.returning = true
-            machine.returnStored = true
+            machine.isBeingScaledIn = true
+            machine.isScaleInStored = true
         }
     }
 
     /** Marks the machines being scaled in of [record], which is stored now, as ready to be deleted. */
-    fun onStored(record: FleetRecord) = record.returning.forEach { fleet.find(it)?.returnStored = true }
+    fun onStored(record: FleetRecord) = record.machinesBeingScaledIn.forEach { fleet.find(it)?.isScaleInStored = true }
 
     /** Deletes the machines that are drained, cannot be reached, or have had their time to drain. */
     fun sendDeletions() {
@@ -63,17 +63,17 @@
         // few calls.
         if (dueMachines.isEmpty() || isDeleting) return
         isDeleting = true
-        dueMachines.forEach { it.deleting = true }
+        dueMachines.forEach { it.isDeletionPending = true }
         ctx.out.cloud(CloudOp.Delete(dueMachines.map { it.id })) { result ->
             isDeleting = false
             if (!store.active) return@cloud
-            dueMachines.forEach { it.deleting = false }
+            dueMachines.forEach { it.isDeletionPending = false }
             if (result == CloudResult.Deleted) dueMachines.forEach { onDeleted(it) }
         }
     }
 
     private fun mayDelete(machine: Machine): Boolean =
-        machine.returning && machine.returnStored && !machine.deleting && isDrained(machine)
+        machine.isBeingScaledIn && machine.isScaleInStored && !machine.isDeletionPending && isDrained(machine)
 
     private fun isDrained(machine: Machine): Boolean = machine.placements.isEmpty() ||
         !fleet.isReady(machine) ||
@@ -82,7 +82,7 @@
     private fun onDeleted(machine: Machine) {
         machine.placements.values.toList().forEach { schedulerState.release(it, "${machine.id} deleted") }
         fleet.remove(machine)
-        fleet.arrivals.remove(machine.id)
+        fleet.bootingMachines.remove(machine.id)
         autoscalerState.isDirty = true
         log.info("machine deleted machine={}", machine.id)
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
@@ -38,7 +38,7 @@
         val endangered = failureDetector.findEndangeredReplicas()
         val pending = pendingJobs(endangered.keys, isServed)
         val leftover = leftoverCapacity(catalog, running, arriving.size)
-        val machinesByZone = fleet.machines.filter { !it.returning }.groupingBy { it.group?.zone }.eachCount()
+        val machinesByZone = fleet.machines.filter { !it.isBeingScaledIn }.groupingBy { it.group?.zone }.eachCount()
         val demand = ScaleOutDemand(running, arriving, pending, placer::unreserved, forecast, endangered)
         val groups =
             ExpandableGroups(::mayExpand, ::mayExpandDelayed, ::mayExpandForService) { machinesByZone[it] ?: 0 }
@@ -50,11 +50,11 @@
      * Step 5: the jobs with replicas on machines presumed lost, then the other jobs with tasks that found no capacity.
      */
     private fun pendingJobs(endangered: Set<Job>, isServed: (Job) -> Boolean): List<Job> =
-        (endangered + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.suspect }).filter(isServed)
+        (endangered + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.isSuspected }).filter(isServed)
 
     /** UC1, UC2 and S3: the groups of the machines that are expected to arrive, one entry for each machine. */
     private fun arrivingGroups(): List<GroupKey> =
-        fleet.arrivals.values.filter { mayBeCountedOn(it) }.map { it.group } +
+        fleet.bootingMachines.values.filter { mayBeCountedOn(it) }.map { it.group } +
             requests.unanswered.flatMap { request -> List(request.count) { request.group } }
 
     /** Whether [booting] is likely to come up soon, so that no other machine is requested in its place. */
@@ -95,7 +95,7 @@
         val bootS = catalog.types.maxOfOrNull { it.bootS } ?: 0.0
         markStarving(bootS)
         val usedByBestEffort = running.sumOf { bestEffortShare(it) }
-        if (placer.unplaced.any { !it.bestEffort && !it.suspect }) contestedAt = ctx.now
+        if (placer.unplaced.any { !it.bestEffort && !it.isSuspected }) contestedAt = ctx.now
         val isContested = ctx.now < contestedAt + bootS
         val machinesLeft = LeftoverCapacityScaling.leftAt(running.size, arriving, usedByBestEffort, isContested)
         // After a shortage the machines that the cloud gets back in a group are left to jobs that are not best-effort.
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -85,13 +85,13 @@
                 countInRequest,
                 requestName,
                 jobsWaiting,
-                fleet.arrivals.size,
+                fleet.bootingMachines.size,
             )
         }
     }
 
     /** Marks the requests in [record], which is stored now, as ready to be sent. */
-    fun onStored(record: FleetRecord) = record.rentals.forEach { pending[it.request]?.isStored = true }
+    fun onStored(record: FleetRecord) = record.scaleOutRequests.forEach { pending[it.request]?.isStored = true }
 
     /** Sends the stored requests that are not under way and whose next attempt is due. */
     fun send() {
@@ -140,8 +140,8 @@
         if (fleet.isGone(id)) return
         val machine = fleet.machine(id)
         fleet.describe(machine, group, "")
-        if (machine.registered || machine.returning) return
-        fleet.arrivals[id] = BootingMachine(id, group, ctx.now, ctx.time.wallMs)
+        if (machine.isRegistered || machine.isBeingScaledIn) return
+        fleet.bootingMachines[id] = BootingMachine(id, group, ctx.now, ctx.time.wallMs)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/autoscaling/TaskChurn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/TaskChurn.kt
@@ -27,7 +27,7 @@
         val availableS = maxOf(newMachineReadyS, (objectiveS ?: 0.0) - waitedS)
         // After a task ends its slot stays empty until the worker has reported the end and received the next task. That
         // takes half a heartbeat interval on average.
-        val occupancyS = spec.estimateS + ctx.settings.workers.reportS / 2
+        val occupancyS = spec.estimateS + ctx.settings.workers.heartbeatIntervalS / 2
         return (availableS * ESTIMATE_MARGIN / occupancyS).toInt().coerceAtLeast(1)
     }
 
@@ -37,7 +37,7 @@
      */
     private fun mayShareSlot(job: Job): Boolean = job.spec.shape == Shape.ARRAY &&
         job.spec.estimateS > 0.0 &&
-        !job.needed &&
+        !job.hasDependents &&
         job.spec.dependencies.isEmpty() &&
         job.spec.deadlineS == null
 
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -38,12 +38,12 @@
      * Whether [machine] is ready and nothing uses or needs it. Capacity that is held for an incomplete gang or reserved
      * after a preemption is needed.
      */
-    private fun isIdle(machine: Machine): Boolean = machine.registered &&
+    private fun isIdle(machine: Machine): Boolean = machine.isRegistered &&
         fleet.isReady(machine) &&
         machine.placements.isEmpty() &&
         machine.unknownTasks == 0 &&
-        !machine.returning &&
-        machine.held === Resources.NONE &&
+        !machine.isBeingScaledIn &&
+        machine.heldCapacity === Resources.NONE &&
         machine.reservations.isEmpty()
 
     /**
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -20,7 +20,7 @@
  */
 class FailureDetector(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
     /** The interval between the heartbeats of a worker, in seconds. */
-    private val heartbeatS = ctx.settings.workers.reportS
+    private val heartbeatS = ctx.settings.workers.heartbeatIntervalS
 
     /**
      * The longest time a healthy worker takes to find this leader after the failure of the previous one: a heartbeat or
@@ -57,9 +57,14 @@
         val lateCounts = ZoneCounts()
         for (machine in fleet.machines) {
             val zone = machine.group?.zone ?: continue
-            if (machine.returning) continue
-            if (machine.registered) lateCounts.count(zone, ctx.now - machine.lastHeard > heartbeatS * LATE_HEARTBEATS)
-            if (machine.registered || isReconnectOverdue(machine)) silentCounts.count(zone, isSilent(machine))
+            if (machine.isBeingScaledIn) continue
+            if (machine.isRegistered) {
+                lateCounts.count(
+                    zone,
+                    ctx.now - machine.lastHeartbeatAt > heartbeatS * LATE_HEARTBEATS,
+                )
+            }
+            if (machine.isRegistered || isReconnectOverdue(machine)) silentCounts.count(zone, isSilent(machine))
         }
         for ((zone, count) in lateCounts.affected) {
             if (count > maxOf(1, lateCounts.all.getValue(zone) / DEGRADED_DIVISOR)) degradedAtByZone[zone] = ctx.now
@@ -98,9 +103,9 @@
      * Whether [machine] should be up, by the store or the cloud's list, but has not sent a heartbeat to this leader
      * yet.
      */
-    fun isAwaited(machine: Machine): Boolean = !machine.registered &&
-        !machine.returning &&
-        machine.id !in fleet.arrivals &&
+    fun isAwaited(machine: Machine): Boolean = !machine.isRegistered &&
+        !machine.isBeingScaledIn &&
+        machine.id !in fleet.bootingMachines &&
         machine.listed != ListedState.FAILED
 
     /** Whether [machine] is awaited though a healthy worker would have reconnected by now. */
@@ -109,7 +114,7 @@
 
     /** Whether [machine] has no recent heartbeat: it stopped sending them, or never reconnected to this leader. */
     fun isSilent(machine: Machine): Boolean =
-        if (machine.registered) !fleet.isReady(machine) else isReconnectOverdue(machine)
+        if (machine.isRegistered) !fleet.isReady(machine) else isReconnectOverdue(machine)
 
     /** Whether healthy workers may still be reconnecting to this leader after the failover. */
     val isSettling: Boolean get() = ctx.now < startedAt + reconnectTimeS && fleet.machines.any { isAwaited(it) }
@@ -119,7 +124,7 @@
      * heartbeat. Nearly all of them have arrived by then.
      */
     val heartbeatRoundElapsed: Boolean
-        get() = ctx.now >= startedAt + ctx.settings.workers.longestReportS + HEARTBEAT_HOPS_S
+        get() = ctx.now >= startedAt + ctx.settings.workers.longestHeartbeatIntervalS + HEARTBEAT_HOPS_S
 
     /**
      * Returns the replicas of live services on machines presumed lost, by job. Until there is proof that a replica is
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -26,10 +26,10 @@
     fun onTaskFailed(placement: Placement) {
         val machine = placement.machine
         val job = placement.job
-        machine.failedJobs.add(job.ix.value)
-        if (!machine.faulty) job.failedOn.add(machine.ix.value)
+        machine.failedJobs.add(job.index.value)
+        if (!machine.faulty) job.failedMachines.add(machine.index.value)
         markFaultyIfProven(machine)
-        if (job.suspect) delayRetry(job)
+        if (job.isSuspected) delayRetry(job)
     }
 
     /**
@@ -38,7 +38,7 @@
      */
     fun onTaskSucceeded(placement: Placement) {
         placement.machine.failedJobs.clear()
-        placement.job.failedOn.remove(placement.machine.ix.value)
+        placement.job.failedMachines.remove(placement.machine.index.value)
         markJobSound(placement.job, "a task succeeded on ${placement.machine.id}")
     }
 
@@ -49,8 +49,11 @@
      */
     fun onTaskRunning(placement: Placement) {
         val job = placement.job
-        if (job.provenSound || job.failedOn.isEmpty() || placement.runningSince <= 0.0) return
-        val provenAfterS = maxOf(ctx.settings.workers.reportS * PROVEN_AFTER_HEARTBEATS, job.longestFailS * 2)
+        if (job.provenSound || job.failedMachines.isEmpty() || placement.runningSince <= 0.0) return
+        val provenAfterS = maxOf(
+            ctx.settings.workers.heartbeatIntervalS * PROVEN_AFTER_HEARTBEATS,
+            job.longestFailedRunS * 2,
+        )
         if (ctx.now - placement.runningSince > provenAfterS) {
             markJobSound(job, "task ${placement.id} keeps running on ${placement.machine.id}")
         }
@@ -59,23 +62,23 @@
     /** Ends the suspicion against [job]; from now on its failures are attributed to machines. */
     private fun markJobSound(job: Job, reason: String) {
         if (job.provenSound) return
-        val wasSuspected = job.suspect
+        val wasSuspected = job.isSuspected
         job.provenSound = true
-        job.failedProbes = 0
+        job.failedRetries = 0
         job.backoffUntil = 0.0
         if (wasSuspected) log.info("job no longer suspected job={} reason={}", job.spec.id, reason)
         // Failures of a sound job are stronger evidence, so machines on which it failed may now count as faulty.
-        fleet.machines.filter { job.ix.value in it.failedJobs }.forEach(::markFaultyIfProven)
+        fleet.machines.filter { job.index.value in it.failedJobs }.forEach(::markFaultyIfProven)
     }
 
     /** Delays the next retry of the suspected [job]; each failed retry doubles the delay, up to [MAX_BACKOFF_S]. */
     private fun delayRetry(job: Job) {
-        val delayS = minOf(MAX_BACKOFF_S, MIN_BACKOFF_S * (1 shl minOf(job.failedProbes++, MAX_DOUBLINGS)))
+        val delayS = minOf(MAX_BACKOFF_S, MIN_BACKOFF_S * (1 shl minOf(job.failedRetries++, MAX_DOUBLINGS)))
         job.backoffUntil = ctx.now + delayS
         log.info(
             "job suspected, retried one task at a time job={} failed_machines={} retry_in_s={}",
             job.spec.id,
-            job.failedOn.size,
+            job.failedMachines.size,
             delayS,
         )
     }
@@ -86,16 +89,16 @@
      */
     private fun markFaultyIfProven(machine: Machine) {
         if (machine.faulty || machine.failedJobs.isEmpty()) return
-        val failedJobs = schedulerState.live.filter { it.ix.value in machine.failedJobs }
+        val failedJobs = schedulerState.live.filter { it.index.value in machine.failedJobs }
         if (failedJobs.sumOf { evidenceWeightOf(it) } < FAULTY_EVIDENCE) return
         machine.faulty = true
         log.info("machine marked as faulty machine={} failed_jobs={}", machine.id, failedJobs.map { it.spec.id })
         // Failures on a faulty machine are no evidence against the jobs.
         for (job in failedJobs) {
-            val wasSuspected = job.suspect
-            job.failedOn.remove(machine.ix.value)
-            if (wasSuspected && !job.suspect) {
-                job.failedProbes = 0
+            val wasSuspected = job.isSuspected
+            job.failedMachines.remove(machine.index.value)
+            if (wasSuspected && !job.isSuspected) {
+                job.failedRetries = 0
                 job.backoffUntil = 0.0
             }
         }
@@ -104,7 +107,7 @@
     /** Returns the weight of a failure of [job] as evidence against the machine on which it failed. */
     private fun evidenceWeightOf(job: Job): Int = when {
         job.provenSound -> 2
-        job.suspect -> 0
+        job.isSuspected -> 0
         else -> 1
     }
 
--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -35,11 +35,11 @@
         if (!isNewerThan(heartbeat, machine.session, machine.heartbeatSeq)) return null
         // The worker's answer to a direct command was made after this heartbeat but arrived first. What the heartbeat
         // shows may thus be out of date, but the absence of a task proves as much as in any other heartbeat.
-        val isOvertaken = heartbeat.session == machine.session && heartbeat.seq < machine.seq
+        val isOvertaken = heartbeat.session == machine.session && heartbeat.seq < machine.statusSeq
         updateSession(machine, heartbeat)
         register(machine)
-        machine.confirmed = heartbeat.token >= leadership.epoch
-        if (machine.confirmed) machine.unresponsive = false
+        machine.hasSeenToken = heartbeat.token >= leadership.epoch
+        if (machine.hasSeenToken) machine.isNotReceivingAnswers = false
         handleTerminationNotice(machine, heartbeat.noticeS)
         val reconciliationOrders = reconciler.reconcile(machine, heartbeat.tasks, isOvertaken)
         return (reconciliationOrders + orderPlanner.ordersForAnswer(machine)).take(MAX_ORDERS_PER_ANSWER)
@@ -49,12 +49,12 @@
      * Applies the [heartbeat] in a worker's answer to a direct command. The tasks that it shows exist, but the absence
      * of others proves nothing. A session that no heartbeat has shown yet is left to the next heartbeat.
      */
-    fun onRelayedHeartbeat(heartbeat: HeartbeatStatus) {
+    fun onCommandReply(heartbeat: HeartbeatStatus) {
         val machine = fleet.find(heartbeat.machine) ?: return
-        if (!isNewerThan(heartbeat, machine.session, machine.seq)) return
+        if (!isNewerThan(heartbeat, machine.session, machine.statusSeq)) return
         if (machine.group == null) fleet.describe(machine, heartbeat)
         if (heartbeat.session > machine.session) return
-        machine.seq = heartbeat.seq
+        machine.statusSeq = heartbeat.seq
         reconciler.applyShownTasks(machine, heartbeat.tasks)
     }
 
@@ -77,16 +77,16 @@
     /** Records the session, sequence number and arrival of [heartbeat]. */
     private fun updateSession(machine: Machine, heartbeat: HeartbeatStatus) {
         val isNewSession = heartbeat.session > machine.session
-        if (isNewSession && machine.session >= 1 && ctx.now - machine.lastAnswered < ctx.settings.workers.leaseS) {
+        if (isNewSession && machine.session >= 1 && ctx.now - machine.lastAnsweredAt < ctx.settings.workers.leaseS) {
             blockPlacements(machine, heartbeat)
         }
         machine.awaitingHeartbeat = false
         fleet.describe(machine, heartbeat)
-        machine.seq = if (isNewSession) heartbeat.seq else maxOf(machine.seq, heartbeat.seq)
+        machine.statusSeq = if (isNewSession) heartbeat.seq else maxOf(machine.statusSeq, heartbeat.seq)
         machine.session = heartbeat.session
         machine.heartbeatSeq = heartbeat.seq
-        machine.lastHeard = ctx.now
-        machine.lastAnswered = ctx.now
+        machine.lastHeartbeatAt = ctx.now
+        machine.lastAnsweredAt = ctx.now
     }
 
     /**
@@ -102,17 +102,17 @@
         if (heartbeat.token >= leadership.epoch) {
             machine.blockedUntil = ctx.now + ctx.surelyOverS
         } else {
-            machine.unresponsive = true
+            machine.isNotReceivingAnswers = true
         }
         log.info(
             "lease lost although heartbeats were answered machine={} blocked_until={}",
             machine.id,
-            if (machine.unresponsive) "token-shown" else "lease-expiry",
+            if (machine.isNotReceivingAnswers) "token-shown" else "lease-expiry",
         )
     }
 
     private fun register(machine: Machine) {
-        if (machine.registered) return
+        if (machine.isRegistered) return
         machine.registeredAt = ctx.now
         log.info("machine registered machine={} group={}", machine.id, machine.group)
     }
@@ -123,8 +123,8 @@
      * without a notice.
      */
     private fun handleTerminationNotice(machine: Machine, noticeS: Double?) {
-        if (noticeS == null || machine.noticeAt != Machine.NEVER) return
-        machine.noticeAt = ctx.now + noticeS
+        if (noticeS == null || machine.terminationNoticeAt != Machine.NEVER) return
+        machine.terminationNoticeAt = ctx.now + noticeS
         log.info("termination notice machine={} remaining_s={}", machine.id, noticeS)
         for (placement in machine.placements.values.toList()) {
             val spec = placement.job.spec
--- a/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
@@ -22,7 +22,9 @@
             if (machine.placements.isEmpty()) continue
             if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersSilentAt)) {
                 releaseAllTasks(machine)
-            } else if (machine.registered && ctx.now - machine.lastHeard > ctx.settings.workers.missedS) {
+            } else if (machine.isRegistered &&
+                ctx.now - machine.lastHeartbeatAt > ctx.settings.workers.missedHeartbeatS
+            ) {
                 releaseUncommandedTasks(machine)
             }
         }
@@ -32,7 +34,7 @@
         // Loops over a copy and checks each placement in its turn: releasing one task of a gang stops the others, which
         // releases those that were never commanded.
         for (placement in machine.placements.values.toList()) {
-            if (!placement.stored && !placement.commanded) continue
+            if (!placement.stored && !placement.isCommanded) continue
             schedulerState.release(placement, "lease of ${machine.id} expired")
         }
     }
@@ -43,7 +45,7 @@
      * heartbeat that the network held back until this node led; waiting for its lease to expire would gain nothing.
      */
     private fun releaseUncommandedTasks(machine: Machine) {
-        for (placement in machine.placements.values.filter { it.stored && !it.commanded }) {
+        for (placement in machine.placements.values.filter { it.stored && !it.isCommanded }) {
             machine.awaitingHeartbeat = true
             schedulerState.release(placement, "never commanded, and ${machine.id} missed a heartbeat")
         }
--- a/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/OrderPlanner.kt
@@ -14,10 +14,10 @@
      */
     fun ordersForAnswer(machine: Machine): List<Order> = machine.placements.values.mapNotNull { placement ->
         when {
-            placement.ended -> null
-            placement.stopping != null -> if (placement.commanded) stopOrderFor(placement) else null
+            placement.hasExited -> null
+            placement.stopping != null -> if (placement.isCommanded) stopOrderFor(placement) else null
             mayStart(machine, placement) -> {
-                placement.commanded = true
+                placement.isCommanded = true
                 Order(OrderOp.START, placement.job.spec.id, placement.task, placement.attempt)
             }
             else -> null
@@ -31,31 +31,37 @@
      * the start; the returned list may then be empty.
      */
     fun urgentOrders(machine: Machine): List<Order>? {
-        if (!machine.unsent || !machine.registered || machine.address.isEmpty() || machine.deleting) return null
+        if (!machine.hasUnsentOrders ||
+            !machine.isRegistered ||
+            machine.address.isEmpty() ||
+            machine.isDeletionPending
+        ) {
+            return null
+        }
         val stops = machine.placements.values.filter { isStopUnsent(it) }
-        stops.forEach { it.stopPosted = true }
+        stops.forEach { it.isStopSentDirectly = true }
         val isStartDue = machine.placements.values.any { isStartDue(machine, it) }
         val shouldRequestHeartbeat =
-            isStartDue && ctx.now - machine.lastWokenAt > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
-        if (shouldRequestHeartbeat) machine.lastWokenAt = ctx.now
-        machine.unsent = isStartDue && !shouldRequestHeartbeat
+            isStartDue && ctx.now - machine.heartbeatRequestedAt > ctx.settings.workers.leaseS * REQUEST_INTERVAL_LEASES
+        if (shouldRequestHeartbeat) machine.heartbeatRequestedAt = ctx.now
+        machine.hasUnsentOrders = isStartDue && !shouldRequestHeartbeat
         return if (stops.isEmpty() && !shouldRequestHeartbeat) null else stops.map(::stopOrderFor)
     }
 
     private fun isStopUnsent(placement: Placement): Boolean =
-        placement.stopping != null && placement.commanded && !placement.stopPosted && !placement.ended
+        placement.stopping != null && placement.isCommanded && !placement.isStopSentDirectly && !placement.hasExited
 
     /** Whether no answer has carried the start of [placement] yet, and the next one to [machine] may. */
     private fun isStartDue(machine: Machine, placement: Placement): Boolean = placement.stored &&
-        !placement.commanded &&
+        !placement.isCommanded &&
         placement.stopping == null &&
         placement.session == machine.session
 
     /** Whether an answer to [machine] may carry the start of [placement]; also true after one did, until it is seen. */
     private fun mayStart(machine: Machine, placement: Placement): Boolean = placement.stored &&
-        !placement.seen &&
+        !placement.isReported &&
         !placement.job.cancelled &&
-        !machine.returning &&
+        !machine.isBeingScaledIn &&
         placement.session == machine.session
 
     private fun stopOrderFor(placement: Placement) =
--- a/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/TaskReconciler.kt
@@ -27,7 +27,7 @@
      */
     fun reconcile(machine: Machine, tasks: List<TaskStatus>, isOvertaken: Boolean): List<Order> {
         machine.unknownTasks = 0
-        machine.exitsShown = tasks.count { it.stage == TaskStage.EXITED }
+        machine.exitsInHeartbeat = tasks.count { it.stage == TaskStage.EXITED }
         val orders = ArrayList<Order>()
         val shownPlacements = HashSet<Placement>()
         for (task in tasks) {
@@ -59,8 +59,8 @@
         if (placement == null) {
             return if (task.stage == TaskStage.EXITED) forgetExit(task) else stopUnknownTask(machine, task, isOvertaken)
         }
-        placement.seen = true
-        placement.commanded = true
+        placement.isReported = true
+        placement.isCommanded = true
         when {
             task.stage != TaskStage.EXITED -> updateStage(machine, placement, task.stage)
             isRestartable(placement, task) -> return restartGangTask(placement, isOvertaken)
@@ -114,9 +114,9 @@
         val job = placement.job
         return task.cause == ExitCause.GANG_INCOMPLETE &&
             placement.stopping == null &&
-            !placement.ended &&
-            !placement.machine.returning &&
-            placement.machine.noticeAt == Machine.NEVER &&
+            !placement.hasExited &&
+            !placement.machine.isBeingScaledIn &&
+            placement.machine.terminationNoticeAt == Machine.NEVER &&
             !job.cancelled &&
             job.placements.size == job.spec.tasks - job.doneCount &&
             job.placements.values.none { it.stopping != null }
@@ -128,15 +128,15 @@
         // heartbeat, since that alone is never executed late.
         if (isOvertaken) return null
         log.info("restart task: gang was not complete in time task={} machine={}", placement.id, placement.machine.id)
-        placement.seen = false
+        placement.isReported = false
         placement.stage = null
         return Order(OrderOp.FORGET, placement.job.spec.id, placement.task, placement.attempt)
     }
 
     /** Handles the first report that the task of [placement] exited, and releases the placement. */
     private fun onExit(placement: Placement, cause: ExitCause?) {
-        if (placement.ended) return
-        placement.ended = true
+        if (placement.hasExited) return
+        placement.hasExited = true
         val job = placement.job
         when (cause) {
             ExitCause.DONE -> {
@@ -145,7 +145,7 @@
             }
             ExitCause.ERROR -> {
                 if (placement.runningSince > 0.0) {
-                    job.longestFailS = maxOf(job.longestFailS, ctx.now - placement.runningSince)
+                    job.longestFailedRunS = maxOf(job.longestFailedRunS, ctx.now - placement.runningSince)
                 }
                 faultAttribution.onTaskFailed(placement)
             }
@@ -161,8 +161,8 @@
     /**
      * Releases the placements on [machine] that are not among the [shownPlacements] of a heartbeat, where their absence
      * proves that the tasks are gone. A worker has one heartbeat in flight at a time, so it has received or dropped
-     * every earlier answer; and once it has shown this leader's token ([Machine.confirmed]), no older leader's answer
-     * can follow.
+     * every earlier answer; and once it has shown this leader's token ([Machine.hasSeenToken]), no older leader's
+     * answer can follow.
      *
      * The end of a session is proof without the token: the tasks of that session were killed, and no answer to one of
      * its heartbeats is accepted any more. This matters for a worker whose heartbeats arrive but that gets no answers:
@@ -173,11 +173,11 @@
             if (placement in shownPlacements || !placement.stored) continue
             val reason = when {
                 placement.session < machine.session -> "session ${machine.session} began"
-                !machine.confirmed -> continue
-                placement.seen -> "gone from the heartbeats"
+                !machine.hasSeenToken -> continue
+                placement.isReported -> "gone from the heartbeats"
                 placement.stopping != null -> "a newer heartbeat does not show it"
                 placement.job.cancelled -> "cancelled before it started"
-                machine.returning -> "not started on a machine that is scaled in"
+                machine.isBeingScaledIn -> "not started on a machine that is scaled in"
                 else -> continue
             }
             schedulerState.release(placement, reason)
--- a/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
@@ -38,7 +38,7 @@
      */
     fun promiseSoonerMachine(job: Job, machine: Machine, usable: List<Machine>, zones: ZoneConstraint): Boolean {
         if (job.spec.shape == Shape.SERVICE) return false
-        val limitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now) * CLEARLY_SOONER_PART
+        val limitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now) * CLEARLY_SOONER_PART
         val waitedS = (ctx.time.wallMs - job.readyMs) / 1000.0
         if (limitS < MIN_GAIN_S || waitedS >= limitS) return false
         val soonest = findSoonestFree(job, usable, zones, limitS - waitedS) ?: return false
--- a/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -24,7 +24,7 @@
     fun beginPass() {
         reservedTasksByJob.clear()
         for (machine in fleet.machines) {
-            if (machine.held !== Resources.NONE) machine.held = Resources.NONE
+            if (machine.heldCapacity !== Resources.NONE) machine.heldCapacity = Resources.NONE
             if (machine.reservations.isEmpty()) continue
             machine.reservations.removeIf { reservation ->
                 val job = reservation.job
@@ -51,8 +51,8 @@
      * comes earlier in the queue.
      */
     fun freeCapacityFor(job: Job, machine: Machine): Resources {
-        if (machine.reservations.isEmpty() && machine.held === Resources.NONE) return machine.free
-        var free = machine.free - machine.held
+        if (machine.reservations.isEmpty() && machine.heldCapacity === Resources.NONE) return machine.free
+        var free = machine.free - machine.heldCapacity
         for (reservation in machine.reservations) {
             if (reservation.job !== job && reservation.job.priority >= job.priority) free -= reservation.job.spec.need
         }
@@ -62,8 +62,8 @@
     /** Whether a task of [job] may run on [machine], free capacity aside. */
     fun isEligible(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = Placer.allowed(job.spec, machine) &&
         zones.allows(machine) &&
-        machine.fitsReport &&
-        machine.ix.value !in job.failedOn &&
+        machine.fitsHeartbeat &&
+        machine.index.value !in job.failedMachines &&
         !(job.bestEffort && wouldDelayScaleIn(job, machine))
 
     /**
@@ -74,7 +74,7 @@
      */
     private fun wouldDelayScaleIn(job: Job, machine: Machine): Boolean = job.spec.spot &&
         machine.group?.spot == false &&
-        (machine.surplus || (machine.lastingShare == 0.0 && !job.starving))
+        (machine.surplus || (machine.serviceShare == 0.0 && !job.starving))
 
     /** Whether a task of [job] may run on [machine] and there is enough free capacity for it. */
     fun canPlace(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = job.spec.need.fitsIn(machine.free) &&
@@ -106,7 +106,7 @@
     fun secondsUntilFree(job: Job, machine: Machine): Double? {
         var free = machine.free
         val expectedEnds = machine.placements.values
-            .mapNotNull { placement -> placement.endsIn(ctx.now)?.let { it to placement.job.spec.need } }
+            .mapNotNull { placement -> placement.secondsUntilEnd(ctx.now)?.let { it to placement.job.spec.need } }
             .sortedBy { (endsInS, _) -> endsInS }
         for ((endsInS, need) in expectedEnds) {
             free += need
@@ -126,9 +126,9 @@
         val remaining = machine.free - job.spec.need
         val idleShare = shareOf(remaining.gpus, type.capacity.gpus) + shareOf(remaining.cpus, type.capacity.cpus)
         val spotPreferenceS = if (job.spec.spot && machine.group?.spot == false) SPOT_PREFERENCE_S else 0.0
-        val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+        val fetchWaitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
         val surplusS = if (machine.surplus) surplusPenaltyS(job, type) else 0.0
-        return fetchWaitS + machine.fetchDelay(job.image, job.spec.imageGb, ctx.now) +
+        return fetchWaitS + machine.fetchDelayS(job.image, job.spec.imageGb, ctx.now) +
             idleShare * TIGHT_FIT_WEIGHT_S + spotPreferenceS + surplusS + replicaMixPenaltyS(job, machine)
     }
 
@@ -138,9 +138,9 @@
      * needed at once, and a fetch takes longer.
      */
     private fun replicaMixPenaltyS(job: Job, machine: Machine): Double = if (job.spec.shape == Shape.SERVICE) {
-        (1.0 - machine.lastingShare) * REPLICA_TIE_BREAK_S
+        (1.0 - machine.serviceShare) * REPLICA_TIE_BREAK_S
     } else {
-        machine.lastingShare * BESIDE_REPLICAS_PENALTY_S
+        machine.serviceShare * BESIDE_REPLICAS_PENALTY_S
     }
 
     /**
--- a/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -71,7 +71,7 @@
         job.waiting.toList().zip(slots).forEach { (task, slot) ->
             schedulerState.place(job, task, slot.machine, attempt)
         }
-        job.gatherZone = null
+        job.heldZone = null
     }
 
     /** Returns the slots for tasks of [job], best first: at most as many on each machine as tasks wait. */
@@ -83,7 +83,7 @@
             val count = capacity.freeCapacityFor(job, machine).holds(job.spec.need)
             if (count <= 0) continue
             val score = capacity.score(job, machine)
-            val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+            val fetchWaitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
             repeat(minOf(count, job.waiting.size)) { slots.add(Slot(machine, score, fetchWaitS)) }
         }
         return slots.sortedBy { it.score }
@@ -108,20 +108,20 @@
      * have capacity. Chooses the zone with the most slots if there is none yet.
      */
     private fun holdCapacity(job: Job, slotsByZone: Map<String?, List<Slot>>, usable: List<Machine>) {
-        if (job.gatherZone == null && !(slotsByZone.isEmpty() && job.gatherSince > 0)) {
-            job.gatherZone = slotsByZone.maxByOrNull { it.value.size }?.key
-            job.gatherSince = ctx.now
-            if (job.gatherZone != null) log.debug("gang holds room job={} zone={}", job.spec.id, job.gatherZone)
+        if (job.heldZone == null && !(slotsByZone.isEmpty() && job.heldSince > 0)) {
+            job.heldZone = slotsByZone.maxByOrNull { it.value.size }?.key
+            job.heldSince = ctx.now
+            if (job.heldZone != null) log.debug("gang holds room job={} zone={}", job.spec.id, job.heldZone)
         }
         // A gang that can't be completed for long must not keep capacity from all other jobs: after the timeout it
         // holds nothing for as long again, then a zone is chosen anew.
         val timeoutS = holdTimeoutS(job)
-        if (ctx.now - job.gatherSince > timeoutS) {
-            if (ctx.now - job.gatherSince > 2 * timeoutS) job.gatherZone = null
+        if (ctx.now - job.heldSince > timeoutS) {
+            if (ctx.now - job.heldSince > 2 * timeoutS) job.heldZone = null
             return
         }
-        val slots = selectSlots(job, slotsByZone[if (job.spec.oneZone) job.gatherZone else null].orEmpty())
-        slots.forEach { it.machine.held += job.spec.need }
+        val slots = selectSlots(job, slotsByZone[if (job.spec.oneZone) job.heldZone else null].orEmpty())
+        slots.forEach { it.machine.heldCapacity += job.spec.need }
         val heldMachines = slots.mapTo(HashSet()) { it.machine }
         heldTasksByJob[job] =
             slots.size + holdVacatingMachines(job, usable, heldMachines, job.waiting.size - slots.size)
@@ -142,7 +142,7 @@
             .mapNotNull { if (it in heldMachines) null else vacatingMachineOrNull(job, it, zones) }
             .sortedBy { it.freeInS }
             .take(missingTasks)
-        chosen.forEach { it.machine.held += it.machine.free }
+        chosen.forEach { it.machine.heldCapacity += it.machine.free }
         return chosen.size
     }
 
@@ -153,11 +153,11 @@
     private fun vacatingMachineOrNull(job: Job, machine: Machine, zones: ZoneConstraint): VacatingMachine? {
         val type = machine.type ?: return null
         val zone = machine.group?.zone ?: return null
-        if (job.gatherZone != null && zone != job.gatherZone) return null
+        if (job.heldZone != null && zone != job.heldZone) return null
         if (!capacity.isEligible(job, machine, zones) || !job.spec.need.fitsIn(type.capacity)) return null
-        if (machine.held !== Resources.NONE || machine.reservations.isNotEmpty()) return null
+        if (machine.heldCapacity !== Resources.NONE || machine.reservations.isNotEmpty()) return null
         val capacityFreeInS = capacity.secondsUntilFree(job, machine) ?: return null
-        val freeInS = capacityFreeInS + machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+        val freeInS = capacityFreeInS + machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
         return if (freeInS < maxWaitS(job, type, zone)) VacatingMachine(machine, freeInS) else null
     }
 
@@ -170,7 +170,7 @@
             (job.spec.spot && mayExpand(GroupKey(type.name, zone, true)))
         val newMachineInS = type.bootS + type.fetchS(job.spec.imageGb)
         // A gang that is still incomplete when new machines should long have arrived does not wait for them again.
-        val waitsForNewMachine = mayGetNewMachine && ctx.now - job.gatherSince < newMachineInS
+        val waitsForNewMachine = mayGetNewMachine && ctx.now - job.heldSince < newMachineInS
         return if (waitsForNewMachine) newMachineInS * CLEARLY_SOONER_PART else Double.MAX_VALUE
     }
 
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -121,7 +121,7 @@
      * may not.
      */
     private fun mayPreempt(job: Job): Boolean = !cachedImages.keepsWaiting(job) &&
-        !job.suspect &&
+        !job.isSuspected &&
         (job.guaranteed || pendingQueue.feasibility(job) != Feasibility.OUT_OF_REACH)
 
     /**
@@ -131,12 +131,12 @@
      */
     fun usable(machine: Machine): Boolean = fleet.isReady(machine) &&
         machine.type != null &&
-        !machine.returning &&
+        !machine.isBeingScaledIn &&
         !machine.faulty &&
-        machine.noticeAt == Machine.NEVER &&
+        machine.terminationNoticeAt == Machine.NEVER &&
         machine.unknownTasks == 0 &&
         machine.blockedUntil <= ctx.now &&
-        !machine.unresponsive &&
+        !machine.isNotReceivingAnswers &&
         !machine.awaitingHeartbeat
 
     /** Places the waiting tasks of [job] one by one, and returns the number of placed tasks. */
@@ -175,7 +175,7 @@
      * ruled out machines.
      */
     private fun recordUnplaceable(job: Job, zones: ZoneConstraint, pass: Pass) {
-        if (!zones.isBinding && job.failedOn.isEmpty()) pass.unplaceable.add(job.equivalenceClass)
+        if (!zones.isBinding && job.failedMachines.isEmpty()) pass.unplaceable.add(job.equivalenceClass)
     }
 
     /**
@@ -183,11 +183,11 @@
      * task at a time.
      */
     private fun maxPlacements(job: Job, pass: Pass): Int =
-        if (job.suspect) 1 else minOf(pass.placementsLeft, pendingQueue.maxPlacements(job))
+        if (job.isSuspected) 1 else minOf(pass.placementsLeft, pendingQueue.maxPlacements(job))
 
     /** Whether it is known without a search that no task of [job] can be placed in this pass. */
     private fun isSkipped(job: Job, pass: Pass): Boolean {
-        if ((job.isGang || job.suspect) && job.placements.isNotEmpty()) return true
+        if ((job.isGang || job.isSuspected) && job.placements.isNotEmpty()) return true
         return capacity.reservedTasks(job) == 0 && job.equivalenceClass in pass.unplaceable
     }
 
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -70,13 +70,13 @@
      * gathers free capacity for a while before it preempts.
      */
     private fun preemptForGang(job: Job, usable: List<Machine>) {
-        if (ctx.now - job.gatherSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
+        if (ctx.now - job.heldSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
         if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return
         val machineSets = if (!job.spec.oneZone) {
             listOf(usable)
         } else {
             usable.groupBy { it.group?.zone }
-                .filterKeys { job.gatherZone == null || it == job.gatherZone }
+                .filterKeys { job.heldZone == null || it == job.heldZone }
                 .values
         }
         val preemptions = machineSets.firstNotNullOfOrNull { findPreemptionsForGang(job, it) } ?: return
@@ -145,7 +145,7 @@
         var lowestCostS = Double.MAX_VALUE
         for (machine in machines) {
             if (machine in chosen || machine.placements.isEmpty() || !capacity.isEligible(job, machine, zones)) continue
-            val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+            val fetchWaitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
             if (fetchWaitS >= lowestCostS) continue
             val victims = selectVictims(machine, job) ?: continue
             val costS = victims.sumOf { lostWorkS(it) } + fetchWaitS
@@ -189,12 +189,12 @@
      * enough; null if stopping all that may be preempted would not free enough.
      */
     private fun selectVictims(machine: Machine, job: Job): List<Placement>? {
-        var free = if (job.isGang) machine.free else machine.free - machine.held
+        var free = if (job.isGang) machine.free else machine.free - machine.heldCapacity
         var candidates: ArrayList<Placement>? = null
         for (placement in machine.placements.values) {
             if (placement.stopping != null) {
                 free += placement.job.spec.need
-            } else if (!placement.ended && mayPreempt(job, placement.job)) {
+            } else if (!placement.hasExited && mayPreempt(job, placement.job)) {
                 candidates = (candidates ?: ArrayList()).apply { add(placement) }
             }
         }
--- a/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
+++ b/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
@@ -44,7 +44,7 @@
         if (total == 0L) 0L else (total - takenByReplicas).coerceAtLeast(1L)
 
     /** Returns the seconds for which [task] should still run; its whole estimate if its end is not known. */
-    private fun remainingS(task: Placement): Double = task.endsIn(ctx.now) ?: task.job.spec.estimateS
+    private fun remainingS(task: Placement): Double = task.secondsUntilEnd(ctx.now) ?: task.job.spec.estimateS
 
     private fun partOf(need: Resources): Double = need.partOf(taskCapacity)
 
--- a/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
+++ b/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
@@ -22,7 +22,7 @@
     /** When this leader began to observe the load, in milliseconds of the time of day. */
     private val observedSinceMs = ctx.time.wallMs
 
-    /** The highest [Job.demandIx] recorded so far. */
+    /** The highest [Job.demandIndex] recorded so far. */
     private var lastDemandIndex = -1
 
     /**
@@ -32,8 +32,8 @@
     fun record(jobs: Collection<Job>, occupancyS: (Job) -> Double) {
         val lastIndexBefore = lastDemandIndex
         for (job in jobs) {
-            if (!job.ready || job.demandIx <= lastIndexBefore) continue
-            lastDemandIndex = maxOf(lastDemandIndex, job.demandIx)
+            if (!job.ready || job.demandIndex <= lastIndexBefore) continue
+            lastDemandIndex = maxOf(lastDemandIndex, job.demandIndex)
             val work = Work(job.readyMs, job.spec.need, occupancyS(job) * job.spec.tasks)
             workByClass.getOrPut(job.spec.jobClass) { ArrayDeque() }.addLast(work)
         }
--- a/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -181,7 +181,7 @@
     private fun quotaOf(team: Team) = Resources(team.cpusMax, team.gpusMax, 0)
 
     /** Returns the capacity of all machines that are not being returned to the cloud. */
-    private fun fleetCapacity(): Resources = fleet.machines.filter { !it.returning }
+    private fun fleetCapacity(): Resources = fleet.machines.filter { !it.isBeingScaledIn }
         .fold(Resources.NONE) { sum, machine -> sum + (machine.type?.capacity ?: Resources.NONE) }
 
     /** Returns the resources that the waiting tasks of [job] need. */
--- a/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
+++ b/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
@@ -20,7 +20,7 @@
         machineCountByImage = HashMap()
         fleetSize = 0
         for (machine in fleet.machines) {
-            if (machine.returning) continue
+            if (machine.isBeingScaledIn) continue
             fleetSize++
             machine.images.keys.forEach { machineCountByImage.merge(it, 1, Int::plus) }
         }
@@ -35,7 +35,8 @@
         val fetchS = fleet.catalog?.types?.minOfOrNull { it.fetchS(job.spec.imageGb) } ?: 0.0
         val lackingShare =
             if (fleetSize == 0) 1.0 else 1.0 - (machineCountByImage[job.image.value] ?: 0).toDouble() / fleetSize
-        return maxOf(job.spec.estimateS, MIN_RUN_S) + fetchS * lackingShare + ctx.settings.workers.reportS / 2
+        return maxOf(job.spec.estimateS, MIN_RUN_S) + fetchS * lackingShare +
+            ctx.settings.workers.heartbeatIntervalS / 2
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -70,9 +70,9 @@
      * Whether no heartbeat has been relayed within two heartbeat intervals. This saves a search of all machines, which
      * may be a thousand, ten times a second.
      */
-    private val hasNoRelayedWorkers: Boolean get() = ctx.now - lastRelayedAt >= workerTimes.reportS * 2
+    private val hasNoRelayedWorkers: Boolean get() = ctx.now - lastRelayedAt >= workerTimes.heartbeatIntervalS * 2
 
-    private fun pathOf(machine: Machine): Path = paths.getOrPut(machine.ix.value) { Path() }
+    private fun pathOf(machine: Machine): Path = paths.getOrPut(machine.index.value) { Path() }
 
     /**
      * Returns the node that the worker on [machine] is to be redirected to, or null if it is served where it is.
@@ -93,7 +93,7 @@
      * Records that a heartbeat of [machine] was relayed by another node. Returns whether the worker is to be called
      * back: the caller then ignores this heartbeat and redirects the worker to this leader.
      */
-    fun onIndirectHeartbeat(machine: Machine, zone: String): Boolean {
+    fun onRelayedHeartbeat(machine: Machine, zone: String): Boolean {
         // The session plan assigns this worker to another node, so its own path to the leader does not matter.
         if (sessions.assignedNode(machine.id, zone) != null) return false
         val path = pathOf(machine)
@@ -124,7 +124,7 @@
 
     private fun mayCallBack(machine: Machine, path: Path): Boolean {
         if (ctx.now < path.nextCallBackAt) return false
-        val answeredRecently = ctx.now - path.commandAnsweredAt < workerTimes.longestReportS
+        val answeredRecently = ctx.now - path.commandAnsweredAt < workerTimes.longestHeartbeatIntervalS
         // If a whole zone was cut off and one of its workers gets through again, all of them can. Probing them one by
         // one would take half a minute.
         return answeredRecently || (path.isZoneCutOff && zonePaths.isOpen(machine))
@@ -153,7 +153,7 @@
      */
     fun isUnreachable(machine: Machine): Boolean {
         if (sessions.assignedNode(machine) != null) return zonePaths.areCommandsHeldBack(machine)
-        val path = paths[machine.ix.value] ?: return false
+        val path = paths[machine.index.value] ?: return false
         return path.relayedHeartbeatAt > maxOf(path.directHeartbeatAt, path.commandAnsweredAt) &&
             (ctx.now < path.nextCallBackAt || !zonePaths.isOpen(machine))
     }
@@ -164,13 +164,13 @@
      */
     fun machinesToProbe(): List<Machine> {
         if (hasNoRelayedWorkers) return emptyList()
-        val isAnyAnswered = ctx.now - lastCommandAnsweredAt < workerTimes.reportS
+        val isAnyAnswered = ctx.now - lastCommandAnsweredAt < workerTimes.heartbeatIntervalS
         val probesPerSecond = if (isAnyAnswered) PROBES_PER_SECOND_ANSWERED else PROBES_PER_SECOND_UNANSWERED
         probeBudget = minOf(probesPerSecond, probeBudget + (ctx.now - probeBudgetUpdatedAt) * probesPerSecond)
         probeBudgetUpdatedAt = ctx.now
         if (probeBudget < 1) return emptyList()
         val dueMachines = fleet.machines.filter { machine ->
-            paths[machine.ix.value]?.let { isProbeDue(machine, it) } == true
+            paths[machine.index.value]?.let { isProbeDue(machine, it) } == true
         }
         return dueMachines.sortedBy { pathOf(it).probedAt }.take(probeBudget.toInt()).onEach {
             pathOf(it).probedAt = ctx.now
@@ -179,14 +179,14 @@
     }
 
     private fun isProbeDue(machine: Machine, path: Path): Boolean = machine.address.isNotEmpty() &&
-        !machine.deleting &&
+        !machine.isDeletionPending &&
         isRelayed(path) &&
         ctx.now >= path.nextCallBackAt &&
-        ctx.now - path.commandAnsweredAt > workerTimes.reportS &&
-        ctx.now - path.probedAt > workerTimes.reportS * 2
+        ctx.now - path.commandAnsweredAt > workerTimes.heartbeatIntervalS &&
+        ctx.now - path.probedAt > workerTimes.heartbeatIntervalS * 2
 
-    private fun isRelayed(path: Path): Boolean =
-        path.relayedHeartbeatAt > path.directHeartbeatAt && ctx.now - path.relayedHeartbeatAt < workerTimes.reportS * 2
+    private fun isRelayed(path: Path): Boolean = path.relayedHeartbeatAt > path.directHeartbeatAt &&
+        ctx.now - path.relayedHeartbeatAt < workerTimes.heartbeatIntervalS * 2
 
     /**
      * Counts, for each zone, the machines that are expected to send heartbeats directly to this leader, and how many of
@@ -195,20 +195,20 @@
     fun reachByZone(): List<ZoneReach> {
         val knownByZone = HashMap<String, Int>()
         val lateByZone = HashMap<String, Int>()
-        val lateAfterS = workerTimes.longestReportS + LATE_MARGIN_S
+        val lateAfterS = workerTimes.longestHeartbeatIntervalS + LATE_MARGIN_S
         for (machine in fleet.machines) {
             val zone = machine.group?.zone ?: continue
             if (!isDirectHeartbeatExpected(machine)) continue
             knownByZone.merge(zone, 1, Int::plus)
-            val directHeartbeatAt = paths[machine.ix.value]?.directHeartbeatAt ?: Machine.NEVER
+            val directHeartbeatAt = paths[machine.index.value]?.directHeartbeatAt ?: Machine.NEVER
             if (ctx.now - directHeartbeatAt > lateAfterS) lateByZone.merge(zone, 1, Int::plus)
         }
         return knownByZone.map { (zone, count) -> ZoneReach(zone, count, lateByZone[zone] ?: 0) }.sortedBy { it.zone }
     }
 
-    private fun isDirectHeartbeatExpected(machine: Machine): Boolean = !machine.returning &&
+    private fun isDirectHeartbeatExpected(machine: Machine): Boolean = !machine.isBeingScaledIn &&
         sessions.assignedNode(machine) == null &&
-        (machine.registered || (failureDetector.heartbeatRoundElapsed && failureDetector.isAwaited(machine)))
+        (machine.isRegistered || (failureDetector.heartbeatRoundElapsed && failureDetector.isAwaited(machine)))
 
     /** The number of workers whose newest heartbeat was relayed and is at most two heartbeat intervals old. */
     val relayedWorkers: Int get() = if (hasNoRelayedWorkers) 0 else paths.values.count(::isRelayed)
@@ -218,7 +218,7 @@
         if (ctx.now - lastSummaryLoggedAt < SUMMARY_INTERVAL_S) return
         lastSummaryLoggedAt = ctx.now
         if (paths.size > fleet.machines.size * 2) {
-            paths.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+            paths.keys.retainAll(fleet.machines.map { it.index.value }.toSet())
         }
         redirects.prune(fleet)
         val relayedCount = relayedWorkers
--- a/src/main/kotlin/plankwall/core/relay/HeartbeatForwarder.kt
+++ b/src/main/kotlin/plankwall/core/relay/HeartbeatForwarder.kt
@@ -67,15 +67,15 @@
         if (!reachability.isFresh(leader.node) || !reachability.supportsRelay(leader.node)) return false
         if (pending.size >= maxPending) return false
         val id = nextId++
-        val entry = PendingHeartbeat(input.request, input.report, input.from, leader, ctx.now)
+        val entry = PendingHeartbeat(input.request, input.heartbeat, input.from, leader, ctx.now)
         pending[id] = entry
         relayedSinceSummary++
         if (reachability.sessionPlanOf(leader) != null) {
-            entry.sentInFull = batcher.add(id, leader, input.from, input.report)
+            entry.sentInFull = batcher.add(id, leader, input.from, input.heartbeat)
             workers[entry.machine]?.isInFlight = true
         } else {
             val echo = reachability.lastSeqFrom(leader.node)
-            val message = RelayedHeartbeat(ctx.settings.node, id, echo, input.from, input.report)
+            val message = RelayedHeartbeat(ctx.settings.node, id, echo, input.from, input.heartbeat)
             ctx.out.add(Effect.PeerSend(message, leader.node))
         }
         return true
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -26,11 +26,14 @@
     fun tick() {
         // Machines that a new leader knows of but has not yet had a heartbeat from count too. Otherwise a leader that
         // no worker ever reached would stay leader, and the workers' leases would expire.
-        val knownMachines = fleet.machines.filter { (it.registered && !it.returning) || failureDetector.isAwaited(it) }
+        val knownMachines = fleet.machines.filter {
+            (it.isRegistered && !it.isBeingScaledIn) ||
+                failureDetector.isAwaited(it)
+        }
         if (knownMachines.size < 2 || !leadership.mayWrite || !failureDetector.heartbeatRoundElapsed) return
-        val silentCount = knownMachines.count { ctx.now - it.lastHeard > workerTimes.missedS }
+        val silentCount = knownMachines.count { ctx.now - it.lastHeartbeatAt > workerTimes.missedHeartbeatS }
         if (silentCount * 2 > knownMachines.size) {
-            resignIfOthersReachWorkers(silentCount, knownMachines.size, knownMachines.count { it.registered })
+            resignIfOthersReachWorkers(silentCount, knownMachines.size, knownMachines.count { it.isRegistered })
         } else {
             resignIfMostlyRelayed(knownMachines.size)
         }
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -75,7 +75,10 @@
     private val workerTimes = ctx.settings.workers
 
     /** The number of workers that sent a heartbeat within the longest heartbeat interval, however it was answered. */
-    val recentWorkers: Int get() = workers.values.count { ctx.now - it.lastSeenAt < workerTimes.longestReportS }
+    val recentWorkers: Int get() = workers.values.count {
+        ctx.now - it.lastSeenAt <
+            workerTimes.longestHeartbeatIntervalS
+    }
 
     /**
      * An estimate of the number of workers that no node served recently, as far as is known, and that this node could
--- a/src/main/kotlin/plankwall/core/relay/SessionRedirects.kt
+++ b/src/main/kotlin/plankwall/core/relay/SessionRedirects.kt
@@ -28,8 +28,8 @@
      */
     fun targetFor(machine: Machine, zone: String, receivingNode: String): String? {
         val assignedNode = sessions.assignedNode(machine.id, zone) ?: return null
-        val assignment = assignmentsByMachine[machine.ix.value]?.takeIf { it.node == assignedNode }
-            ?: Assignment(assignedNode, leaseS).also { assignmentsByMachine[machine.ix.value] = it }
+        val assignment = assignmentsByMachine[machine.index.value]?.takeIf { it.node == assignedNode }
+            ?: Assignment(assignedNode, leaseS).also { assignmentsByMachine[machine.index.value] = it }
         if (receivingNode == assignedNode) {
             assignment.servedAt = ctx.now
             assignment.pauseS = leaseS
@@ -46,7 +46,7 @@
     /** Drops the assignments of machines that are no longer in [fleet] once there are twice as many as machines. */
     fun prune(fleet: Fleet) {
         if (assignmentsByMachine.size > fleet.machines.size * 2) {
-            assignmentsByMachine.keys.retainAll(fleet.machines.map { it.ix.value }.toSet())
+            assignmentsByMachine.keys.retainAll(fleet.machines.map { it.index.value }.toSet())
         }
     }
 
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -39,13 +39,13 @@
 
     /** Answers a heartbeat, either at once or, if it is relayed, when the leader's answer arrives. */
     fun onHeartbeat(input: Input.Heartbeat) {
-        val worker = workers.onHeartbeat(input.report)
+        val worker = workers.onHeartbeat(input.heartbeat)
         val leader = routing.leader()
         if (leader == null) {
             ctx.out.rejectHeartbeat(input.request, "no leader is known")
             return
         }
-        val assignedNode = findAssignedNode(leader, input.report)
+        val assignedNode = findAssignedNode(leader, input.heartbeat)
         if (assignedNode != null) {
             serveAssigned(input, worker, leader, assignedNode)
         } else {
@@ -78,7 +78,7 @@
 
     /** Handles a heartbeat of a worker that is to connect to the leader. */
     private fun serveUnassigned(input: Input.Heartbeat, worker: SeenWorker, leader: LeadershipClaim) {
-        val zone = input.report.zone
+        val zone = input.heartbeat.zone
         if (hasFailedToReach(worker, leader, leader.node) || zoneReach.isMostlyCutOff(leader, zone)) {
             if (forwarder.relayHeartbeat(input, leader)) {
                 worker.markAsRelayed(leader)
@@ -110,7 +110,8 @@
      */
     private fun rejectOrRedirectAgain(request: RequestId, worker: SeenWorker, leader: LeadershipClaim) {
         val wasRedirectedRecently =
-            worker.redirectedEpoch == leader.epoch && ctx.now - worker.redirectedAt < workerTimes.longestReportS
+            worker.redirectedEpoch == leader.epoch &&
+                ctx.now - worker.redirectedAt < workerTimes.longestHeartbeatIntervalS
         if (wasRedirectedRecently) {
             ctx.out.rejectHeartbeat(request, "the leader can't be reached from here")
         } else {
--- a/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
+++ b/src/main/kotlin/plankwall/core/relay/ZonePaths.kt
@@ -34,7 +34,7 @@
      * heartbeat interval.
      */
     fun isOpen(machine: Machine): Boolean =
-        ctx.now - (lastOpenAt[machine.group?.zone] ?: Machine.NEVER) < ctx.settings.workers.longestReportS
+        ctx.now - (lastOpenAt[machine.group?.zone] ?: Machine.NEVER) < ctx.settings.workers.longestHeartbeatIntervalS
 
     /**
      * Whether direct commands to the machine's zone are held back now, since they go unanswered. Sending and holding
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBaselines.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBaselines.kt
@@ -17,7 +17,7 @@
 
     /** Returns the full content of [batched], which [node] sent, or null if the baseline that it names is not known. */
     fun resolve(node: String, batched: BatchedHeartbeat): HeartbeatStatus? = when (batched) {
-        is FullHeartbeat -> batched.report.also { storeBaseline(node, batched) }
+        is FullHeartbeat -> batched.heartbeat.also { storeBaseline(node, batched) }
         is UnchangedHeartbeat ->
             baselinesByNode[node]?.get(batched.machine)
                 ?.takeIf { it.id == batched.baseId }
@@ -26,12 +26,12 @@
 
     private fun storeBaseline(node: String, batched: FullHeartbeat) {
         val baselines = baselinesByNode.getOrPut(node) { LinkedHashMap() }
-        val existing = baselines[batched.report.machine]
+        val existing = baselines[batched.heartbeat.machine]
         // Frames may arrive late or twice, so an older heartbeat must not replace a newer one.
         if (existing != null && existing.id >= batched.id) return
         // Moves the baseline to the end, so that the limit drops the one that was sent in full least recently.
-        baselines.remove(batched.report.machine)
-        baselines[batched.report.machine] = Baseline(batched.id, batched.report)
+        baselines.remove(batched.heartbeat.machine)
+        baselines[batched.heartbeat.machine] = Baseline(batched.id, batched.heartbeat)
         if (baselines.size > MAX_BASELINES) baselines.remove(baselines.keys.first())
     }
 
--- a/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
+++ b/src/main/kotlin/plankwall/core/sessions/HeartbeatBatcher.kt
@@ -107,7 +107,7 @@
     }
 
     private fun estimatedBytes(entry: BatchedHeartbeat): Int =
-        if (entry is FullHeartbeat) FULL_BYTES + entry.report.tasks.size * TASK_STATUS_BYTES else UNCHANGED_BYTES
+        if (entry is FullHeartbeat) FULL_BYTES + entry.heartbeat.tasks.size * TASK_STATUS_BYTES else UNCHANGED_BYTES
 
     private fun splitIntoFrames(entries: List<BatchedHeartbeat>): List<List<BatchedHeartbeat>> {
         val frames = ArrayList<ArrayList<BatchedHeartbeat>>()
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -132,8 +132,8 @@
             val zone = machine.group?.zone ?: continue
             // A machine that is up but has not sent a heartbeat yet will do so, whichever node its worker tries first.
             val isUp =
-                machine.registered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
-            if (isUp && !machine.returning) demand.merge(zone, 1, Int::plus)
+                machine.isRegistered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
+            if (isUp && !machine.isBeingScaledIn) demand.merge(zone, 1, Int::plus)
         }
         return demand
     }
--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -40,7 +40,7 @@
     fun add(job: Job) {
         val id = job.spec.id
         pendingLookups.remove(id)
-        if (graph.dependentsOf(id).isNotEmpty()) job.needed = true
+        if (graph.dependentsOf(id).isNotEmpty()) job.hasDependents = true
         val dependencyIds = job.spec.dependencies
         inheritance.recompute(job)
         if (dependencyIds.isEmpty()) {
@@ -48,7 +48,7 @@
             return
         }
         cancelAll(graph.add(id, dependencyIds), id)
-        dependencyIds.mapNotNull(findJob).forEach { it.needed = true }
+        dependencyIds.mapNotNull(findJob).forEach { it.hasDependents = true }
         dependencyIds.filter { findJob(it) == null }.forEach { pendingLookups[it] = ctx.now }
         inheritance.raiseDependenciesOf(job)
     }
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -32,7 +32,7 @@
         }
 
     /** The machines that were requested from the cloud and have not registered yet, by name. */
-    val arrivals = LinkedHashMap<String, BootingMachine>()
+    val bootingMachines = LinkedHashMap<String, BootingMachine>()
 
     /** All known machines, in the order in which this leader learned of them. */
     val machines: Collection<Machine> get() = machinesById.values
@@ -79,15 +79,15 @@
      * Returns whether a heartbeat of [machine] arrived recently enough for what it showed and for the worker's lease to
      * be relied on.
      */
-    fun isReady(machine: Machine): Boolean = machine.registered &&
-        ctx.now - machine.lastHeard < ctx.settings.workers.reportS * READY_HEARTBEATS + READY_MARGIN_S
+    fun isReady(machine: Machine): Boolean = machine.isRegistered &&
+        ctx.now - machine.lastHeartbeatAt < ctx.settings.workers.heartbeatIntervalS * READY_HEARTBEATS + READY_MARGIN_S
 
     /**
      * Returns the time from which on the worker of [machine] has certainly stopped all tasks that earlier answers let
      * it keep, in seconds of the steady clock. From [olderLeadersSilentAt] on, no older leader can have answered it.
      */
     fun provablyEmptyAt(machine: Machine, olderLeadersSilentAt: Double): Double =
-        maxOf(machine.lastAnswered, olderLeadersSilentAt) + ctx.surelyOverS
+        maxOf(machine.lastAnsweredAt, olderLeadersSilentAt) + ctx.surelyOverS
 
     private companion object {
         const val MAX_DELETED_NAMES = 5000
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -16,12 +16,12 @@
  * Several classes set its fields: [SchedulerState] the state of the tasks ([done], [placements], [waiting]),
  * cancellation and readiness; [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] and the classes
  * that it uses the versions, [storedDone] and [finishing]; fault attribution the fields about failures; gang placement
- * [gatherZone] and [gatherSince]; the queue [guaranteed]; scale-out [starving].
+ * [heldZone] and [heldSince]; the queue [guaranteed]; scale-out [starving].
  *
  * The store holds the job's record (written when the job is submitted or cancelled), its pages of [done] and
  * [placements], and in the end its final record. Each leader derives everything else anew.
  *
- * @property ix the number of the job, which is only valid as long as this node leads
+ * @property index the number of the job, which is only valid as long as this node leads
  * @property pageSize the number of tasks in a stored page
  * @property submittedMs when the job was submitted, in milliseconds of the time of day
  * @property learnedAt when this leader first read the job's record, in seconds of the steady clock
@@ -29,7 +29,7 @@
  * job is never [bestEffort]
  */
 class Job(
-    val ix: JobIndex,
+    val index: JobIndex,
     val spec: JobSpec,
     val team: TeamIndex,
     val image: ImageIndex,
@@ -74,7 +74,7 @@
     var readyAt = learnedAt
 
     /** Whether another job depends on it. */
-    var needed = false
+    var hasDependents = false
         set(value) {
             field = value
             equivalenceClass = equivalenceClassFor(priority)
@@ -88,7 +88,7 @@
      */
     val bestEffort: Boolean
         get() = !hasServiceObjective &&
-            !needed &&
+            !hasDependents &&
             spec.shape != Shape.SERVICE &&
             spec.deadlineS == null &&
             dueMs == Long.MAX_VALUE &&
@@ -105,7 +105,7 @@
         }
 
     /** The position of the job in the order in which jobs became ready, or [NO_DEMAND]. */
-    var demandIx = NO_DEMAND
+    var demandIndex = NO_DEMAND
 
     /** The highest of its own priority and those of the jobs that depend on it. */
     var priority = spec.priority
@@ -151,7 +151,7 @@
     var dirtySince = 0.0
 
     /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
-    val failedOn = HashSet<Int>()
+    val failedMachines = HashSet<Int>()
 
     /**
      * Whether a task of it finished, or ran for long where others failed at once. Failures from then on are not
@@ -160,17 +160,17 @@
     var provenSound = false
 
     /** The longest time, in seconds, for which a task of it ran before it failed. */
-    var longestFailS = 0.0
+    var longestFailedRunS = 0.0
 
-    /** The number of attempts that failed in a row since the job became [suspect]. */
-    var failedProbes = 0
+    /** The number of attempts that failed in a row since the job became [isSuspected]. */
+    var failedRetries = 0
 
     /**
      * Whether it failed on at least [SUSPECT_MACHINES] machines and ran well nowhere, probably because it was submitted
      * with a mistake. It is then retried one task at a time with a growing backoff. Until it runs well, it causes no
      * scale-out and no preemption, and its failures are not attributed to machines.
      */
-    val suspect: Boolean get() = !provenSound && failedOn.size >= SUSPECT_MACHINES
+    val isSuspected: Boolean get() = !provenSound && failedMachines.size >= SUSPECT_MACHINES
 
     /** Whether it fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
@@ -195,10 +195,10 @@
      * The zone in which capacity is held for this gang; null if none was chosen, or if its tasks may be in several
      * zones.
      */
-    var gatherZone: String? = null
+    var heldZone: String? = null
 
-    /** When holding capacity in [gatherZone] began, in seconds of the steady clock. */
-    var gatherSince = 0.0
+    /** When holding capacity in [heldZone] began, in seconds of the steady clock. */
+    var heldSince = 0.0
 
     /** Returns the page, or the part of a split page, that holds [task]. */
     fun pageOf(task: Int): TaskPage {
@@ -241,23 +241,23 @@
 
     /** The numbers of tasks that are done and that run now. */
     val progress: JobProgress
-        get() = JobProgress(spec.id, doneCount, placements.values.count { it.runningSince > 0.0 && !it.ended })
+        get() = JobProgress(spec.id, doneCount, placements.values.count { it.runningSince > 0.0 && !it.hasExited })
 
     /** Whether all tasks are done. */
-    val complete: Boolean get() = doneCount == spec.tasks
+    val isComplete: Boolean get() = doneCount == spec.tasks
 
     /**
      * Whether its final record may be written: it is complete or cancelled, no task of it is placed, and no page of it
      * is being read or written.
      */
     val isFinalizable: Boolean
-        get() = (complete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
+        get() = (isComplete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
 
     private companion object {
         /** Failures on this many machines are attributed to the job. */
         const val SUSPECT_MACHINES = 2
 
-        /** The [demandIx] of a job that is not ready yet and so does not count as demand. */
+        /** The [demandIndex] of a job that is not ready yet and so does not count as demand. */
         const val NO_DEMAND = -1
     }
 }
--- a/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
+++ b/src/main/kotlin/plankwall/core/state/JobFinalizer.kt
@@ -24,7 +24,7 @@
      */
     fun finalize(job: Job): Int {
         val id = job.spec.id
-        val stage = if (job.complete && !job.cancelled) JobStage.DONE else JobStage.CANCELLED
+        val stage = if (job.isComplete && !job.cancelled) JobStage.DONE else JobStage.CANCELLED
         val endedMs = ctx.time.wallMs
         val storedPages = job.pages.values.filter { it.version > 0 }.map { Keys.page(id, it.number) }
         val removedNow = storedPages.take(store.limits.txnOps - RECORD_CHANGES)
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -13,13 +13,13 @@
  * on it. Times are in seconds of the steady clock, or [NEVER].
  *
  * [Fleet] creates it and sets what describes it; [SchedulerState] adds and removes placements; the heartbeat handler
- * sets what heartbeats show, the autoscaler what concerns scale-in, placement [held] and [reservations]. The store only
- * holds which machines are to be scaled in; the autoscaler writes that.
+ * sets what heartbeats show, the autoscaler what concerns scale-in, placement [heldCapacity] and [reservations]. The
+ * store only holds which machines are to be scaled in; the autoscaler writes that.
  *
- * @property ix the number of the machine, which is only valid as long as this node leads
+ * @property index the number of the machine, which is only valid as long as this node leads
  * @property id the name that the cloud gave it
  */
-class Machine(val ix: MachineIndex, val id: String) {
+class Machine(val index: MachineIndex, val id: String) {
     /** Its type, its zone and whether it is a spot machine; null until a heartbeat or the cloud's list states them. */
     var group: GroupKey? = null
 
@@ -40,10 +40,10 @@
     var session = 0L
 
     /** The highest sequence number within [session] of a heartbeat or of an answer to a direct command. */
-    var seq = 0L
+    var statusSeq = 0L
 
     /**
-     * The sequence number of the newest heartbeat alone. [seq] may be higher: the answer to a direct command may
+     * The sequence number of the newest heartbeat alone. [statusSeq] may be higher: the answer to a direct command may
      * overtake a heartbeat that is under way.
      */
     var heartbeatSeq = 0L
@@ -52,19 +52,19 @@
     var token = 0L
 
     /** When it was last sent a direct command only to make it send a heartbeat at once. */
-    var lastWokenAt = NEVER
+    var heartbeatRequestedAt = NEVER
 
     /** When its last heartbeat arrived that was not out of date. */
-    var lastHeard = NEVER
+    var lastHeartbeatAt = NEVER
 
     /**
      * When the last heartbeat arrived that this leader answered or may have answered; the worker's lease starts then at
      * the latest.
      */
-    var lastAnswered = NEVER
+    var lastAnsweredAt = NEVER
 
     /** Whether the worker has seen this leader's fencing token, so that no older leader can command it any more. */
-    var confirmed = false
+    var hasSeenToken = false
 
     /** When this leader first learned of it. */
     var firstSeen = 0.0
@@ -79,16 +79,16 @@
     var missingSince = NEVER
 
     /** Whether it is to be scaled in. It gets no more tasks from then on. */
-    var returning = false
+    var isBeingScaledIn = false
 
     /** Whether the store holds that it is to be scaled in. */
-    var returnStored = false
+    var isScaleInStored = false
 
     /** Whether the call to the cloud that deletes it is under way. */
-    var deleting = false
+    var isDeletionPending = false
 
     /** When the cloud takes it away according to its termination notice. */
-    var noticeAt = NEVER
+    var terminationNoticeAt = NEVER
 
     /** Since when the autoscaler has found its capacity to be unneeded. */
     var unneededSince = NEVER
@@ -106,14 +106,14 @@
      * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is told to forget
      * it, which happens only once the end of the task is stored.
      */
-    var exitsShown = 0
+    var exitsInHeartbeat = 0
 
     /**
      * Whether one more task fits into its heartbeat. A heartbeat may have 64 KiB: no node could read a longer one, and
      * the worker would lose its lease with all its tasks. Hundreds of small tasks of an array, along with as many
      * exits, come close to that.
      */
-    val fitsReport: Boolean get() = placements.size + exitsShown < MAX_TASKS_IN_HEARTBEAT
+    val fitsHeartbeat: Boolean get() = placements.size + exitsInHeartbeat < MAX_TASKS_IN_HEARTBEAT
 
     /** The resources that its [placements] take. */
     var used = Resources.NONE
@@ -138,13 +138,13 @@
     var blockedUntil = NEVER
 
     /** When this leader last announced its fencing token to the worker by a direct command. */
-    var lastAnnounced = NEVER
+    var lastAnnouncedAt = NEVER
 
     /**
      * Whether its session ended although its heartbeats were answered, and it has not yet shown that it receives this
      * leader's answers.
      */
-    var unresponsive = false
+    var isNotReceivingAnswers = false
 
     /**
      * Whether placements that were never commanded were released here. Nothing more is placed before the next
@@ -153,7 +153,7 @@
     var awaitingHeartbeat = false
 
     /** Whether the start or the stop of a task here may still have to be sent. */
-    var unsent = false
+    var hasUnsentOrders = false
 
     /** The session that the worker named when it refused an announcement of the fencing token; 0 if it refused none. */
     var announceSession = 0L
@@ -171,7 +171,7 @@
      * The capacity that the last placement pass held for gangs that are not complete yet. Any object other than
      * [Resources.NONE] itself means that the machine is held, even where none of its capacity is free yet.
      */
-    var held = Resources.NONE
+    var heldCapacity = Resources.NONE
 
     /** Capacity for one task of [job], which other jobs may not use before [until], in seconds of the steady clock. */
     class Reservation(val job: Job, val until: Double)
@@ -180,7 +180,7 @@
     class CachedImage(val gb: Double, val readyAt: Double)
 
     /** Whether a heartbeat of it has reached this leader. */
-    val registered: Boolean get() = registeredAt > NEVER
+    val isRegistered: Boolean get() = registeredAt > NEVER
 
     private val capacity: Resources get() = type?.capacity ?: Resources.NONE
 
@@ -188,7 +188,7 @@
     private var usedByServices = Resources.NONE
 
     /** The share of the machine's capacity that service tasks take. */
-    val lastingShare: Double get() = usedByServices.partOf(capacity)
+    val serviceShare: Double get() = usedByServices.partOf(capacity)
 
     /**
      * The capacity that no placement takes. It is kept up to date rather than computed on demand, because a placement
@@ -220,10 +220,10 @@
 
     private fun keyOf(placement: Placement) = keyOf(placement.job, placement.task)
 
-    private fun keyOf(job: Job, task: Int) = (job.ix.value.toLong() shl TASK_BITS) or task.toLong()
+    private fun keyOf(job: Job, task: Int) = (job.index.value.toLong() shl TASK_BITS) or task.toLong()
 
     /** Returns the seconds until [image] would be on the machine if a task that needs it were placed now. */
-    fun fetchWait(image: ImageIndex, gb: Double, now: Double): Double {
+    fun fetchWaitS(image: ImageIndex, gb: Double, now: Double): Double {
         val cached = images[image.value]
         if (cached != null) return (cached.readyAt - now).coerceAtLeast(0.0)
         return (fetchBusyUntil - now).coerceAtLeast(0.0) + fetchS(gb)
@@ -233,7 +233,7 @@
      * Returns the seconds by which fetching [image] as well would delay, on average, the tasks here that wait for other
      * images.
      */
-    fun fetchDelay(image: ImageIndex, gb: Double, now: Double): Double {
+    fun fetchDelayS(image: ImageIndex, gb: Double, now: Double): Double {
         if (images[image.value] != null) return 0.0
         return minOf((fetchBusyUntil - now).coerceAtLeast(0.0), fetchS(gb)) * 0.5
     }
@@ -244,7 +244,7 @@
     /** Records that a task that needs [image] was placed here, so that the worker will fetch it unless it is cached. */
     fun scheduleFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
-        if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
+        if (cached == null) fetchBusyUntil = now + fetchWaitS(image, gb, now)
         recordImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
     }
 
--- a/src/main/kotlin/plankwall/core/state/PageWriteResults.kt
+++ b/src/main/kotlin/plankwall/core/state/PageWriteResults.kt
@@ -49,7 +49,7 @@
 
     private fun onStored(placement: Placement, revision: Long) {
         placement.stored = true
-        placement.machine.unsent = true
+        placement.machine.hasUnsentOrders = true
         log.info(
             "task placed task={}/{} machine={} attempt={} revision={}",
             placement.job.spec.id,
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -20,10 +20,10 @@
     /**
      * Whether an answer of this leader told the worker to start the task, or one of an earlier leader may have done so.
      */
-    var commanded = false
+    var isCommanded = false
 
     /** Whether the worker has reported the task. */
-    var seen = false
+    var isReported = false
 
     /** The stage of the task that the worker reported last; null if it has reported none. */
     var stage: TaskStage? = null
@@ -35,7 +35,7 @@
     var stopSince = 0.0
 
     /** Whether the stop was sent by a direct command, which is done once; answers to heartbeats repeat it. */
-    var stopPosted = false
+    var isStopSentDirectly = false
 
     /** When the worker reported that the task had begun to run, in seconds of the steady clock; 0 before that. */
     var runningSince = 0.0
@@ -47,7 +47,7 @@
     var graceS = 0.0
 
     /** Whether the worker has reported the end of the task, which then only has to be stored. */
-    var ended = false
+    var hasExited = false
 
     /** The job, the task and the attempt, as log lines show them. */
     val id: String get() = "${job.spec.id}/$task#$attempt"
@@ -56,7 +56,7 @@
      * Returns the seconds from [now] until the task should end, or null if that is unknown. The estimates of owners are
      * often wrong by half.
      */
-    fun endsIn(now: Double): Double? {
+    fun secondsUntilEnd(now: Double): Double? {
         val spec = job.spec
         if (stopping != null) return STOP_DURATION_S
         if (spec.shape == Shape.SERVICE || runningSince <= 0.0) return null
--- a/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
+++ b/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
@@ -17,7 +17,7 @@
         val changed = ArrayList<JobProgress>()
         for (job in schedulerState.live) {
             val progress = job.progress
-            val isRepeated = (job.ix.value + round) % REPEAT_EVERY_ROUNDS == 0
+            val isRepeated = (job.index.value + round) % REPEAT_EVERY_ROUNDS == 0
             if (lastPublished.put(progress.id, progress) != progress || isRepeated) changed.add(progress)
         }
         if (lastPublished.size > schedulerState.live.size) {
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -111,12 +111,12 @@
         for (stored in record.placements) {
             val placement = Placement(job, stored.task, stored.attempt, fleet.machine(stored.machine), stored.session)
             placement.stored = true
-            placement.commanded = true
+            placement.isCommanded = true
             placement.plannedAt = ctx.now
             attach(placement)
             if (job.cancelled) stop(placement, StopCause.CANCELLED, 0.0)
         }
-        if (job.complete) writer.markDirty(job)
+        if (job.isComplete) writer.markDirty(job)
     }
 
     /**
@@ -161,9 +161,9 @@
         placement.stopping = cause
         placement.graceS = graceS
         placement.stopSince = ctx.now
-        placement.machine.unsent = true
+        placement.machine.hasUnsentOrders = true
         log.info("task stopping task={} machine={} cause={}", placement.id, placement.machine.id, cause)
-        if (!placement.commanded) release(placement, "never commanded")
+        if (!placement.isCommanded) release(placement, "never commanded")
     }
 
     /**
@@ -208,7 +208,7 @@
     private fun onReady(job: Job) {
         job.ready = true
         job.readyAt = ctx.now
-        job.demandIx = nextDemandIndex++
+        job.demandIndex = nextDemandIndex++
         changes++
     }
 
--- a/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/AccessCheck.kt
@@ -5,11 +5,14 @@
  * controller without an access check lets anybody make any request, as the protocol specifies.
  */
 interface AccessCheck {
-    /** Calls [then] with the caller that [credentials] prove. If they prove none, answers [request] itself instead. */
-    fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit)
+    /**
+     * Calls [onAuthenticated] with the caller that [credentials] prove. If they prove none, answers [request] itself
+     * instead.
+     */
+    fun authenticate(request: RequestId, credentials: Credentials, onAuthenticated: (Caller) -> Unit)
 
     /** Answers [request], in which a caller asks about the access policy or the audit log. */
-    fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest)
+    fun handleAdmin(request: RequestId, credentials: Credentials, adminRequest: AdminRequest)
 
     /**
      * Returns why a heartbeat is refused, or null if it is accepted.
--- a/src/main/kotlin/plankwall/core/statemachine/Effect.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Effect.kt
@@ -13,14 +13,14 @@
      * Answers a request.
      *
      * @property retryAfterS the seconds after which the caller should retry, or null
-     * @property close whether the caller is asked to open a new connection for its next request
+     * @property closeConnection whether the caller is asked to open a new connection for its next request
      */
     class Answer(
         val request: RequestId,
         val status: Int,
         val body: ByteArray,
         val retryAfterS: Int? = null,
-        val close: Boolean = false,
+        val closeConnection: Boolean = false,
     ) : Effect
 
     /** Calls the state service; the result comes back as [Input.StateReply]. */
--- a/src/main/kotlin/plankwall/core/statemachine/Input.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Input.kt
@@ -21,10 +21,10 @@
     data class Cancel(val request: RequestId, val jobId: String, val credentials: Credentials? = null) : Input
 
     /**
-     * A caller asks about the access policy or the audit log; [asked] says for what. Only handled where an
+     * A caller asks about the access policy or the audit log; [adminRequest] says for what. Only handled where an
      * [AccessCheck] is configured.
      */
-    data class Admin(val request: RequestId, val asked: AdminRequest, val credentials: Credentials) : Input
+    data class Admin(val request: RequestId, val adminRequest: AdminRequest, val credentials: Credentials) : Input
 
     /** A load balancer asks whether this node can take requests. */
     data class HealthCheck(val request: RequestId) : Input
@@ -34,7 +34,7 @@
      *
      * @property from the network address that it came from; empty where that is not checked
      */
-    data class Heartbeat(val request: RequestId, val report: HeartbeatStatus, val from: String = "") : Input
+    data class Heartbeat(val request: RequestId, val heartbeat: HeartbeatStatus, val from: String = "") : Input
 
     /** The state service replies to the call [call]. */
     data class StateReply(val call: CallId, val result: StateResult) : Input
@@ -45,9 +45,9 @@
     /**
      * The worker on [machine] answers a direct command.
      *
-     * @property report the heartbeat in the answer; null if there was no answer or it could not be read
+     * @property heartbeat the heartbeat in the answer; null if there was no answer or it could not be read
      */
-    data class WorkerReply(val machine: String, val report: HeartbeatStatus?) : Input
+    data class WorkerReply(val machine: String, val heartbeat: HeartbeatStatus?) : Input
 
     /** Another controller node sends a message. */
     data class PeerMessageReceived(val message: PeerMessage) : Input
--- a/src/main/kotlin/plankwall/core/statemachine/Outbox.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Outbox.kt
@@ -26,8 +26,13 @@
     }
 
     /** Answers [request]; see [Effect.Answer]. */
-    fun answer(request: RequestId, status: Int, body: ByteArray, retryAfterS: Int? = null, close: Boolean = false) =
-        add(Effect.Answer(request, status, body, retryAfterS, close))
+    fun answer(
+        request: RequestId,
+        status: Int,
+        body: ByteArray,
+        retryAfterS: Int? = null,
+        closeConnection: Boolean = false,
+    ) = add(Effect.Answer(request, status, body, retryAfterS, closeConnection))
 
     /** Calls the state service. [onResult] receives the result in a later step. */
     fun state(op: StateOp, onResult: (StateResult) -> Unit) {
--- a/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -24,7 +24,8 @@
     /** Splits the machines evenly among all [count] chunks; the first chunk also holds the scale-out requests. */
     private fun evenChunks(record: FleetRecord, count: Int): List<FleetRecord> {
         val chunks = slices(record, count)
-        return listOf(chunks.first().copy(rentals = record.rentals, more = count - 1)) + chunks.drop(1)
+        return listOf(chunks.first().copy(scaleOutRequests = record.scaleOutRequests, more = count - 1)) +
+            chunks.drop(1)
     }
 
     /**
@@ -33,13 +34,18 @@
      */
     private fun separateScaleOuts(record: FleetRecord, count: Int): List<FleetRecord>? {
         if (count == 1) return null
-        return listOf(FleetRecord(record.rentals, emptyList(), emptyList(), count - 1)) + slices(record, count - 1)
+        return listOf(FleetRecord(record.scaleOutRequests, emptyList(), emptyList(), count - 1)) +
+            slices(record, count - 1)
     }
 
     private fun slices(record: FleetRecord, count: Int): List<FleetRecord> {
-        val returning = record.returning.sorted()
+        val machinesBeingScaledIn = record.machinesBeingScaledIn.sorted()
         return (0 until count).map { index ->
-            FleetRecord(emptyList(), slice(record.arrivals, index, count), slice(returning, index, count))
+            FleetRecord(
+                emptyList(),
+                slice(record.bootingMachines, index, count),
+                slice(machinesBeingScaledIn, index, count),
+            )
         }
     }
 
@@ -89,7 +95,13 @@
     fun fleet(items: List<StateItem>): FleetRecord? {
         val first = items.firstOrNull { it.key == Keys.FLEET }?.value as? FleetRecord ?: return null
         val chunks = listOf(first) + furtherValues(Keys.FLEET, first.more, items).filterIsInstance<FleetRecord>()
-        return FleetRecord(first.rentals, chunks.flatMap { it.arrivals }, chunks.flatMap { it.returning })
+        return FleetRecord(
+            first.scaleOutRequests,
+            chunks.flatMap {
+                it.bootingMachines
+            },
+            chunks.flatMap { it.machinesBeingScaledIn },
+        )
     }
 
     /**
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -70,11 +70,11 @@
         }
     }
 
-    override fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit) =
-        authenticator.authenticate(request, credentials) { then(it) }
+    override fun authenticate(request: RequestId, credentials: Credentials, onAuthenticated: (Caller) -> Unit) =
+        authenticator.authenticate(request, credentials) { onAuthenticated(it) }
 
-    override fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest) =
-        admin.handle(request, credentials, asked)
+    override fun handleAdmin(request: RequestId, credentials: Credentials, adminRequest: AdminRequest) =
+        admin.handle(request, credentials, adminRequest)
 
     override fun heartbeatRefusal(address: String, claimed: String, listed: String?): String? {
         val ranges = policies.policy.workerNetworks
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -32,7 +32,7 @@
         return policies.policy.authorize(name, action, job)
     }
 
-    override fun record(decision: Decision, then: (Boolean) -> Unit) {
+    override fun record(decision: Decision, onRecorded: (Boolean) -> Unit) {
         val entry = entryFactory.create(origin, decision)
         val verdict = decision.verdict
         if (!verdict.allowed) {
@@ -46,22 +46,28 @@
             )
         }
         // While the store can't be reached, reads of the caller's own jobs are answered at once and recorded later.
-        if (ownJobsOnly && verdict.allowed) then(auditLog.recordLater(entry)) else auditLog.record(entry, then)
+        if (ownJobsOnly &&
+            verdict.allowed
+        ) {
+            onRecorded(auditLog.recordLater(entry))
+        } else {
+            auditLog.record(entry, onRecorded)
+        }
     }
 
     /**
      * Guards [txn] on the head of the policy as well, so that it fails if another version was published meanwhile. The
      * new version is then read before the result is passed on.
      */
-    override fun change(decision: Decision, txn: StateOp.Txn, then: (StateResult) -> Unit) {
+    override fun change(decision: Decision, txn: StateOp.Txn, onResult: (StateResult) -> Unit) {
         val hasPolicyGuard = txn.guards.any { it.key == AccessKeys.HEAD }
         val guardedTxn =
             if (hasPolicyGuard) txn else txn.copy(guards = txn.guards + Guard(AccessKeys.HEAD, policies.stamp))
         auditLog.change(entryFactory.create(origin, decision), guardedTxn) { result ->
             if (result is StateResult.Conflict && AccessKeys.HEAD in result.failed) {
-                policies.refresh { then(result) }
+                policies.refresh { onResult(result) }
             } else {
-                then(result)
+                onResult(result)
             }
         }
     }
--- a/src/main/kotlin/plankwall/io/ApiRoutes.kt
+++ b/src/main/kotlin/plankwall/io/ApiRoutes.kt
@@ -41,7 +41,7 @@
     }
 
     private suspend fun submitHeartbeat(request: HttpRequest): HttpReply {
-        val status = WorkerCodec.readReport(request.body)
+        val status = WorkerCodec.readHeartbeat(request.body)
         return awaitReply { Input.Heartbeat(it, status, if (authenticated) request.clientAddress else "") }
     }
 
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -98,7 +98,7 @@
     }
 
     private fun completeReply(effect: Effect.Answer) {
-        val reply = HttpReply(effect.status, effect.body, effect.retryAfterS, close = effect.close)
+        val reply = HttpReply(effect.status, effect.body, effect.retryAfterS, closeConnection = effect.closeConnection)
         pendingReplies.remove(effect.request)?.complete(reply)
     }
 
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -20,14 +20,14 @@
  * @property body JSON, or empty
  * @property retryAfterS the value of `Retry-After` in seconds; null for no such header
  * @property allow the value of `Allow`; null for no such header
- * @property close whether the connection is closed after the answer
+ * @property closeConnection whether the connection is closed after the answer
  */
 class HttpReply(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int? = null,
     val allow: String? = null,
-    val close: Boolean = false,
+    val closeConnection: Boolean = false,
 )
 
 /** An HTTP request that was read whole. Properties that only authentication needs are computed on access. */
--- a/src/main/kotlin/plankwall/io/HttpServer.kt
+++ b/src/main/kotlin/plankwall/io/HttpServer.kt
@@ -91,7 +91,7 @@
             null -> HttpReply(HttpStatus.BAD_REQUEST, BODY_TOO_LONG_JSON)
             else -> onRequest(HttpRequest(request, body, clientAddress))
         }
-        val keepAlive = body != null && !reply.close && !announcesClose(request.headers)
+        val keepAlive = body != null && !reply.closeConnection && !announcesClose(request.headers)
         val message = formatHead(reply, keepAlive).encodeToByteArray() + reply.body
         withTimeout(BODY_TIMEOUT_MS) {
             output.writeFully(message)
--- a/src/main/kotlin/plankwall/io/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/io/WorkerCommands.kt
@@ -68,7 +68,7 @@
 
     /** Reads the status in a worker's answer; null, with a log line, if it is malformed. */
     private fun readStatus(machine: String, body: ByteArray): HeartbeatStatus? = try {
-        WorkerCodec.readReport(body)
+        WorkerCodec.readHeartbeat(body)
     } catch (e: MalformedMessageException) {
         log.warn("heartbeat malformed machine={} problem={}", machine, e.message)
         null
--- a/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
+++ b/src/main/kotlin/plankwall/loadtest/ControllerFiles.kt
@@ -85,7 +85,9 @@
                 objective.kind,
             ).put("class", objective.jobClass).put("within_s", objective.withinS).put("share", objective.share)
         }
-        table.putObject("workers").put("report_s", shared.workers.reportS).put("lease_s", shared.workers.leaseS)
+        table.putObject(
+            "workers",
+        ).put("report_s", shared.workers.heartbeatIntervalS).put("lease_s", shared.workers.leaseS)
             .put(
                 "gang_wait_s",
                 shared.workers.gangWaitS,
--- a/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestCluster.kt
@@ -105,8 +105,8 @@
         worker: SimulatedWorker,
         node: Int,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
-    ) = transport.sendHeartbeat(worker, node, heartbeat, then)
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
+    ) = transport.sendHeartbeat(worker, node, heartbeat, onAnswer)
 
     override fun checkStored(id: String, task: Int) = Unit
 
@@ -139,7 +139,7 @@
         groups.forEachIndexed { index, group ->
             cloud.addRunning(group, counts[index]) {
                 random.nextDouble() *
-                    maxOf(settings.workers.reportS, plan.workers / FIRST_HEARTBEATS_PER_S)
+                    maxOf(settings.workers.heartbeatIntervalS, plan.workers / FIRST_HEARTBEATS_PER_S)
             }
         }
     }
--- a/src/main/kotlin/plankwall/loadtest/LoadTestPlan.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestPlan.kt
@@ -94,7 +94,7 @@
     val work: Workload = Workload(),
     /** The workers' intervals and timeouts in the settings of the controllers. */
     val times: WorkerTimes =
-        WorkerTimes(reportS = 5.0, leaseS = 28.0, gangWaitS = 60.0, gangPeerS = 5.0, cancelS = 53.0),
+        WorkerTimes(heartbeatIntervalS = 5.0, leaseS = 28.0, gangWaitS = 60.0, gangPeerS = 5.0, cancelS = 53.0),
     /** The limits of the simulated state service, which the controllers' settings contain too. */
     val state: StateLimits = StateLimits(rps = 350.0, writeRps = 150.0, valueKb = 16.0, txnOps = 32),
     /** The limits of the simulated cloud, which the controllers' settings contain too. */
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -108,7 +108,7 @@
         onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
         val sentAtS = cluster.clock.now
-        val body = WorkerCodec.writeReport(heartbeat)
+        val body = WorkerCodec.writeHeartbeat(heartbeat)
         cluster.meters.nodes[node].heartbeats++
         val ioThread = ioThreadOf(slotOf(worker.id))
         ioThread.scope.launch {
@@ -169,7 +169,7 @@
             val worker = workersBySlot[slot]?.takeIf { it.group.zone !in zonesLosingAnswers }
             if (command == null) worker?.let { 200 to it.heartbeat() } else worker?.command(command)
         } ?: awaitCancellation()
-        return HttpReply(answer.first, WorkerCodec.writeReport(answer.second))
+        return HttpReply(answer.first, WorkerCodec.writeHeartbeat(answer.second))
     }
 
     companion object {
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -67,22 +67,22 @@
  * The workers' intervals and timeouts, in seconds, as the platform's settings state them. [gangWaitS] and [gangPeerS]
  * are timeouts for gangs that the workers alone apply.
  *
- * @property reportS the interval between two heartbeats
+ * @property heartbeatIntervalS the interval between two heartbeats
  * @property leaseS the duration of a worker's lease, after which it stops its tasks if no heartbeat was answered
  * @property cancelS the time after which no task of a cancelled job may run any more
  */
 data class WorkerTimes(
-    val reportS: Double,
+    val heartbeatIntervalS: Double,
     val leaseS: Double,
     val gangWaitS: Double,
     val gangPeerS: Double,
     val cancelS: Double,
 ) {
     /** The longest interval between two heartbeats of a healthy worker: the protocol lets them be late by a quarter. */
-    val longestReportS: Double get() = reportS * LATEST_REPORT_FACTOR
+    val longestHeartbeatIntervalS: Double get() = heartbeatIntervalS * LATEST_REPORT_FACTOR
 
     /** The time since its last heartbeat after which a worker has missed one, whatever delay the network adds. */
-    val missedS: Double get() = reportS * MISSED_REPORT_FACTOR + MISSED_REPORT_MARGIN_S
+    val missedHeartbeatS: Double get() = heartbeatIntervalS * MISSED_REPORT_FACTOR + MISSED_REPORT_MARGIN_S
 
     private companion object {
         const val LATEST_REPORT_FACTOR = 1.25
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -166,8 +166,8 @@
         worker: SimulatedWorker,
         node: Int,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
-    ) = heartbeats.send(worker, nodes[node], heartbeat, then)
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
+    ) = heartbeats.send(worker, nodes[node], heartbeat, onAnswer)
 
     /** The workers that are reachable and can run tasks, with the capacity of their machines. */
     private fun healthyWorkers(): Map<SimulatedWorker, Resources> = cloud.workers
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -93,7 +93,9 @@
     private fun sendPeriodically() {
         if (!isAlive) return
         send()
-        clock.after(host.settings.workers.reportS * (0.75 + host.random.nextDouble() / 2)) { sendPeriodically() }
+        clock.after(host.settings.workers.heartbeatIntervalS * (0.75 + host.random.nextDouble() / 2)) {
+            sendPeriodically()
+        }
     }
 
     /** Sends a heartbeat 0.5 s after a change, unless one was sent meanwhile. */
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -33,13 +33,14 @@
     fun isFaulty(id: String): Boolean
 
     /**
-     * Carries [heartbeat] to the controller at index [node] of [nodeNames]; [then] is called with the answer, if any.
+     * Carries [heartbeat] to the controller at index [node] of [nodeNames]; [onAnswer] is called with the answer, if
+     * any.
      */
     fun sendHeartbeat(
         worker: SimulatedWorker,
         node: Int,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
     )
 
     /** Called when a worker is about to forget that task number [task] of the job [id] is done. */
--- a/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
+++ b/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
@@ -10,24 +10,24 @@
 data class StoredScaleOut(val request: String, val group: GroupKey, val count: Int)
 
 /**
- * A machine that the cloud granted and that has not sent a heartbeat yet. [rentedMs]: the wall-clock time of the
+ * A machine that the cloud granted and that has not sent a heartbeat yet. [requestedMs]: the wall-clock time of the
  * scale-out request.
  */
-data class StoredBootingMachine(val machine: String, val group: GroupKey, val rentedMs: Long)
+data class StoredBootingMachine(val machine: String, val group: GroupKey, val requestedMs: Long)
 
 /**
  * The stored state of the autoscaler. If it does not fit one value, the record under the first key states in [more] how
  * many further keys hold the remaining entries. All are written in one transaction. Further keys that [more] does not
  * count are left over from an earlier write and are ignored.
  *
- * @property rentals the scale-out requests that the cloud has not answered yet
- * @property arrivals the machines that were granted and have not sent a heartbeat yet
- * @property returning the names of the machines that are being scaled in
+ * @property scaleOutRequests the scale-out requests that the cloud has not answered yet
+ * @property bootingMachines the machines that were granted and have not sent a heartbeat yet
+ * @property machinesBeingScaledIn the names of the machines that are being scaled in
  */
 data class FleetRecord(
-    val rentals: List<StoredScaleOut>,
-    val arrivals: List<StoredBootingMachine>,
-    val returning: List<String>,
+    val scaleOutRequests: List<StoredScaleOut>,
+    val bootingMachines: List<StoredBootingMachine>,
+    val machinesBeingScaledIn: List<String>,
     val more: Int = 0,
 ) : Stored
 
@@ -42,14 +42,14 @@
 
     /** Writes [record] as one JSON object, with booting machines grouped by machine group and time of request. */
     fun write(generator: JsonGenerator, record: FleetRecord) = generator.writeJsonObject {
-        writeJsonArray("rentals") { record.rentals.forEach { writeScaleOut(it) } }
+        writeJsonArray("rentals") { record.scaleOutRequests.forEach { writeScaleOut(it) } }
         writeJsonArray("arrivals") {
-            record.arrivals.groupBy { it.group to it.rentedMs }.forEach { (groupAndTime, machines) ->
-                val (group, rentedMs) = groupAndTime
-                writeBootingMachines(group, rentedMs, machines.map { it.machine })
+            record.bootingMachines.groupBy { it.group to it.requestedMs }.forEach { (groupAndTime, machines) ->
+                val (group, requestedMs) = groupAndTime
+                writeBootingMachines(group, requestedMs, machines.map { it.machine })
             }
         }
-        writeJsonArray("returning") { writeNameRuns(record.returning.sorted()) }
+        writeJsonArray("returning") { writeNameRuns(record.machinesBeingScaledIn.sorted()) }
         if (record.more > 0) writeNumberField("more", record.more)
     }
 
@@ -61,10 +61,10 @@
         writeEndArray()
     }
 
-    private fun JsonGenerator.writeBootingMachines(group: GroupKey, rentedMs: Long, machines: List<String>) {
+    private fun JsonGenerator.writeBootingMachines(group: GroupKey, requestedMs: Long, machines: List<String>) {
         writeStartArray()
         writeGroup(group)
-        writeNumber(rentedMs)
+        writeNumber(requestedMs)
         writeNameRuns(machines)
         writeEndArray()
     }
@@ -82,19 +82,19 @@
 
     /** Reads what [write] writes for a [FleetRecord]. */
     fun readFleet(parser: JsonParser): FleetRecord {
-        val rentals = ArrayList<StoredScaleOut>()
-        val arrivals = ArrayList<StoredBootingMachine>()
-        val returning = ArrayList<String>()
+        val scaleOutRequests = ArrayList<StoredScaleOut>()
+        val bootingMachines = ArrayList<StoredBootingMachine>()
+        val machinesBeingScaledIn = ArrayList<String>()
         var more = 0
         parser.forEachField { name ->
             when (name) {
-                "rentals" -> forEachElement { rentals.add(readScaleOut(name)) }
-                "arrivals" -> forEachElement { arrivals.addAll(readBootingMachines(name)) }
-                "returning" -> forEachElement { returning.addAll(readNameRun(name)) }
+                "rentals" -> forEachElement { scaleOutRequests.add(readScaleOut(name)) }
+                "arrivals" -> forEachElement { bootingMachines.addAll(readBootingMachines(name)) }
+                "returning" -> forEachElement { machinesBeingScaledIn.addAll(readNameRun(name)) }
                 "more" -> more = intValue
             }
         }
-        return FleetRecord(rentals, arrivals, returning, more)
+        return FleetRecord(scaleOutRequests, bootingMachines, machinesBeingScaledIn, more)
     }
 
     private fun JsonParser.readScaleOut(field: String): StoredScaleOut {
@@ -108,10 +108,10 @@
     private fun JsonParser.readBootingMachines(field: String): List<StoredBootingMachine> {
         val group = readNextGroup()
         nextToken()
-        val rentedMs = longValue
+        val requestedMs = longValue
         val machines = ArrayList<StoredBootingMachine>()
         while (nextToken() != JsonToken.END_ARRAY) {
-            readNameRun(field).mapTo(machines) { StoredBootingMachine(it, group, rentedMs) }
+            readNameRun(field).mapTo(machines) { StoredBootingMachine(it, group, requestedMs) }
         }
         return machines
     }
--- a/src/main/kotlin/plankwall/wire/RelayCodec.kt
+++ b/src/main/kotlin/plankwall/wire/RelayCodec.kt
@@ -10,7 +10,7 @@
     /** Appends [heartbeat] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, heartbeat: RelayedHeartbeat): ByteArray {
         buffer.writeName(heartbeat.from).writeLong(heartbeat.id).writeLong(heartbeat.echo).writeText(heartbeat.address)
-        writeStatus(buffer, heartbeat.report)
+        writeStatus(buffer, heartbeat.heartbeat)
         return buffer.readByteArray()
     }
 
@@ -20,7 +20,7 @@
         id = buffer.readLong(),
         echo = buffer.readLong(),
         address = buffer.readText().orEmpty(),
-        report = readStatus(buffer),
+        heartbeat = readStatus(buffer),
     )
 
     /** Appends [answer] to [buffer] and returns the whole frame. */
--- a/src/main/kotlin/plankwall/wire/RelayMessages.kt
+++ b/src/main/kotlin/plankwall/wire/RelayMessages.kt
@@ -8,14 +8,14 @@
  * @property echo the number of the newest frame that [from] received from the leader. It tells the leader how old the
  *   heartbeat can be at most.
  * @property address the network address from which the heartbeat came; empty if it is not known
- * @property report the heartbeat itself
+ * @property heartbeat the heartbeat itself
  */
 data class RelayedHeartbeat(
     val from: String,
     val id: Long,
     val echo: Long,
     val address: String,
-    val report: HeartbeatStatus,
+    val heartbeat: HeartbeatStatus,
 ) : PeerMessage {
     override val sender: String get() = from
 }
--- a/src/main/kotlin/plankwall/wire/SessionCodec.kt
+++ b/src/main/kotlin/plankwall/wire/SessionCodec.kt
@@ -46,8 +46,8 @@
 
     /** Appends [batch] to [buffer] and returns the whole frame. */
     fun write(buffer: Buffer, batch: HeartbeatBatch): ByteArray {
-        buffer.writeName(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.reports.size)
-        batch.reports.forEach { writeHeartbeat(buffer, it) }
+        buffer.writeName(batch.from).writeLong(batch.epoch).writeLong(batch.echo).writeInt(batch.heartbeats.size)
+        batch.heartbeats.forEach { writeHeartbeat(buffer, it) }
         return buffer.readByteArray()
     }
 
@@ -55,7 +55,7 @@
         val kind = if (heartbeat is FullHeartbeat) FULL else UNCHANGED
         buffer.writeByte(kind).writeLong(heartbeat.id).writeText(heartbeat.address)
         when (heartbeat) {
-            is FullHeartbeat -> RelayCodec.writeStatus(buffer, heartbeat.report)
+            is FullHeartbeat -> RelayCodec.writeStatus(buffer, heartbeat.heartbeat)
             is UnchangedHeartbeat ->
                 buffer.writeName(heartbeat.machine).writeLong(heartbeat.baseId).writeLong(heartbeat.seq)
                     .writeLong(heartbeat.token)
@@ -67,7 +67,7 @@
         from = buffer.readName(),
         epoch = buffer.readLong(),
         echo = buffer.readLong(),
-        reports = buffer.readList { readHeartbeat(buffer) },
+        heartbeats = buffer.readList { readHeartbeat(buffer) },
     )
 
     private fun readHeartbeat(buffer: Buffer): BatchedHeartbeat {
--- a/src/main/kotlin/plankwall/wire/SessionMessages.kt
+++ b/src/main/kotlin/plankwall/wire/SessionMessages.kt
@@ -27,7 +27,7 @@
 }
 
 /** A heartbeat that is sent with all its fields. */
-data class FullHeartbeat(override val id: Long, override val address: String, val report: HeartbeatStatus) :
+data class FullHeartbeat(override val id: Long, override val address: String, val heartbeat: HeartbeatStatus) :
     BatchedHeartbeat
 
 /**
@@ -52,7 +52,7 @@
  * @property echo the number of the newest frame that [from] had received from the leader before the first of the
  *   heartbeats arrived. It tells the leader how old the heartbeats can be at most.
  */
-data class HeartbeatBatch(val from: String, val epoch: Long, val echo: Long, val reports: List<BatchedHeartbeat>) :
+data class HeartbeatBatch(val from: String, val epoch: Long, val echo: Long, val heartbeats: List<BatchedHeartbeat>) :
     PeerMessage {
     override val sender: String get() = from
 }
--- a/src/main/kotlin/plankwall/wire/WorkerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/WorkerCodec.kt
@@ -30,7 +30,7 @@
      * Reads a heartbeat; throws [MalformedMessageException] if a required field is missing or a field has a wrong type.
      * An unknown exit cause is read as null, and a checkpoint counts as saved only if the field is true.
      */
-    fun readReport(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { parser ->
+    fun readHeartbeat(bytes: ByteArray): HeartbeatStatus = parseJson(bytes) { parser ->
         var machine = ""
         var address = ""
         var type = ""
@@ -87,18 +87,20 @@
     }
 
     /** Writes a heartbeat as a worker sends it, for simulated workers. */
-    fun writeReport(report: HeartbeatStatus): ByteArray = writeJson {
+    fun writeHeartbeat(heartbeat: HeartbeatStatus): ByteArray = writeJson {
         writeJsonObject {
-            writeStringField(Fields.MACHINE, report.machine)
-            writeStringField("address", report.address)
-            writeStringField(Fields.MACHINE_TYPE, report.type)
-            writeStringField(Fields.ZONE, report.zone)
-            writeBooleanField(Fields.SPOT, report.spot)
-            writeNumberField(Fields.AGENT_EPOCH, report.session)
-            writeNumberField(Fields.SEQUENCE_NUMBER, report.seq)
-            writeNumberField(Fields.FENCING_TOKEN, report.token)
-            report.noticeS?.let { writeNumberField(Fields.PREEMPTION_NOTICE_S, it) }
-            writeJsonArray(Fields.TASKS) { report.tasks.forEach { task -> writeJsonObject { writeTaskFields(task) } } }
+            writeStringField(Fields.MACHINE, heartbeat.machine)
+            writeStringField("address", heartbeat.address)
+            writeStringField(Fields.MACHINE_TYPE, heartbeat.type)
+            writeStringField(Fields.ZONE, heartbeat.zone)
+            writeBooleanField(Fields.SPOT, heartbeat.spot)
+            writeNumberField(Fields.AGENT_EPOCH, heartbeat.session)
+            writeNumberField(Fields.SEQUENCE_NUMBER, heartbeat.seq)
+            writeNumberField(Fields.FENCING_TOKEN, heartbeat.token)
+            heartbeat.noticeS?.let { writeNumberField(Fields.PREEMPTION_NOTICE_S, it) }
+            writeJsonArray(Fields.TASKS) {
+                heartbeat.tasks.forEach { task -> writeJsonObject { writeTaskFields(task) } }
+            }
         }
     }
 
--- a/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
@@ -51,6 +51,6 @@
         val failed = core.machine("i-000001").apply { listed = ListedState.FAILED }
         ctx.time.advance(ctx.now + afterS, 0)
         loop.tick()
-        assertEquals(returned, failed.returning)
+        assertEquals(returned, failed.isBeingScaledIn)
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
@@ -25,8 +25,8 @@
         val m = fleet.machine("i-%06d".format(next++))
         fleet.describe(m, GroupKey("box", zone, false), "")
         m.registeredAt = 1.0
-        m.lastHeard = ctx.now - heardAgo
-        m.returning = returning
+        m.lastHeartbeatAt = ctx.now - heardAgo
+        m.isBeingScaledIn = returning
     }
 
     @ParameterizedTest(name = "{0}")
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -48,9 +48,13 @@
         }
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
         val live = core.schedulerState.live.sortedBy { it.spec.id }
-        assertEquals(jobs, live.filter { it.suspect }.joinToString(" ") { it.spec.id.last().toString() }, name)
+        assertEquals(jobs, live.filter { it.isSuspected }.joinToString(" ") { it.spec.id.last().toString() }, name)
         live.forEach {
-            assertEquals(it.suspect, it.backoffUntil > core.ctx.now, "${it.spec.id} is delayed only while suspected")
+            assertEquals(
+                it.isSuspected,
+                it.backoffUntil > core.ctx.now,
+                "${it.spec.id} is delayed only while suspected",
+            )
         }
     }
 
@@ -79,6 +83,6 @@
             runningSince = core.ctx.now - ranS
         }
         faultAttribution.onTaskRunning(placement)
-        assertEquals(doubtful, job.suspect)
+        assertEquals(doubtful, job.isSuspected)
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -66,7 +66,7 @@
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply { stored = true }
         if (commanded) handler.onHeartbeat(heartbeat(session = 1, seq = 6, token = 2))
-        wait(core.ctx.settings.workers.missedS - 0.1)
+        wait(core.ctx.settings.workers.missedHeartbeatS - 0.1)
         handler.releaseExpired()
         assertTrue(placement.job.placements[0] === placement, "not late yet")
         wait(0.2)
@@ -83,7 +83,7 @@
         val machine = core.machine("i-1").apply { session = 1 }
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply {
             stored = true
-            commanded = true
+            isCommanded = true
         }
         schedulerState.stop(placement, StopCause.CANCELLED, 0.0)
         handler.onHeartbeat(heartbeat(session = 1, seq = 3, token = 2))
@@ -117,7 +117,9 @@
         }
         handler.onHeartbeat(heartbeat("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
         when (other) {
-            "stopping" -> placed[1].apply { commanded = true }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
+            "stopping" -> placed[1].apply {
+                isCommanded = true
+            }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
         val answer = handler.onHeartbeat(
--- a/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -64,8 +64,8 @@
             is Effect.PeerSend -> when (val message = it.message) {
                 is RelayedHeartbeat -> "to:${it.to}".also { lastId = message.id }
                 is HeartbeatBatch -> {
-                    lastId = message.reports.last().id
-                    "batch:${it.to}:${message.epoch}:${message.reports.joinToString(",", transform = ::kind)}"
+                    lastId = message.heartbeats.last().id
+                    "batch:${it.to}:${message.epoch}:${message.heartbeats.joinToString(",", transform = ::kind)}"
                 }
                 else -> error("$message")
             }
--- a/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
@@ -44,7 +44,7 @@
     private fun sent(report: HeartbeatStatus, id: Long, to: LeadershipClaim = leader) = batcher.run {
         add(id, to, "", report)
         ctx.time.advance(ctx.now + 0.3, 0)
-        takeDue(to.epoch) { true }.single().reports.single()
+        takeDue(to.epoch) { true }.single().heartbeats.single()
     }
 
     private fun changed(what: String): HeartbeatStatus = when (what) {
@@ -109,7 +109,7 @@
         batcher.add(2, leader, "", base.copy(seq = 11))
         assertEquals(0, batcher.takeDue(5) { true }.size)
         batcher.add(3, leader, "", base.copy(machine = "i-000002"))
-        assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().reports.map { it.id })
+        assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().heartbeats.map { it.id })
         batcher.add(4, leader, "", base)
         assertEquals(0, batcher.takeDue(6) { true }.size, "another epoch's")
     }
@@ -119,7 +119,7 @@
         val tasks = List(100) { task.copy(task = it) }
         repeat(40) { batcher.add(it.toLong(), leader, "", base.copy(machine = "i-%06d".format(it), tasks = tasks)) }
         val frames = batcher.takeDue(5) { true }
-        assertEquals(40, frames.sumOf { it.reports.size })
+        assertEquals(40, frames.sumOf { it.heartbeats.size })
         frames.forEach { assertEquals(true, PeerCodec.write(it).size <= PeerCodec.MAX_FRAME) }
         assertEquals(true, frames.size in 2..20, "${frames.size} frames")
     }
--- a/src/test/kotlin/plankwall/load/PlacementPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacementPass.kt
@@ -46,7 +46,7 @@
         val (plain, judging) = List(2) { Histogram(60_000_000, 3) }
         repeat(400) { round ->
             core.ctx.time.advance(core.ctx.now + 0.1, core.ctx.time.wallMs + 100)
-            core.fleet.machines.forEach { it.lastHeard = core.ctx.now }
+            core.fleet.machines.forEach { it.lastHeartbeatAt = core.ctx.now }
             val began = System.nanoTime()
             placer.plan()
             val tookUs = (System.nanoTime() - began) / 1_000
--- a/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
@@ -87,7 +87,7 @@
         val further = StateItem(Keys.more(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
         assertEquals(
             listOf("i-000009", "i-000777"),
-            ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.returning,
+            ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.machinesBeingScaledIn,
         )
         val rewritten = checkNotNull(decode(Keys.FLEET, rewrittenByFirst(first)))
         assertEquals(fleet, ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
--- a/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -105,7 +105,7 @@
 
     private fun ready(name: String) = core.machine(name).apply {
         registeredAt = ctx.now
-        lastHeard = ctx.now
+        lastHeartbeatAt = ctx.now
     }
 
     @ParameterizedTest(name = "{0}")
@@ -143,7 +143,7 @@
     fun `a guarantee comes before whatever guests run`(team: String, made: Int) {
         val m = ready("i-000001")
         val there = core.learn(SimulatedCluster.job(1, tasks = 4, team = team, priority = Priority.LOW))
-        repeat(4) { core.schedulerState.place(there, it, m, it + 1L).apply { commanded = true } }
+        repeat(4) { core.schedulerState.place(there, it, m, it + 1L).apply { isCommanded = true } }
         core.learn(SimulatedCluster.job(2, tasks = 2, team = "red", priority = Priority.LOW))
         Placer(ctx, core.schedulerState, core.fleet).plan()
         assertEquals(made, there.placements.values.count { it.stopping == StopCause.PREEMPTED })
@@ -169,7 +169,7 @@
     @ParameterizedTest(name = "{0} exits shown: {1} placed")
     @CsvSource("0, 20", "690, 10", "700, 0")
     fun `a machine gets no more tasks than its report can show`(exits: Int, placed: Int) {
-        ready("i-000001").exitsShown = exits
+        ready("i-000001").exitsInHeartbeat = exits
         val job = core.learn(SimulatedCluster.job(1, tasks = 20).copy(need = Resources(1, 0, 1)))
         Placer(ctx, core.schedulerState, core.fleet).plan()
         assertEquals(placed, job.placements.size)
--- a/src/test/kotlin/plankwall/wire/CodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/CodecTest.kt
@@ -173,7 +173,7 @@
     )
     fun `a report that can't be read whole is no report`(body: String) {
         // Reading it in part would make a task seem absent, and absence is proof.
-        assertThrows(Exception::class.java) { WorkerCodec.readReport(body.encodeToByteArray()) }
+        assertThrows(Exception::class.java) { WorkerCodec.readHeartbeat(body.encodeToByteArray()) }
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/plankwall/wire/GoldenValues.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenValues.kt
@@ -141,7 +141,9 @@
 
     val messages: Map<String, Message> = mapOf(
         "heartbeat" to
-            Message({ WorkerCodec.writeReport(report) }, { WorkerCodec.writeReport(WorkerCodec.readReport(it)) }),
+            Message({
+                WorkerCodec.writeHeartbeat(report)
+            }, { WorkerCodec.writeHeartbeat(WorkerCodec.readHeartbeat(it)) }),
         "answer to a heartbeat" to Message({ WorkerCodec.answer(41, orders) }),
         "direct commands" to Message({ WorkerCodec.commands(41, 1, orders) }),
         "another node to report to" to Message({ WorkerCodec.reportTo("berth-2") }),
--- a/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
@@ -76,7 +76,7 @@
             )
         }
         val report = HeartbeatStatus("i-000001", "127.0.0.1:9", "box", "a", true, 2, 11, 41, 30.0, tasks)
-        assertEquals(report, WorkerCodec.readReport(WorkerCodec.writeReport(report)))
+        assertEquals(report, WorkerCodec.readHeartbeat(WorkerCodec.writeHeartbeat(report)))
         assertEquals(record.spec, JobCodec.read(JobCodec.description(record.spec)))
     }
 
