--- a/src/main/kotlin/plankwall/audit/AuditBatch.kt
+++ b/src/main/kotlin/plankwall/audit/AuditBatch.kt
@@ -62,7 +62,7 @@
         val lineBytes = AuditChainTail.sizeOf(line)
         val writeCount = txn?.writes?.size ?: 0
         val guardCount = txn?.guards?.size ?: 0
-        val changeBytes = txn?.let { StateCodec.txn(it).size } ?: 0
+        val changeBytes = txn?.let { StateCodec.writeTransaction(it).size } ?: 0
     }
 
     private fun exceedsLimits(size: ItemSize): Boolean = writeCount + size.writeCount > limits.txnOps ||
--- a/src/main/kotlin/plankwall/audit/AuditEntry.kt
+++ b/src/main/kotlin/plankwall/audit/AuditEntry.kt
@@ -2,16 +2,16 @@
 
 /**
  * One decision in the audit log. [id]: unique for ever, so that an entry that was sent to the store twice is
- * recognized. [epoch]: the epoch in which the deciding node led, or 0 if it did not lead. [who] and [key]: the name and
- * the key id of the caller. [network]: the network that the request came from, which proves nothing. [rule]: the rule
- * or reason that decided. [version]: the version of the policy. [status]: the HTTP status of the answer; 0 if there was
- * no request. [request]: the id that the caller gave the request in its token.
+ * recognized. [epoch]: the epoch in which the deciding node led, or 0 if it did not lead. [principal] and [key]: the
+ * name and the key id of the caller. [network]: the network that the request came from, which proves nothing. [rule]:
+ * the rule or reason that decided. [version]: the version of the policy. [status]: the HTTP status of the answer; 0 if
+ * there was no request. [request]: the id that the caller gave the request in its token.
  */
 data class AuditEntry(
     val id: String,
     val atMs: Long,
     val epoch: Long,
-    val who: String,
+    val principal: String,
     val key: String,
     val network: String,
     val action: String,
--- a/src/main/kotlin/plankwall/audit/AuditLines.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLines.kt
@@ -24,7 +24,7 @@
         put("i", entry.id)
         put("t", entry.atMs)
         put("e", entry.epoch)
-        put("w", entry.who)
+        put("w", entry.principal)
         put("k", entry.key)
         put("f", entry.network)
         put("a", entry.action)
@@ -54,7 +54,7 @@
         id = fields.text("i"),
         atMs = fields.wholeNumber("t"),
         epoch = fields.wholeNumber("e"),
-        who = fields.text("w"),
+        principal = fields.text("w"),
         key = fields.text("k"),
         network = fields.text("f"),
         action = fields.text("a"),
@@ -80,7 +80,7 @@
         put("node", line.node)
         put("number", line.number)
         put("time", Instant.ofEpochMilli(entry.atMs).toString())
-        put("who", entry.who)
+        put("who", entry.principal)
         put("key", entry.key)
         put("network", entry.network)
         put("action", entry.action)
--- a/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogVerifier.kt
@@ -18,10 +18,10 @@
  */
 class AuditLogVerifier(private val keyOf: (node: String, key: String) -> PublicKey?) {
     /**
-     * The result of a verification. [broken]: the failed checks. [entries]: the number of verified entries. [sealed]:
-     * the number of entries of each node that a seal covers.
+     * The result of a verification. [failures]: the failed checks. [entryCount]: the number of verified entries.
+     * [sealedCounts]: the number of entries of each node that a seal covers.
      */
-    class Outcome(val broken: List<VerificationFailure>, val entries: Long, val sealed: Map<String, Long>)
+    class Outcome(val failures: List<VerificationFailure>, val entryCount: Long, val sealedCounts: Map<String, Long>)
 
     /** Verifies [auditLog]. [checkpoints]: seals that were kept elsewhere; the log must still hold what they name. */
     fun verify(auditLog: AuditLogCopy, checkpoints: List<String> = emptyList()): Outcome =
--- a/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
+++ b/src/main/kotlin/plankwall/audit/AuditLogWriter.kt
@@ -17,7 +17,7 @@
  */
 class AuditLogWriter(private val ctx: Context, private val node: String, writeShare: Double) {
     private val log = LoggerFactory.getLogger("audit")
-    private val limits = ctx.settings.stateTight
+    private val limits = ctx.settings.strictestStateLimits
 
     /** The most bytes that a segment may take. */
     private var valueBytes = (limits.valueKb * 1024 * VALUE_FILL_SHARE).toInt()
--- a/src/main/kotlin/plankwall/authorization/Policy.kt
+++ b/src/main/kotlin/plankwall/authorization/Policy.kt
@@ -88,8 +88,8 @@
  */
 enum class RuleOutcome { DECIDES, APPLIES, OTHER_ACTION, CONDITION_FAILS }
 
-/** A rule and its [standing]: how it relates to the request that [Policy.explain] was asked about. */
-class RuleExplanation(val rule: Rule, val standing: RuleOutcome)
+/** A rule and its [outcome]: how it relates to the request that [Policy.explain] was asked about. */
+class RuleExplanation(val rule: Rule, val outcome: RuleOutcome)
 
 /**
  * One version of the principals and of the rules that say what each of them may do. [workerNetworks] and
@@ -140,7 +140,7 @@
         val verdict = authorize(principal, action, job)
         var isDeciderFound = false
         return rulesOf(principal).map { rule ->
-            val standing = when {
+            val outcome = when {
                 action !in rule.actions -> RuleOutcome.OTHER_ACTION
                 !holds(rule.condition, principal, job) -> RuleOutcome.CONDITION_FAILS
                 !isDeciderFound && rule.name == verdict.rule && rule.allows == verdict.allowed -> {
@@ -149,7 +149,7 @@
                 }
                 else -> RuleOutcome.APPLIES
             }
-            RuleExplanation(rule, standing)
+            RuleExplanation(rule, outcome)
         }
     }
 
--- a/src/main/kotlin/plankwall/cli/GatewayComponents.kt
+++ b/src/main/kotlin/plankwall/cli/GatewayComponents.kt
@@ -4,10 +4,10 @@
 import plankwall.gateway.AccessGateway
 import plankwall.gateway.GatewaySettings
 import plankwall.identity.PeerAuthenticator
-import plankwall.identity.PeerSeal
+import plankwall.identity.PeerFrameSigner
 import plankwall.io.AccessComponents
 import plankwall.model.Settings
-import plankwall.wire.FrameSeal
+import plankwall.wire.FrameSigner
 
 /** Creates the components that authenticate the callers and peers of a node. */
 internal object GatewayComponents {
@@ -27,12 +27,12 @@
         // has returned.
         var gateway: AccessGateway? = null
         val toleranceMs = gatewaySettings.clockToleranceMs + settings.timeBoundMs.toLong() + 1
-        val createFrameSeal: ((Long) -> FrameSeal)? = if (gatewaySettings.peerKeys.isEmpty()) {
+        val createFrameSigner: ((Long) -> FrameSigner)? = if (gatewaySettings.peerKeys.isEmpty()) {
             null
         } else {
             { incarnation ->
                 PeerAuthenticator(
-                    PeerSeal(
+                    PeerFrameSigner(
                         settings.node,
                         incarnation,
                         gatewaySettings.peerKeys,
@@ -46,7 +46,7 @@
         }
         return AccessComponents(
             { context -> AccessGateway(context, gatewaySettings).also { gateway = it } },
-            createFrameSeal,
+            createFrameSigner,
         )
     }
 }
--- a/src/main/kotlin/plankwall/cli/JobCommands.kt
+++ b/src/main/kotlin/plankwall/cli/JobCommands.kt
@@ -79,7 +79,7 @@
         }
         if (answer == null || answer.status != 200) return false
         printIfChanged(job, answer.body)
-        return JobCodec.isOver(answer.body.encodeToByteArray())
+        return JobCodec.hasEnded(answer.body.encodeToByteArray())
     }
 
     private fun printIfChanged(job: String, answerBody: String) {
--- a/src/main/kotlin/plankwall/cli/SimulationCommand.kt
+++ b/src/main/kotlin/plankwall/cli/SimulationCommand.kt
@@ -51,7 +51,7 @@
         if (each) {
             results.forEach { day ->
                 println(
-                    "day ${day.seed}, ${day.nodes} nodes: " +
+                    "day ${day.seed}, ${day.nodeCount} nodes: " +
                         "killed ${day.tasksKilledByLease} (${day.avoidableKills}), " +
                         "leads ${day.leaderChanges}; ${day.faults}",
                 )
@@ -62,7 +62,7 @@
             "nodes   days  broken  killed by lease  of these avoidable  leads a day  " +
                 "served after p50  p90  p99  max (s)",
         )
-        for ((nodeCount, sameSizeResults) in results.groupBy { it.nodes }.toSortedMap()) {
+        for ((nodeCount, sameSizeResults) in results.groupBy { it.nodeCount }.toSortedMap()) {
             val servedMs = Histogram(sameSizeResults.first().servedMs)
             sameSizeResults.forEach { servedMs.add(it.servedMs) }
             println(
@@ -111,7 +111,7 @@
         for (day in results) {
             day.violations.forEach { println("day ${day.seed}: $it") }
             if (day.unfinishedJobs.isNotEmpty()) {
-                println("day ${day.seed}, ${day.nodes} nodes: not done ${day.unfinishedJobs}; ${day.faults}")
+                println("day ${day.seed}, ${day.nodeCount} nodes: not done ${day.unfinishedJobs}; ${day.faults}")
             }
         }
         println(
--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -44,7 +44,8 @@
                 val settings = SettingsFile.read(TomlMapper().readTree(settingsToml(frontPort, freePort(), port)))
                 scope.launch { Daemon(scope, selector, settings, Tuning()).run() }
                 withTimeoutOrNull(WARM_UP_MS) {
-                    val client = HttpClient(selector, Address(LOOPBACK, frontPort), maxConnections = 2, maxWaiting = 4)
+                    val client =
+                        HttpClient(selector, Address(LOOPBACK, frontPort), maxConnections = 2, maxCallsInProgress = 4)
                     repeat(REQUEST_ROUNDS) {
                         client.call("POST", "/checkin", HEARTBEAT, CALL_TIMEOUT_MS)
                         client.call("GET", "/api/jobs/job-000001", null, CALL_TIMEOUT_MS)
@@ -53,7 +54,7 @@
                     }
                 }
                 // The stand-in never answers with items, so their reader is run here.
-                StateCodec.items(ITEMS)
+                StateCodec.readItems(ITEMS)
             }
         }
         return 0
--- a/src/main/kotlin/plankwall/cli/access/AuditLogFile.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditLogFile.kt
@@ -20,7 +20,7 @@
     /** Returns the line for [segment], which has the [number] in the log of [node]. */
     fun formatSegment(node: String, number: Long, segment: AuditSegment): String {
         val nodeJson = json.writeValueAsString(node)
-        return """{"node":$nodeJson,"segment":$number,"value":${AdminCodec.segment(segment).decodeToString()}}"""
+        return """{"node":$nodeJson,"segment":$number,"value":${AdminCodec.writeSegment(segment).decodeToString()}}"""
     }
 
     /** Returns the line for the checkpoint [number], signed as [jws]. */
--- a/src/main/kotlin/plankwall/cli/access/AuditLogFilter.kt
+++ b/src/main/kotlin/plankwall/cli/access/AuditLogFilter.kt
@@ -21,7 +21,7 @@
     var denied = false
 
     /** Returns whether [entry] matches all options that were given. */
-    fun matches(entry: AuditEntry): Boolean = (who == null || entry.who == who) &&
+    fun matches(entry: AuditEntry): Boolean = (who == null || entry.principal == who) &&
         (job == null || entry.subject == job) &&
         (action == null || entry.action == action) &&
         !(denied && entry.allowed)
--- a/src/main/kotlin/plankwall/cli/access/ExplainRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/ExplainRights.kt
@@ -35,7 +35,7 @@
             val rule = explained.rule
             val effect = if (rule.allows) "allow" else "deny"
             val actions = rule.actions.joinToString(", ") { it.word }
-            val outcome = describe(explained.standing, agrees = rule.allows == verdict.allowed)
+            val outcome = describe(explained.outcome, agrees = rule.allows == verdict.allowed)
             println("  line ${rule.line}: $effect $actions (${rule.name}): $outcome")
         }
         return 0
--- a/src/main/kotlin/plankwall/cli/access/PublishRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/PublishRights.kt
@@ -27,7 +27,7 @@
         readPolicy(file)
         val baseVersion = base ?: fetchPolicy()?.version ?: return 1
         return calls.printAnswer(
-            calls.sendRequest("POST", "/api/rights", AdminCodec.publish(baseVersion, file.readText())),
+            calls.sendRequest("POST", "/api/rights", AdminCodec.writePublication(baseVersion, file.readText())),
         )
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/RollBackRights.kt
+++ b/src/main/kotlin/plankwall/cli/access/RollBackRights.kt
@@ -16,6 +16,6 @@
 
     override fun call(): Int {
         val baseVersion = fetchPolicy()?.version ?: return 1
-        return calls.printAnswer(calls.sendRequest("POST", "/api/rights", AdminCodec.rollback(baseVersion, to)))
+        return calls.printAnswer(calls.sendRequest("POST", "/api/rights", AdminCodec.writeRollback(baseVersion, to)))
     }
 }
--- a/src/main/kotlin/plankwall/cli/access/VerifyAuditLog.kt
+++ b/src/main/kotlin/plankwall/cli/access/VerifyAuditLog.kt
@@ -41,11 +41,11 @@
             throw InvalidSettingsException("$copy", "contains no audit log: there is nothing to verify")
         }
         val outcome = AuditLogVerifier(policy::publicKey).verify(auditLog, trustedCheckpoints)
-        outcome.broken.forEach { println(it) }
-        val sealed = outcome.sealed.entries.joinToString(", ") { (node, next) -> "$node up to ${next - 1}" }
-        println("${outcome.entries} entries hold together, sealed: ${sealed.ifEmpty { "none" }}")
-        println(if (outcome.broken.isEmpty()) "nothing is broken" else "${outcome.broken.size} broken")
-        return if (outcome.broken.isEmpty()) 0 else 1
+        outcome.failures.forEach { println(it) }
+        val sealed = outcome.sealedCounts.entries.joinToString(", ") { (node, next) -> "$node up to ${next - 1}" }
+        println("${outcome.entryCount} entries hold together, sealed: ${sealed.ifEmpty { "none" }}")
+        println(if (outcome.failures.isEmpty()) "nothing is broken" else "${outcome.failures.size} broken")
+        return if (outcome.failures.isEmpty()) 0 else 1
     }
 
     private fun readCheckpoint(file: File): String {
--- a/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
+++ b/src/main/kotlin/plankwall/cli/settings/IdentitiesFile.kt
@@ -38,7 +38,7 @@
             audience =
             root.get("audience")?.asText()?.takeIf { it.isNotBlank() }
                 ?: throw InvalidSettingsException("audience", "missing: the name of this installation"),
-            firstRights = resolveFile(root, "rights_file", folder)?.let { readPolicyText(it) },
+            initialPolicyText = resolveFile(root, "rights_file", folder)?.let { readPolicyText(it) },
             nodeKey = resolveFile(root, "node_key_file", folder)?.let { KeyFiles.readSigningKey(it) },
             peerKeys = peerKeys,
             allowUnsignedPeers = readChoice(root, "unsigned_peers", listOf("refuse", "allow")) == "allow",
@@ -48,10 +48,10 @@
                 defaults.clockToleranceMs.toDouble(),
                 0.0..60_000.0,
             ).toLong(),
-            maxTokenS = readNumber(root, "max_token_s", defaults.maxTokenS, 1.0..3600.0),
-            failClosedS = readNumber(root, "reads_only_after_s", defaults.failClosedS, 1.0..3600.0),
-            trailShare = readNumber(root, "trail_share", defaults.trailShare, 0.01..0.9),
-            sealS = readNumber(root, "seal_s", defaults.sealS, 1.0..86_400.0),
+            maxTokenLifetimeS = readNumber(root, "max_token_s", defaults.maxTokenLifetimeS, 1.0..3600.0),
+            maxPolicyAgeS = readNumber(root, "reads_only_after_s", defaults.maxPolicyAgeS, 1.0..3600.0),
+            auditLogWriteShare = readNumber(root, "trail_share", defaults.auditLogWriteShare, 0.01..0.9),
+            checkpointIntervalS = readNumber(root, "seal_s", defaults.checkpointIntervalS, 1.0..86_400.0),
             denialsPerS = readNumber(root, "denials_per_s", defaults.denialsPerS, 0.01..10_000.0),
             denialBurst = readNumber(root, "denial_burst", defaults.denialBurst, 1.0..10_000.0),
             workersAtListedAddress = readBoolean(root, "workers_at_listed_address", defaults.workersAtListedAddress),
--- a/src/main/kotlin/plankwall/core/Controller.kt
+++ b/src/main/kotlin/plankwall/core/Controller.kt
@@ -1,6 +1,6 @@
 package plankwall.core
 
-import plankwall.core.api.CapacityView
+import plankwall.core.api.CatalogCache
 import plankwall.core.api.JobApi
 import plankwall.core.api.ProgressCache
 import plankwall.core.election.Leadership
@@ -42,13 +42,13 @@
 ) {
     private val ctx = Context(settings, tuning, incarnation, Random(seed))
     private var term: LeadershipTerm? = null
-    private val leadership: Leadership = Leadership(ctx, ::beginTerm, ::endTerm) { relay.recentWorkers }
+    private val leadership: Leadership = Leadership(ctx, ::beginTerm, ::endTerm) { relay.recentWorkerCount }
     private val relay = WorkerRelay(ctx, leadership.reachability, leadership.routing)
-    private val capacityView = CapacityView(ctx)
+    private val catalogCache = CatalogCache(ctx)
     private val progressCache = ProgressCache()
     private val accessCheck = accessCheck?.invoke(ctx)
     private val jobApi =
-        JobApi(ctx, leadership, capacityView, ::progressOf, progressCache::forget, keepFacts = accessCheck != null)
+        JobApi(ctx, leadership, catalogCache, ::progressOf, progressCache::forget, keepFacts = accessCheck != null)
     private val heartbeats = HeartbeatRouter(ctx, leadership, relay, this.accessCheck) { term }
     private var nextStatusAt = 0.0
 
@@ -57,11 +57,11 @@
     }
 
     /** Whether this node leads. */
-    val leading: Boolean get() = leadership.leading
+    val isLeader: Boolean get() = leadership.isLeader
 
     /**
-     * Handles [input], which happened at [now] seconds of the steady clock and [wallMs] milliseconds of the time of
-     * day. Returns the effects that follow from it, in order.
+     * Handles [input], which happened at [now] seconds of the monotonic clock and [wallMs] milliseconds of wall-clock
+     * time. Returns the effects that follow from it, in order.
      */
     fun step(now: Double, wallMs: Long, input: Input): List<Effect> {
         ctx.time.advance(now, wallMs)
@@ -127,7 +127,7 @@
      * unhealthy, since refusing requests at once is better than letting them time out.
      */
     private fun answerHealthCheck(input: Input.HealthCheck) {
-        if (capacityView.catalog != null && !leadership.reachability.onlyOthersHaveStore()) {
+        if (catalogCache.catalog != null && !leadership.reachability.isStoreReachableOnlyByPeers()) {
             ctx.out.answer(input.request, 200, JobCodec.error("none"))
         } else {
             ctx.out.answer(input.request, 503, JobCodec.error("not ready"), 1)
@@ -145,7 +145,7 @@
     private fun beginTerm() {
         relay.onLeadershipGained()
         heartbeats.onElected()
-        term = LeadershipTerm(ctx, leadership, capacityView).also { it.begin() }
+        term = LeadershipTerm(ctx, leadership, catalogCache).also { it.begin() }
         // Workers whose sessions other nodes serve should stay with them, so the peers should know the new leader at
         // once.
         if (leadership.reachability.lastSessionPlan != null) nextStatusAt = ctx.now
@@ -159,18 +159,19 @@
     private fun tick() {
         ctx.runTimers()
         leadership.tick()
-        capacityView.tick()
+        catalogCache.tick()
         term?.tick()
         jobApi.tick()
-        accessCheck?.tick(if (leadership.leading) term?.leaseAuthority else null)
+        accessCheck?.tick(if (leadership.isLeader) term?.leaseAuthority else null)
         relay.tick()
         if (ctx.now >= nextStatusAt) sendStatus()
     }
 
     private fun sendStatus() {
         nextStatusAt = ctx.now + STATUS_INTERVAL_S
-        val links = leadership.createReachabilityReport(relay.recentWorkers).copy(zones = term?.reachByZone().orEmpty())
-        ctx.out.add(Effect.PeerSend(leadership.createStatus(relay.unservedWorkers, links, term?.sessionPlan)))
+        val links = leadership.createReachabilityReport(relay.recentWorkerCount)
+            .copy(zones = term?.reachByZone().orEmpty())
+        ctx.out.add(Effect.PeerSend(leadership.createStatus(relay.unservedWorkerCount, links, term?.sessionPlan)))
         term?.progressUpdates()?.forEach { ctx.out.add(Effect.PeerSend(it)) }
     }
 
--- a/src/main/kotlin/plankwall/core/LeadershipTerm.kt
+++ b/src/main/kotlin/plankwall/core/LeadershipTerm.kt
@@ -1,6 +1,6 @@
 package plankwall.core
 
-import plankwall.core.api.CapacityView
+import plankwall.core.api.CatalogCache
 import plankwall.core.autoscaling.Autoscaler
 import plankwall.core.election.Leadership
 import plankwall.core.failuredetector.FailureDetector
@@ -30,7 +30,7 @@
 internal class LeadershipTerm(
     private val ctx: Context,
     private val leadership: Leadership,
-    private val capacityView: CapacityView,
+    private val catalogCache: CatalogCache,
 ) {
     private val store = LeaderStore(ctx, leadership)
     private val fleet = Fleet(ctx)
@@ -40,10 +40,10 @@
     private val failureDetector = FailureDetector(ctx, fleet, ctx.now)
     private val autoscaler =
         Autoscaler(ctx, store, schedulerState, fleet, placer, failureDetector, ctx.now) {
-            fleet.provablyEmptyAt(it, leadership.olderLeadersSilentAt)
+            fleet.provablyEmptyAt(it, leadership.olderLeadersStoppedAt)
         }
     private val versionUpgrade = VersionUpgrade(leadership, store)
-    private val catalogWriter = CatalogWriter(store, capacityView)
+    private val catalogWriter = CatalogWriter(store, catalogCache)
     private val progressPublisher = ProgressPublisher(schedulerState)
     private val sessionPlanner =
         SessionPlanner(ctx, leadership.reachability, fleet, leadership.epoch, leadership.reachability.lastSessionPlan)
@@ -71,8 +71,8 @@
 
     /** Runs all parts once; to be called on each tick. */
     fun tick() {
-        capacityView.catalog?.let { if (fleet.catalog == null) fleet.catalog = it }
-        fleet.catalog?.let { capacityView.catalog = it }
+        catalogCache.catalog?.let { if (fleet.catalog == null) fleet.catalog = it }
+        fleet.catalog?.let { catalogCache.catalog = it }
         sessionPlanner.tick()
         if (!loader.isLoaded) return
         // Workers send no heartbeats to a leader that has been replaced. So a leader whose lease may have expired must
@@ -87,7 +87,7 @@
     private fun runSchedulingPass() {
         heartbeatHandler.releaseExpired()
         schedulerState.tick()
-        placer.plan()
+        placer.runPass()
         schedulerState.flush()
         versionUpgrade.tick()
         fleet.catalog?.let(catalogWriter::save)
@@ -125,12 +125,12 @@
 
     /**
      * The access gateway's authority to write during this term. Its writes have the lowest priority: they must leave at
-     * least [LeaderStore.scarceWrites] for changes that somebody waits for.
+     * least [LeaderStore.lowPriorityWriteThreshold] for changes that somebody waits for.
      */
     val leaseAuthority: LeaseAuthority = object : LeaseAuthority {
         override val epoch: Long get() = store.epoch
 
-        override fun mayWrite(): Boolean = loader.isLoaded && store.availableWrites() > store.scarceWrites
+        override fun mayWrite(): Boolean = loader.isLoaded && store.availableWrites() > store.lowPriorityWriteThreshold
     }
 
     /** Returns the progress of the live job [id]; null until the state is loaded, or if there is no such live job. */
--- a/src/main/kotlin/plankwall/core/StateLoader.kt
+++ b/src/main/kotlin/plankwall/core/StateLoader.kt
@@ -55,7 +55,7 @@
         log.info(
             "state loaded epoch={} jobs={} machines={}",
             store.epoch,
-            schedulerState.live.size,
+            schedulerState.liveJobs.size,
             fleet.machines.size,
         )
         schedulerState.removeLeftovers(leftoverKeys)
@@ -85,7 +85,7 @@
                     jobs.forEach(::onItem)
                     watchJobs(revision)
                 }
-                else -> ctx.runAfter(WATCH_RETRY_S) { if (store.active) watchJobs(afterRevision) }
+                else -> ctx.runAfter(WATCH_RETRY_S) { if (store.isTermActive) watchJobs(afterRevision) }
             }
         }
     }
--- a/src/main/kotlin/plankwall/core/TermHeartbeats.kt
+++ b/src/main/kotlin/plankwall/core/TermHeartbeats.kt
@@ -59,7 +59,7 @@
     /** Handles the [heartbeat] that a worker sent as its answer to a direct command. */
     fun onCommandReply(heartbeat: HeartbeatStatus) {
         if (resignIfFenced(heartbeat)) return
-        if (store.active && isLoaded()) heartbeatHandler.onCommandReply(heartbeat)
+        if (store.isTermActive && isLoaded()) heartbeatHandler.onCommandReply(heartbeat)
         val machine = fleet.find(heartbeat.machine) ?: return
         directReachability.onCommandAnswered(machine)
         workerCommands.retryRefusedAnnouncement(machine, heartbeat)
--- a/src/main/kotlin/plankwall/core/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/core/WorkerCommands.kt
@@ -52,11 +52,11 @@
      * answering them. Ends when every lease that an older leader can have renewed is surely over.
      */
     private fun announceTokens() {
-        if (ctx.now > leadership.wonAt + ctx.outageGraceS + ctx.surelyOverS) return
+        if (ctx.now > leadership.electedAt + ctx.outageGraceS + ctx.leaseExpiryBoundS) return
         var remainingAnnouncements = MAX_ANNOUNCEMENTS_PER_TICK
         for (machine in fleet.machines) {
             if (remainingAnnouncements == 0) return
-            if (!isAnnouncementDue(machine) || ctx.now < leadership.wonAt + FIRST_ANNOUNCEMENT_DELAY_S) continue
+            if (!isAnnouncementDue(machine) || ctx.now < leadership.electedAt + FIRST_ANNOUNCEMENT_DELAY_S) continue
             machine.lastAnnouncedAt = ctx.now
             remainingAnnouncements--
             val placedSession = machine.placements.values.firstOrNull()?.session ?: 1L
--- a/src/main/kotlin/plankwall/core/api/CapacityView.kt
+++ b/src/main/kotlin/plankwall/core/api/CatalogCache.kt
@@ -13,7 +13,7 @@
  * This node's copy of the catalog of machine types, which every node needs to check submissions. It is read from the
  * store first, so that jobs are accepted during an outage of the cloud, and from the cloud if the store has none yet.
  */
-class CapacityView(private val ctx: Context) {
+class CatalogCache(private val ctx: Context) {
     /** The machine types; null until they have been read. While this node leads, its term replaces them by its own. */
     var catalog: Catalog? = null
 
@@ -27,7 +27,7 @@
         if (catalog != null || isReading || ctx.now < nextReadAt) return
         isReading = true
         ctx.out.state(StateOp.Range(Keys.CATALOG, null, MAX_KEYS)) { result ->
-            val stored = (result as? StateResult.Items)?.let { ChunkedValue.catalog(it.items) }
+            val stored = (result as? StateResult.Items)?.let { ChunkedValue.joinCatalog(it.items) }
             if (stored != null) {
                 finishRead()
                 if (catalog == null) catalog = stored
--- a/src/main/kotlin/plankwall/core/api/JobApi.kt
+++ b/src/main/kotlin/plankwall/core/api/JobApi.kt
@@ -19,7 +19,7 @@
 class JobApi(
     ctx: Context,
     leadership: Leadership,
-    capacityView: CapacityView,
+    catalogCache: CatalogCache,
     progressOf: (job: String) -> JobProgress?,
     onJobOver: (job: String) -> Unit,
     keepFacts: Boolean = false,
@@ -39,7 +39,7 @@
             ctx,
             admission,
             lookup,
-            SubmissionCheck(ctx, capacityView, recordSize),
+            SubmissionCheck(ctx, catalogCache, recordSize),
             DependencyCheck(jobCache, lookup, admission),
             ResubmissionResponder(jobCache, lookup, cancellationResolver, views),
             views,
--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -20,7 +20,7 @@
  * up the state service's whole rate limit, and the leader could not write.
  *
  * @param keepFacts whether to keep for each live job the facts that authorization rules evaluate
- * @param cancellations is told of each cancelled job that is read; null in tests only
+ * @param cancellations is notified of each cancelled job that is read; null in tests only
  * @param onJobOver called with the id of each job that is no longer live
  */
 class JobCache(
@@ -69,7 +69,7 @@
 
     /**
      * Returns the jobs that [id] depends on, directly or through others, that are over with an outcome unknown here.
-     * Whether [id] is cancelled can't be told before these outcomes are known.
+     * Whether [id] is cancelled can't be decided before these outcomes are known.
      */
     fun unresolvedDependencies(id: String): Set<String> = dependencies.unresolved(id) { it !in liveJobs }
 
@@ -114,7 +114,7 @@
                 }
             }
             revision = maxOf(revision, result.revision)
-            cancellations?.readUpTo(startedAt)
+            cancellations?.onStoreRead(startedAt)
         } else if (result == StateResult.TooOld) {
             revision = UNREAD
         }
@@ -127,7 +127,7 @@
         dependencies.add(id, record.spec.dependencies)
         if (record.cancelledMs > 0) {
             dependencies.markCancelled(id)
-            cancellations?.learn(id)
+            cancellations?.recordCancelled(id)
         }
     }
 
--- a/src/main/kotlin/plankwall/core/api/JobRecordSize.kt
+++ b/src/main/kotlin/plankwall/core/api/JobRecordSize.kt
@@ -9,7 +9,7 @@
  * one, whichever is lower.
  */
 internal class JobRecordSize(ctx: Context) {
-    private val maxBytes = (ctx.settings.stateTight.valueKb * 1024).toInt()
+    private val maxBytes = (ctx.settings.strictestStateLimits.valueKb * 1024).toInt()
 
     /** Whether [record] is small enough to be stored. */
     fun fits(record: JobRecord): Boolean = StateCodec.sizeOf(record) <= maxBytes
--- a/src/main/kotlin/plankwall/core/api/JobViews.kt
+++ b/src/main/kotlin/plankwall/core/api/JobViews.kt
@@ -35,7 +35,7 @@
      * every node, so it is first recorded here, to be passed on to the leader, which keeps the job's tasks running.
      */
     fun ofCancelled(id: String): JobView {
-        cancellations.learn(id)
+        cancellations.recordCancelled(id)
         return JobView(id, JobStage.CANCELLED, 0, 0)
     }
 
--- a/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
+++ b/src/main/kotlin/plankwall/core/api/RequestAdmission.kt
@@ -35,7 +35,7 @@
      */
     fun open(request: RequestId, caller: Caller?, timeoutS: Double = PendingRequest.CHANGE_TIMEOUT_S): PendingRequest {
         inFlight++
-        return PendingRequest(ctx, request, caller, timeoutS, reachability::onlyOthersHaveStore) { inFlight-- }
+        return PendingRequest(ctx, request, caller, timeoutS, reachability::isStoreReachableOnlyByPeers) { inFlight-- }
     }
 
     /**
@@ -76,7 +76,7 @@
         nextRateUpdateAt = ctx.now + RATE_UPDATE_INTERVAL_S
         // A silent peer may still be serving users; only a peer that reports the state service as unreachable gives up
         // its share.
-        val peersWithoutStore = reachability.freshPeers().count { !it.stateReachable }
+        val peersWithoutStore = reachability.provenFreshPeers().count { !it.isStoreReachable }
         if (peersWithoutStore == nodesWithoutStore) return
         nodesWithoutStore = peersWithoutStore
         storeCalls.setRate(ratePerNode((ctx.settings.nodes - peersWithoutStore).coerceAtLeast(1)))
--- a/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
@@ -6,7 +6,7 @@
 import plankwall.model.Shape
 import plankwall.wire.JobRecord
 
-/** The HTTP [status] of a rejected submission, and the [reason] as the user is told. */
+/** The HTTP [status] of a rejected submission, and the [reason] that the user is given. */
 internal data class SubmissionRejection(val status: Int, val reason: String) {
     companion object {
         /** The job's record is larger than a value that the state service stores. */
@@ -17,12 +17,12 @@
 /** Checks submissions against the machine types, the team's limit and the size of a stored record. */
 internal class SubmissionCheck(
     private val ctx: Context,
-    private val capacityView: CapacityView,
+    private val catalogCache: CatalogCache,
     private val recordSize: JobRecordSize,
 ) {
     /** Returns why the submission of [record] is rejected, by the machine types known now, or null if it is valid. */
     fun rejectionOf(record: JobRecord): SubmissionRejection? {
-        val catalog = capacityView.catalog
+        val catalog = catalogCache.catalog
         return when {
             catalog == null -> SubmissionRejection(503, "the machine types are not known yet")
             !recordSize.fits(record) -> SubmissionRejection.TOO_LARGE
--- a/src/main/kotlin/plankwall/core/api/SubmitHandler.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmitHandler.kt
@@ -49,7 +49,8 @@
             return
         }
         val owner = pending.caller?.let { Ownership(it.name, verdict?.cancelOnRevoke == true) }
-        val record = JobRecord(spec, ctx.time.wallMs, 0, StoreLimits.pageSize(ctx.settings.stateTight.valueKb), owner)
+        val record =
+            JobRecord(spec, ctx.time.wallMs, 0, StoreLimits.pageSize(ctx.settings.strictestStateLimits.valueKb), owner)
         // Checked once, by the machine types known now. Types that become known during the look-up must not turn the
         // temporary rejection "not known yet" into the permanent one that the job can never run.
         val rejection = submissionCheck.rejectionOf(record)
--- a/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ArrivalRate.kt
@@ -17,7 +17,7 @@
     private class Bucket(val openedAt: Double, var need: Resources)
 
     /**
-     * Records those of [jobs] that became demand since the last call. [now] is in seconds of the steady clock. Jobs
+     * Records those of [jobs] that became demand since the last call. [now] is in seconds of the monotonic clock. Jobs
      * that become demand later have a higher [Job.demandIndex].
      */
     fun record(now: Double, jobs: List<Job>) {
--- a/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Autoscaler.kt
@@ -21,7 +21,7 @@
  * Machines are the paper's nodes, groups (type, zone, spot or not) its node groups, tasks its pods. The numbers UC1 to
  * UC8 in comments are the paper's use cases, S1 to S4 the questions that its registry answers.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt when this leader took over, in seconds of the monotonic clock
  * @param provablyEmptyAt returns the moment, on the same clock, from which lease expiry proves that nothing runs on a
  * machine
  */
@@ -121,7 +121,7 @@
         // Right after a failover nearly all known workers are silent, because they have not reconnected yet.
         if (failureDetector.isSettling && !failureDetector.heartbeatRoundElapsed) return
         val isHalted = haltIfUnhealthy()
-        val usable = fleet.machines.filter { placer.usable(it) }
+        val usable = fleet.machines.filter { placer.isUsable(it) }
         if (isHalted || failureDetector.isSettling) {
             scaleOutDuringHalt(catalog, usable, isHalted)
             return
@@ -129,7 +129,7 @@
         removeUnregistered()
         if (shrinkShortGroups()) return
         val leadTimeS = catalog.types.maxOfOrNull { it.bootS } ?: return
-        val forecast = guaranteedDemand.forecast(schedulerState.live, leadTimeS)
+        val forecast = guaranteedDemand.forecast(schedulerState.liveJobs, leadTimeS)
         scaleOutForPending(catalog, usable, forecast)
         markUnneeded(usable, leadTimeS)
         removeUnneeded(usable, forecast)
@@ -224,7 +224,7 @@
      * they become empty.
      */
     private fun markUnneeded(usable: List<Machine>, leadTimeS: Double) {
-        consolidation.refresh(usable, anyDemand.forecast(schedulerState.live, leadTimeS).total)
+        consolidation.refresh(usable, anyDemand.forecast(schedulerState.liveJobs, leadTimeS).total)
         unneededMachines.mark()
     }
 
--- a/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/AutoscalerState.kt
@@ -34,12 +34,12 @@
     /** Reads the record that is stored in [items]. Returns null if there is none. */
     fun restore(items: List<StateItem>): FleetRecord? {
         readVersion(items)
-        return ChunkedValue.fleet(items)
+        return ChunkedValue.joinFleet(items)
     }
 
     private fun readVersion(items: List<StateItem>) {
         version = items.firstOrNull { it.key == Keys.FLEET }?.version ?: 0L
-        extraKeys = ChunkedValue.further(Keys.FLEET, items)
+        extraKeys = ChunkedValue.highestFurtherKey(Keys.FLEET, items)
     }
 
     /**
@@ -58,7 +58,7 @@
         val lastKeyToRemove = minOf(extraKeys, limits.txnOps - 1)
         store.write(
             listOf(Guard(Keys.FLEET, version)),
-            ChunkedValue.writes(Keys.FLEET, chunks, lastKeyToRemove),
+            ChunkedValue.changesFor(Keys.FLEET, chunks, lastKeyToRemove),
         ) { result ->
             isWriting = false
             when (result) {
@@ -82,12 +82,12 @@
 
     private fun joinChunks(chunks: List<FleetRecord>): FleetRecord? {
         val items = chunks.mapIndexed { index, chunk ->
-            StateItem(if (index == 0) Keys.FLEET else Keys.more(Keys.FLEET, index), chunk, 0)
+            StateItem(if (index == 0) Keys.FLEET else Keys.furtherChunk(Keys.FLEET, index), chunk, 0)
         }
-        return ChunkedValue.fleet(items)
+        return ChunkedValue.joinFleet(items)
     }
 
-    private fun maxChunks() = if (limits.mayDivide) limits.txnOps else 1
+    private fun maxChunks() = if (limits.maySplitValues) limits.txnOps else 1
 
     /**
      * Splits [fullRecord] into as few chunks as possible. If it does not fit into one transaction, a part of its
@@ -98,7 +98,7 @@
         var keptShare = 1.0
         while (true) {
             val record = if (keptShare == 1.0) fullRecord else reduce(fullRecord, keptShare)
-            ChunkedValue.fleet(record, maxChunks(), limits.wholeBytes)?.let { return it }
+            ChunkedValue.splitFleet(record, maxChunks(), limits.maxBytesPerKey)?.let { return it }
             if (keptShare < MIN_KEPT_SHARE) return listOf(record)
             log.warn(
                 "fleet record exceeds a transaction arrivals={} returns={}",
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -16,7 +16,7 @@
  * It needs no stored state of its own: the stored fleet record tells when each machine was requested, so a new leader
  * finds the same groups at once.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt when this leader took over, in seconds of the monotonic clock
  */
 class BootDelayDetector(
     private val ctx: Context,
@@ -25,7 +25,7 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** When machines of each group recently came up, in seconds of the steady clock. */
+    /** When machines of each group recently came up, in seconds of the monotonic clock. */
     private val bootTimesByGroup = HashMap<GroupKey, ArrayDeque<Double>>()
 
     /** The names of the overdue machines that no longer count as capacity about to arrive. */
@@ -40,10 +40,7 @@
         bootTimesByGroup.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
 
-    /**
-     * Finds the delayed groups among [bootingMachines], the booting machines, anew. To be called once in each
-     * iteration.
-     */
+    /** Finds the delayed groups among [bootingMachines] anew. To be called once in each iteration. */
     fun refresh(bootingMachines: Collection<BootingMachine>, catalog: Catalog) {
         val overdueByGroup = findOverdueByGroup(bootingMachines, catalog)
         val bootedByGroup = overdueByGroup.keys.associateWith { countRecentBoots(it, catalog) }
--- a/src/main/kotlin/plankwall/core/autoscaling/Consolidation.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Consolidation.kt
@@ -22,7 +22,7 @@
     private fun markSurplus(machines: List<Machine>, capacityToKeep: Resources) {
         var spareCapacity =
             machines.fold(Resources.NONE) { sum, machine -> sum + machine.free - machine.heldCapacity } - capacityToKeep
-        for (machine in machines.sortedBy { it.used.partOf(it.type?.capacity ?: Resources.NONE) }) {
+        for (machine in machines.sortedBy { it.used.dominantShareOf(it.type?.capacity ?: Resources.NONE) }) {
             // Its whole capacity is subtracted: the free part is lost, and its tasks, or those that follow them, take
             // as much elsewhere as they use here.
             spareCapacity -= machine.type?.capacity ?: break
--- a/src/main/kotlin/plankwall/core/autoscaling/DemandForecast.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/DemandForecast.kt
@@ -22,7 +22,7 @@
 
 /**
  * Forecasts the demand of the jobs for which [isCounted] returns true, from those that arrived after [startedAt], which
- * is in seconds of the steady clock.
+ * is in seconds of the monotonic clock.
  */
 class DemandForecaster(
     private val ctx: Context,
@@ -50,7 +50,7 @@
         val freedByThen = jobs.flatMap { it.placements.values }
             .filter { endsWithin(it, leadTimeS) }
             .fold(Resources.NONE) { sum, placement -> sum + placement.job.spec.need }
-        return (rate.expectedWithin(leadTimeS) - freedByThen).atLeastNothing()
+        return (rate.expectedWithin(leadTimeS) - freedByThen).coerceAtLeastZero()
     }
 
     private fun endsWithin(placement: Placement, leadTimeS: Double): Boolean =
--- a/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/Estimator.kt
@@ -18,7 +18,7 @@
  * @param running the running machines that may get tasks
  * @param arriving the groups of the machines that are expected soon, one entry for each machine
  * @param pending the jobs with tasks that wait, or with endangered replicas, in the order in which they are served
- * @param waitingTasks returns how many tasks of a job have no slot on a machine
+ * @param countWaitingTasks returns how many tasks of a job have no slot on a machine
  * @param forecast the demand that is expected beyond the pending jobs
  * @param endangered replicas on machines presumed lost, by job. Replacements for them are needed beside the waiting
  * tasks, though nothing proves yet that they are gone.
@@ -27,7 +27,7 @@
     val running: List<Machine>,
     val arriving: List<GroupKey>,
     val pending: List<Job>,
-    val waitingTasks: (Job) -> Int,
+    val countWaitingTasks: (Job) -> Int,
     val forecast: DemandForecast = DemandForecast.NONE,
     val endangered: Map<Job, Set<Placement>> = emptyMap(),
 )
@@ -84,7 +84,7 @@
             if (endangered.isNotEmpty()) addPlannedUse(job, Resources.NONE - job.spec.need * endangered.size)
             val zones = ZoneConstraint(job, endangered)
             val requiredZone = gatheringZone(job)
-            var remainingTasks = taskChurn.countSlots(job, demand.waitingTasks(job)) + endangered.size
+            var remainingTasks = taskChurn.countSlots(job, demand.countWaitingTasks(job)) + endangered.size
             // All tasks of a job need the same resources: a bin that was too small for one is too small for the next.
             var index = 0
             while (remainingTasks-- > 0 && tasksConsidered++ < MAX_TASKS_CONSIDERED) {
@@ -111,13 +111,13 @@
 
         private fun isWithinQuota(job: Job): Boolean {
             val planned = plannedByTeam[job.team.value] ?: Resources.NONE
-            val usedAndPlanned = schedulerState.used(job.team) + planned + job.spec.need
+            val usedAndPlanned = schedulerState.usedBy(job.team) + planned + job.spec.need
             return ctx.settings.teams[job.team.value].allows(usedAndPlanned)
         }
 
         private fun fits(job: Job, bin: CapacityBin, zones: ZoneConstraint, requiredZone: String?): Boolean =
             (requiredZone == null || bin.group.zone == requiredZone) &&
-                Placer.allowed(job.spec, bin.group) &&
+                Placer.isAllowed(job.spec, bin.group) &&
                 zones.allows(bin.group.zone) &&
                 job.spec.need.fitsIn(bin.freeFor(job)) &&
                 leftover.mayFill(job, bin.group)
@@ -159,7 +159,7 @@
             val missingSpot = demand.forecast.spot - freeCapacity(spot = true)
             val spotExpansion = groupChooser.findCheapestExpansion(missingSpot, true, groups)
             val missingOrdinary = demand.forecast.other - freeCapacity(spot = false) +
-                if (spotExpansion == null) missingSpot.atLeastNothing() else Resources.NONE
+                if (spotExpansion == null) missingSpot.coerceAtLeastZero() else Resources.NONE
             val ordinaryExpansion = groupChooser.findCheapestExpansion(missingOrdinary, false, groups)
             listOfNotNull(spotExpansion, ordinaryExpansion).forEach {
                 machinesToRequest.merge(it.group, it.count, Int::plus)
@@ -167,7 +167,7 @@
         }
 
         private fun freeCapacity(spot: Boolean): Resources = bins.filter { it.group.spot == spot }
-            .fold(Resources.NONE) { sum, bin -> sum + bin.freeNow.atLeastNothing() }
+            .fold(Resources.NONE) { sum, bin -> sum + bin.freeNow.coerceAtLeastZero() }
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/autoscaling/ExpandableGroups.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ExpandableGroups.kt
@@ -49,7 +49,7 @@
             if (usefulTasks == 0.0) continue
             for (group in groupsOf(type)) {
                 if (requiredZone != null && group.zone != requiredZone) continue
-                if (!Placer.allowed(job.spec, group) || !zones.allows(group.zone) || !mayExpand(group)) continue
+                if (!Placer.isAllowed(job.spec, group) || !zones.allows(group.zone) || !mayExpand(group)) continue
                 val pricePerTask = (if (group.spot) type.spotPrice else type.price) / usefulTasks
                 val cost = pricePerTask * (1.0 + ZONE_BALANCE_PER_MACHINE * countMachinesIn(group.zone))
                 if (cost < lowestCost) {
@@ -66,7 +66,7 @@
      * for less, since only later tasks may use it.
      */
     private fun estimateUsefulTasks(type: MachineType, job: Job, remainingTasks: Int): Double {
-        val fittingTasks = type.capacity.holds(job.spec.need)
+        val fittingTasks = type.capacity.countFitting(job.spec.need)
         val tasksAtOnce = minOf(fittingTasks, remainingTasks)
         return tasksAtOnce + LATER_TASK_VALUE * (fittingTasks - tasksAtOnce)
     }
@@ -86,7 +86,7 @@
         var lowestCost = Double.MAX_VALUE
         for (type in catalog.types) {
             val price = if (spot) type.spotPrice else type.price
-            val count = Math.round(missing.partOf(type.capacity)).toInt()
+            val count = Math.round(missing.dominantShareOf(type.capacity)).toInt()
             if (count == 0 || price <= 0.0) continue
             val zone = type.zones.filter { groups.mayExpand(GroupKey(type.name, it, spot)) }
                 .minByOrNull { groups.countMachinesIn(it) } ?: continue
--- a/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/FailedMachines.kt
@@ -65,9 +65,7 @@
      * heartbeat since: it had reconnected already.
      */
     private fun reconnectingSince(machine: Machine, zone: String): Double = if (machine.isRegistered) {
-        failureDetector.degradedAt(
-            zone,
-        )
+        failureDetector.degradedAt(zone)
     } else {
         maxOf(startedAt, failureDetector.degradedAt(zone))
     }
@@ -79,7 +77,7 @@
      */
     private fun isWorthDeleting(machine: Machine): Boolean =
         machine.placements.values.any { it.job.spec.shape == Shape.SERVICE && !it.job.cancelled } ||
-            provablyEmptyAt(machine) > ctx.now + ctx.surelyOverS
+            provablyEmptyAt(machine) > ctx.now + ctx.leaseExpiryBoundS
 
     /**
      * Whether [machine] cannot be reached and has a task whose cancellation is overdue. A cancelled task must stop in
--- a/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -30,7 +30,7 @@
         if (ctx.now >= nextCatalogAt) {
             nextCatalogAt = ctx.now + if (fleet.catalog == null) CATALOG_RETRY_S else CATALOG_INTERVAL_S
             ctx.out.cloud(CloudOp.GetCatalog) { result ->
-                if (store.active && result is CloudResult.CatalogRead) fleet.catalog = result.catalog
+                if (store.isTermActive && result is CloudResult.CatalogRead) fleet.catalog = result.catalog
             }
         }
     }
@@ -41,7 +41,7 @@
      */
     private fun readPage(afterId: String?, foundMachines: ArrayList<ListedMachine>) {
         ctx.out.cloud(CloudOp.ListMachines(afterId, LIST_PAGE_SIZE)) { result ->
-            if (!store.active) return@cloud
+            if (!store.isTermActive) return@cloud
             if (result !is CloudResult.Listed) {
                 endListing(LIST_RETRY_S)
                 return@cloud
--- a/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/LeftoverCapacityScaling.kt
@@ -40,7 +40,7 @@
          * @param usedByBestEffort the part of the fleet that best-effort jobs use, in machines
          * @param isContested whether jobs that are not best-effort wait, or did recently
          */
-        fun leftAt(fleetSize: Int, arriving: Int, usedByBestEffort: Double, isContested: Boolean): Int {
+        fun computeMachineLimit(fleetSize: Int, arriving: Int, usedByBestEffort: Double, isContested: Boolean): Int {
             val paceLimit = maxOf(MIN_MACHINES, fleetSize / PACE_DIVISOR) - arriving
             if (!isContested) return paceLimit.coerceAtLeast(0)
             val shareLimit = maxOf(MIN_MACHINES, fleetSize / 2) - usedByBestEffort.toInt() - arriving
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleIn.kt
@@ -41,7 +41,7 @@
             machine.placements.size,
             reason,
         )
-        machine.placements.values.toList().forEach { schedulerState.stopWithSave(it, StopCause.DRAINED) }
+        machine.placements.values.toList().forEach { schedulerState.stopWithCheckpoint(it, StopCause.DRAINED) }
     }
 
     /** Restores the [machines], by name, that an earlier leader stored as being scaled in. */
@@ -66,7 +66,7 @@
         dueMachines.forEach { it.isDeletionPending = true }
         ctx.out.cloud(CloudOp.Delete(dueMachines.map { it.id })) { result ->
             isDeleting = false
-            if (!store.active) return@cloud
+            if (!store.isTermActive) return@cloud
             dueMachines.forEach { it.isDeletionPending = false }
             if (result == CloudResult.Deleted) dueMachines.forEach { onDeleted(it) }
         }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOut.kt
@@ -26,7 +26,7 @@
     private val bootDelays: BootDelayDetector,
     private val requests: ScaleOutRequests,
 ) {
-    /** When a job that is not best-effort last had tasks without a slot, in seconds of the steady clock. */
+    /** When a job that is not best-effort last had tasks without a slot, in seconds of the monotonic clock. */
     private var contestedAt = Machine.NEVER
 
     /**
@@ -39,7 +39,7 @@
         val pending = pendingJobs(endangered.keys, isServed)
         val leftover = leftoverCapacity(catalog, running, arriving.size)
         val machinesByZone = fleet.machines.filter { !it.isBeingScaledIn }.groupingBy { it.group?.zone }.eachCount()
-        val demand = ScaleOutDemand(running, arriving, pending, placer::unreserved, forecast, endangered)
+        val demand = ScaleOutDemand(running, arriving, pending, placer::countUnreservedTasks, forecast, endangered)
         val groups =
             ExpandableGroups(::mayExpand, ::mayExpandDelayed, ::mayExpandForService) { machinesByZone[it] ?: 0 }
         val machinesToRequest = Estimator(ctx, schedulerState, catalog).estimate(demand, groups, leftover)
@@ -50,7 +50,8 @@
      * Step 5: the jobs with replicas on machines presumed lost, then the other jobs with tasks that found no capacity.
      */
     private fun pendingJobs(endangered: Set<Job>, isServed: (Job) -> Boolean): List<Job> =
-        (endangered + placer.unplaced.filter { placer.unreserved(it) > 0 && !it.isSuspected }).filter(isServed)
+        (endangered + placer.unplacedJobs.filter { placer.countUnreservedTasks(it) > 0 && !it.isSuspected })
+            .filter(isServed)
 
     /** UC1, UC2 and S3: the groups of the machines that are expected to arrive, one entry for each machine. */
     private fun arrivingGroups(): List<GroupKey> =
@@ -86,7 +87,7 @@
             .flatMap { type ->
                 type.zones.flatMap { listOf(GroupKey(type.name, it, true), GroupKey(type.name, it, false)) }
             }
-            .filter { Placer.allowed(job.spec, it) }
+            .filter { Placer.isAllowed(job.spec, it) }
         return groups.isNotEmpty() && groups.all { requests.wasShortOf(it) }
     }
 
@@ -95,9 +96,14 @@
         val bootS = catalog.types.maxOfOrNull { it.bootS } ?: 0.0
         markStarving(bootS)
         val usedByBestEffort = running.sumOf { bestEffortShare(it) }
-        if (placer.unplaced.any { !it.bestEffort && !it.isSuspected }) contestedAt = ctx.now
+        if (placer.unplacedJobs.any { !it.bestEffort && !it.isSuspected }) contestedAt = ctx.now
         val isContested = ctx.now < contestedAt + bootS
-        val machinesLeft = LeftoverCapacityScaling.leftAt(running.size, arriving, usedByBestEffort, isContested)
+        val machinesLeft = LeftoverCapacityScaling.computeMachineLimit(
+            running.size,
+            arriving,
+            usedByBestEffort,
+            isContested,
+        )
         // After a shortage the machines that the cloud gets back in a group are left to jobs that are not best-effort.
         return LeftoverCapacityScaling(machinesLeft) {
             requests.hasBeenRequestableFor(it, bootS * SHORTAGE_PAUSE_BOOTS)
@@ -106,7 +112,7 @@
 
     /** Marks best-effort jobs that have waited for long as starving. [bootS]: the boot time of the slowest type. */
     private fun markStarving(bootS: Double) {
-        for (job in placer.unplaced) {
+        for (job in placer.unplacedJobs) {
             if (!job.bestEffort || job.starving) continue
             if (ctx.time.wallMs - job.readyMs > bootS * 1000 * STARVING_AFTER_BOOTS) job.starving = true
         }
@@ -117,7 +123,7 @@
         val type = machine.type ?: return 0.0
         return machine.placements.values.filter { it.job.bestEffort }
             .fold(Resources.NONE) { sum, placement -> sum + placement.job.spec.need }
-            .partOf(type.capacity)
+            .dominantShareOf(type.capacity)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -28,7 +28,7 @@
     private val pending = LinkedHashMap<String, PendingScaleOut>()
     private val requestedAtByGroup = HashMap<GroupKey?, Double>()
 
-    /** Until when a group is not requested because the cloud lacked machines, in seconds of the steady clock. */
+    /** Until when a group is not requested because the cloud lacked machines, in seconds of the monotonic clock. */
     private val noCapacityUntil = HashMap<GroupKey, Double>()
     private var lastNumber = 0L
 
@@ -42,7 +42,7 @@
     val unanswered: List<StoredScaleOut> get() = pending.values.map { it.request }
 
     /**
-     * When this leader last requested machines of [group], in seconds of the steady clock; [Machine.NEVER] if it did
+     * When this leader last requested machines of [group], in seconds of the monotonic clock; [Machine.NEVER] if it did
      * not.
      */
     fun lastRequestedAt(group: GroupKey?): Double = requestedAtByGroup[group] ?: Machine.NEVER
@@ -100,7 +100,7 @@
             entry.isSending = true
             val request = entry.request
             ctx.out.cloud(CloudOp.Rent(request.request, request.group, request.count)) { result ->
-                if (store.active) onAnswer(entry, result)
+                if (store.isTermActive) onAnswer(entry, result)
             }
         }
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -11,7 +11,7 @@
  * Steps 8 and 9 of the paper's loop: records since when machines have been unneeded, and removes those that have been
  * unneeded for long enough.
  *
- * @param lastScaleOutAt returns when machines of a group were last requested, in seconds of the steady clock
+ * @param lastScaleOutAt returns when machines of a group were last requested, in seconds of the monotonic clock
  */
 internal class UnneededMachines(
     private val ctx: Context,
@@ -53,7 +53,7 @@
      */
     fun remove(usable: List<Machine>, forecast: DemandForecast) {
         var spareCapacity = computeSpareCapacity(usable, forecast)
-        val neededImages = schedulerState.live.filter { it.ready && !it.cancelled }.map { it.image.value }.toSet()
+        val neededImages = schedulerState.liveJobs.filter { it.ready && !it.cancelled }.map { it.image.value }.toSet()
         fleet.machines
             .filter { isRemovable(it, neededImages) }
             .take(maxOf(MIN_REMOVALS_PER_ITERATION, fleet.machines.size / FLEET_PER_REMOVAL))
@@ -75,7 +75,7 @@
         fun freeCapacity(spot: Boolean) =
             usable.filter { it.group?.spot == spot }.fold(Resources.NONE) { sum, machine -> sum + machine.free }
         return freeCapacity(spot = false) - forecast.other -
-            (forecast.spot - freeCapacity(spot = true)).atLeastNothing()
+            (forecast.spot - freeCapacity(spot = true)).coerceAtLeastZero()
     }
 
     private fun isRemovable(machine: Machine, neededImages: Set<Int>): Boolean {
--- a/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/Cancellations.kt
@@ -35,12 +35,12 @@
     /** Called once for each cancellation that this node learns of, from whatever source. */
     var onLearned: (job: String) -> Unit = {}
 
-    /** The moment up to which every stored cancellation is known here, in seconds of the steady clock. */
+    /** The moment up to which every stored cancellation is known here, in seconds of the monotonic clock. */
     var storedKnownUpTo = Double.NEGATIVE_INFINITY
         private set
 
     /**
-     * The moment up to which every cancellation that was confirmed to a user is known here, in seconds of the steady
+     * The moment up to which every cancellation that was confirmed to a user is known here, in seconds of the monotonic
      * clock.
      */
     var confirmedKnownUpTo = Double.NEGATIVE_INFINITY
@@ -54,7 +54,7 @@
      * connected to its peers.
      */
     val toleratedLagS: Double =
-        (ctx.settings.workers.cancelS - ctx.surelyOverS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
+        (ctx.settings.workers.cancelS - ctx.leaseExpiryBoundS).coerceAtLeast(ReachabilityMatrix.FRESH_S)
 
     /**
      * Whether a worker's lease may be renewed now: no cancellation that is unknown here can take longer than `cancel_s`
@@ -69,7 +69,7 @@
      * Records that [job] is stored as cancelled. Must be called before any user gets the confirmation, and for each
      * cancelled job that a read of the store returns.
      */
-    fun learn(job: String) {
+    fun recordCancelled(job: String) {
         if (add(job)) advanceKnownMoments()
     }
 
@@ -84,9 +84,9 @@
 
     /**
      * Records that the store was read as of [begunAt] or later, and that all its cancelled live jobs were passed to
-     * [learn].
+     * [recordCancelled].
      */
-    fun readUpTo(begunAt: Double) {
+    fun onStoreRead(begunAt: Double) {
         storedKnownUpTo = maxOf(storedKnownUpTo, begunAt)
         advanceKnownMoments()
     }
--- a/src/main/kotlin/plankwall/core/cancellations/PeerCancellations.kt
+++ b/src/main/kotlin/plankwall/core/cancellations/PeerCancellations.kt
@@ -5,7 +5,7 @@
 /**
  * The cancellations that one peer has sent. Its entries are numbered within its incarnation, and each frame repeats
  * those that may not have arrived. So this node knows all cancellations that the peer learned of from [completeSince]
- * up to [sentAt]. All moments are in seconds of this node's steady clock.
+ * up to [sentAt]. All moments are in seconds of this node's monotonic clock.
  */
 internal class PeerCancellations {
     private var incarnation = 0L
@@ -53,7 +53,7 @@
     }
 
     private companion object {
-        /** Twice the rate by which two steady clocks may differ (PROTOCOL: each by up to 0.05%). */
+        /** Twice the rate by which two monotonic clocks may differ (PROTOCOL: each by up to 0.05%). */
         const val CLOCK_DRIFT = 0.002
     }
 }
--- a/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/CandidatePriority.kt
@@ -8,12 +8,12 @@
  * can be stored without it; among the nodes that do, those that workers reach come first. A node that workers don't
  * reach leads nevertheless if it is the only candidate: the other nodes relay the heartbeats to it.
  *
- * @param recentWorkers returns how many workers sent heartbeats to this node lately
+ * @param countRecentWorkers returns how many workers sent heartbeats to this node lately
  */
 class CandidatePriority(
     private val ctx: Context,
     private val reachability: ReachabilityMatrix,
-    private val recentWorkers: () -> Int,
+    private val countRecentWorkers: () -> Int,
 ) {
     private var vacantSince = Double.NaN
     private var workersLostAt = Double.NEGATIVE_INFINITY
@@ -57,14 +57,14 @@
      * bounded, since a time without a leader costs more than a leader that is the second best.
      */
     private fun acquisitionDelayS(): Double {
-        val candidates = reachability.freshPeers().filter { it.stateReachable }
-        val recentWorkerCount = recentWorkers()
+        val candidates = reachability.provenFreshPeers().filter { it.isStoreReachable }
+        val recentWorkerCount = countRecentWorkers()
         val proposedSuccessor = successor?.takeIf { ctx.now - successorProposedAt < VACANCY_EXPIRY_S }
         return when {
             candidates.isEmpty() || proposedSuccessor == ctx.settings.node -> 0.0
             proposedSuccessor != null && candidates.any { it.node == proposedSuccessor } -> MAX_ACQUISITION_DELAY_S
             recentWorkerCount == 0 && ctx.now - workersLostAt < ctx.settings.workers.leaseS -> MAX_ACQUISITION_DELAY_S
-            recentWorkerCount == 0 && candidates.any { it.recentWorkers > 0 } -> MAX_ACQUISITION_DELAY_S / 2
+            recentWorkerCount == 0 && candidates.any { it.recentWorkerCount > 0 } -> MAX_ACQUISITION_DELAY_S / 2
             else -> 0.0
         }
     }
@@ -74,7 +74,8 @@
      * workers reach; null if no worker reaches any of them.
      */
     fun preferredSuccessor(): PeerStatus? =
-        reachability.freshPeers().filter { it.stateReachable && it.recentWorkers > 0 }.maxByOrNull { it.recentWorkers }
+        reachability.provenFreshPeers().filter { it.isStoreReachable && it.recentWorkerCount > 0 }
+            .maxByOrNull { it.recentWorkerCount }
 
     private companion object {
         /** The time of two polls of the leader's key by a node that does not wait. */
--- a/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/LeaderRouting.kt
@@ -41,7 +41,7 @@
      * none.
      */
     fun provenLeader(): LeadershipClaim? {
-        val leadingPeers = reachability.freshPeers().filter { it.leading }
+        val leadingPeers = reachability.provenFreshPeers().filter { it.leading }
         val claims =
             leadingPeers.map { LeadershipClaim(it.node, it.epochSeen, reachability.provenAt(it.node)) } +
                 listOfNotNull(freshStoredClaim())
@@ -50,7 +50,7 @@
 
     /** Returns the current leader, or null if it is not known or is this node. */
     fun leader(): LeadershipClaim? {
-        val claims = listOfNotNull(provenLeader()) + reachability.freshPeers().mapNotNull(::claimFrom)
+        val claims = listOfNotNull(provenLeader()) + reachability.provenFreshPeers().mapNotNull(::claimFrom)
         val newest = claims.maxByOrNull { it.epoch } ?: return null
         return newest.takeIf { it.node != ctx.settings.node && isCurrent(it) }
     }
@@ -61,7 +61,7 @@
      * answering for the outage grace, so for an isolated node the read counts that long.
      */
     private fun freshStoredClaim(): LeadershipClaim? {
-        val isIsolated = reachability.livePeers().isEmpty()
+        val isIsolated = reachability.recentPeers().isEmpty()
         val maxAgeS = if (isIsolated) ctx.outageGraceS else leaseS + ReachabilityMatrix.FRESH_S
         return storedClaim?.takeIf { ctx.now - it.provenAt < maxAgeS }
     }
--- a/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
+++ b/src/main/kotlin/plankwall/core/connectivity/ReachabilityMatrix.kt
@@ -69,7 +69,7 @@
     fun statusOf(node: String): PeerStatus? = peers[node]?.status
 
     /** Returns the statuses that arrived within the last [FRESH_S] seconds, whenever they were made. */
-    fun livePeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.receivedAt < FRESH_S }.map { it.status }
+    fun recentPeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.receivedAt < FRESH_S }.map { it.status }
 
     /**
      * Returns a moment, in seconds of this node's clock, after which the newest status of [node] was surely made;
@@ -84,7 +84,7 @@
     fun isFresh(node: String): Boolean = ctx.now - provenAt(node) < FRESH_S
 
     /** Returns the statuses that are surely fresh. This requires a link to the peer that is open in both directions. */
-    fun freshPeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.provenAt < FRESH_S }.map { it.status }
+    fun provenFreshPeers(): List<PeerStatus> = peers.values.filter { ctx.now - it.provenAt < FRESH_S }.map { it.status }
 
     /** Returns the sequence number of the newest frame of [node], to be echoed to it; 0 if it sends no numbers. */
     fun lastSeqFrom(node: String): Long = peers[node]?.status?.links?.seq ?: 0L
@@ -102,7 +102,7 @@
     val storeReachable: Boolean get() = store.isReachable
 
     /** Whether the state service serves other nodes but not this one, so that users should use those nodes. */
-    fun onlyOthersHaveStore(): Boolean = !storeReachable && livePeers().any { it.stateReachable }
+    fun isStoreReachableOnlyByPeers(): Boolean = !storeReachable && recentPeers().any { it.isStoreReachable }
 
     /** Records that a regular call to the state service was sent. */
     fun onStoreCallSent() = store.onCallSent()
@@ -125,7 +125,7 @@
      * Creates the report for this node's next status frame, with a new sequence number and the state of its links. The
      * zones are left empty, to be filled in by the leader.
      */
-    fun report(recentWorkers: Int, leader: LeadershipClaim?, successor: String?): ReachabilityReport {
+    fun createReport(recentWorkerCount: Int, leader: LeadershipClaim?, successor: String?): ReachabilityReport {
         sentAtBySeq[++lastSentSeq] = ctx.now
         if (sentAtBySeq.size > MAX_REMEMBERED_FRAMES) sentAtBySeq.remove(sentAtBySeq.keys.first())
         val echoes = peers.mapNotNull { (node, peer) -> peer.status.links?.let { node to it.seq } }.toMap()
@@ -134,7 +134,7 @@
             echoes,
             storeSucceededAt.map(::ageMs),
             ageMs(cloudSucceededAt),
-            recentWorkers,
+            recentWorkerCount,
             emptyList(),
             leader?.toSighting(ctx.now),
             successor,
--- a/src/main/kotlin/plankwall/core/election/Leadership.kt
+++ b/src/main/kotlin/plankwall/core/election/Leadership.kt
@@ -28,13 +28,13 @@
  * Owns this node's epoch and lease. While it leads it renews the lease; otherwise it polls the key and tries to acquire
  * it once the key is free and [CandidatePriority] lets this node go ahead.
  *
- * @param recentWorkers returns how many workers sent heartbeats to this node lately
+ * @param countRecentWorkers returns how many workers sent heartbeats to this node lately
  */
 class Leadership(
     private val ctx: Context,
     private val onElected: () -> Unit,
     private val onResigned: () -> Unit,
-    recentWorkers: () -> Int = { 0 },
+    countRecentWorkers: () -> Int = { 0 },
 ) {
     private val log = LoggerFactory.getLogger("leadership")
 
@@ -51,7 +51,7 @@
     val routing = LeaderRouting(ctx, reachability, ttlS)
 
     /** Decides when this node may try to acquire the leader's key. */
-    val candidatePriority = CandidatePriority(ctx, reachability, recentWorkers)
+    val candidatePriority = CandidatePriority(ctx, reachability, countRecentWorkers)
 
     /** The cancelled jobs that this node knows of. */
     val cancellations = Cancellations(ctx, reachability)
@@ -71,8 +71,8 @@
     var resignedEpoch = 0L
         private set
 
-    /** When this node was last elected, in seconds of the steady clock. */
-    var wonAt = 0.0
+    /** When this node was last elected, in seconds of the monotonic clock. */
+    var electedAt = 0.0
         private set
 
     private var leaseId = 0L
@@ -92,17 +92,17 @@
     private var successor: String? = null
 
     /** Whether this node leads. Its lease may have expired meanwhile: see [mayWrite] and [mayAnswer]. */
-    val leading: Boolean get() = epoch != 0L
+    val isLeader: Boolean get() = epoch != 0L
 
     /** Whether this node may write to the store: it leads, and its lease has surely not expired. */
-    val mayWrite: Boolean get() = leading && ctx.now < leaseExpiresAt
+    val mayWrite: Boolean get() = isLeader && ctx.now < leaseExpiresAt
 
     /**
      * Whether this node may answer workers. It stops a fixed time after the lease expired, so that a successor can tell
      * when no more answers are surely given. It also stops while cancellations may be unknown here, so that no task
      * goes on after its job was cancelled.
      */
-    val mayAnswer: Boolean get() = leading && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isUpToDate
+    val mayAnswer: Boolean get() = isLeader && ctx.now < leaseExpiresAt + ctx.outageGraceS && cancellations.isUpToDate
 
     /** Whether every other node has shown that it runs this version or a later one. */
     val allNodesCurrent: Boolean get() = ctx.settings.peers.all {
@@ -110,10 +110,12 @@
     }
 
     /** Whether a live node runs an older version. It will be replaced soon, so it should not be elected. */
-    private val isOlderNodeLive: Boolean get() = reachability.livePeers().any { it.level < PeerCodec.LEVEL }
+    private val isOlderNodeLive: Boolean get() = reachability.recentPeers().any { it.level < PeerCodec.LEVEL }
 
-    /** The moment after which no earlier leader can have renewed a worker's lease, in seconds of the steady clock. */
-    val olderLeadersSilentAt: Double get() = olderLeaders.silentAt(wonAt)
+    /**
+     * The moment after which no earlier leader can have renewed a worker's lease, in seconds of the monotonic clock.
+     */
+    val olderLeadersStoppedAt: Double get() = olderLeaders.stoppedAt(electedAt)
 
     /** Returns the guard that every write carries: the leader's key is unchanged since this node wrote it. */
     fun leaderKeyGuard(): Guard = Guard(Keys.LEADER, epoch)
@@ -125,7 +127,7 @@
         if (isCallInFlight || isAcquiring || ctx.now < nextPollAt) return
         isCallInFlight = true
         reachability.onStoreCallSent()
-        if (leading) renewLease() else pollKey()
+        if (isLeader) renewLease() else pollKey()
     }
 
     private fun renewLease() {
@@ -134,7 +136,7 @@
         leaderKey.renew(renewedLeaseId) { result ->
             isCallInFlight = false
             reachability.onStoreCallEnded(result)
-            if (!leading || leaseId != renewedLeaseId) return@renew
+            if (!isLeader || leaseId != renewedLeaseId) return@renew
             nextPollAt = ctx.now + if (result == StateResult.Renewed) ttlS / RENEWALS_PER_LEASE else RENEWAL_RETRY_S
             when (result) {
                 StateResult.Renewed -> leaseExpiresAt = maxOf(leaseExpiresAt, sentAt + ttlS)
@@ -161,7 +163,7 @@
         if (item != null && record != null) {
             candidatePriority.onLeaderSeen()
             successor = null
-        } else if (!leading && !isAcquiring && candidatePriority.mayAcquire()) {
+        } else if (!isLeader && !isAcquiring && candidatePriority.mayAcquire()) {
             acquireKey()
         }
     }
@@ -187,7 +189,7 @@
         routing.onEpoch(epoch)
         successor = null
         leaseExpiresAt = leaseStartedAt + ttlS
-        wonAt = ctx.now
+        electedAt = ctx.now
         olderLeaders.reset()
         nextPollAt = ctx.now + ttlS / RENEWALS_PER_LEASE
         log.info("leader elected epoch={} lease={}", epoch, leaseId)
@@ -200,7 +202,7 @@
      */
     fun onEpoch(shownEpoch: Long, source: String) {
         routing.onEpoch(shownEpoch)
-        if (leading && shownEpoch > epoch) resign("epoch $shownEpoch shown by $source")
+        if (isLeader && shownEpoch > epoch) resign("epoch $shownEpoch shown by $source")
     }
 
     /**
@@ -209,11 +211,11 @@
      */
     fun onPeerStatus(status: PeerStatus) {
         onEpoch(status.epochSeen, "peer ${status.node}")
-        if (leading) olderLeaders.onPeerStatus(status, epoch)
+        if (isLeader) olderLeaders.onPeerStatus(status, epoch)
         if (!reachability.onStatus(status)) return
         cancellations.onStatus(status)
         // This node is the proposed successor: it polls the key at once.
-        if (candidatePriority.onStatus(status) && !leading) nextPollAt = minOf(nextPollAt, ctx.now)
+        if (candidatePriority.onStatus(status) && !isLeader) nextPollAt = minOf(nextPollAt, ctx.now)
     }
 
     /**
@@ -221,7 +223,7 @@
      * once.
      */
     fun resign(reason: String, releaseKey: Boolean = false) {
-        if (!leading) return
+        if (!isLeader) return
         log.info("leadership resigned epoch={} reason=\"{}\"", epoch, reason)
         resignedEpoch = epoch
         epoch = 0
@@ -243,15 +245,15 @@
      * Creates the report of this node's links for its next status; each report takes a new sequence number. Its zones
      * are empty, to be filled in by the leader.
      */
-    fun createReachabilityReport(recentWorkers: Int): ReachabilityReport {
-        val leader = if (leading) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.provenLeader()
-        return reachability.report(recentWorkers, leader, successor)
+    fun createReachabilityReport(recentWorkerCount: Int): ReachabilityReport {
+        val leader = if (isLeader) LeadershipClaim(ctx.settings.node, epoch, ctx.now) else routing.provenLeader()
+        return reachability.createReport(recentWorkerCount, leader, successor)
     }
 
     /** Creates this node's status for its peers, with the [links] that [createReachabilityReport] returned. */
-    fun createStatus(unservedWorkers: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
-        ctx.settings.node, ctx.incarnation, epochSeen, leading, resignedEpoch, reachability.storeReachable,
-        unservedWorkers,
+    fun createStatus(unservedWorkerCount: Int, links: ReachabilityReport, sessions: SessionPlan? = null) = PeerStatus(
+        ctx.settings.node, ctx.incarnation, epochSeen, isLeader, resignedEpoch, reachability.storeReachable,
+        unservedWorkerCount,
         PeerCodec.LEVEL, links,
         cancellations.nextUpdate(links.seq), SessionUpdate(ctx.settings.sessionCapacity, sessions),
     )
--- a/src/main/kotlin/plankwall/core/election/OlderLeaders.kt
+++ b/src/main/kotlin/plankwall/core/election/OlderLeaders.kt
@@ -12,24 +12,24 @@
 internal class OlderLeaders(private val ctx: Context) {
     private val log = LoggerFactory.getLogger("leadership")
     private val confirmedPeers = HashSet<String>()
-    private var confirmedSilentAt: Double? = null
+    private var confirmedStoppedAt: Double? = null
 
     /** Forgets all confirmations; called when this node is elected. */
     fun reset() {
-        confirmedSilentAt = null
+        confirmedStoppedAt = null
         confirmedPeers.clear()
     }
 
     /** Handles [status], which arrived while this node leads in [epoch]. */
     fun onPeerStatus(status: PeerStatus, epoch: Long) {
-        if (confirmedSilentAt != null || status.epochSeen < epoch || status.leading) return
+        if (confirmedStoppedAt != null || status.epochSeen < epoch || status.leading) return
         confirmedPeers.add(status.node)
         if (ctx.settings.peers.all { it.node in confirmedPeers }) {
-            confirmedSilentAt = ctx.now
+            confirmedStoppedAt = ctx.now
             log.info("older leaders silent epoch={}", epoch)
         }
     }
 
-    /** Returns that moment for a leader that was elected at [electedAt]; both are in seconds of the steady clock. */
-    fun silentAt(electedAt: Double): Double = confirmedSilentAt ?: (electedAt + ctx.outageGraceS)
+    /** Returns that moment for a leader that was elected at [electedAt]; both are in seconds of the monotonic clock. */
+    fun stoppedAt(electedAt: Double): Double = confirmedStoppedAt ?: (electedAt + ctx.outageGraceS)
 }
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -16,7 +16,7 @@
  * Machines that this leader knows only from the store or the cloud's list, without a heartbeat to it, count like any
  * other. If only those that reconnected counted, each machine of a partitioned zone would look like a single loss.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt when this leader took over, in seconds of the monotonic clock
  */
 class FailureDetector(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
     /** The interval between the heartbeats of a worker, in seconds. */
@@ -28,7 +28,7 @@
      */
     private val reconnectTimeS = heartbeatS * RECONNECT_HEARTBEATS + RECONNECT_HOPS_S
 
-    /** By zone, when more than one machine in three last had late heartbeats, in seconds of the steady clock. */
+    /** By zone, when more than one machine in three last had late heartbeats, in seconds of the monotonic clock. */
     private val degradedAtByZone = HashMap<String, Double>()
 
     /**
@@ -59,10 +59,7 @@
             val zone = machine.group?.zone ?: continue
             if (machine.isBeingScaledIn) continue
             if (machine.isRegistered) {
-                lateCounts.count(
-                    zone,
-                    ctx.now - machine.lastHeartbeatAt > heartbeatS * LATE_HEARTBEATS,
-                )
+                lateCounts.count(zone, ctx.now - machine.lastHeartbeatAt > heartbeatS * LATE_HEARTBEATS)
             }
             if (machine.isRegistered || isReconnectOverdue(machine)) silentCounts.count(zone, isSilent(machine))
         }
@@ -95,7 +92,7 @@
 
     /**
      * When the heartbeats of more than one machine in three of [zone], and of more than one, were last late, in seconds
-     * of the steady clock; [Machine.NEVER] if they were not.
+     * of the monotonic clock; [Machine.NEVER] if they were not.
      */
     fun degradedAt(zone: String): Double = degradedAtByZone[zone] ?: Machine.NEVER
 
--- a/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/FaultAttribution.kt
@@ -89,7 +89,7 @@
      */
     private fun markFaultyIfProven(machine: Machine) {
         if (machine.faulty || machine.failedJobs.isEmpty()) return
-        val failedJobs = schedulerState.live.filter { it.index.value in machine.failedJobs }
+        val failedJobs = schedulerState.liveJobs.filter { it.index.value in machine.failedJobs }
         if (failedJobs.sumOf { evidenceWeightOf(it) } < FAULTY_EVIDENCE) return
         machine.faulty = true
         log.info("machine marked as faulty machine={} failed_jobs={}", machine.id, failedJobs.map { it.spec.id })
--- a/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/HeartbeatHandler.kt
@@ -100,7 +100,7 @@
      */
     private fun blockPlacements(machine: Machine, heartbeat: HeartbeatStatus) {
         if (heartbeat.token >= leadership.epoch) {
-            machine.blockedUntil = ctx.now + ctx.surelyOverS
+            machine.blockedUntil = ctx.now + ctx.leaseExpiryBoundS
         } else {
             machine.isNotReceivingAnswers = true
         }
@@ -131,7 +131,9 @@
             val hasKnownEnd = placement.runningSince > 0 && spec.shape != Shape.SERVICE
             val remainingS =
                 if (hasKnownEnd) spec.estimateS - (ctx.now - placement.runningSince) else Double.MAX_VALUE
-            if (remainingS > noticeS * USABLE_NOTICE_SHARE) schedulerState.stopWithSave(placement, StopCause.DRAINED)
+            if (remainingS > noticeS * USABLE_NOTICE_SHARE) {
+                schedulerState.stopWithCheckpoint(placement, StopCause.DRAINED)
+            }
         }
     }
 
--- a/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
+++ b/src/main/kotlin/plankwall/core/heartbeat/LeaseExpiry.kt
@@ -20,7 +20,7 @@
     fun releaseExpired() {
         for (machine in fleet.machines) {
             if (machine.placements.isEmpty()) continue
-            if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersSilentAt)) {
+            if (ctx.now >= fleet.provablyEmptyAt(machine, leadership.olderLeadersStoppedAt)) {
                 releaseAllTasks(machine)
             } else if (machine.isRegistered &&
                 ctx.now - machine.lastHeartbeatAt > ctx.settings.workers.missedHeartbeatS
--- a/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/FreeCapacity.kt
@@ -39,7 +39,7 @@
     /** Returns the number of tasks of [job] for which capacity is reserved. */
     fun reservedTasks(job: Job): Int = reservedTasksByJob[job] ?: 0
 
-    /** Reserves capacity for one task of [job] on [machine] until [untilS], in seconds of the steady clock. */
+    /** Reserves capacity for one task of [job] on [machine] until [untilS], in seconds of the monotonic clock. */
     fun reserve(job: Job, machine: Machine, untilS: Double) {
         machine.reservations.add(Machine.Reservation(job, untilS))
         reservedTasksByJob.merge(job, 1, Int::plus)
@@ -60,7 +60,7 @@
     }
 
     /** Whether a task of [job] may run on [machine], free capacity aside. */
-    fun isEligible(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = Placer.allowed(job.spec, machine) &&
+    fun isEligible(job: Job, machine: Machine, zones: ZoneConstraint): Boolean = Placer.isAllowed(job.spec, machine) &&
         zones.allows(machine) &&
         machine.fitsHeartbeat &&
         machine.index.value !in job.failedMachines &&
--- a/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
+++ b/src/main/kotlin/plankwall/core/placement/GangPlacer.kt
@@ -50,7 +50,7 @@
     fun place(job: Job, withCapacity: List<Machine>, usable: List<Machine>): Int {
         // All tasks of the gang's last attempt must be proven gone first.
         if (job.placements.isNotEmpty()) return 0
-        if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return 0
+        if (!schedulerState.isWithinQuota(job.team, job.spec.need * job.waiting.size)) return 0
         val slots = listSlotsByScore(job, withCapacity)
         val slotsByZone: Map<String?, List<Slot>> =
             if (job.spec.oneZone) slots.groupBy { it.machine.group?.zone } else mapOf(null to slots)
@@ -80,7 +80,7 @@
         val slots = ArrayList<Slot>()
         for (machine in withCapacity) {
             if (!capacity.isEligible(job, machine, zones)) continue
-            val count = capacity.freeCapacityFor(job, machine).holds(job.spec.need)
+            val count = capacity.freeCapacityFor(job, machine).countFitting(job.spec.need)
             if (count <= 0) continue
             val score = capacity.score(job, machine)
             val fetchWaitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -31,7 +31,7 @@
     private val preemptor = Preemptor(ctx, schedulerState, capacity, pendingQueue)
     private val cachedImages = CachedImageCapacity(ctx, capacity)
 
-    /** The earliest time of the next preemption, in seconds of the steady clock. */
+    /** The earliest time of the next preemption, in seconds of the monotonic clock. */
     private var nextPreemptionAt = 0.0
 
     /**
@@ -41,7 +41,7 @@
     var mayExpand: (GroupKey) -> Boolean by gangPlacer::mayExpand
 
     /** The jobs that had tasks left to place after the last pass, in the order of the queue. */
-    var unplaced: List<Job> = emptyList()
+    var unplacedJobs: List<Job> = emptyList()
         private set
 
     /**
@@ -56,13 +56,13 @@
     }
 
     /** Runs one placement pass over all waiting jobs. */
-    fun plan() {
+    fun runPass() {
         guarantees.refresh()
         capacity.beginPass()
         gangPlacer.beginPass()
         cachedImages.beginPass()
-        val pending = pendingQueue.sort(schedulerState.live.filter { isPending(it) })
-        unplaced = if (pending.isEmpty()) emptyList() else placeJobs(pending, beginPass(pending))
+        val pending = pendingQueue.sort(schedulerState.liveJobs.filter { isPending(it) })
+        unplacedJobs = if (pending.isEmpty()) emptyList() else placeJobs(pending, beginPass(pending))
     }
 
     /**
@@ -77,8 +77,8 @@
 
     /** Returns the state of a new pass over the [pending] jobs. Every [PREEMPTION_INTERVAL_S] a pass may preempt. */
     private fun beginPass(pending: List<Job>): Pass {
-        val smallestNeed = pending.map { it.spec.need }.reduce { a, b -> a.least(b) }
-        val usable = fleet.machines.filter { usable(it) }
+        val smallestNeed = pending.map { it.spec.need }.reduce { a, b -> a.minOfEach(b) }
+        val usable = fleet.machines.filter { isUsable(it) }
         val preempts = ctx.now >= nextPreemptionAt
         if (preempts) {
             nextPreemptionAt = ctx.now + PREEMPTION_INTERVAL_S
@@ -129,7 +129,7 @@
      * starts a task carries the token. If placement waited for that, a new machine would for a while count neither as
      * arriving nor as usable, and another would be requested in its place.
      */
-    fun usable(machine: Machine): Boolean = fleet.isReady(machine) &&
+    fun isUsable(machine: Machine): Boolean = fleet.isReady(machine) &&
         machine.type != null &&
         !machine.isBeingScaledIn &&
         !machine.faulty &&
@@ -147,7 +147,7 @@
         var keptWaiting = 0
         var candidates: CandidateQueue? = null
         while (placed < placementLimit && job.waiting.size > keptWaiting) {
-            if (!schedulerState.withinLimit(job.team, job.spec.need)) break
+            if (!schedulerState.isWithinQuota(job.team, job.spec.need)) break
             val zones = ZoneConstraint(job)
             if (candidates == null && minOf(placementLimit, job.waiting.size) > 1) {
                 candidates = CandidateQueue(capacity, job, pass.withCapacity, zones)
@@ -192,7 +192,7 @@
     }
 
     /** Returns the number of waiting tasks of [job] for which no capacity is reserved or held. */
-    fun unreserved(job: Job): Int =
+    fun countUnreservedTasks(job: Job): Int =
         (job.waiting.size - capacity.reservedTasks(job) - gangPlacer.heldTasks(job)).coerceAtLeast(0)
 
     companion object {
@@ -200,10 +200,10 @@
         private const val PREEMPTION_INTERVAL_S = 0.3
 
         /** Whether [spec] allows the type, zone and purchase kind of [machine]; false if these are not known. */
-        fun allowed(spec: JobSpec, machine: Machine): Boolean = machine.group?.let { allowed(spec, it) } ?: false
+        fun isAllowed(spec: JobSpec, machine: Machine): Boolean = machine.group?.let { isAllowed(spec, it) } ?: false
 
         /** Whether [spec] allows machines of [group]. */
-        fun allowed(spec: JobSpec, group: GroupKey): Boolean = (spec.spot || !group.spot) &&
+        fun isAllowed(spec: JobSpec, group: GroupKey): Boolean = (spec.spot || !group.spot) &&
             (spec.types == null || group.type in spec.types) &&
             (spec.zone == null || spec.zone == group.zone)
     }
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -58,7 +58,7 @@
     private fun preemptForTasks(job: Job, usable: List<Machine>) {
         val zones = zonesIncludingReservations(job, usable)
         while (job.waiting.size > capacity.reservedTasks(job)) {
-            if (!schedulerState.withinLimit(job.team, job.spec.need * (1 + capacity.reservedTasks(job)))) return
+            if (!schedulerState.isWithinQuota(job.team, job.spec.need * (1 + capacity.reservedTasks(job)))) return
             val preemption = findPreemption(job, usable, zones, emptySet()) ?: return
             preempt(job, preemption)
             preemption.machine.group?.let { zones.addPlanned(it.zone) }
@@ -71,7 +71,7 @@
      */
     private fun preemptForGang(job: Job, usable: List<Machine>) {
         if (ctx.now - job.heldSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
-        if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return
+        if (!schedulerState.isWithinQuota(job.team, job.spec.need * job.waiting.size)) return
         val machineSets = if (!job.spec.oneZone) {
             listOf(usable)
         } else {
@@ -95,7 +95,7 @@
         // gang.
         val withFreeCapacity = machines.filter { capacity.isEligible(job, it, zones) && job.spec.need.fitsIn(it.free) }
         chosen.addAll(withFreeCapacity)
-        repeat(job.waiting.size - withFreeCapacity.sumOf { it.free.holds(job.spec.need) }) {
+        repeat(job.waiting.size - withFreeCapacity.sumOf { it.free.countFitting(job.spec.need) }) {
             val preemption = findPreemption(job, machines, zones, chosen) ?: return null
             preemptions.add(preemption)
             chosen.add(preemption.machine)
@@ -125,7 +125,7 @@
         )
         for (victim in preemption.victims) {
             pendingQueue.onPreempted(victim.job, if (victim.job.isGang) victim.job.placements.size else 1)
-            schedulerState.stopWithSave(victim, StopCause.PREEMPTED)
+            schedulerState.stopWithCheckpoint(victim, StopCause.PREEMPTED)
         }
     }
 
@@ -244,7 +244,7 @@
     private fun exceedsGuarantee(teamIndex: TeamIndex): Boolean {
         val team = ctx.settings.teams[teamIndex.value]
         if (!team.hasGuarantee) return true
-        val used = schedulerState.used(teamIndex)
+        val used = schedulerState.usedBy(teamIndex)
         return (team.gpus > 0 && used.gpus > team.gpus) || (team.cpus > 0 && used.cpus > team.cpus)
     }
 
--- a/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
+++ b/src/main/kotlin/plankwall/core/queue/BindingLimit.kt
@@ -20,7 +20,7 @@
     private val scopesBoundInRound = HashSet<String>()
     private val teamsAtQuota = HashSet<Int>()
 
-    /** A limit that binds [since] a time and was last logged at [loggedAt], both in seconds of the steady clock. */
+    /** A limit that binds [since] a time and was last logged at [loggedAt], both in seconds of the monotonic clock. */
     private class Binding(val since: Double, var loggedAt: Double)
 
     /** Indices of the teams whose quotas allow less than their jobs ask for. */
--- a/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
+++ b/src/main/kotlin/plankwall/core/queue/CapacityPool.kt
@@ -32,7 +32,7 @@
             subtractReplicas(total.memory, takenByReplicas.memory),
         )
         for (task in tasks) {
-            val workS = partOf(task.job.spec.need) * remainingS(task)
+            val workS = dominantShareOf(task.job.spec.need) * remainingS(task)
             runningWorkSByClass.merge(task.job.spec.jobClass, workS, Double::plus)
         }
     }
@@ -46,13 +46,13 @@
     /** Returns the seconds for which [task] should still run; its whole estimate if its end is not known. */
     private fun remainingS(task: Placement): Double = task.secondsUntilEnd(ctx.now) ?: task.job.spec.estimateS
 
-    private fun partOf(need: Resources): Double = need.partOf(taskCapacity)
+    private fun dominantShareOf(need: Resources): Double = need.dominantShareOf(taskCapacity)
 
     /**
      * Returns the work of [tasks] tasks of [job], in seconds of the whole pool, if each occupies its place for
      * [occupancyS].
      */
-    fun workS(job: Job, tasks: Int, occupancyS: Double): Double = partOf(job.spec.need) * tasks * occupancyS
+    fun workS(job: Job, tasks: Int, occupancyS: Double): Double = dominantShareOf(job.spec.need) * tasks * occupancyS
 
     /**
      * Reports to [onLate] the waiting jobs that can no longer meet all their service-level objectives, given the work
--- a/src/main/kotlin/plankwall/core/queue/Deadline.kt
+++ b/src/main/kotlin/plankwall/core/queue/Deadline.kt
@@ -4,8 +4,9 @@
 import plankwall.model.ServiceLevelObjectives
 
 /**
- * The times by which a job must have started and finished to meet its service-level objectives, in milliseconds of the
- * time of day; [Long.MAX_VALUE] where there is no such objective. [eitherSuffices]: meeting one of the two is enough.
+ * The times by which a job must have started and finished to meet its service-level objectives, in milliseconds of
+ * wall-clock time; [Long.MAX_VALUE] where there is no such objective. [eitherSuffices]: meeting one of the two is
+ * enough.
  */
 class Deadline private constructor(
     private val latestStartMs: Long,
@@ -48,7 +49,7 @@
             job,
             objectives.lastStartWithinS(job.spec.jobClass),
             objectives.lastFinishWithinS(job.spec.jobClass),
-            objectives.lastDeadlineTimes(job.spec.jobClass),
+            objectives.loosestDeadlineFactor(job.spec.jobClass),
             eitherSuffices = true,
         )
 
@@ -74,7 +75,7 @@
         }
 
         /**
-         * Returns the time [withinS] seconds after [job] became ready, in milliseconds of the time of day;
+         * Returns the time [withinS] seconds after [job] became ready, in milliseconds of wall-clock time;
          * [Long.MAX_VALUE] if that is null.
          */
         private fun latestMs(job: Job, withinS: Double?): Long =
--- a/src/main/kotlin/plankwall/core/queue/FairShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/FairShare.kt
@@ -21,7 +21,7 @@
         if (demandByTeam.size < 2) return emptySet()
         val fairShare = 1.0 / demandByTeam.size
         return demandByTeam.filter { (teamIndex, demand) ->
-            (demand + usedBy(TeamIndex(teamIndex))).partOf(capacity) <= fairShare
+            (demand + usedBy(TeamIndex(teamIndex))).dominantShareOf(capacity) <= fairShare
         }.keys
     }
 }
--- a/src/main/kotlin/plankwall/core/queue/Guarantees.kt
+++ b/src/main/kotlin/plankwall/core/queue/Guarantees.kt
@@ -7,10 +7,10 @@
 
 /** Marks the jobs that their teams' guarantees cover ([Job.guaranteed]). */
 internal class Guarantees(private val ctx: Context, private val schedulerState: SchedulerState) {
-    /** When the marks were last set, in seconds of the steady clock. */
+    /** When the marks were last set, in seconds of the monotonic clock. */
     private var refreshedAt = Machine.NEVER
 
-    /** The value of [SchedulerState.changes] when the marks were last set. */
+    /** The value of [SchedulerState.changeCount] when the marks were last set. */
     private var changesAtRefresh = -1
 
     /**
@@ -19,11 +19,11 @@
      * ended since.
      */
     fun refresh() {
-        if (ctx.now < refreshedAt + REFRESH_INTERVAL_S && schedulerState.changes == changesAtRefresh) return
+        if (ctx.now < refreshedAt + REFRESH_INTERVAL_S && schedulerState.changeCount == changesAtRefresh) return
         refreshedAt = ctx.now
-        changesAtRefresh = schedulerState.changes
+        changesAtRefresh = schedulerState.changeCount
         val demandByTeam = HashMap<Int, Resources>()
-        for (job in schedulerState.live.sortedBy { it.submittedMs }) {
+        for (job in schedulerState.liveJobs.sortedBy { it.submittedMs }) {
             val team = ctx.settings.teams[job.team.value]
             // A job that waits for its dependencies takes no part of the guarantee.
             if (!team.hasGuarantee || !job.ready) continue
--- a/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
+++ b/src/main/kotlin/plankwall/core/queue/MinimumShare.kt
@@ -54,7 +54,7 @@
         for (job in live) {
             if (job.spec.shape == Shape.SERVICE) continue
             val running = job.placements.values.count { it.stopping == null }
-            usage.merge(job.spec.jobClass, job.spec.need.partOf(pool) * running, Double::plus)
+            usage.merge(job.spec.jobClass, job.spec.need.dominantShareOf(pool) * running, Double::plus)
             priorities.merge(job.spec.jobClass, job.priority, ::maxOf)
         }
         val offeredByClass = usage.keys.associateWith { offeredLoad.averageShareOf(pool, it) }
@@ -90,7 +90,9 @@
      * preempted tasks. Otherwise one pass could place too many tasks of a class, or preempt too many.
      */
     fun onPlaced(job: Job, tasks: Int) {
-        if (job.spec.jobClass in usage) usage.merge(job.spec.jobClass, job.spec.need.partOf(pool) * tasks, Double::plus)
+        if (job.spec.jobClass in usage) {
+            usage.merge(job.spec.jobClass, job.spec.need.dominantShareOf(pool) * tasks, Double::plus)
+        }
     }
 
     /** Whether the class of [job] uses less than its minimum share. */
@@ -105,7 +107,7 @@
      */
     fun isProtected(job: Job): Boolean {
         val classUsed = usage[job.spec.jobClass] ?: return false
-        return classUsed - job.spec.need.partOf(pool) < minimumOf(job)
+        return classUsed - job.spec.need.dominantShareOf(pool) < minimumOf(job)
     }
 
     private fun minimumOf(job: Job): Double = minimumByClass[job.spec.jobClass] ?: 0.0
@@ -118,7 +120,7 @@
     fun maxPlacements(job: Job): Int {
         val minimum = minimumByClass[job.spec.jobClass] ?: return Int.MAX_VALUE
         val missing = minimum - (usage[job.spec.jobClass] ?: 0.0)
-        val perTask = job.spec.need.partOf(pool)
+        val perTask = job.spec.need.dominantShareOf(pool)
         return if (missing <= 0.0 || perTask <= 0.0) Int.MAX_VALUE else ceil(missing / perTask).toInt()
     }
 
--- a/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
+++ b/src/main/kotlin/plankwall/core/queue/OfferedLoad.kt
@@ -11,7 +11,7 @@
  */
 class OfferedLoad(private val ctx: Context) {
     /**
-     * The work of a job that became ready at [readyMs], in milliseconds of the time of day: each task takes [need], and
+     * The work of a job that became ready at [readyMs], in milliseconds of wall-clock time: each task takes [need], and
      * all of them together occupy their places for [taskSeconds].
      */
     private class Work(val readyMs: Long, val need: Resources, val taskSeconds: Double)
@@ -19,7 +19,7 @@
     /** The recent jobs of each class, in the order in which they became demand. */
     private val workByClass = HashMap<String, ArrayDeque<Work>>()
 
-    /** When this leader began to observe the load, in milliseconds of the time of day. */
+    /** When this leader began to observe the load, in milliseconds of wall-clock time. */
     private val observedSinceMs = ctx.time.wallMs
 
     /** The highest [Job.demandIndex] recorded so far. */
@@ -49,7 +49,7 @@
         while (works.isNotEmpty() && ctx.time.wallMs - works.first().readyMs > windowS * 1000) works.removeFirst()
         val firstMs = minOf(observedSinceMs, works.firstOrNull()?.readyMs ?: observedSinceMs)
         val observedS = ((ctx.time.wallMs - firstMs) / 1000.0).coerceIn(windowS * MIN_WINDOW_PART, windowS)
-        return works.sumOf { it.need.partOf(pool) * it.taskSeconds } / observedS
+        return works.sumOf { it.need.dominantShareOf(pool) * it.taskSeconds } / observedS
     }
 
     /**
--- a/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
+++ b/src/main/kotlin/plankwall/core/queue/PendingQueue.kt
@@ -23,7 +23,7 @@
     private val bindingLimit = BindingLimit(ctx)
     private val occupancy = TaskOccupancy(ctx, fleet)
 
-    /** When the jobs were last classified, in seconds of the steady clock. */
+    /** When the jobs were last classified, in seconds of the monotonic clock. */
     private var classifiedAt = Machine.NEVER
 
     /** The capacity of the whole fleet, while there is less capacity than work; otherwise null. */
@@ -112,7 +112,7 @@
         val pool =
             if (scarce.isNotEmpty() || bindingLimit.limitedTeams.isNotEmpty()) poolOfFleet(capacity, services) else null
         minimumShare.refresh(
-            schedulerState.live,
+            schedulerState.liveJobs,
             scarce.isNotEmpty(),
             pool?.taskCapacity ?: Resources.NONE,
             occupancy::secondsOf,
@@ -133,11 +133,11 @@
         bindingLimit.beginQuotaChecks()
         for ((teamIndex, jobs) in (services + others).groupBy { it.team.value }) {
             val team = ctx.settings.teams[teamIndex]
-            val used = schedulerState.used(jobs.first().team)
+            val used = schedulerState.usedBy(jobs.first().team)
             if (team.allows(used + waitingDemand(jobs))) continue
             bindingLimit.onQuotaReached(teamIndex, jobs, used)
             val (waitingServices, waiting) = jobs.partition { it.spec.shape == Shape.SERVICE }
-            val placed = schedulerState.live.asSequence().filter { it.team.value == teamIndex }
+            val placed = schedulerState.liveJobs.asSequence().filter { it.team.value == teamIndex }
                 .flatMap { it.placements.values }
             val pool = CapacityPool(ctx, quotaOf(team), placed, waitingDemand(waitingServices))
             pool.classify(groupByStanding(waiting), 1.0, null, occupancy::secondsOf, ::lowerFeasibility)
@@ -151,7 +151,7 @@
      */
     private fun classifyByCapacity(waiting: List<Job>, capacity: Resources, pool: CapacityPool) {
         val teamsWithinFairShare =
-            FairShare.teamsWithinFairShare(waiting, capacity, ::waitingDemand, schedulerState::used)
+            FairShare.teamsWithinFairShare(waiting, capacity, ::waitingDemand, schedulerState::usedBy)
         val byClass = waiting.filter { feasibility(it) != Feasibility.OUT_OF_REACH }.groupBy { it.spec.jobClass }
         for ((jobClass, jobs) in byClass) {
             val blocks = groupByStanding(jobs) { it.team.value in teamsWithinFairShare }
@@ -180,7 +180,7 @@
     /** Returns the limits of [team]; 0 means no limit. */
     private fun quotaOf(team: Team) = Resources(team.cpusMax, team.gpusMax, 0)
 
-    /** Returns the capacity of all machines that are not being returned to the cloud. */
+    /** Returns the capacity of all machines that are not being scaled in. */
     private fun fleetCapacity(): Resources = fleet.machines.filter { !it.isBeingScaledIn }
         .fold(Resources.NONE) { sum, machine -> sum + (machine.type?.capacity ?: Resources.NONE) }
 
--- a/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
+++ b/src/main/kotlin/plankwall/core/queue/TaskOccupancy.kt
@@ -12,7 +12,7 @@
     /** How many machines have each image cached, by the image's index. */
     private var machineCountByImage = HashMap<Int, Int>()
 
-    /** The number of machines that are not being returned to the cloud. */
+    /** The number of machines that are not being scaled in. */
     private var fleetSize = 0
 
     /** Counts anew how many machines have each image. */
--- a/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
+++ b/src/main/kotlin/plankwall/core/relay/DirectReachability.kt
@@ -22,8 +22,8 @@
     private val sessions: SessionPlanner,
 ) {
     /**
-     * What this leader knows of the network path between it and one worker. Times are in seconds of this node's steady
-     * clock, or [Machine.NEVER].
+     * What this leader knows of the network path between it and one worker. Times are in seconds of this node's
+     * monotonic clock, or [Machine.NEVER].
      */
     private class Path {
         /** When a heartbeat of the worker last came directly. */
@@ -211,7 +211,7 @@
         (machine.isRegistered || (failureDetector.heartbeatRoundElapsed && failureDetector.isAwaited(machine)))
 
     /** The number of workers whose newest heartbeat was relayed and is at most two heartbeat intervals old. */
-    val relayedWorkers: Int get() = if (hasNoRelayedWorkers) 0 else paths.values.count(::isRelayed)
+    val relayedWorkerCount: Int get() = if (hasNoRelayedWorkers) 0 else paths.values.count(::isRelayed)
 
     /** Drops the state of removed machines and logs a summary. Called regularly by the leader. */
     fun tick() {
@@ -221,7 +221,7 @@
             paths.keys.retainAll(fleet.machines.map { it.index.value }.toSet())
         }
         redirects.prune(fleet)
-        val relayedCount = relayedWorkers
+        val relayedCount = relayedWorkerCount
         if (relayedCount > 0 || previousRelayedCount > 0) {
             log.info(
                 "workers reached only through other nodes count={} before={} zones={}",
--- a/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
+++ b/src/main/kotlin/plankwall/core/relay/LeadershipTransfer.kt
@@ -42,20 +42,20 @@
     /**
      * Handles the case that most workers have missed a heartbeat here, both direct and relayed. The leader resigns if
      * peers that reach the state service report that they could serve more than half of the known workers
-     * ([WorkerRelay.unservedWorkers]). A node that can answer these workers has to lead soon, since their leases are
-     * about to expire. If no peer is connected that could report this, the leader resigns only if all workers are
+     * ([WorkerRelay.unservedWorkerCount]). A node that can answer these workers has to lead soon, since their leases
+     * are about to expire. If no peer is connected that could report this, the leader resigns only if all workers are
      * silent: if the peers and most machines are in another zone, which is cut off, the leader has to continue with the
      * remaining machines.
      */
     private fun resignIfOthersReachWorkers(silentCount: Int, knownCount: Int, registeredCount: Int) {
-        val peers = leadership.reachability.livePeers()
-        val unservedWorkers = peers.filter { it.stateReachable }.sumOf { it.unservedWorkers }
+        val peers = leadership.reachability.recentPeers()
+        val unservedWorkerCount = peers.filter { it.isStoreReachable }.sumOf { it.unservedWorkerCount }
         val isIsolated = peers.isEmpty() &&
             ctx.settings.peers.isNotEmpty() &&
             silentCount == knownCount &&
             registeredCount >= 2
-        if (!isIsolated && unservedWorkers * 2 <= knownCount) return
-        val peersReason = if (isIsolated) "no peer is connected" else "$unservedWorkers turn up at peers"
+        if (!isIsolated && unservedWorkerCount * 2 <= knownCount) return
+        val peersReason = if (isIsolated) "no peer is connected" else "$unservedWorkerCount turn up at peers"
         leadership.resignForWorkers("$silentCount of $knownCount machines silent here, $peersReason")
     }
 
@@ -64,7 +64,7 @@
      * been relayed for longer than a short link failure lasts.
      */
     private fun resignIfMostlyRelayed(knownCount: Int) {
-        val relayedCount = directReachability.relayedWorkers
+        val relayedCount = directReachability.relayedWorkerCount
         if (relayedCount * 2 <= knownCount) {
             mostlyRelayedSince = Double.NaN
             return
@@ -73,7 +73,7 @@
         val relayedForS = ctx.now - mostlyRelayedSince
         if (relayedForS < workerTimes.leaseS * MAX_RELAYED_LEASES) return
         val successor = leadership.candidatePriority.preferredSuccessor() ?: return
-        if (successor.recentWorkers * 2 <= knownCount) return
+        if (successor.recentWorkerCount * 2 <= knownCount) return
         leadership.resignForWorkers(
             "$relayedCount of $knownCount machines relayed for ${relayedForS.toInt()} s, most reach ${successor.node}",
         )
--- a/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
+++ b/src/main/kotlin/plankwall/core/relay/SeenWorkers.kt
@@ -9,7 +9,7 @@
 
 /**
  * What a node that does not lead remembers of a worker that sent it a heartbeat. Times are in seconds of this node's
- * steady clock.
+ * monotonic clock.
  */
 internal class SeenWorker(var lastSeenAt: Double) {
     /**
@@ -75,7 +75,7 @@
     private val workerTimes = ctx.settings.workers
 
     /** The number of workers that sent a heartbeat within the longest heartbeat interval, however it was answered. */
-    val recentWorkers: Int get() = workers.values.count {
+    val recentWorkerCount: Int get() = workers.values.count {
         ctx.now - it.lastSeenAt <
             workerTimes.longestHeartbeatIntervalS
     }
--- a/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
+++ b/src/main/kotlin/plankwall/core/relay/WorkerRelay.kt
@@ -29,10 +29,10 @@
     private val workerTimes = ctx.settings.workers
 
     /** The number of workers that sent a heartbeat here within the longest heartbeat interval, however answered. */
-    val recentWorkers: Int get() = workers.recentWorkers
+    val recentWorkerCount: Int get() = workers.recentWorkerCount
 
     /** The number of workers that no node serves and that this node could serve ([SeenWorkers.unservedCount]). */
-    val unservedWorkers: Int get() = workers.unservedCount
+    val unservedWorkerCount: Int get() = workers.unservedCount
 
     /** Records that the worker on [machine] answered a direct command of this node. */
     fun onCommandAnswered(machine: String) = workers.onCommandAnswered(machine)
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -108,7 +108,7 @@
      * this process was paused for a moment, removing the node would move all workers for no reason.
      */
     private fun availableNodes(): List<SessionNode> {
-        for (status in reachability.freshPeers()) {
+        for (status in reachability.provenFreshPeers()) {
             val capacity = status.sessions?.capacity ?: 0
             if (capacity <= 0) continue
             val node = knownNodes.getOrPut(status.node) { KnownNode(ctx.now) }
--- a/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyGraph.kt
@@ -29,14 +29,14 @@
         return listOf(id).filter { it !in cancelled } + markCancelled(id)
     }
 
-    /** Records that [id] is done for good. Returns the jobs that become ready by that. */
+    /** Records that [id] is done permanently. Returns the jobs that become ready by that. */
     fun markDone(id: String): List<String> = dependents.remove(id).orEmpty().filter { dependent ->
         val remaining = unfinished[dependent]
         remaining != null && remaining.remove(id) && remaining.isEmpty() && dependent !in cancelled
     }
 
     /**
-     * Records that [id] is cancelled for good. Returns the jobs that are cancelled because of it, in breadth-first
+     * Records that [id] is cancelled permanently. Returns the jobs that are cancelled because of it, in breadth-first
      * order.
      */
     fun markCancelled(id: String): List<String> {
--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -31,7 +31,7 @@
 
     /**
      * The dependencies of waiting jobs that are not in [SchedulerState], each with the time of its next lookup in
-     * seconds of the steady clock.
+     * seconds of the monotonic clock.
      */
     private val pendingLookups = LinkedHashMap<String, Double>()
     private var readsUnderWay = 0
--- a/src/main/kotlin/plankwall/core/state/Fleet.kt
+++ b/src/main/kotlin/plankwall/core/state/Fleet.kt
@@ -84,10 +84,11 @@
 
     /**
      * Returns the time from which on the worker of [machine] has certainly stopped all tasks that earlier answers let
-     * it keep, in seconds of the steady clock. From [olderLeadersSilentAt] on, no older leader can have answered it.
+     * it keep, in seconds of the monotonic clock. From [olderLeadersStoppedAt] on, no older leader can have answered
+     * it.
      */
-    fun provablyEmptyAt(machine: Machine, olderLeadersSilentAt: Double): Double =
-        maxOf(machine.lastAnsweredAt, olderLeadersSilentAt) + ctx.surelyOverS
+    fun provablyEmptyAt(machine: Machine, olderLeadersStoppedAt: Double): Double =
+        maxOf(machine.lastAnsweredAt, olderLeadersStoppedAt) + ctx.leaseExpiryBoundS
 
     private companion object {
         const val MAX_DELETED_NAMES = 5000
--- a/src/main/kotlin/plankwall/core/state/InheritedUrgency.kt
+++ b/src/main/kotlin/plankwall/core/state/InheritedUrgency.kt
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Returns the time by which [job] must start and its dependencies must have ended, in milliseconds of the time of
-     * day; [Long.MAX_VALUE] if it has no deadline.
+     * Returns the time by which [job] must start and its dependencies must have ended, in milliseconds of wall-clock
+     * time; [Long.MAX_VALUE] if it has no deadline.
      */
     private fun startByMs(job: Job): Long =
         if (job.dueMs == Long.MAX_VALUE) Long.MAX_VALUE else job.dueMs - expectedDurationMs(job)
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -23,8 +23,8 @@
  *
  * @property index the number of the job, which is only valid as long as this node leads
  * @property pageSize the number of tasks in a stored page
- * @property submittedMs when the job was submitted, in milliseconds of the time of day
- * @property learnedAt when this leader first read the job's record, in seconds of the steady clock
+ * @property submittedMs when the job was submitted, in milliseconds of wall-clock time
+ * @property learnedAt when this leader first read the job's record, in seconds of the monotonic clock
  * @property hasServiceObjective whether a service-level objective or its team's guarantee applies to the job; such a
  * job is never [bestEffort]
  */
@@ -50,7 +50,7 @@
     /** Whether its user cancelled it, or it depends on a cancelled job. No more tasks of it are started. */
     var cancelled = false
 
-    /** When it was cancelled, in milliseconds of the time of day; 0 if it was not. */
+    /** When it was cancelled, in milliseconds of wall-clock time; 0 if it was not. */
     var cancelledMs = 0L
 
     /** Whether the write of its final record is under way. */
@@ -65,12 +65,12 @@
     var ready = false
 
     /**
-     * When its waiting time began, in milliseconds of the time of day: its submission, or the end of the last job that
+     * When its waiting time began, in milliseconds of wall-clock time: its submission, or the end of the last job that
      * it depends on.
      */
     var readyMs = submittedMs
 
-    /** When this leader found it ready, in seconds of the steady clock. */
+    /** When this leader found it ready, in seconds of the monotonic clock. */
     var readyAt = learnedAt
 
     /** Whether another job depends on it. */
@@ -114,12 +114,12 @@
             equivalenceClass = equivalenceClassFor(value)
         }
 
-    /** Its own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
+    /** Its own deadline in milliseconds of wall-clock time, or [Long.MAX_VALUE] if it has none. */
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
 
     /**
-     * Its own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of the time of
-     * day; [Long.MAX_VALUE] if there is neither.
+     * Its own deadline, or an earlier one that follows from a job that depends on it, in milliseconds of wall-clock
+     * time; [Long.MAX_VALUE] if there is neither.
      */
     var dueMs = ownDueMs
 
@@ -141,13 +141,13 @@
     /** The tasks that are neither done nor placed, in the order in which they are to be placed. */
     val waiting = ArrayDeque<Int>()
 
-    /** The time before which no task of it is placed, in seconds of the steady clock. */
+    /** The time before which no task of it is placed, in seconds of the monotonic clock. */
     var backoffUntil = 0.0
 
     /** Whether a task was placed and cannot start before its page is written. */
     var urgent = false
 
-    /** When the oldest change that is not written yet was made, in seconds of the steady clock. */
+    /** When the oldest change that is not written yet was made, in seconds of the monotonic clock. */
     var dirtySince = 0.0
 
     /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
@@ -197,7 +197,7 @@
      */
     var heldZone: String? = null
 
-    /** When holding capacity in [heldZone] began, in seconds of the steady clock. */
+    /** When holding capacity in [heldZone] began, in seconds of the monotonic clock. */
     var heldSince = 0.0
 
     /** Returns the page, or the part of a split page, that holds [task]. */
@@ -213,7 +213,7 @@
      */
     fun page(number: Int): TaskPage = pages.getOrPut(number) {
         TaskPage(number).apply {
-            val wholePageNumber = Keys.wholeOf(number)
+            val wholePageNumber = Keys.pageOf(number)
             val pageStart = wholePageNumber * pageSize
             if (number == wholePageNumber) {
                 cover(pageStart, minOf(pageStart + pageSize, spec.tasks))
@@ -225,16 +225,16 @@
 
     private fun TaskPage.coverPart(wholePage: TaskPage, pageStart: Int) {
         if (wholePage.partSize == 0) return
-        val partStart = pageStart + Keys.partOf(number) * wholePage.partSize
+        val partStart = pageStart + Keys.partIndexOf(number) * wholePage.partSize
         cover(partStart, minOf(partStart + wholePage.partSize, pageStart + pageSize, spec.tasks))
     }
 
-    /** Records that [task] is done for good. */
+    /** Records that [task] is done permanently. */
     fun markDone(task: Int) {
         if (task >= spec.tasks || done[task]) return
         done.set(task)
         doneCount++
-        // A placed task is not among the waiting ones, and a huge job has too many of those to search them in vain.
+        // A placed task is not among the waiting ones, and a huge job has too many of those to search them needlessly.
         if (task !in placements) waiting.remove(task)
         pageOf(task).dirty = true
     }
--- a/src/main/kotlin/plankwall/core/state/JobFactory.kt
+++ b/src/main/kotlin/plankwall/core/state/JobFactory.kt
@@ -42,6 +42,6 @@
      * Returns whether the job of [record] counts as having a service-level objective. A team's guarantee is an
      * objective for every job of the team.
      */
-    private fun hasServiceObjective(record: JobRecord): Boolean = ctx.objectives.isStated(record.spec.jobClass) ||
+    private fun hasServiceObjective(record: JobRecord): Boolean = ctx.objectives.hasObjective(record.spec.jobClass) ||
         ctx.settings.teams.any { it.name == record.spec.team && it.hasGuarantee }
 }
--- a/src/main/kotlin/plankwall/core/state/JobListeners.kt
+++ b/src/main/kotlin/plankwall/core/state/JobListeners.kt
@@ -9,8 +9,8 @@
     fun onJobRecord(id: String, record: JobRecord, version: Long)
 }
 
-/** Is told how a job ended, once its final record is stored. */
+/** Is notified how a job ended, once its final record is stored. */
 internal fun interface JobEndListener {
-    /** Handles the end of [job] in [stage] at [endedMs], in milliseconds of the time of day; 0 if that is not known. */
+    /** Handles the end of [job] in [stage] at [endedMs], in milliseconds of wall-clock time; 0 if that is not known. */
     fun onJobEnded(job: Job, stage: JobStage, endedMs: Long)
 }
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -10,7 +10,7 @@
 
 /**
  * What the leader knows of one machine from its heartbeats, from the cloud's list of machines and from what was placed
- * on it. Times are in seconds of the steady clock, or [NEVER].
+ * on it. Times are in seconds of the monotonic clock, or [NEVER].
  *
  * [Fleet] creates it and sets what describes it; [SchedulerState] adds and removes placements; the heartbeat handler
  * sets what heartbeats show, the autoscaler what concerns scale-in, placement [heldCapacity] and [reservations]. The
@@ -103,7 +103,7 @@
     val placements = LinkedHashMap<Long, Placement>()
 
     /**
-     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is told to forget
+     * The number of exited tasks in its last heartbeat. Heartbeats repeat an exit until the worker is ordered to forget
      * it, which happens only once the end of the task is stored.
      */
     var exitsInHeartbeat = 0
@@ -173,7 +173,9 @@
      */
     var heldCapacity = Resources.NONE
 
-    /** Capacity for one task of [job], which other jobs may not use before [until], in seconds of the steady clock. */
+    /**
+     * Capacity for one task of [job], which other jobs may not use before [until], in seconds of the monotonic clock.
+     */
     class Reservation(val job: Job, val until: Double)
 
     /** An image of [gb] gigabytes that should be in the cache from [readyAt] on. */
@@ -188,7 +190,7 @@
     private var usedByServices = Resources.NONE
 
     /** The share of the machine's capacity that service tasks take. */
-    val serviceShare: Double get() = usedByServices.partOf(capacity)
+    val serviceShare: Double get() = usedByServices.dominantShareOf(capacity)
 
     /**
      * The capacity that no placement takes. It is kept up to date rather than computed on demand, because a placement
@@ -267,7 +269,7 @@
     }
 
     companion object {
-        /** A time before any time of the steady clock, for what has not happened. */
+        /** A time before any time of the monotonic clock, for what has not happened. */
         const val NEVER = -1e12
 
         /** The number of bits that the task takes in the keys of [placements]. */
--- a/src/main/kotlin/plankwall/core/state/PageSplitter.kt
+++ b/src/main/kotlin/plankwall/core/state/PageSplitter.kt
@@ -22,12 +22,14 @@
     private class Split(val job: Job, val page: TaskPage, val tasksPerPart: Int, val unwritten: ArrayDeque<TaskPage>)
 
     /** Returns whether [page], whose record takes [exactBytes], is too large for one value and may be split. */
-    fun needsSplit(page: TaskPage, exactBytes: Int): Boolean =
-        exactBytes > limits.wholeBytes && limits.mayDivide && page.partSize == 0 && page.taskCount > limits.pageTasks
+    fun needsSplit(page: TaskPage, exactBytes: Int): Boolean = exactBytes > limits.maxBytesPerKey &&
+        limits.maySplitValues &&
+        page.partSize == 0 &&
+        page.taskCount > limits.maxTasksPerPage
 
     /** Starts to split [page]. Returns the number of changes that this takes of the write budget. */
     fun split(job: Job, page: TaskPage): Int {
-        val tasksPerPart = limits.pageTasks
+        val tasksPerPart = limits.maxTasksPerPage
         val parts = (1..(page.taskCount - 1) / tasksPerPart).map { part -> partOf(job, page, part, tasksPerPart) }
         log.info(
             "page split page={} job={} parts={} tasks_per_part={}",
@@ -83,7 +85,7 @@
         page.inFlight = false
         page.partSize = split.tasksPerPart
         page.cover(page.firstTask, page.firstTask + split.tasksPerPart)
-        split.job.pages.values.filter { Keys.wholeOf(it.number) == page.number }.forEach { it.dirty = true }
+        split.job.pages.values.filter { Keys.pageOf(it.number) == page.number }.forEach { it.dirty = true }
         dirtyJobs.add(split.job)
     }
 
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -14,11 +14,12 @@
  * @property session the session of the worker for which it was planned; in any later one the task is not started
  */
 class Placement(val job: Job, val task: Int, val attempt: Long, val machine: Machine, val session: Long) {
-    /** Whether the state service holds it. Only then may the worker be told to start the task. */
+    /** Whether the state service holds it. Only then may the worker be ordered to start the task. */
     var stored = false
 
     /**
-     * Whether an answer of this leader told the worker to start the task, or one of an earlier leader may have done so.
+     * Whether an answer of this leader ordered the worker to start the task, or one of an earlier leader may have done
+     * so.
      */
     var isCommanded = false
 
@@ -31,16 +32,16 @@
     /** Why the task is being stopped; null while it may go on. */
     var stopping: StopCause? = null
 
-    /** When the stop was decided, in seconds of the steady clock. */
+    /** When the stop was decided, in seconds of the monotonic clock. */
     var stopSince = 0.0
 
     /** Whether the stop was sent by a direct command, which is done once; answers to heartbeats repeat it. */
     var isStopSentDirectly = false
 
-    /** When the worker reported that the task had begun to run, in seconds of the steady clock; 0 before that. */
+    /** When the worker reported that the task had begun to run, in seconds of the monotonic clock; 0 before that. */
     var runningSince = 0.0
 
-    /** When it was planned, or read from the store by this leader, in seconds of the steady clock. */
+    /** When it was planned, or read from the store by this leader, in seconds of the monotonic clock. */
     var plannedAt = 0.0
 
     /** The number of seconds that a stopped task has for its checkpoint. */
--- a/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
+++ b/src/main/kotlin/plankwall/core/state/ProgressPublisher.kt
@@ -15,12 +15,12 @@
     fun nextUpdates(epoch: Long): List<ProgressUpdate> {
         round++
         val changed = ArrayList<JobProgress>()
-        for (job in schedulerState.live) {
+        for (job in schedulerState.liveJobs) {
             val progress = job.progress
             val isRepeated = (job.index.value + round) % REPEAT_EVERY_ROUNDS == 0
             if (lastPublished.put(progress.id, progress) != progress || isRepeated) changed.add(progress)
         }
-        if (lastPublished.size > schedulerState.live.size) {
+        if (lastPublished.size > schedulerState.liveJobs.size) {
             lastPublished.keys.retainAll { schedulerState.find(it) != null }
         }
         return changed.chunked(JOBS_PER_FRAME).map { ProgressUpdate(epoch, it) }
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -13,8 +13,8 @@
 
 /**
  * The leader's state in memory: the live jobs with their tasks, placements and attempts, and the resources that each
- * team uses. It may be ahead of the store until [flush] writes the changes. A worker is told to start a task only once
- * the store has confirmed the placement; a stop needs nothing stored.
+ * team uses. It may be ahead of the store until [flush] writes the changes. A worker is ordered to start a task only
+ * once the store has confirmed the placement; a stop needs nothing stored.
  *
  * Only this class adds and removes jobs, attaches placements to jobs and machines, and detaches them. A newly elected
  * leader builds it from the stored job records and pages.
@@ -42,20 +42,20 @@
     private var lastAttempt = 0L
 
     /** All jobs that have not ended, in the order in which this leader learned of them. */
-    val live: Collection<Job> get() = jobs.values
+    val liveJobs: Collection<Job> get() = jobs.values
 
     /** Returns the live job [id], or null if there is none. */
     fun find(id: String): Job? = jobs[id]
 
     /** Returns the resources that the placements of [team] take; each counts until its task is proven gone. */
-    fun used(team: TeamIndex): Resources = usedByTeam[team.value]
+    fun usedBy(team: TeamIndex): Resources = usedByTeam[team.value]
 
     /** Returns whether the quota of [team] allows it to use [extra] in addition to what it uses now. */
-    fun withinLimit(team: TeamIndex, extra: Resources): Boolean =
-        ctx.settings.teams[team.value].allows(used(team) + extra)
+    fun isWithinQuota(team: TeamIndex, extra: Resources): Boolean =
+        ctx.settings.teams[team.value].allows(usedBy(team) + extra)
 
     /** The number of times that a job was added, became ready or ended. Tells callers that they have to recompute. */
-    var changes = 0
+    var changeCount = 0
         private set
 
     /**
@@ -84,7 +84,7 @@
         val job = factory.create(record) ?: return null
         val spec = job.spec
         jobs[spec.id] = job
-        changes++
+        changeCount++
         dependencies.add(job)
         log.debug("job added job={} shape={} tasks={} team={}", spec.id, spec.shape, spec.tasks, spec.team)
         return job
@@ -131,7 +131,9 @@
         usedByTeam[placement.job.team.value] += placement.job.spec.need
     }
 
-    /** Plans [task] onto [machine]. The worker is not told to start it before the store has confirmed the placement. */
+    /**
+     * Plans [task] onto [machine]. The worker is not ordered to start it before the store has confirmed the placement.
+     */
     fun place(job: Job, task: Int, machine: Machine, attempt: Long): Placement {
         val placement = Placement(job, task, attempt, machine, machine.session)
         placement.plannedAt = ctx.now
@@ -170,7 +172,7 @@
      * Stops [placement] with time for a checkpoint if its job writes checkpoints. If the job is a gang, all its tasks
      * are stopped.
      */
-    fun stopWithSave(placement: Placement, cause: StopCause) {
+    fun stopWithCheckpoint(placement: Placement, cause: StopCause) {
         val job = placement.job
         val graceS = if (job.spec.checkpointS > 0) job.spec.saveS + SAVE_MARGIN_S else 0.0
         // All tasks of a gang must get the stop within a short time, or the checkpoint fails.
@@ -199,7 +201,7 @@
         if (job.isGang && !job.done[task]) stopAll(job, StopCause.GANG, 0.0)
     }
 
-    /** Records that [task] of [job] is done for good. */
+    /** Records that [task] of [job] is done permanently. */
     fun complete(job: Job, task: Int) {
         job.markDone(task)
         writer.markDirty(job)
@@ -209,7 +211,7 @@
         job.ready = true
         job.readyAt = ctx.now
         job.demandIndex = nextDemandIndex++
-        changes++
+        changeCount++
     }
 
     private fun cancelByDependency(job: Job, dependency: String) {
@@ -250,7 +252,7 @@
     /** Removes [job], whose final record is stored and states [stage], and updates the jobs that depend on it. */
     private fun onJobEnded(job: Job, stage: JobStage, endedMs: Long) {
         if (jobs.remove(job.spec.id) == null) return
-        changes++
+        changeCount++
         writer.forget(job)
         log.info("job ended job={} stage={} done={} tasks={}", job.spec.id, stage, job.doneCount, job.spec.tasks)
         dependencies.onEnded(job.spec.id, stage, endedMs)
--- a/src/main/kotlin/plankwall/core/state/StateWriter.kt
+++ b/src/main/kotlin/plankwall/core/state/StateWriter.kt
@@ -51,7 +51,7 @@
     private fun writeJob(job: Job, batch: PageBatch, budget: Int): Int {
         if (job.version == 0L || job.finishing) return 0
         if (job.isFinalizable) return finalizer.finalize(job)
-        if (budget < store.scarceWrites && dirtyJobs.mayCoalesce(job)) return 0
+        if (budget < store.lowPriorityWriteThreshold && dirtyJobs.mayCoalesce(job)) return 0
         val spent = writePages(job, batch, budget)
         dirtyJobs.removeIfClean(job)
         return spent
@@ -72,7 +72,7 @@
 
     private fun writePage(job: Job, page: TaskPage, batch: PageBatch): Int {
         val snapshot = PageSnapshot.of(job, page)
-        if (snapshot.estimatedBytes > limits.wholeBytes * NEAR_FULL_SHARE || page.rejectedBytes > 0) {
+        if (snapshot.estimatedBytes > limits.maxBytesPerKey * NEAR_FULL_SHARE || page.rejectedBytes > 0) {
             val exactBytes = StateCodec.sizeOf(snapshot.record)
             if (splitter.needsSplit(page, exactBytes)) return splitter.split(job, page)
             // The store rejected a record of exactly this size, so the page is not sent again before it has changed.
--- a/src/main/kotlin/plankwall/core/statemachine/Caller.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Caller.kt
@@ -15,13 +15,15 @@
      */
     fun authorize(action: Action, job: JobFacts?): Verdict
 
-    /** Stores a [decision] that goes with no other change. [then] is told whether the caller may be answered now. */
+    /**
+     * Stores a [decision] that goes with no other change. [onRecorded] receives whether the caller may be answered now.
+     */
     fun record(decision: Decision, onRecorded: (stored: Boolean) -> Unit)
 
     /**
      * Stores the change [txn] and the [decision] on it in one transaction, which is guarded on the policy that allowed
      * the change. If the policy was replaced, the result is a conflict on the policy's key, and the new policy is known
-     * by the time that [then] is called.
+     * by the time that [onResult] is called.
      */
     fun change(decision: Decision, txn: StateOp.Txn, onResult: (StateResult) -> Unit)
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Context.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Context.kt
@@ -22,7 +22,7 @@
     val names = SiteNames(settings.teams.map { it.name })
     private val timers = Timers(time)
 
-    /** The time of the input being handled, in seconds of the steady clock. */
+    /** The time of the input being handled, in seconds of the monotonic clock. */
     val now: Double get() = time.now
 
     /**
@@ -34,7 +34,7 @@
     /**
      * The seconds after which a worker's lease is over by any clock, counted from the heartbeat that was answered last.
      */
-    val surelyOverS: Double = settings.workers.leaseS * MAX_CLOCK_DRIFT + LEASE_MARGIN_S
+    val leaseExpiryBoundS: Double = settings.workers.leaseS * MAX_CLOCK_DRIFT + LEASE_MARGIN_S
 
     /** Runs [action] on the first tick after [delayS] seconds. */
     fun runAfter(delayS: Double, action: () -> Unit) = timers.schedule(delayS, action)
--- a/src/main/kotlin/plankwall/core/statemachine/LeaseAuthority.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/LeaseAuthority.kt
@@ -5,6 +5,6 @@
     /** The epoch of this node's leadership. */
     val epoch: Long
 
-    /** Returns whether the write budget has room for a write that no request waits for. */
+    /** Returns whether the write budget allows a write that no request waits for. */
     fun mayWrite(): Boolean
 }
--- a/src/main/kotlin/plankwall/core/statemachine/Time.kt
+++ b/src/main/kotlin/plankwall/core/statemachine/Time.kt
@@ -5,17 +5,17 @@
  * virtual time.
  */
 class Time {
-    /** The time in seconds of the steady clock; never decreases. */
+    /** The time in seconds of the monotonic clock; never decreases. */
     var now = 0.0
         private set
 
-    /** The time of day in milliseconds, which may jump. */
+    /** The wall-clock time in milliseconds, which may jump. */
     var wallMs = 0L
         private set
 
     /**
-     * Sets the time of the next input: [now] in seconds of the steady clock, [wallMs] in milliseconds of the time of
-     * day.
+     * Sets the time of the next input: [now] in seconds of the monotonic clock, [wallMs] in milliseconds of wall-clock
+     * time.
      */
     fun advance(now: Double, wallMs: Long) {
         // A clock that seems to step back must not make a lease look longer than it is.
--- a/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
+++ b/src/main/kotlin/plankwall/core/store/ChunkedValue.kt
@@ -16,7 +16,7 @@
  */
 object ChunkedValue {
     /** Splits [record] into at most [maxChunks] chunks of at most [maxBytes] bytes each; null if it does not fit. */
-    fun fleet(record: FleetRecord, maxChunks: Int, maxBytes: Int): List<FleetRecord>? =
+    fun splitFleet(record: FleetRecord, maxChunks: Int, maxBytes: Int): List<FleetRecord>? =
         fewestChunks(maxChunks, maxBytes) { count ->
             listOfNotNull(evenChunks(record, count), separateScaleOuts(record, count))
         }
@@ -24,7 +24,7 @@
     /** Splits the machines evenly among all [count] chunks; the first chunk also holds the scale-out requests. */
     private fun evenChunks(record: FleetRecord, count: Int): List<FleetRecord> {
         val chunks = slices(record, count)
-        return listOf(chunks.first().copy(scaleOutRequests = record.scaleOutRequests, more = count - 1)) +
+        return listOf(chunks.first().copy(scaleOutRequests = record.scaleOutRequests, furtherChunks = count - 1)) +
             chunks.drop(1)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Splits [catalog] into at most [maxChunks] chunks of at most [maxBytes] bytes each; null if it does not fit. */
-    fun catalog(catalog: Catalog, maxChunks: Int, maxBytes: Int): List<CatalogRecord>? =
+    fun splitCatalog(catalog: Catalog, maxChunks: Int, maxBytes: Int): List<CatalogRecord>? =
         fewestChunks(maxChunks, maxBytes) { count ->
             listOf(
                 (0 until count).map { index ->
@@ -80,21 +80,22 @@
      * Returns the changes of one transaction: it stores [chunks] under [key] and its further keys, and removes the
      * obsolete ones of the [oldFurtherKeys] further keys that an earlier write may have used.
      */
-    fun writes(key: String, chunks: List<Stored>, oldFurtherKeys: Int): List<Write> =
-        chunks.mapIndexed { index, chunk -> Write.Put(if (index == 0) key else Keys.more(key, index), chunk) } +
-            (chunks.size..oldFurtherKeys).map { Write.Remove(Keys.more(key, it)) }
+    fun changesFor(key: String, chunks: List<Stored>, oldFurtherKeys: Int): List<Write> =
+        chunks.mapIndexed { index, chunk -> Write.Put(if (index == 0) key else Keys.furtherChunk(key, index), chunk) } +
+            (chunks.size..oldFurtherKeys).map { Write.Remove(Keys.furtherChunk(key, it)) }
 
     /**
      * Returns the highest number of a further key of [key] among [items], whether or not the first chunk counts it; 0
      * if there is none.
      */
-    fun further(key: String, items: List<StateItem>): Int =
+    fun highestFurtherKey(key: String, items: List<StateItem>): Int =
         items.maxOfOrNull { it.key.removePrefix("$key/").toIntOrNull() ?: 0 } ?: 0
 
     /** Returns the complete fleet record that is stored as [items], or null if there is none. */
-    fun fleet(items: List<StateItem>): FleetRecord? {
+    fun joinFleet(items: List<StateItem>): FleetRecord? {
         val first = items.firstOrNull { it.key == Keys.FLEET }?.value as? FleetRecord ?: return null
-        val chunks = listOf(first) + furtherValues(Keys.FLEET, first.more, items).filterIsInstance<FleetRecord>()
+        val chunks =
+            listOf(first) + furtherValues(Keys.FLEET, first.furtherChunks, items).filterIsInstance<FleetRecord>()
         return FleetRecord(
             first.scaleOutRequests,
             chunks.flatMap {
@@ -108,14 +109,20 @@
      * Returns the complete catalog that is stored as [items]. Null unless all chunks are there: with only some of the
      * machine types a job that could run might be rejected.
      */
-    fun catalog(items: List<StateItem>): Catalog? {
+    fun joinCatalog(items: List<StateItem>): Catalog? {
         val first = items.firstOrNull { it.key == Keys.CATALOG }?.value as? CatalogRecord ?: return null
-        val others = furtherValues(Keys.CATALOG, first.more, items).filterIsInstance<CatalogRecord>()
-        return if (others.size == first.more) Catalog((listOf(first) + others).flatMap { it.catalog.types }) else null
+        val others = furtherValues(Keys.CATALOG, first.furtherChunks, items).filterIsInstance<CatalogRecord>()
+        return if (others.size ==
+            first.furtherChunks
+        ) {
+            Catalog((listOf(first) + others).flatMap { it.catalog.types })
+        } else {
+            null
+        }
     }
 
     private fun furtherValues(key: String, count: Int, items: List<StateItem>): List<Stored> {
         val itemsByKey = items.associateBy { it.key }
-        return (1..count).mapNotNull { itemsByKey[Keys.more(key, it)]?.value }
+        return (1..count).mapNotNull { itemsByKey[Keys.furtherChunk(key, it)]?.value }
     }
 }
--- a/src/main/kotlin/plankwall/core/store/LeaderStore.kt
+++ b/src/main/kotlin/plankwall/core/store/LeaderStore.kt
@@ -21,7 +21,7 @@
     val epoch = leadership.epoch
 
     /** Whether the term has not ended. */
-    var active = true
+    var isTermActive = true
         private set
 
     private val log = LoggerFactory.getLogger("store")
@@ -29,8 +29,8 @@
     /** The limits on the size of one write. */
     val limits = StoreLimits(ctx.settings)
 
-    private val changeBudget = TokenBucket(ctx.time, ctx.settings.stateTight.writeRps * WRITE_SHARE)
-    private val callBudget = TokenBucket(ctx.time, ctx.settings.stateTight.rps * CALL_SHARE)
+    private val changeBudget = TokenBucket(ctx.time, ctx.settings.strictestStateLimits.writeRps * WRITE_SHARE)
+    private val callBudget = TokenBucket(ctx.time, ctx.settings.strictestStateLimits.rps * CALL_SHARE)
 
     /**
      * The revision of this leader's newest write. As a fencing token it belongs to this leader alone: no other leader
@@ -41,11 +41,11 @@
 
     /** Ends the term: replies that arrive later have no effect. */
     fun close() {
-        active = false
+        isTermActive = false
     }
 
     /** The number of [availableWrites] below which only changes that somebody waits for are written. */
-    val scarceWrites: Int = (ctx.settings.stateTight.writeRps * SCARCE_SHARE).toInt()
+    val lowPriorityWriteThreshold: Int = (ctx.settings.strictestStateLimits.writeRps * SCARCE_SHARE).toInt()
 
     /** Whether decisions made now could be stored at all. A leader that may have been replaced decides nothing. */
     val mayWrite: Boolean get() = leadership.mayWrite
@@ -65,7 +65,7 @@
         changeBudget.spend(changes.size)
         callBudget.spend(1)
         ctx.out.state(StateOp.Txn(listOf(leadership.leaderKeyGuard()) + guards, changes)) { result ->
-            if (!active) return@state
+            if (!isTermActive) return@state
             if (result is StateResult.Conflict && Keys.LEADER in result.failed) {
                 leadership.resign("the leader key has changed")
             } else {
@@ -97,12 +97,12 @@
     /** Reads one key. */
     fun read(key: String, onResult: (StateResult) -> Unit) {
         callBudget.spend(1)
-        ctx.out.state(StateOp.Get(key)) { if (active) onResult(it) }
+        ctx.out.state(StateOp.Get(key)) { if (isTermActive) onResult(it) }
     }
 
     /** Waits up to [waitMs] milliseconds for changes after the revision [afterRevision] of keys with [prefix]. */
     fun watch(prefix: String, afterRevision: Long, waitMs: Long, onResult: (StateResult) -> Unit) =
-        ctx.out.state(StateOp.Watch(prefix, afterRevision, waitMs)) { if (active) onResult(it) }
+        ctx.out.state(StateOp.Watch(prefix, afterRevision, waitMs)) { if (isTermActive) onResult(it) }
 
     /**
      * Reads all keys with [prefix], a limited number at a time, and retries until it succeeds or the term ends.
@@ -119,9 +119,11 @@
         onItems: (List<StateItem>, Long) -> Unit,
     ) {
         ctx.out.state(StateOp.Range(prefix, afterKey, ITEMS_PER_READ)) { result ->
-            if (!active) return@state
+            if (!isTermActive) return@state
             if (result !is StateResult.Items) {
-                ctx.runAfter(READ_RETRY_S) { if (active) readFrom(prefix, afterKey, items, firstPageRevision, onItems) }
+                ctx.runAfter(READ_RETRY_S) {
+                    if (isTermActive) readFrom(prefix, afterKey, items, firstPageRevision, onItems)
+                }
                 return@state
             }
             items.addAll(result.items)
--- a/src/main/kotlin/plankwall/core/store/StoreLimits.kt
+++ b/src/main/kotlin/plankwall/core/store/StoreLimits.kt
@@ -9,27 +9,27 @@
  */
 class StoreLimits(private val settings: Settings) {
     /** The maximum number of changes in one transaction. */
-    var txnOps = settings.stateTight.txnOps
+    var txnOps = settings.strictestStateLimits.txnOps
         private set
 
     /** The maximum size of a value, in bytes. */
-    var valueBytes = toBytes(settings.stateTight.valueKb)
+    var valueBytes = toBytes(settings.strictestStateLimits.valueKb)
         private set
 
     /**
      * Whether a value may be split among several keys, which the first version does not read. Set only once no process
      * of that version can lead any more, since it would go on with a part of the value: see [VersionUpgrade].
      */
-    var mayDivide = false
+    var maySplitValues = false
 
     /**
      * The maximum size of the value of one key, in bytes. While values can't be split, only the limit in force applies
      * to it, not the announced one.
      */
-    val wholeBytes: Int get() = if (mayDivide) valueBytes else toBytes(settings.state.valueKb)
+    val maxBytesPerKey: Int get() = if (maySplitValues) valueBytes else toBytes(settings.state.valueKb)
 
     /** The number of tasks that a page, or a part of one, may hold so that it surely fits into a value. */
-    val pageTasks: Int get() = pageSize(valueBytes / 1024.0)
+    val maxTasksPerPage: Int get() = pageSize(valueBytes / 1024.0)
 
     /**
      * Adapts the limits to the rejection of a write of [changeCount] changes whose largest value takes [largestBytes].
@@ -38,7 +38,7 @@
      */
     fun onRejected(changeCount: Int, largestBytes: Int) {
         val exceedsAnnounced = changeCount > txnOps || largestBytes > valueBytes
-        mayDivide = true
+        maySplitValues = true
         if (exceedsAnnounced) return
         if (largestBytes > MIN_VALUE_BYTES) valueBytes = maxOf(MIN_VALUE_BYTES, minOf(valueBytes, largestBytes) / 2)
         if (changeCount > MIN_TXN_OPS) txnOps = maxOf(MIN_TXN_OPS, minOf(txnOps, changeCount) / 2)
--- a/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
+++ b/src/main/kotlin/plankwall/core/store/VersionUpgrade.kt
@@ -12,10 +12,10 @@
 /**
  * Tracks whether a process of an older version may still lead. During a rolling upgrade a node of either version may
  * take over from one of the other, so nothing may be stored that the older version would read only in part. Once every
- * node has shown the level of this version, that level is stored for good: nodes are not downgraded, and a node that is
- * down later need not show it again.
+ * node has shown the level of this version, that level is stored permanently: nodes are not downgraded, and a node that
+ * is down later need not show it again.
  *
- * Owns the key `level`, and sets [StoreLimits.mayDivide].
+ * Owns the key `level`, and sets [StoreLimits.maySplitValues].
  */
 class VersionUpgrade(private val leadership: Leadership, private val store: LeaderStore) {
     private val log = LoggerFactory.getLogger("upgrade")
@@ -26,7 +26,7 @@
     fun restore(items: List<StateItem>) {
         val level = (items.firstOrNull { it.key == Keys.LEVEL }?.value as? LevelRecord)?.level ?: return
         isLevelStored = level >= PeerCodec.LEVEL
-        if (isLevelStored) store.limits.mayDivide = true
+        if (isLevelStored) store.limits.maySplitValues = true
     }
 
     /** Stores the level of this version once every node has shown it. */
@@ -37,7 +37,7 @@
             isWriting = false
             if (result !is StateResult.Committed) return@write
             isLevelStored = true
-            store.limits.mayDivide = true
+            store.limits.maySplitValues = true
             log.info("upgrade complete level={}", PeerCodec.LEVEL)
         }
     }
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -18,9 +18,9 @@
  * This class only connects the components that do this work; each of them holds its own state.
  */
 class AccessGateway(private val ctx: Context, private val settings: GatewaySettings) : AccessCheck {
-    private val policies = PolicyStore(ctx, settings.firstRights)
-    private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.trailShare)
-    private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.sealS)
+    private val policies = PolicyStore(ctx, settings.initialPolicyText)
+    private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.auditLogWriteShare)
+    private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.checkpointIntervalS)
     private val entryFactory = AuditEntryFactory(ctx, policies)
     private val denials = DenialLimits(
         byPrincipal = DenialLimiter(ctx.time, settings.denialsPerS, settings.denialBurst),
@@ -82,7 +82,7 @@
             ranges != null && !ranges.contains(address) -> "workers may not report from this network"
             !settings.workersAtListedAddress || listed.isNullOrEmpty() -> null
             listed != claimed -> "the machine is listed at another address"
-            !Networks.sameHost(listed, address) -> "the report comes from another address than the machine's"
+            !Networks.isSameHost(listed, address) -> "the report comes from another address than the machine's"
             else -> null
         }
     }
--- a/src/main/kotlin/plankwall/gateway/AdminService.kt
+++ b/src/main/kotlin/plankwall/gateway/AdminService.kt
@@ -54,7 +54,7 @@
             when (adminRequest) {
                 AdminRequest.CurrentPolicy -> showCurrentPolicy(verdict)
                 is AdminRequest.PolicyVersion -> readVersion(adminRequest.version) { text ->
-                    recordAndAnswer(verdict, 200, AdminCodec.rights(adminRequest.version, "", 0, text))
+                    recordAndAnswer(verdict, 200, AdminCodec.writeRights(adminRequest.version, "", 0, text))
                 }
                 is AdminRequest.AuditRecord -> showAuditRecord(verdict, adminRequest)
                 is AdminRequest.Publish -> publish(adminRequest.base, adminRequest.text)
@@ -80,7 +80,7 @@
             if (head == null) {
                 answerUnavailable("the rights are not loaded yet")
             } else {
-                recordAndAnswer(verdict, 200, AdminCodec.rights(head.version, head.by, head.atMs, policies.text))
+                recordAndAnswer(verdict, 200, AdminCodec.writeRights(head.version, head.by, head.atMs, policies.text))
             }
         }
 
@@ -137,7 +137,7 @@
             caller.change(Decision(action, subject, verdict, 200), prepared.txn) { result ->
                 when (result) {
                     is StateResult.Committed -> policies.refresh {
-                        answer(200, AdminCodec.published(prepared.version))
+                        answer(200, AdminCodec.writePublished(prepared.version))
                     }
                     is StateResult.Conflict ->
                         recordAndAnswer(authorize(), 409, JobCodec.error("another version was published meanwhile"))
@@ -153,8 +153,8 @@
                 val value = (result as? StateResult.Item)?.item?.value
                 when {
                     result !is StateResult.Item -> answerUnavailable("the state service can't be read")
-                    value is AuditSegment -> recordAndAnswer(verdict, 200, AdminCodec.segment(value))
-                    value is AuditSeal -> recordAndAnswer(verdict, 200, AdminCodec.seal(value))
+                    value is AuditSegment -> recordAndAnswer(verdict, 200, AdminCodec.writeSegment(value))
+                    value is AuditSeal -> recordAndAnswer(verdict, 200, AdminCodec.writeSeal(value))
                     else -> recordAndAnswer(verdict, 404, JobCodec.error("the audit log has no such segment or seal"))
                 }
             }
--- a/src/main/kotlin/plankwall/gateway/AuditEntryFactory.kt
+++ b/src/main/kotlin/plankwall/gateway/AuditEntryFactory.kt
@@ -34,7 +34,7 @@
         id = "${ctx.incarnation.toString(ID_RADIX)}-${(nextNumber++).toString(ID_RADIX)}",
         atMs = ctx.time.wallMs,
         epoch = epoch,
-        who = origin.name,
+        principal = origin.name,
         key = origin.key,
         network = origin.network,
         action = action,
--- a/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
+++ b/src/main/kotlin/plankwall/gateway/AuthenticatedCaller.kt
@@ -46,9 +46,7 @@
             )
         }
         // While the store can't be reached, reads of the caller's own jobs are answered at once and recorded later.
-        if (ownJobsOnly &&
-            verdict.allowed
-        ) {
+        if (ownJobsOnly && verdict.allowed) {
             onRecorded(auditLog.recordLater(entry))
         } else {
             auditLog.record(entry, onRecorded)
--- a/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
+++ b/src/main/kotlin/plankwall/gateway/GatewaySettings.kt
@@ -8,7 +8,7 @@
     /** The name of this installation. Tokens are accepted only if they name it as their audience. */
     val audience: String,
     /** The text of the policy that is published if the state service holds none; null to publish none. */
-    val firstRights: String? = null,
+    val initialPolicyText: String? = null,
     /** The key with which this node signs checkpoints (seals) of the audit log; null to write none. */
     val nodeKey: SigningKey? = null,
     /** The keys for frames of peers. The first one signs, all are accepted. If empty, frames are unsigned. */
@@ -18,13 +18,13 @@
     /** The most milliseconds by which two machines' clocks may differ. */
     val clockToleranceMs: Long = 2_000,
     /** The longest lifetime of a token, in seconds. */
-    val maxTokenS: Double = 60.0,
+    val maxTokenLifetimeS: Double = 60.0,
     /** The seconds without a successful read of the policy after which callers may only read their own jobs. */
-    val failClosedS: Double = 5.0,
+    val maxPolicyAgeS: Double = 5.0,
     /** The share, from 0 to 1, of the state service's write rate that the audit logs of all nodes may use together. */
-    val trailShare: Double = 0.2,
+    val auditLogWriteShare: Double = 0.2,
     /** The seconds between two checkpoints of the audit log. */
-    val sealS: Double = 60.0,
+    val checkpointIntervalS: Double = 60.0,
     /** The denials a second for one principal or network beyond which its requests get status 429 unchecked. */
     val denialsPerS: Double = 2.0,
     /** The number of denials that one principal or network may use up at once. */
--- a/src/main/kotlin/plankwall/gateway/PolicyStore.kt
+++ b/src/main/kotlin/plankwall/gateway/PolicyStore.kt
@@ -21,11 +21,11 @@
  * second, so that every node refuses a revoked right within a second. A change that was allowed by a policy replaced
  * between two reads fails, since its transaction is guarded on the head's stamp.
  *
- * [firstRights]: the text that is published if the store holds no policy; null to publish none.
+ * [initialPolicyText]: the text that is published if the store holds no policy; null to publish none.
  */
-class PolicyStore(private val ctx: Context, private val firstRights: String?) {
+class PolicyStore(private val ctx: Context, private val initialPolicyText: String?) {
     private val log = LoggerFactory.getLogger("policy")
-    private val chunks = PolicyChunks(ctx.settings.stateTight)
+    private val chunks = PolicyChunks(ctx.settings.strictestStateLimits)
 
     /** The policy that this node applies; [Policy.DENY_ALL] if none was read, or it is unreadable or was removed. */
     var policy: Policy = Policy.DENY_ALL
@@ -99,7 +99,7 @@
      * head was removed, and nothing is allowed any more.
      */
     private fun onMissingHead() {
-        if (firstRights == null || stamp > 0) {
+        if (initialPolicyText == null || stamp > 0) {
             // This program never removes the head, so somebody with access to the store did: nothing is allowed.
             if (stamp > 0) log.error("policy missing from the state service: nothing is allowed")
             policy = Policy.DENY_ALL
@@ -107,7 +107,7 @@
             finishReading()
             return
         }
-        publishFirst(firstRights)
+        publishFirst(initialPolicyText)
     }
 
     private fun publishFirst(rights: String) {
--- a/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
+++ b/src/main/kotlin/plankwall/gateway/RequestAuthenticator.kt
@@ -31,7 +31,7 @@
      * The clock difference that is tolerated: the time bound of the site, rounded up, is added to that of the settings.
      */
     private val toleranceMs = settings.clockToleranceMs + ctx.settings.timeBoundMs.toLong() + 1
-    private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenS * MS_PER_S).toLong())
+    private val tokens = TokenReader(settings.audience, toleranceMs, (settings.maxTokenLifetimeS * MS_PER_S).toLong())
     private val usedTokens = ReplayGuard(MAX_USED_TOKENS)
 
     /** The claims of the read-only tokens whose signature was verified lately, by their `Authorization` header. */
@@ -84,7 +84,7 @@
     ) {
         val origin = RequestOrigin(claims.principal, claims.keyId, network, claims.id)
         val networks = policies.policy.principals[claims.principal]?.networks
-        val isFresh = policies.isFresh(settings.failClosedS)
+        val isFresh = policies.isFresh(settings.maxPolicyAgeS)
         val isReadOnly = credentials.method == "GET"
         when {
             denials.byPrincipal.isExhausted(origin.name) -> answerTooMany(request, denials.byPrincipal)
--- a/src/main/kotlin/plankwall/gateway/RevocationTask.kt
+++ b/src/main/kotlin/plankwall/gateway/RevocationTask.kt
@@ -95,19 +95,20 @@
     /** Marks the job in [item], or cancels it, if its owner may not submit it any more. */
     private fun examineJob(term: Long, item: StateItem, pass: Pass) {
         val record = item.value as? JobRecord ?: return
-        val owned = record.owned ?: return
-        if (record.cancelledMs > 0 || owned.revokedBy > 0) return
-        val facts = record.spec.factsFor(owned.owner)
-        val verdict = policies.policy.authorize(owned.owner, Action.SUBMIT, facts)
+        val ownership = record.ownership ?: return
+        if (record.cancelledMs > 0 || ownership.revokedBy > 0) return
+        val facts = record.spec.factsFor(ownership.owner)
+        val verdict = policies.policy.authorize(ownership.owner, Action.SUBMIT, facts)
         if (verdict.allowed) return
-        val cancelsJob = policies.policy.cancelsOnDeny(owned.owner, Action.SUBMIT, facts) ?: owned.cancelOnRevoke
+        val cancelsJob =
+            policies.policy.cancelsOnDeny(ownership.owner, Action.SUBMIT, facts) ?: ownership.cancelOnRevoke
         val marked = record.copy(
-            owned = owned.copy(revokedBy = pass.version),
+            ownership = ownership.copy(revokedBy = pass.version),
             cancelledMs = if (cancelsJob) ctx.time.wallMs else 0,
         )
         // The note is the keyword of the policy language for this consequence.
         val note = if (cancelsJob) "withdraw" else "finish"
-        val origin = RequestOrigin(owned.owner, "", "")
+        val origin = RequestOrigin(ownership.owner, "", "")
         val entry = entryFactory.create(origin, "revoke", record.spec.id, verdict, 0, note)
         val guards = listOf(Guard(item.key, item.version), Guard(Keys.LEADER, term))
         pass.openWrites++
@@ -117,7 +118,7 @@
                 log.info(
                     "job's owner may not submit it any more job={} owner={} rule={} consequence={}",
                     record.spec.id,
-                    owned.owner,
+                    ownership.owner,
                     verdict.rule,
                     note,
                 )
--- a/src/main/kotlin/plankwall/identity/Networks.kt
+++ b/src/main/kotlin/plankwall/identity/Networks.kt
@@ -84,7 +84,7 @@
         }
 
         /** Whether two addresses, with or without a port, are of the same host, even if written differently. */
-        fun sameHost(one: String, other: String): Boolean {
+        fun isSameHost(one: String, other: String): Boolean {
             val first = parseAddress(host(one))
             val second = parseAddress(host(other))
             return if (first == null || second == null) host(one) == host(other) else first == second
--- a/src/main/kotlin/plankwall/identity/PeerSeal.kt
+++ b/src/main/kotlin/plankwall/identity/PeerFrameSigner.kt
@@ -20,7 +20,7 @@
  * are accepted, for the time in which keys are introduced. [toleranceMs]: the most that two machines' clocks may
  * differ.
  */
-class PeerSeal(
+class PeerFrameSigner(
     private val node: String,
     private val incarnation: Long,
     private val keys: List<PeerKey>,
@@ -41,20 +41,20 @@
         private set
 
     /** Returns [frame] with its signature, or as it is if there are no keys. [wallMs]: the wall-clock time. */
-    fun seal(frame: ByteArray, wallMs: Long): ByteArray {
+    fun sign(frame: ByteArray, wallMs: Long): ByteArray {
         val key = keys.firstOrNull() ?: return frame
-        val head = Buffer().writeByte(SEALED_MARKER).writeName(key.id).writeName(node)
+        val head = Buffer().writeByte(SIGNED_MARKER).writeName(key.id).writeName(node)
             .writeLong(incarnation).writeLong(++lastSentNumber).writeLong(wallMs)
         val signed = head.write(frame).readByteArray()
         return signed + computeMac(key, signed)
     }
 
     /**
-     * Verifies the received frame [sealed]; null if it is to be dropped. [wallMs]: the wall-clock time.
+     * Verifies the frame [received]; null if it is to be dropped. [wallMs]: the wall-clock time.
      */
-    fun open(sealed: ByteArray, wallMs: Long): VerifiedFrame? {
-        val isSealed = sealed.isNotEmpty() && sealed[0].toInt() == SEALED_MARKER
-        val verified = if (isSealed) openSealed(sealed, wallMs) else openUnsigned(sealed)
+    fun verify(received: ByteArray, wallMs: Long): VerifiedFrame? {
+        val hasSignature = received.isNotEmpty() && received[0].toInt() == SIGNED_MARKER
+        val verified = if (hasSignature) verifySigned(received, wallMs) else acceptUnsigned(received)
         if (verified == null) dropped++
         return verified
     }
@@ -62,24 +62,24 @@
     /** An accepted frame. [sender]: the node that signed it; null for a frame without a signature. */
     class VerifiedFrame(val sender: String?, val frame: ByteArray)
 
-    private fun openUnsigned(frame: ByteArray): VerifiedFrame? =
+    private fun acceptUnsigned(frame: ByteArray): VerifiedFrame? =
         if (allowUnsigned || keys.isEmpty()) VerifiedFrame(null, frame) else null
 
-    private fun openSealed(sealed: ByteArray, wallMs: Long): VerifiedFrame? = try {
-        if (sealed.size <= MAC_BYTES) null else verify(sealed, wallMs)
+    private fun verifySigned(received: ByteArray, wallMs: Long): VerifiedFrame? = try {
+        if (received.size <= MAC_BYTES) null else readAndVerify(received, wallMs)
     } catch (_: EOFException) {
         // The frame is shorter than the lengths in it claim.
         null
     }
 
-    private fun verify(sealed: ByteArray, wallMs: Long): VerifiedFrame? {
-        val signed = sealed.copyOf(sealed.size - MAC_BYTES)
+    private fun readAndVerify(received: ByteArray, wallMs: Long): VerifiedFrame? {
+        val signed = received.copyOf(received.size - MAC_BYTES)
         val buffer = Buffer().write(signed)
         buffer.readByte()
         val keyId = buffer.readName() ?: return null
         val sender = buffer.readName() ?: return null
         val head = FrameHead(buffer.readLong(), buffer.readLong(), buffer.readLong())
-        val isSigned = hasValidMac(keyId, signed, sealed.copyOfRange(signed.size, sealed.size))
+        val isSigned = hasValidMac(keyId, signed, received.copyOfRange(signed.size, received.size))
         if (!isSigned || sender == node || !isInTime(head, wallMs) || !isNewer(lastFrames[sender], head)) return null
         lastFrames[sender] = head
         return VerifiedFrame(sender, buffer.readByteArray())
@@ -94,7 +94,7 @@
     /**
      * Whether a frame is newer than the [last] one of its sender. Frames of one incarnation are ordered by their
      * number. Frames of different incarnations are ordered by time and not by the incarnation: a node whose clock was
-     * set back must not be excluded for good.
+     * set back must not be excluded permanently.
      */
     private fun isNewer(last: FrameHead?, head: FrameHead): Boolean = when {
         last == null -> true
@@ -116,11 +116,11 @@
     }
 
     companion object {
-        /** The most bytes that [seal] adds to a frame: two names of up to 200 bytes, some numbers and the HMAC. */
+        /** The most bytes that [sign] adds to a frame: two names of up to 200 bytes, some numbers and the HMAC. */
         const val OVERHEAD = 500
 
         /** The first byte of a signed frame. Frames without a signature never begin with it. */
-        private const val SEALED_MARKER = 0x53
+        private const val SIGNED_MARKER = 0x53
         private const val MAC_BYTES = 32
         private const val MAX_NAME_BYTES = 200
 
--- a/src/main/kotlin/plankwall/io/AdminRoutes.kt
+++ b/src/main/kotlin/plankwall/io/AdminRoutes.kt
@@ -20,7 +20,7 @@
         val path = request.path
         return when {
             path == POLICY_PATH && request.method == "GET" -> AdminRequest.CurrentPolicy
-            path == POLICY_PATH && request.method == "POST" -> toAdminRequest(AdminCodec.publication(request.body))
+            path == POLICY_PATH && request.method == "POST" -> toAdminRequest(AdminCodec.readPublication(request.body))
             request.method != "GET" -> null
             path.startsWith("$POLICY_PATH/") -> parseNumber(path.removePrefix("$POLICY_PATH/"))?.let {
                 AdminRequest.PolicyVersion(it)
--- a/src/main/kotlin/plankwall/io/CloudClient.kt
+++ b/src/main/kotlin/plankwall/io/CloudClient.kt
@@ -17,7 +17,7 @@
  */
 class CloudClient(selector: SelectorManager, address: Address, rps: Double, private val nowMs: () -> Long) {
     private val log = LoggerFactory.getLogger("cloud")
-    private val client = HttpClient(selector, address, maxConnections = 6, maxWaiting = 60)
+    private val client = HttpClient(selector, address, maxConnections = 6, maxCallsInProgress = 60)
     private val intervalMs = (1000.0 / (rps * USED_RATE_SHARE)).toLong()
 
     /** The earliest time of the next request, by [nowMs]. */
@@ -40,8 +40,8 @@
 
     private suspend fun send(op: CloudOp): HttpOutcome = when (op) {
         CloudOp.GetCatalog -> client.call("GET", "/catalog", null, CALL_TIMEOUT_MS)
-        is CloudOp.Rent -> client.call("POST", "/machines", CloudCodec.rent(op), CALL_TIMEOUT_MS)
-        is CloudOp.Delete -> client.call("POST", "/machines/delete", CloudCodec.delete(op), CALL_TIMEOUT_MS)
+        is CloudOp.Rent -> client.call("POST", "/machines", CloudCodec.writeRent(op), CALL_TIMEOUT_MS)
+        is CloudOp.Delete -> client.call("POST", "/machines/delete", CloudCodec.writeDelete(op), CALL_TIMEOUT_MS)
         is CloudOp.ListMachines -> {
             val fromParameter = op.after?.let { "from=$it&" }.orEmpty()
             client.call("GET", "/machines?${fromParameter}page=${op.limit}", null, CALL_TIMEOUT_MS)
@@ -67,10 +67,10 @@
     }
 
     private fun readSuccess(op: CloudOp, body: ByteArray): CloudResult = when (op) {
-        CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.catalog(body))
-        is CloudOp.Rent -> CloudCodec.rented(body)
+        CloudOp.GetCatalog -> CloudResult.CatalogRead(CloudCodec.readCatalog(body))
+        is CloudOp.Rent -> CloudCodec.readRented(body)
         is CloudOp.Delete -> CloudResult.Deleted
-        is CloudOp.ListMachines -> CloudCodec.listed(body)
+        is CloudOp.ListMachines -> CloudCodec.readListed(body)
     }
 
     private fun saysNoCapacity(answer: HttpOutcome.Answered): Boolean =
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -50,7 +50,7 @@
     private val routes = ApiRoutes(authenticated = accessComponents != null, ::awaitReply)
     private val workerCommands = WorkerCommands(scope, selector, ::processInput)
     private val peerLinks =
-        PeerLinks(scope, selector, settings.peers, accessComponents?.createFrameSeal?.invoke(incarnation)) {
+        PeerLinks(scope, selector, settings.peers, accessComponents?.createFrameSigner?.invoke(incarnation)) {
             processInput(Input.PeerMessageReceived(it))
         }
 
--- a/src/main/kotlin/plankwall/io/HttpClient.kt
+++ b/src/main/kotlin/plankwall/io/HttpClient.kt
@@ -38,7 +38,8 @@
  * An HTTP/1.1 client of the server at [address].
  *
  * @param maxConnections the most connections that are open for calls at once
- * @param maxWaiting the most calls in progress at once, whether they wait for a connection or hold one; a call beyond
+ * @param maxCallsInProgress the most calls in progress at once, whether they wait for a connection or hold one; a call
+ * beyond
  *   it is not sent
  * @param keepAlive whether connections are reused
  */
@@ -46,7 +47,7 @@
     private val selector: SelectorManager,
     private val address: Address,
     maxConnections: Int,
-    private val maxWaiting: Int,
+    private val maxCallsInProgress: Int,
     private val keepAlive: Boolean = true,
 ) {
     private class Connection(val socket: Socket) {
@@ -67,7 +68,7 @@
 
     /** Makes one request within [timeoutMs] in all, including the wait for a connection. */
     suspend fun call(method: String, path: String, body: ByteArray?, timeoutMs: Long): HttpOutcome {
-        if (callsInProgress >= maxWaiting) return HttpOutcome.NotSent("too many requests in progress")
+        if (callsInProgress >= maxCallsInProgress) return HttpOutcome.NotSent("too many requests in progress")
         callsInProgress++
         val exchange = Exchange()
         return try {
--- a/src/main/kotlin/plankwall/io/PeerLinks.kt
+++ b/src/main/kotlin/plankwall/io/PeerLinks.kt
@@ -27,7 +27,7 @@
 import org.slf4j.LoggerFactory
 import plankwall.model.Address
 import plankwall.model.Peer
-import plankwall.wire.FrameSeal
+import plankwall.wire.FrameSigner
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerMessage
 
@@ -36,14 +36,14 @@
  * peer, and the connections that peers open. Each peer has a bounded queue of frames to send; if it is full, the oldest
  * frame is dropped.
  *
- * @param seal authenticates frames; null if the operators configured no keys for peers
+ * @param signer authenticates frames; null if the operators configured no keys for peers
  * @param onMessage called for every message from a peer that is authentic
  */
 class PeerLinks(
     private val scope: CoroutineScope,
     private val selector: SelectorManager,
     peers: List<Peer>,
-    private val seal: FrameSeal? = null,
+    private val signer: FrameSigner? = null,
     private val onMessage: (PeerMessage) -> Unit,
 ) {
     private val log = LoggerFactory.getLogger("peers")
@@ -64,7 +64,7 @@
             log.info("peer frame too long, not sent bytes={}", encoded.size)
             return
         }
-        val frame = seal?.seal(encoded, System.currentTimeMillis()) ?: encoded
+        val frame = signer?.sign(encoded, System.currentTimeMillis()) ?: encoded
         if (recipient == null) queues.values.forEach { it.trySend(frame) } else queues[recipient]?.trySend(frame)
     }
 
@@ -92,8 +92,8 @@
      * Sends the frames of [queue] until the connection fails, is closed by the peer or reaches [MAX_CONNECTION_AGE_MS].
      * A peer closes a connection that has been silent for a while, as it is during a network partition. Without a
      * reconnect, frames written to a closed connection would be lost without an error for as long as both processes
-     * live, and every later leader would wait in vain for the status of all its peers. A peer never sends anything back
-     * here, so reading returns only when the connection is closed. If the network loses that notice, the age limit
+     * live, and every later leader would wait needlessly for the status of all its peers. A peer never sends anything
+     * back here, so reading returns only when the connection is closed. If the network loses that notice, the age limit
      * replaces the connection.
      */
     private suspend fun sendFrames(socket: Socket, queue: Channel<ByteArray>) = coroutineScope {
@@ -143,7 +143,7 @@
 
     /** Passes the messages received from [socket] on until the connection fails or is silent for too long. */
     private suspend fun receiveFrames(socket: Socket) {
-        if (seal != null && !seal.admits(socket.remoteAddress.toString().substringAfter('/'))) {
+        if (signer != null && !signer.admits(socket.remoteAddress.toString().substringAfter('/'))) {
             throw MalformedHttpException("connection does not come from a peer's network")
         }
         val input = socket.openReadChannel()
@@ -155,7 +155,7 @@
 
     private suspend fun readFrame(input: ByteReadChannel): ByteArray {
         val size = input.readInt()
-        if (size !in 1..PeerCodec.MAX_FRAME + (seal?.overhead ?: 0)) {
+        if (size !in 1..PeerCodec.MAX_FRAME + (signer?.overhead ?: 0)) {
             throw MalformedHttpException("peer frame has an invalid length of $size bytes")
         }
         return input.readByteArray(size)
@@ -163,8 +163,8 @@
 
     /** Returns the message in [frame]; null, with a log line, if it is not authentic. */
     private fun decodeFrame(frame: ByteArray): PeerMessage? {
-        if (seal == null) return PeerCodec.read(frame)
-        val message = seal.open(frame, System.currentTimeMillis())
+        if (signer == null) return PeerCodec.read(frame)
+        val message = signer.verify(frame, System.currentTimeMillis())
         if (message == null) log.debug("peer frame dropped: not signed by a peer")
         return message
     }
--- a/src/main/kotlin/plankwall/io/StateClient.kt
+++ b/src/main/kotlin/plankwall/io/StateClient.kt
@@ -14,8 +14,8 @@
  */
 class StateClient(selector: SelectorManager, address: Address) {
     private val log = LoggerFactory.getLogger("state")
-    private val callClient = HttpClient(selector, address, maxConnections = 12, maxWaiting = 150)
-    private val watchClient = HttpClient(selector, address, maxConnections = 2, maxWaiting = 4)
+    private val callClient = HttpClient(selector, address, maxConnections = 12, maxCallsInProgress = 150)
+    private val watchClient = HttpClient(selector, address, maxConnections = 2, maxCallsInProgress = 4)
 
     /** Executes [op]. A failure is returned as a result, never thrown. */
     suspend fun execute(op: StateOp): StateResult = try {
@@ -41,8 +41,8 @@
                 CALL_TIMEOUT_MS * 2,
             )
         }
-        is StateOp.Txn -> callClient.call("POST", "/multi", StateCodec.txn(op), CALL_TIMEOUT_MS)
-        is StateOp.Grant -> callClient.call("POST", "/grants", StateCodec.grant(op.ttlMs), CALL_TIMEOUT_MS)
+        is StateOp.Txn -> callClient.call("POST", "/multi", StateCodec.writeTransaction(op), CALL_TIMEOUT_MS)
+        is StateOp.Grant -> callClient.call("POST", "/grants", StateCodec.writeGrant(op.ttlMs), CALL_TIMEOUT_MS)
         is StateOp.Renew -> callClient.call("POST", "/grants/${op.lease}/touch", EMPTY_BODY, CALL_TIMEOUT_MS)
         is StateOp.Drop -> callClient.call("DELETE", "/grants/${op.lease}", null, CALL_TIMEOUT_MS)
         is StateOp.Changes -> callClient.call(
@@ -66,7 +66,7 @@
             HttpStatus.OK, HttpStatus.CREATED, HttpStatus.NO_CONTENT -> readSuccess(op, outcome.body)
             HttpStatus.TOO_MANY_REQUESTS, HttpStatus.SERVICE_UNAVAILABLE -> StateResult.Refused
             HttpStatus.NOT_FOUND -> if (op is StateOp.Get) StateResult.Item(null) else StateResult.NoLease
-            HttpStatus.CONFLICT -> StateCodec.conflict(outcome.body)
+            HttpStatus.CONFLICT -> StateCodec.readConflict(outcome.body)
             HttpStatus.GONE -> StateResult.TooOld
             HttpStatus.BAD_REQUEST -> {
                 log.warn(
@@ -81,12 +81,12 @@
     }
 
     private fun readSuccess(op: StateOp, body: ByteArray): StateResult = when (op) {
-        is StateOp.Get -> StateCodec.item(body)
-        is StateOp.Range -> StateCodec.items(body)
-        is StateOp.Txn -> StateCodec.committed(body)
-        is StateOp.Grant -> StateCodec.granted(body)
+        is StateOp.Get -> StateCodec.readItem(body)
+        is StateOp.Range -> StateCodec.readItems(body)
+        is StateOp.Txn -> StateCodec.readCommitted(body)
+        is StateOp.Grant -> StateCodec.readGranted(body)
         is StateOp.Renew, is StateOp.Drop -> StateResult.Renewed
-        is StateOp.Changes, is StateOp.Watch -> StateCodec.news(body)
+        is StateOp.Changes, is StateOp.Watch -> StateCodec.readChanges(body)
     }
 
     /** Returns a short text about [op] for the log: a transaction only by its number of writes. */
--- a/src/main/kotlin/plankwall/io/WorkerCommands.kt
+++ b/src/main/kotlin/plankwall/io/WorkerCommands.kt
@@ -58,7 +58,7 @@
 
     private suspend fun postCommands(commands: Effect.WorkerPost) {
         val address = Address.parse(commands.address) ?: return
-        val client = HttpClient(selector, address, maxConnections = 1, maxWaiting = 1, keepAlive = false)
+        val client = HttpClient(selector, address, maxConnections = 1, maxCallsInProgress = 1, keepAlive = false)
         val outcome = client.call("POST", "/commands", commands.body, POST_TIMEOUT_MS)
         log.debug("direct commands sent machine={} outcome={}", commands.machine, describe(outcome))
         if (outcome !is HttpOutcome.Answered) return
--- a/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -24,7 +24,7 @@
         meter.cloudRequests++
         val op = readOp(request) ?: return HttpReply(404, JobCodec.error("no such path"))
         return cluster.runCaughtUp {
-            if (rateLimit.note(cluster.clock.now, 1)) {
+            if (rateLimit.tryConsume(cluster.clock.now, 1)) {
                 replyTo(cluster.cloud.run(op))
             } else {
                 HttpReply(429, JobCodec.error("too many requests"), 1)
@@ -50,9 +50,9 @@
     }
 
     private fun replyTo(result: CloudResult): HttpReply = when (result) {
-        is CloudResult.CatalogRead -> HttpReply(200, CloudServiceCodec.catalog(result.catalog))
-        is CloudResult.Rented -> HttpReply(200, CloudServiceCodec.rented(result.machines))
-        is CloudResult.Listed -> HttpReply(200, CloudServiceCodec.listed(result))
+        is CloudResult.CatalogRead -> HttpReply(200, CloudServiceCodec.writeCatalog(result.catalog))
+        is CloudResult.Rented -> HttpReply(200, CloudServiceCodec.writeRented(result.machines))
+        is CloudResult.Listed -> HttpReply(200, CloudServiceCodec.writeListed(result))
         CloudResult.Deleted -> HttpReply(200, JobCodec.error("none"))
         CloudResult.NoCapacity -> HttpReply(503, JobCodec.error("no capacity"))
         CloudResult.Malformed -> HttpReply(400, JobCodec.error("malformed"))
--- a/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
+++ b/src/main/kotlin/plankwall/loadtest/LoadTestUsers.kt
@@ -26,7 +26,12 @@
 
     private val plan = cluster.plan
     private val clients = apiAddresses.map {
-        HttpClient(cluster.selector, it, maxConnections = CONNECTIONS_PER_NODE, maxWaiting = MAX_WAITING_REQUESTS)
+        HttpClient(
+            cluster.selector,
+            it,
+            maxConnections = CONNECTIONS_PER_NODE,
+            maxCallsInProgress = MAX_WAITING_REQUESTS,
+        )
     }
     private val openJobs = HashMap<String, OpenJob>()
     private var nextJobNumber = 1
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -133,7 +133,7 @@
         val existing = links[worker.id]
         if (existing != null && existing.node == node) return existing.client
         existing?.client?.closeIdle()
-        val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxWaiting = 2)
+        val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxCallsInProgress = 2)
         links[worker.id] = ControllerLink(node, client)
         return client
     }
--- a/src/main/kotlin/plankwall/model/Resources.kt
+++ b/src/main/kotlin/plankwall/model/Resources.kt
@@ -26,20 +26,20 @@
      * Returns the dominant share: the largest share of a resource of [whole] that these resources take. A negative
      * amount counts as 0.
      */
-    fun partOf(whole: Resources): Double {
+    fun dominantShareOf(whole: Resources): Double {
         fun share(amount: Long, total: Long) = if (amount <= 0 || total <= 0) 0.0 else amount.toDouble() / total
         return maxOf(share(cpus, whole.cpus), share(gpus, whole.gpus), share(memory, whole.memory))
     }
 
     /** Returns these resources with every negative amount replaced by 0. */
-    fun atLeastNothing() = Resources(cpus.coerceAtLeast(0), gpus.coerceAtLeast(0), memory.coerceAtLeast(0))
+    fun coerceAtLeastZero() = Resources(cpus.coerceAtLeast(0), gpus.coerceAtLeast(0), memory.coerceAtLeast(0))
 
     /** Returns the smaller amount of each resource. */
-    fun least(other: Resources) =
+    fun minOfEach(other: Resources) =
         Resources(minOf(cpus, other.cpus), minOf(gpus, other.gpus), minOf(memory, other.memory))
 
     /** Returns the number of tasks that fit these resources at the same time if each takes [need]. */
-    fun holds(need: Resources): Int {
+    fun countFitting(need: Resources): Int {
         fun taskCount(available: Long, needed: Long) = if (needed <= 0) Long.MAX_VALUE else available / needed
         return minOf(taskCount(cpus, need.cpus), taskCount(gpus, need.gpus), taskCount(memory, need.memory))
             .coerceIn(0, MAX_COUNT).toInt()
--- a/src/main/kotlin/plankwall/model/ServiceLevelObjectives.kt
+++ b/src/main/kotlin/plankwall/model/ServiceLevelObjectives.kt
@@ -29,7 +29,7 @@
     val classes: Set<String> get() = byClass.keys
 
     /** Whether [jobClass] has an objective, or no class has one. If false, the class is best-effort. */
-    fun isStated(jobClass: String): Boolean = byClass.isEmpty() || jobClass in byClass
+    fun hasObjective(jobClass: String): Boolean = byClass.isEmpty() || jobClass in byClass
 
     /**
      * Returns the shortest time, in seconds, within which all tasks of a job of [jobClass] should have started; null
@@ -54,7 +54,8 @@
      * Returns the largest multiple of the time until its deadline that a job may take and still meet one of the
      * objectives; 1 without any.
      */
-    fun lastDeadlineTimes(jobClass: String): Double = objectivesOf(jobClass, "deadline").maxOfOrNull { it.times } ?: 1.0
+    fun loosestDeadlineFactor(jobClass: String): Double =
+        objectivesOf(jobClass, "deadline").maxOfOrNull { it.times } ?: 1.0
 
     private fun tightest(jobClass: String, kind: String): Double? =
         objectivesOf(jobClass, kind).minOfOrNull { it.withinS }
--- a/src/main/kotlin/plankwall/model/Settings.kt
+++ b/src/main/kotlin/plankwall/model/Settings.kt
@@ -33,7 +33,7 @@
      * The lower of the present limits and those of [stateNext], each. They have to be kept from the start, since the
      * next ones come into force without notice.
      */
-    val stateTight: StateLimits = stateNext?.within(state) ?: state
+    val strictestStateLimits: StateLimits = stateNext?.lowerOf(state) ?: state
 
     /** The number of controllers, this node included. */
     val nodes: Int get() = peers.size + 1
@@ -97,7 +97,7 @@
  */
 data class StateLimits(val rps: Double, val writeRps: Double, val valueKb: Double, val txnOps: Int) {
     /** Returns the lower one of each limit. */
-    fun within(other: StateLimits) = StateLimits(
+    fun lowerOf(other: StateLimits) = StateLimits(
         rps = minOf(rps, other.rps),
         writeRps = minOf(writeRps, other.writeRps),
         valueKb = minOf(valueKb, other.valueKb),
--- a/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/FaultCombinationScenario.kt
@@ -6,10 +6,10 @@
 import plankwall.model.Shape
 
 /**
- * A simulated run on [nodes] controllers, drawn by [seed]: three pairs of faults that overlap, while users cancel every
- * second job and poll all of them.
+ * A simulated run on [nodeCount] controllers, drawn by [seed]: three pairs of faults that overlap, while users cancel
+ * every second job and poll all of them.
  */
-class FaultCombinationScenario(private val seed: Long, private val nodes: Int) {
+class FaultCombinationScenario(private val seed: Long, private val nodeCount: Int) {
     /**
      * The outcome of a run. [faults] describes the faults, [violations] the broken rules; [cancelled] is the number of
      * jobs that users cancelled. [unfinishedJobs] are the jobs that nobody cancelled and that were not done at the end,
@@ -17,7 +17,7 @@
      */
     class Result(
         val seed: Long,
-        val nodes: Int,
+        val nodeCount: Int,
         val faults: List<String>,
         val violations: List<String>,
         val unfinishedJobs: List<String>,
@@ -95,7 +95,7 @@
     }
 
     private val random: UniformRandomProvider = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-    private val cluster = SimulatedCluster(seed, nodes)
+    private val cluster = SimulatedCluster(seed, nodeCount)
     private val faults = ArrayList<String>()
 
     /** Ids of the jobs that no user cancels; faults may cancel some. */
@@ -140,7 +140,7 @@
         }
         return Result(
             seed,
-            nodes,
+            nodeCount,
             faults,
             cluster.checker.violations.toList(),
             unfinishedJobs,
@@ -170,7 +170,7 @@
 
     /** The leader, or a controller drawn at random while there is none. */
     private fun leaderOrAnyNode(): SimulatedController =
-        cluster.nodes.firstOrNull { it.leading } ?: cluster.nodes[random.nextInt(nodes)]
+        cluster.nodes.firstOrNull { it.isLeader } ?: cluster.nodes[random.nextInt(nodeCount)]
 
     /** Draws how long a fault lasts, schedules it at [startS], and returns its duration in seconds. */
     private fun scheduleFault(kind: Kind, startS: Double): Double {
@@ -220,7 +220,7 @@
             }
             Kind.COPIES_FOR_NEXT -> applyFor(durationS, { cluster.faults.copiesForNextLeader = 0.5 }) {
                 cluster.faults.copiesForNextLeader = 0.0
-                leaderOrAnyNode().let { if (it.up) it.crash(1.0) }
+                leaderOrAnyNode().let { if (it.isUp) it.crash(1.0) }
             }
             Kind.CLOSE_LOOKS -> applyFor(durationS, {
                 cluster.faults.concurrentRequests = true
@@ -230,15 +230,15 @@
             }
             Kind.INSTANT -> applyFor(durationS, { cluster.cloud.bootFactor = 0.1 }) { cluster.cloud.bootFactor = 1.0 }
             Kind.TEN_LEADERS -> repeat(10) { number ->
-                cluster.clock.after(number * durationS / 10) { leaderOrAnyNode().let { if (it.up) it.crash(1.0) } }
+                cluster.clock.after(number * durationS / 10) { leaderOrAnyNode().let { if (it.isUp) it.crash(1.0) } }
             }
             Kind.CANCEL_NOW -> cancelUnfinishedJobs(durationS)
             Kind.CANCEL_AT_END -> applyFor(durationS, {
                 cluster.faults.cancelAtCompletion = 0.5
             }) { cluster.faults.cancelAtCompletion = 0.0 }
             Kind.FROZEN -> leaderOrAnyNode().freeze(durationS)
-            Kind.CRASH -> leaderOrAnyNode().let { if (it.up) it.crash(durationS) }
-            Kind.ALL_CRASH -> cluster.nodes.forEach { if (it.up) it.crash(durationS + random.nextDouble()) }
+            Kind.CRASH -> leaderOrAnyNode().let { if (it.isUp) it.crash(durationS) }
+            Kind.ALL_CRASH -> cluster.nodes.forEach { if (it.isUp) it.crash(durationS + random.nextDouble()) }
         }
     }
 
--- a/src/main/kotlin/plankwall/simulation/HeartbeatDelivery.kt
+++ b/src/main/kotlin/plankwall/simulation/HeartbeatDelivery.kt
@@ -27,16 +27,16 @@
         onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
         val zone = worker.group.zone
-        if (!node.up || "${node.name}-workers" in faults.cuts || zone in faults.cutZones) return
+        if (!node.isUp || "${node.name}-workers" in faults.cuts || zone in faults.cutZones) return
         check(worker.id == heartbeat.machine)
         if (worker.id in faults.outboundBlocked) return faults.count("reports lost")
         keepOrScheduleCopies(worker, node, heartbeat)
         val sentAt = clock.now
         network.carry(worker.id, node.name, zone, onRefused = { onAnswer(UNAVAILABLE, NO_BODY) }) {
-            if (node.up && clock.now - sentAt < SimulatedWorker.ANSWER_TIMEOUT_S) {
+            if (node.isUp && clock.now - sentAt < SimulatedWorker.ANSWER_TIMEOUT_S) {
                 cluster.onHeartbeatReceived(worker, node)
             }
-            if (node.up) {
+            if (node.isUp) {
                 node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { status, body ->
                     deliverAnswer(worker, node, status, body, onAnswer)
                 }
@@ -55,7 +55,7 @@
         if (faults.lateHeartbeatCopies > 0 && random.nextDouble() < faults.lateHeartbeatCopies) {
             clock.after(2.0 + random.nextDouble() * cluster.settings.workers.leaseS * 2) {
                 faults.count("late reports")
-                if (node.up) node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> }
+                if (node.isUp) node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> }
             }
         }
     }
@@ -85,7 +85,7 @@
             listOf(0.01, if (index % 2 == 0) 0.3 else 4.0).forEach { delay ->
                 clock.after(delay) {
                     faults.count("copies for the next")
-                    cluster.nodes.filter { it.up }.forEach { node -> replay(copy, node, leader) }
+                    cluster.nodes.filter { it.isUp }.forEach { node -> replay(copy, node, leader) }
                 }
             }
         }
--- a/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaultScenario.kt
@@ -7,10 +7,10 @@
 import plankwall.model.Shape
 
 /**
- * A simulated run with link faults drawn by [seed], on a cluster of [nodes] controllers and about [machines] machines,
- * nearly all of which run replicas of services.
+ * A simulated run with link faults drawn by [seed], on a cluster of [nodeCount] controllers and about [machines]
+ * machines, nearly all of which run replicas of services.
  */
-class LinkFaultScenario(private val seed: Long, private val nodes: Int, private val machines: Int) {
+class LinkFaultScenario(private val seed: Long, private val nodeCount: Int, private val machines: Int) {
     /**
      * The outcome of a run. [tasksKilledByLease] counts the tasks that their worker killed because its lease expired.
      * [avoidableKills] counts those among them whose worker had reached a node, after its last answer and within its
@@ -19,7 +19,7 @@
      */
     class Result(
         val seed: Long,
-        val nodes: Int,
+        val nodeCount: Int,
         val faults: List<LinkFaults>,
         val violations: List<String>,
         val tasksKilledByLease: Int,
@@ -45,9 +45,9 @@
     /** Plays the run until [endS] seconds of virtual time and returns its outcome. */
     fun play(endS: Double = 260.0): Result {
         val random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed)
-        val cluster = SimulatedCluster(seed, nodes)
+        val cluster = SimulatedCluster(seed, nodeCount)
         cluster.cloud.capacity = machines + machines / 5
-        val linkFaults = LinkFaults.draw(random, nodes, endS - 30.0)
+        val linkFaults = LinkFaults.draw(random, nodeCount, endS - 30.0)
         submitJobs(cluster)
         linkFaults.forEach { it.schedule(cluster) }
         linkFaults.forEach { fault ->
@@ -74,14 +74,14 @@
         }
         var leader: SimulatedController? = null
         cluster.clock.every(0.1) {
-            val electedLeader = cluster.nodes.firstOrNull { it.leading }
+            val electedLeader = cluster.nodes.firstOrNull { it.isLeader }
             if (electedLeader != null && electedLeader !== leader) leaderChanges++
             if (electedLeader != null) leader = electedLeader
         }
         cluster.clock.runUntil(endS)
         return Result(
             seed = seed,
-            nodes = nodes,
+            nodeCount = nodeCount,
             faults = linkFaults,
             violations = cluster.checker.violations.toList(),
             tasksKilledByLease = cluster.tasksKilledByLease,
@@ -149,7 +149,7 @@
         !node.isFrozen &&
             cluster.network.isOpen(node.name, worker.id, worker.group.zone) &&
             cluster.nodes.any {
-                it.leading && !it.isFrozen && (it === node || isOpenBothWays(cluster, node.name, it.name))
+                it.isLeader && !it.isFrozen && (it === node || isOpenBothWays(cluster, node.name, it.name))
             }
 
     private fun isOpenBothWays(cluster: SimulatedCluster, a: String, b: String) =
--- a/src/main/kotlin/plankwall/simulation/LinkFaults.kt
+++ b/src/main/kotlin/plankwall/simulation/LinkFaults.kt
@@ -78,7 +78,7 @@
 
         /** Returns the names of [count] nodes, first the leader at that moment, then in the order of [nodeOrder]. */
         private fun SimulatedCluster.selectNodes(nodeOrder: List<Int>, count: Int): List<String> =
-            (nodes.filter { it.leading }.map { it.name } + nodeOrder.map { "n$it" }).distinct().take(count)
+            (nodes.filter { it.isLeader }.map { it.name } + nodeOrder.map { "n$it" }).distinct().take(count)
 
         private fun allNodePairs(nodes: Int): List<Pair<String, String>> =
             (0 until nodes).flatMap { a -> (a + 1 until nodes).map { b -> "n$a" to "n$b" } }
@@ -159,10 +159,10 @@
             nodeOrder: List<Int>,
         ): LinkFaults = when (random.nextInt(4)) {
             0 -> LinkFaults("crash of one node", startS, durationS, {
-                nodes[nodeOrder.first()].let { if (it.up) it.crash(8.0) }
+                nodes[nodeOrder.first()].let { if (it.isUp) it.crash(8.0) }
             }, {})
             1 -> LinkFaults("leader frozen", startS, durationS / 2, {
-                nodes.filter { it.leading }.forEach { it.freeze(durationS / 2) }
+                nodes.filter { it.isLeader }.forEach { it.freeze(durationS / 2) }
             }, {})
             2 -> LinkFaults("outage of the store", startS, durationS / 2, { state.outage = true }, {
                 state.outage = false
