--- a/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
+++ b/src/main/kotlin/plankwall/simulation/MixedFaultScenario.kt
@@ -9,11 +9,11 @@
 import plankwall.model.Shape
 
 /**
- * A simulated run on [nodes] controllers, drawn by [seed], which combines faults that operators reported: machines that
- * boot late or never, controllers that go silent, bursts of polls, many best-effort jobs, and jobs that fail on every
- * machine together with machines that fail every task.
+ * A simulated run on [nodeCount] controllers, drawn by [seed], which combines faults that operators reported: machines
+ * that boot late or never, controllers that go silent, bursts of polls, many best-effort jobs, and jobs that fail on
+ * every machine together with machines that fail every task.
  */
-class MixedFaultScenario(private val seed: Long, private val nodes: Int) {
+class MixedFaultScenario(private val seed: Long, private val nodeCount: Int) {
     /**
      * The outcome of a run. [unfinishedJobs] are the jobs that had to be done at the end and were not: those without an
      * error of their own that nobody cancelled and whose class has an objective, best-effort classes `sweep` and
@@ -21,7 +21,7 @@
      */
     class Result(
         val seed: Long,
-        val nodes: Int,
+        val nodeCount: Int,
         val faults: List<String>,
         val violations: List<String>,
         val unfinishedJobs: List<String>,
@@ -34,7 +34,7 @@
     private val cluster =
         SimulatedCluster(
             seed,
-            nodes,
+            nodeCount,
             objectives = listOf("class", "probes", "sweep").map {
                 Objective("finished", it, 120.0, 0.9)
             },
@@ -61,7 +61,7 @@
         val unfinishedJobs = requiredIds.filter { id -> cluster.stageOf(id) != "done" }
         return Result(
             seed,
-            nodes,
+            nodeCount,
             faults,
             cluster.checker.violations.toList(),
             unfinishedJobs,
@@ -78,9 +78,11 @@
      * Schedules the submission of [spec] at [atS]. The job has to be done at the end unless it gets cancelled, is a
      * service, or is of [SPARE_CLASS].
      */
-    private fun submit(spec: JobSpec, atS: Double, cancelAfter: Double? = null) {
-        cluster.clock.after(atS) { cluster.submit(spec, cancelAfter) }
-        if (cancelAfter == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE_CLASS) requiredIds.add(spec.id)
+    private fun submit(spec: JobSpec, atS: Double, cancelAfterS: Double? = null) {
+        cluster.clock.after(atS) { cluster.submit(spec, cancelAfterS) }
+        if (cancelAfterS == null && spec.shape != Shape.SERVICE && spec.jobClass != SPARE_CLASS) {
+            requiredIds.add(spec.id)
+        }
     }
 
     /** Submits services at the start, and gangs and arrays one after the other. */
@@ -143,10 +145,10 @@
         val count = 1 + random.nextInt(2)
         recordFault("$count controllers silent for %.0f s, kind $silenceKind".format(durationS), startS)
         cluster.clock.after(startS) {
-            val chosen = (cluster.nodes.filter { it.leading } + cluster.nodes).distinct().take(count)
+            val chosen = (cluster.nodes.filter { it.isLeader } + cluster.nodes).distinct().take(count)
             for (node in chosen) {
                 when (silenceKind) {
-                    0 -> if (node.up) node.crash(durationS)
+                    0 -> if (node.isUp) node.crash(durationS)
                     1 -> node.freeze(durationS)
                     else -> {
                         val links = listOf("state", "workers", "state workers peers")[silenceKind - 2].split(' ').map {
@@ -217,7 +219,7 @@
                 priority = Priority.HIGH,
             )
             cluster.faults.faultyJobs.add(spec.id)
-            submit(spec, drawTimeS(startS - 20.0, startS + 60.0), cancelAfter = 50.0)
+            submit(spec, drawTimeS(startS - 20.0, startS + 60.0), cancelAfterS = 50.0)
         }
         cluster.clock.after(startS) {
             cluster.cloud.workers.take(faultyMachineCount).forEach { it.failsEveryTask = true }
--- a/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/RetryingUsers.kt
@@ -17,7 +17,7 @@
     fun requestAtAllNodes(id: String, cancelled: Boolean = false) {
         cluster.faults.count("close looks")
         val spec = cluster.specOf(id) ?: return
-        for (node in cluster.nodes.filter { it.up }) {
+        for (node in cluster.nodes.filter { it.isUp }) {
             cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.users.queryStatus(id, node) }
             cluster.clock.after(cluster.random.nextDouble() * REQUEST_SPREAD_S) { cluster.users.submitOnce(spec, node) }
             if (cancelled) {
@@ -50,7 +50,7 @@
      * cancellation of each job in [done], and a repeated submission of each job in [unfinished].
      */
     fun sendInvalidRequests(done: List<String>, unfinished: List<String>) {
-        val node = cluster.nodes.filter { it.up }.ifEmpty { return }.let { it[cluster.random.nextInt(it.size)] }
+        val node = cluster.nodes.filter { it.isUp }.ifEmpty { return }.let { it[cluster.random.nextInt(it.size)] }
         for (spec in unsatisfiableJobs()) {
             cluster.faults.count("odd requests")
             cluster.users.submitOnce(spec, node) {
--- a/src/main/kotlin/plankwall/simulation/RuleChecker.kt
+++ b/src/main/kotlin/plankwall/simulation/RuleChecker.kt
@@ -29,7 +29,7 @@
     val startsAfterCancel: Int get() = cancellation.startsAfterCancel
 
     /** Ids of the jobs whose submission was answered 422 although all of their dependencies had been accepted. */
-    val refused: List<String> get() = stages.refused
+    val wronglyRefusedJobs: List<String> get() = stages.wronglyRefusedJobs
 
     /** The peak of the resources that the running tasks of each team used at one time, by team name. */
     val mostUsed: Map<String, Resources> get() = tasks.mostUsed
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -95,11 +95,11 @@
     /** Sends a frame from one controller to another; it can be lost or arrive a second time, as [faults] say. */
     internal fun sendFrame(from: SimulatedController, to: SimulatedController, bytes: ByteArray) {
         if (faults.frameLoss > 0 && random.nextDouble() < faults.frameLoss) return faults.count("frames lost")
-        network.carry(from.name, to.name) { if (to.up) to.onFrame(bytes) }
+        network.carry(from.name, to.name) { if (to.isUp) to.onFrame(bytes) }
         if (faults.lateFrameCopies == 0.0 || random.nextDouble() >= faults.lateFrameCopies) return
         clock.after(random.nextDouble() * MAX_FRAME_DELAY_S) {
             faults.count("late frames")
-            if (to.up) to.onFrame(bytes)
+            if (to.isUp) to.onFrame(bytes)
         }
     }
 
@@ -183,8 +183,8 @@
     override fun specOf(id: String): JobSpec? = specs[id]
 
     /**
-     * Records a violation if a worker is told to forget that a task of the job [id] is done before that is stored: the
-     * next leader would run the task again.
+     * Records a violation if a worker is ordered to forget that a task of the job [id] is done before that is stored:
+     * the next leader would run the task again.
      */
     override fun checkStored(id: String, task: Int) {
         val record = state.value(Keys.job(id)) as? JobRecord ?: return
@@ -205,7 +205,7 @@
     }
 
     /** Submits [spec] as [SimulatedUsers.submit] does. */
-    fun submit(spec: JobSpec, cancelAfter: Double? = null) = users.submit(spec, cancelAfter)
+    fun submit(spec: JobSpec, cancelAfterS: Double? = null) = users.submit(spec, cancelAfterS)
 
     /** Cancels the job [id] as [SimulatedUsers.cancel] does. */
     fun cancel(id: String) = users.cancel(id)
@@ -216,7 +216,7 @@
      */
     fun stageOf(id: String): String? {
         var reportedStage: String? = null
-        nodes.first { it.up }.sendRequest({ Input.Show(it, id) }) { status, body ->
+        nodes.first { it.isUp }.sendRequest({ Input.Show(it, id) }) { status, body ->
             reportedStage =
                 if (status == 200) SimulatedWorker.json.readTree(body).get("stage").asText() else "status $status"
         }
--- a/src/main/kotlin/plankwall/simulation/SimulatedController.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedController.kt
@@ -7,7 +7,7 @@
 import plankwall.gateway.AccessGateway
 import plankwall.gateway.GatewaySettings
 import plankwall.identity.PeerAuthenticator
-import plankwall.identity.PeerSeal
+import plankwall.identity.PeerFrameSigner
 import plankwall.model.Settings
 import plankwall.wire.PeerCodec
 import plankwall.wire.PeerMessage
@@ -43,10 +43,10 @@
     private val clockRate = 1.0 + (cluster.random.nextDouble() - 0.5) * 0.0009
 
     /** Whether the process runs. */
-    val up: Boolean get() = core != null
+    val isUp: Boolean get() = core != null
 
     /** Whether this controller is the leader. */
-    val leading: Boolean get() = core?.leading == true
+    val isLeader: Boolean get() = core?.isLeader == true
 
     /** Whether the process is frozen, see [freeze]. */
     val isFrozen: Boolean get() = clock.now < frozenUntil
@@ -74,7 +74,7 @@
     }
 
     private fun newPeerAuthenticator(gateway: GatewaySettings, incarnation: Long) = PeerAuthenticator(
-        PeerSeal(name, incarnation, gateway.peerKeys, gateway.allowUnsignedPeers, gateway.clockToleranceMs),
+        PeerFrameSigner(name, incarnation, gateway.peerKeys, gateway.allowUnsignedPeers, gateway.clockToleranceMs),
     ) {
         null
     }
@@ -106,9 +106,9 @@
             if (input != Input.Tick) inputsWhileFrozen.add(DeferredInput(processNumber, input))
             return
         }
-        val wasLeading = runningCore.leading
+        val wasLeading = runningCore.isLeader
         val requestedEffects = runningCore.step(clock.now * clockRate + 1000, cluster.wallMs(), input)
-        if (runningCore.leading && !wasLeading) cluster.onElected(this)
+        if (runningCore.isLeader && !wasLeading) cluster.onElected(this)
         for (effect in requestedEffects) {
             effects.perform(effect)
             // An effect may end the process; the remaining ones are lost with it.
@@ -117,12 +117,18 @@
     }
 
     /**
-     * Receives the bytes of a frame from another controller; with a gateway, a frame whose seal is not valid is
+     * Receives the bytes of a frame from another controller; with a gateway, a frame whose signature is not valid is
      * dropped.
      */
     fun onFrame(bytes: ByteArray) {
         val authenticator = peerAuthenticator
-        val received = if (authenticator == null) PeerCodec.read(bytes) else authenticator.open(bytes, cluster.wallMs())
+        val received = if (authenticator ==
+            null
+        ) {
+            PeerCodec.read(bytes)
+        } else {
+            authenticator.verify(bytes, cluster.wallMs())
+        }
         val message = received?.let(::asOwnVersion)
         check(!isPreviousVersion || (message is PeerStatus || message is ProgressUpdate)) {
             "$name, a controller of the previous version, got a frame of a kind that it can't read"
@@ -131,11 +137,11 @@
     }
 
     /**
-     * Returns the bytes of the frame that carries [message] to other controllers, sealed if the cluster has gateways.
+     * Returns the bytes of the frame that carries [message] to other controllers, signed if the cluster has gateways.
      */
     internal fun frameOf(message: PeerMessage): ByteArray {
         val plain = PeerCodec.write(asOwnVersion(message))
-        return peerAuthenticator?.seal(plain, cluster.wallMs()) ?: plain
+        return peerAuthenticator?.sign(plain, cluster.wallMs()) ?: plain
     }
 
     private val isPreviousVersion: Boolean get() = name in cluster.faults.previousVersionNodes
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -60,15 +60,15 @@
     var refusesBeyondRates = false
 
     /**
-     * The limits that are enforced, or null for none. Transactions that exceed a size limit are rejected for good;
+     * The limits that are enforced, or null for none. Transactions that exceed a size limit are rejected permanently;
      * writes beyond twice the write rate within a second are refused for now.
      */
     var limits: StateLimits? = null
     private var currentSecond = -1L
     private var changesInSecond = 0
 
-    /** How often each oversized key or transaction size was rejected for good. */
-    val rejected = HashMap<String, Int>()
+    /** How often each oversized key or transaction size was rejected permanently. */
+    val rejectionCounts = HashMap<String, Int>()
 
     /** Stores [value] under [key] directly, outside any transaction; watches are not answered. */
     fun put(key: String, value: Stored) {
@@ -96,14 +96,14 @@
         private set
 
     /** Counts requests against the allowed request rate. */
-    val calls = Meter(rates.rps)
+    val requestMeter = Meter(rates.rps)
 
     /** Counts puts and deletes in transactions against the allowed write rate. */
-    val writes = Meter(rates.writeRps)
+    val writeMeter = Meter(rates.writeRps)
 
     /**
      * Counts what the service would answer with 429, with a token bucket: events beyond [rate] a second are counted in
-     * [beyond], except for bursts of up to [burstS] seconds' worth of events.
+     * [exceededCount], except for bursts of up to [burstS] seconds' worth of events.
      */
     class Meter(private val rate: Double, burstS: Double = 1.0) {
         private val maxAvailable = rate * burstS
@@ -111,15 +111,15 @@
         private var updatedAt = 0.0
 
         /** The number of events so far that exceeded the rate. */
-        var beyond = 0
+        var exceededCount = 0
             private set
 
         /** Counts [count] events at [now] and returns whether they stay within the rate. */
-        fun note(now: Double, count: Int): Boolean {
+        fun tryConsume(now: Double, count: Int): Boolean {
             available = minOf(maxAvailable, available + (now - updatedAt) * rate)
             updatedAt = now
             if (count > available) {
-                beyond += count
+                exceededCount += count
                 return false
             }
             available -= count
@@ -154,7 +154,9 @@
      * Executes a call and passes its result to [answer]: at once, or, for a watch, with the next change or its timeout.
      */
     fun run(op: StateOp, answer: (StateResult) -> Unit) {
-        val isWithinRates = calls.note(clock.now, 1) and (op !is StateOp.Txn || writes.note(clock.now, op.writes.size))
+        val isWithinRates =
+            requestMeter.tryConsume(clock.now, 1) and
+                (op !is StateOp.Txn || writeMeter.tryConsume(clock.now, op.writes.size))
         if (refusesBeyondRates && !isWithinRates) return answer(StateResult.Refused)
         if (op is StateOp.Watch) addWatcher(op, answer) else answer(if (outage) StateResult.Refused else apply(op))
     }
@@ -190,9 +192,9 @@
         val oversized = op.writes.filterIsInstance<Write.Put>().filter {
             StateCodec.sizeOf(it.value) > limits.valueKb * 1024
         }
-        oversized.forEach { rejected.merge(it.key, 1, Int::plus) }
-        if (op.writes.size > limits.txnOps) rejected.merge("${op.writes.size} changes", 1, Int::plus)
-        if (op.guards.size > limits.txnOps * 4) rejected.merge("${op.guards.size} guards", 1, Int::plus)
+        oversized.forEach { rejectionCounts.merge(it.key, 1, Int::plus) }
+        if (op.writes.size > limits.txnOps) rejectionCounts.merge("${op.writes.size} changes", 1, Int::plus)
+        if (op.guards.size > limits.txnOps * 4) rejectionCounts.merge("${op.guards.size} guards", 1, Int::plus)
         if (oversized.isNotEmpty() || op.writes.size > limits.txnOps || op.guards.size > limits.txnOps * 4) {
             return StateResult.Rejected
         }
--- a/src/main/kotlin/plankwall/simulation/SimulatedUsers.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedUsers.kt
@@ -13,12 +13,12 @@
     private val nodes: List<SimulatedController> get() = cluster.nodes
 
     /**
-     * Submits [spec] until it is accepted, then polls the job; cancels it [cancelAfter] seconds after the acceptance,
+     * Submits [spec] until it is accepted, then polls the job; cancels it [cancelAfterS] seconds after the acceptance,
      * or never if null.
      */
-    fun submit(spec: JobSpec, cancelAfter: Double? = null) {
+    fun submit(spec: JobSpec, cancelAfterS: Double? = null) {
         cluster.register(spec)
-        trySubmit(spec, cancelAfter)
+        trySubmit(spec, cancelAfterS)
     }
 
     /** Polls a job that a controller of another version has accepted, as if it had been submitted here. */
@@ -28,32 +28,32 @@
         clock.after(1.0) { poll(spec.id) }
     }
 
-    private fun trySubmit(spec: JobSpec, cancelAfter: Double?) {
+    private fun trySubmit(spec: JobSpec, cancelAfterS: Double?) {
         // Users submit a job only once all of its dependencies have been accepted.
         if (!spec.dependencies.all { checker.isAccepted(it) }) {
-            clock.after(0.05) { trySubmit(spec, cancelAfter) }
+            clock.after(0.05) { trySubmit(spec, cancelAfterS) }
             return
         }
         // The load balancer tries the next node if one refuses the connection.
         val firstIndex = random.nextInt(nodes.size)
         val node =
-            nodes.indices.map { nodes[(firstIndex + it) % nodes.size] }.firstOrNull { it.up } ?: nodes[firstIndex]
+            nodes.indices.map { nodes[(firstIndex + it) % nodes.size] }.firstOrNull { it.isUp } ?: nodes[firstIndex]
         var isAnswered = false
         submitOnce(spec, node) { status ->
             isAnswered = true
             if (status == 200 || status == 201) {
-                onAccepted(spec, cancelAfter)
+                onAccepted(spec, cancelAfterS)
             } else if (status >= 429) {
-                clock.after(1.0) { trySubmit(spec, cancelAfter) }
+                clock.after(1.0) { trySubmit(spec, cancelAfterS) }
             }
         }
-        clock.after(5.0) { if (!isAnswered) trySubmit(spec, cancelAfter) }
+        clock.after(5.0) { if (!isAnswered) trySubmit(spec, cancelAfterS) }
     }
 
-    private fun onAccepted(spec: JobSpec, cancelAfter: Double?) {
+    private fun onAccepted(spec: JobSpec, cancelAfterS: Double?) {
         if (cluster.faults.concurrentRequests) requestAtAllNodes(spec.id)
         clock.after(1.0) { poll(spec.id) }
-        if (cancelAfter != null) clock.after(cancelAfter) { cancel(spec.id) }
+        if (cancelAfterS != null) clock.after(cancelAfterS) { cancel(spec.id) }
     }
 
     /** Sends the requests of [RetryingUsers.requestAtAllNodes] three times within 0.03 s. */
--- a/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedWorker.kt
@@ -72,7 +72,7 @@
         clock.every(0.1) { if (isAlive) killTasksIfLeaseExpired() }
     }
 
-    /** Ends the machine and all of its tasks for good. */
+    /** Ends the machine and all of its tasks permanently. */
     fun die() {
         isAlive = false
         tasks.keys.toList().forEach { host.checker.taskStopped(it, this, clock.now) }
--- a/src/main/kotlin/plankwall/simulation/StageRules.kt
+++ b/src/main/kotlin/plankwall/simulation/StageRules.kt
@@ -10,12 +10,12 @@
     private val violations: MutableList<String>,
 ) {
     /** Ids of the jobs whose submission was answered 422 although all of their dependencies had been accepted. */
-    val refused = ArrayList<String>()
+    val wronglyRefusedJobs = ArrayList<String>()
 
     /** Checks the answer to a submission, see [RuleChecker.submissionAnswered]. */
     fun onSubmissionAnswered(spec: JobSpec, status: Int, stage: String?, now: Double, askedAt: Double) {
         val id = spec.id
-        if (status == 422 && spec.dependencies.all { it in jobs.accepted }) refused.add(id)
+        if (status == 422 && spec.dependencies.all { it in jobs.accepted }) wronglyRefusedJobs.add(id)
         if (status == 200 || status == 201) {
             jobs.accept(spec, now)
             if (stage != null) onStage(id, stage, now, askedAt)
--- a/src/main/kotlin/plankwall/simulation/WorkerHost.kt
+++ b/src/main/kotlin/plankwall/simulation/WorkerHost.kt
@@ -20,7 +20,7 @@
     /** The settings of the cluster; workers take their lease duration and heartbeat period from them. */
     val settings: Settings
 
-    /** The checker that is told of the starts and ends of tasks. */
+    /** The checker that is notified of the starts and ends of tasks. */
     val checker: RuleChecker
 
     /** The names of the controllers, in the order in which workers try them. */
--- a/src/main/kotlin/plankwall/wire/AdminCodec.kt
+++ b/src/main/kotlin/plankwall/wire/AdminCodec.kt
@@ -15,7 +15,7 @@
      * Reads the request to publish a new policy text, `{"base":3,"text":"…"}`, or to publish the text of an earlier
      * version again, `{"base":3,"to":1}`.
      */
-    fun publication(bytes: ByteArray): Publication = parseJson(bytes) { parser ->
+    fun readPublication(bytes: ByteArray): Publication = parseJson(bytes) { parser ->
         var base: Long? = null
         var text: String? = null
         var to: Long? = null
@@ -34,7 +34,7 @@
     }
 
     /** Writes the request to publish the policy [text] as the version that follows [base]. */
-    fun publish(base: Long, text: String): ByteArray = writeJson {
+    fun writePublication(base: Long, text: String): ByteArray = writeJson {
         writeJsonObject {
             writeNumberField("base", base)
             writeStringField("text", text)
@@ -42,7 +42,7 @@
     }
 
     /** Writes the request to publish the text of version [to] again as the version that follows [base]. */
-    fun rollback(base: Long, to: Long): ByteArray = writeJson {
+    fun writeRollback(base: Long, to: Long): ByteArray = writeJson {
         writeJsonObject {
             writeNumberField("base", base)
             writeNumberField("to", to)
@@ -53,7 +53,7 @@
     class RightsView(val version: Long, val by: String, val atMs: Long, val text: String)
 
     /** Writes the answer to a request for a policy version; see [RightsView] for the fields. */
-    fun rights(version: Long, by: String, atMs: Long, text: String): ByteArray = writeJson {
+    fun writeRights(version: Long, by: String, atMs: Long, text: String): ByteArray = writeJson {
         writeJsonObject {
             writeNumberField("version", version)
             writeStringField("by", by)
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Reads what [rights] writes; a missing field is 0 or empty. */
+    /** Reads what [writeRights] writes; a missing field is 0 or empty. */
     fun readRights(bytes: ByteArray): RightsView = parseJson(bytes) { parser ->
         var version = 0L
         var by = ""
@@ -80,21 +80,22 @@
     }
 
     /** Writes the answer to a publication, which names the new [version]. */
-    fun published(version: Long): ByteArray = writeJson { writeJsonObject { writeNumberField("version", version) } }
+    fun writePublished(version: Long): ByteArray =
+        writeJson { writeJsonObject { writeNumberField("version", version) } }
 
     /** Writes the answer to a request for a segment of the audit log. */
-    fun segment(segment: AuditSegment): ByteArray = writeJson { AccessRecordCodec.write(this, segment) }
+    fun writeSegment(segment: AuditSegment): ByteArray = writeJson { AccessRecordCodec.write(this, segment) }
 
     /** Writes the answer to a request for a checkpoint of the audit log. */
-    fun seal(seal: AuditSeal): ByteArray = writeJson { AccessRecordCodec.write(this, seal) }
+    fun writeSeal(seal: AuditSeal): ByteArray = writeJson { AccessRecordCodec.write(this, seal) }
 
-    /** Reads what [segment] writes. */
+    /** Reads what [writeSegment] writes. */
     fun readSegment(bytes: ByteArray): AuditSegment = parseJson(bytes) {
         AccessRecordCodec.read(AccessKeys.TRAIL, it) as? AuditSegment
             ?: throw MalformedMessageException("not a segment of the audit log")
     }
 
-    /** Reads what [seal] writes. */
+    /** Reads what [writeSeal] writes. */
     fun readSeal(bytes: ByteArray): AuditSeal = parseJson(bytes) {
         AccessRecordCodec.read(AccessKeys.SEALS, it) as? AuditSeal
             ?: throw MalformedMessageException("not a checkpoint of the audit log")
--- a/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
+++ b/src/main/kotlin/plankwall/wire/AutoscalingRecords.kt
@@ -16,9 +16,9 @@
 data class StoredBootingMachine(val machine: String, val group: GroupKey, val requestedMs: Long)
 
 /**
- * The stored state of the autoscaler. If it does not fit one value, the record under the first key states in [more] how
- * many further keys hold the remaining entries. All are written in one transaction. Further keys that [more] does not
- * count are left over from an earlier write and are ignored.
+ * The stored state of the autoscaler. If it does not fit one value, the record under the first key states in
+ * [furtherChunks] how many further keys hold the remaining entries. All are written in one transaction. Further keys
+ * that [furtherChunks] does not count are left over from an earlier write and are ignored.
  *
  * @property scaleOutRequests the scale-out requests that the cloud has not answered yet
  * @property bootingMachines the machines that were granted and have not sent a heartbeat yet
@@ -28,17 +28,17 @@
     val scaleOutRequests: List<StoredScaleOut>,
     val bootingMachines: List<StoredBootingMachine>,
     val machinesBeingScaledIn: List<String>,
-    val more: Int = 0,
+    val furtherChunks: Int = 0,
 ) : Stored
 
-/** The cloud's machine types as last read. [more]: the number of further keys, as in [FleetRecord]. */
-data class CatalogRecord(val catalog: Catalog, val more: Int = 0) : Stored
+/** The cloud's machine types as last read. [furtherChunks]: the number of further keys, as in [FleetRecord]. */
+data class CatalogRecord(val catalog: Catalog, val furtherChunks: Int = 0) : Stored
 
 /** Codec of the stored form of [FleetRecord] and [CatalogRecord]. */
 internal object AutoscalingRecordCodec {
     /** Writes [record] as one JSON object. */
     fun write(generator: JsonGenerator, record: CatalogRecord) =
-        CloudCodec.writeCatalog(generator, record.catalog, record.more)
+        CloudCodec.writeCatalog(generator, record.catalog, record.furtherChunks)
 
     /** Writes [record] as one JSON object, with booting machines grouped by machine group and time of request. */
     fun write(generator: JsonGenerator, record: FleetRecord) = generator.writeJsonObject {
@@ -50,7 +50,7 @@
             }
         }
         writeJsonArray("returning") { writeNameRuns(record.machinesBeingScaledIn.sorted()) }
-        if (record.more > 0) writeNumberField("more", record.more)
+        if (record.furtherChunks > 0) writeNumberField("more", record.furtherChunks)
     }
 
     private fun JsonGenerator.writeScaleOut(scaleOut: StoredScaleOut) {
@@ -85,16 +85,16 @@
         val scaleOutRequests = ArrayList<StoredScaleOut>()
         val bootingMachines = ArrayList<StoredBootingMachine>()
         val machinesBeingScaledIn = ArrayList<String>()
-        var more = 0
+        var furtherChunks = 0
         parser.forEachField { name ->
             when (name) {
                 "rentals" -> forEachElement { scaleOutRequests.add(readScaleOut(name)) }
                 "arrivals" -> forEachElement { bootingMachines.addAll(readBootingMachines(name)) }
                 "returning" -> forEachElement { machinesBeingScaledIn.addAll(readNameRun(name)) }
-                "more" -> more = intValue
+                "more" -> furtherChunks = intValue
             }
         }
-        return FleetRecord(scaleOutRequests, bootingMachines, machinesBeingScaledIn, more)
+        return FleetRecord(scaleOutRequests, bootingMachines, machinesBeingScaledIn, furtherChunks)
     }
 
     private fun JsonParser.readScaleOut(field: String): StoredScaleOut {
--- a/src/main/kotlin/plankwall/wire/CloudCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CloudCodec.kt
@@ -10,7 +10,7 @@
 /** Codec of the requests to the cloud and of its answers. Functions that read throw [MalformedMessageException]. */
 object CloudCodec {
     /** Reads the answer with the machine types that the cloud offers. */
-    fun catalog(bytes: ByteArray): Catalog = parseJson(bytes) { readCatalog(it) }
+    fun readCatalog(bytes: ByteArray): Catalog = parseJson(bytes) { readCatalog(it) }
 
     private fun readCatalog(parser: JsonParser): Catalog {
         val types = ArrayList<MachineType>()
@@ -23,14 +23,14 @@
     /** Reads what [writeCatalog] writes, with the number of further keys. */
     internal fun readStoredCatalog(parser: JsonParser): CatalogRecord {
         val types = ArrayList<MachineType>()
-        var more = 0
+        var furtherChunks = 0
         parser.forEachField { name ->
             when (name) {
                 Fields.MACHINE_TYPES -> forEachElement { types.add(readMachineType()) }
-                "more" -> more = intValue
+                "more" -> furtherChunks = intValue
             }
         }
-        return CatalogRecord(Catalog(types), more)
+        return CatalogRecord(Catalog(types), furtherChunks)
     }
 
     private fun JsonParser.readMachineType(): MachineType {
@@ -69,11 +69,15 @@
         )
     }
 
-    /** Writes [catalog] as one JSON object. [more]: the number of further keys of a stored one, see [CatalogRecord]. */
-    internal fun writeCatalog(generator: JsonGenerator, catalog: Catalog, more: Int) = generator.writeJsonObject {
-        if (more > 0) writeNumberField("more", more)
-        writeJsonArray(Fields.MACHINE_TYPES) { catalog.types.forEach { writeMachineType(it) } }
-    }
+    /**
+     * Writes [catalog] as one JSON object. [furtherChunks]: the number of further keys of a stored one, see
+     * [CatalogRecord].
+     */
+    internal fun writeCatalog(generator: JsonGenerator, catalog: Catalog, furtherChunks: Int) =
+        generator.writeJsonObject {
+            if (furtherChunks > 0) writeNumberField("more", furtherChunks)
+            writeJsonArray(Fields.MACHINE_TYPES) { catalog.types.forEach { writeMachineType(it) } }
+        }
 
     private fun JsonGenerator.writeMachineType(type: MachineType) = writeJsonObject {
         writeStringField("name", type.name)
@@ -89,7 +93,7 @@
     }
 
     /** Writes the request to create machines. */
-    fun rent(op: CloudOp.Rent): ByteArray = writeJson {
+    fun writeRent(op: CloudOp.Rent): ByteArray = writeJson {
         writeJsonObject {
             writeStringField(Fields.REQUEST_ID, op.request)
             writeStringField(Fields.MACHINE_TYPE, op.group.type)
@@ -100,19 +104,19 @@
     }
 
     /** Writes the request to delete machines. */
-    fun delete(op: CloudOp.Delete): ByteArray = writeJson {
+    fun writeDelete(op: CloudOp.Delete): ByteArray = writeJson {
         writeJsonObject { writeJsonArray(Fields.MACHINES) { op.machines.forEach { writeString(it) } } }
     }
 
     /** Reads the answer to a [CloudOp.Rent] that was granted, wholly or in part: the new machines. */
-    fun rented(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
+    fun readRented(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
         val machines = ArrayList<String>()
         parser.forEachField { name -> if (name == Fields.MACHINES) forEachElement { machines.add(readString(name)) } }
         CloudResult.Rented(machines)
     }
 
     /** Reads one page of the list of machines. */
-    fun listed(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
+    fun readListed(bytes: ByteArray): CloudResult = parseJson(bytes) { parser ->
         val machines = ArrayList<ListedMachine>()
         var more = false
         parser.forEachField { name ->
--- a/src/main/kotlin/plankwall/wire/CloudServiceCodec.kt
+++ b/src/main/kotlin/plankwall/wire/CloudServiceCodec.kt
@@ -47,15 +47,15 @@
     }
 
     /** Writes the answer with the machine types on offer. */
-    fun catalog(catalog: Catalog): ByteArray = writeJson { CloudCodec.writeCatalog(this, catalog, 0) }
+    fun writeCatalog(catalog: Catalog): ByteArray = writeJson { CloudCodec.writeCatalog(this, catalog, 0) }
 
     /** Writes the answer that names the machines that were created. */
-    fun rented(machines: List<String>): ByteArray = writeJson {
+    fun writeRented(machines: List<String>): ByteArray = writeJson {
         writeJsonObject { writeJsonArray(Fields.MACHINES) { machines.forEach { writeString(it) } } }
     }
 
     /** Writes one page of the list of machines. */
-    fun listed(result: CloudResult.Listed): ByteArray = writeJson {
+    fun writeListed(result: CloudResult.Listed): ByteArray = writeJson {
         writeJsonObject {
             writeJsonArray(Fields.MACHINES) { result.machines.forEach { writeMachine(it) } }
             writeBooleanField(Fields.HAS_MORE, result.more)
--- a/src/main/kotlin/plankwall/wire/JobCodec.kt
+++ b/src/main/kotlin/plankwall/wire/JobCodec.kt
@@ -96,7 +96,7 @@
     }
 
     /** Whether the job is done or cancelled according to [view], the answer to a status request. */
-    fun isOver(view: ByteArray): Boolean = parseJson(view) { parser ->
+    fun hasEnded(view: ByteArray): Boolean = parseJson(view) { parser ->
         var stage = ""
         parser.forEachField { name -> if (name == "stage") stage = readString(name) }
         stage == JobWords.word(JobStage.DONE) || stage == JobWords.word(JobStage.CANCELLED)
--- a/src/main/kotlin/plankwall/wire/JobRecords.kt
+++ b/src/main/kotlin/plankwall/wire/JobRecords.kt
@@ -13,17 +13,17 @@
  *
  * @property cancelledMs the time of the cancellation; 0 while the job is not cancelled
  * @property pageSize the number of tasks in each [PageRecord] of the job; the last one may hold fewer
- * @property owned who submitted the job; null where callers are not authenticated
+ * @property ownership who submitted the job; null where callers are not authenticated
  */
 data class JobRecord(
     val spec: JobSpec,
     val submittedMs: Long,
     val cancelledMs: Long,
     val pageSize: Int,
-    val owned: Ownership? = null,
+    val ownership: Ownership? = null,
 ) : Stored {
     /** The principal that submitted the job; null where callers are not authenticated. */
-    val owner: String? get() = owned?.owner
+    val owner: String? get() = ownership?.owner
 }
 
 /**
@@ -70,7 +70,7 @@
         writeNumberField("at", record.submittedMs)
         if (record.cancelledMs > 0) writeNumberField("wd", record.cancelledMs)
         writeNumberField("page", record.pageSize)
-        record.owned?.let { ownership ->
+        record.ownership?.let { ownership ->
             writeStringField("own", ownership.owner)
             if (ownership.cancelOnRevoke) writeBooleanField("ow", true)
             if (ownership.revokedBy > 0) writeNumberField("rv", ownership.revokedBy)
--- a/src/main/kotlin/plankwall/wire/Keys.kt
+++ b/src/main/kotlin/plankwall/wire/Keys.kt
@@ -45,13 +45,13 @@
     fun part(page: Int, part: Int): Int = part * PART_STEP + page
 
     /** Returns the page to which the page or part with this [number] belongs. */
-    fun wholeOf(number: Int): Int = number % PART_STEP
+    fun pageOf(number: Int): Int = number % PART_STEP
 
     /** Returns the position of the part with this [number] in its page; 0 for the page itself. */
-    fun partOf(number: Int): Int = number / PART_STEP
+    fun partIndexOf(number: Int): Int = number / PART_STEP
 
     /** Returns the further key with the number [continuation], from 1, of a value that is too large for [key] alone. */
-    fun more(key: String, continuation: Int) = "$key/$continuation"
+    fun furtherChunk(key: String, continuation: Int) = "$key/$continuation"
 
     /** Returns the number of the page or part stored under [key]; null if the key does not end with a number. */
     fun pageNumber(key: String): Int? = key.substringAfterLast('/').toIntOrNull()
--- a/src/main/kotlin/plankwall/wire/PeerCodec.kt
+++ b/src/main/kotlin/plankwall/wire/PeerCodec.kt
@@ -38,7 +38,7 @@
         val body = Buffer()
         body.writeByte(STATUS).writeName(status.node)
         body.writeLong(status.incarnation).writeLong(status.epochSeen).writeLong(status.resignedEpoch)
-        body.writeFlag(status.leading).writeFlag(status.stateReachable).writeInt(status.unservedWorkers)
+        body.writeFlag(status.leading).writeFlag(status.isStoreReachable).writeInt(status.unservedWorkerCount)
         // New versions append fields at the end only. The first version reads up to here and ignores what follows.
         body.writeInt(status.level)
         // The second version reads up to here.
@@ -82,8 +82,8 @@
         epochSeen = buffer.readLong(),
         resignedEpoch = buffer.readLong(),
         leading = buffer.readFlag(),
-        stateReachable = buffer.readFlag(),
-        unservedWorkers = buffer.readInt(),
+        isStoreReachable = buffer.readFlag(),
+        unservedWorkerCount = buffer.readInt(),
         // Frames of older versions end before these fields.
         level = if (buffer.exhausted()) FIRST_LEVEL else buffer.readInt(),
         links = if (buffer.exhausted()) null else ReachabilityCodec.read(buffer),
--- a/src/main/kotlin/plankwall/wire/PeerMessages.kt
+++ b/src/main/kotlin/plankwall/wire/PeerMessages.kt
@@ -21,9 +21,9 @@
      * leader that this one is no longer active.
      */
     val resignedEpoch: Long,
-    val stateReachable: Boolean,
+    val isStoreReachable: Boolean,
     /** The number of workers whose heartbeats of the last few seconds this node could not serve. */
-    val unservedWorkers: Int,
+    val unservedWorkerCount: Int,
     /** The record format level that the node can read: [PeerCodec.LEVEL] of its version. */
     val level: Int = PeerCodec.FIRST_LEVEL,
     /** Null from a version that does not report it; such a node must not be sent [RelayedHeartbeat]s either. */
@@ -36,7 +36,7 @@
     override val sender: String get() = node
 
     /** The number of workers that sent heartbeats to the node lately; 0 from a version that does not report it. */
-    val recentWorkers: Int get() = links?.recentWorkers ?: 0
+    val recentWorkerCount: Int get() = links?.recentWorkerCount ?: 0
 }
 
 /** The number of finished and running tasks of a job. */
--- a/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityCodec.kt
@@ -10,7 +10,7 @@
         report.echoes.forEach { (node, seq) -> buffer.writeName(node).writeLong(seq) }
         buffer.writeInt(report.storeAgesMs.size)
         report.storeAgesMs.forEach { buffer.writeInt(it) }
-        buffer.writeInt(report.cloudAgeMs).writeInt(report.recentWorkers).writeInt(report.zones.size)
+        buffer.writeInt(report.cloudAgeMs).writeInt(report.recentWorkerCount).writeInt(report.zones.size)
         report.zones.forEach { buffer.writeName(it.zone).writeInt(it.known).writeInt(it.late) }
         writeLeader(buffer, report.leader)
         buffer.writeText(report.successor)
@@ -26,7 +26,7 @@
         echoes = buffer.readList { buffer.readName() to buffer.readLong() }.toMap(),
         storeAgesMs = buffer.readList { buffer.readInt() },
         cloudAgeMs = buffer.readInt(),
-        recentWorkers = buffer.readInt(),
+        recentWorkerCount = buffer.readInt(),
         zones = buffer.readList { ZoneReach(buffer.readName(), buffer.readInt(), buffer.readInt()) },
         leader = readLeader(buffer),
         successor = buffer.readText(),
--- a/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
+++ b/src/main/kotlin/plankwall/wire/ReachabilityMessages.kt
@@ -14,7 +14,7 @@
     /** The age of the last request that the cloud answered. */
     val cloudAgeMs: Int,
     /** The number of workers that sent a heartbeat here within the last heartbeat interval, whatever the answer was. */
-    val recentWorkers: Int,
+    val recentWorkerCount: Int,
     /** The leader's machines by zone; empty from a node that does not lead. */
     val zones: List<ZoneReach>,
     /**
--- a/src/main/kotlin/plankwall/wire/StateCodec.kt
+++ b/src/main/kotlin/plankwall/wire/StateCodec.kt
@@ -9,7 +9,7 @@
  */
 object StateCodec {
     /** Writes the body of a transaction request. */
-    fun txn(op: StateOp.Txn): ByteArray = writeJson {
+    fun writeTransaction(op: StateOp.Txn): ByteArray = writeJson {
         writeJsonObject {
             writeJsonArray("guards") { op.guards.forEach { writeGuard(it) } }
             writeJsonArray("writes") { op.writes.forEach { writeOperation(it) } }
@@ -37,7 +37,7 @@
     fun sizeOf(record: Stored): Int = writeJson { RecordCodec.write(this, record) }.size
 
     /** Writes the body of the request for a new lease of [ttlMs] milliseconds. */
-    fun grant(ttlMs: Long): ByteArray = writeJson { writeJsonObject { writeNumberField(Fields.TTL_MS, ttlMs) } }
+    fun writeGrant(ttlMs: Long): ByteArray = writeJson { writeJsonObject { writeNumberField(Fields.TTL_MS, ttlMs) } }
 
     /**
      * The fields of a JSON object that is an item, a guard, a write or a change; those that it lacks are null or 0. The
@@ -92,10 +92,10 @@
     }
 
     /** Reads the answer to a [StateOp.Get]. */
-    fun item(bytes: ByteArray): StateResult = parseJson(bytes) { StateResult.Item(it.readEntry().toItem()) }
+    fun readItem(bytes: ByteArray): StateResult = parseJson(bytes) { StateResult.Item(it.readEntry().toItem()) }
 
     /** Reads the answer to a [StateOp.Range]. Items of a kind that this version does not know are left out. */
-    fun items(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
+    fun readItems(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val items = ArrayList<StateItem>()
         var more = false
         var revision = 0L
@@ -110,7 +110,7 @@
     }
 
     /** Reads the answer to a [StateOp.Changes] or a [StateOp.Watch], without changes of an unknown kind. */
-    fun news(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
+    fun readChanges(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val events = ArrayList<StateEvent>()
         var revision = 0L
         parser.forEachField { name ->
@@ -123,13 +123,13 @@
     }
 
     /** Reads the answer to a [StateOp.Txn] that was applied. */
-    fun committed(bytes: ByteArray): StateResult = StateResult.Committed(readNumberField(bytes, Fields.REVISION))
+    fun readCommitted(bytes: ByteArray): StateResult = StateResult.Committed(readNumberField(bytes, Fields.REVISION))
 
     /** Reads the answer to a [StateOp.Grant]. */
-    fun granted(bytes: ByteArray): StateResult = StateResult.Granted(readNumberField(bytes, Fields.LEASE))
+    fun readGranted(bytes: ByteArray): StateResult = StateResult.Granted(readNumberField(bytes, Fields.LEASE))
 
     /** Reads the answer to a [StateOp.Txn] that was not applied because a guard did not hold. */
-    fun conflict(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
+    fun readConflict(bytes: ByteArray): StateResult = parseJson(bytes) { parser ->
         val failed = HashSet<String>()
         parser.forEachField { name -> if (name == "failed") forEachElement { failed.add(readString(name)) } }
         StateResult.Conflict(failed)
--- a/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
+++ b/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
@@ -66,9 +66,9 @@
     @Test
     fun `a whole trail holds together, also with a checkpoint that was kept`() {
         val outcome = verifier.verify(auditLog(), listOf(auditLog().seals.getValue(1)))
-        assertEquals(emptyList<VerificationFailure>(), outcome.broken)
-        assertEquals(120L, outcome.entries)
-        assertEquals(setOf(40L), outcome.sealed.values.toSet())
+        assertEquals(emptyList<VerificationFailure>(), outcome.failures)
+        assertEquals(120L, outcome.entryCount)
+        assertEquals(setOf(40L), outcome.sealedCounts.values.toSet())
     }
 
     /** All lines of a chain, put into segments anew as somebody would who can count, with or without links that fit. */
@@ -163,7 +163,7 @@
                         node,
                         entries.mapIndexed { n, e ->
                             if (n == at) {
-                                e.copy(who = "eve")
+                                e.copy(principal = "eve")
                             } else {
                                 e
                             }
@@ -206,7 +206,7 @@
         repeat(70) { n ->
             val (tampered, places) = tamper(kind, random, whole)
             // Somebody kept the last seal.
-            val broken = verifier.verify(tampered, listOf(whole.seals.getValue(3))).broken
+            val broken = verifier.verify(tampered, listOf(whole.seals.getValue(3))).failures
             assertTrue(broken.isNotEmpty(), "kind $kind, $n: nothing found")
             assertTrue(broken.first().place in places, "kind $kind, $n: wanted $places, found $broken")
         }
@@ -229,7 +229,7 @@
                         },
                     )
             }
-            val place = verifier.verify(tampered).broken.first().place
+            val place = verifier.verify(tampered).failures.first().place
             assertTrue(
                 place == "trail of n1, entry ${at + 1}" || place == "trail of n1, segment ${at / 4 + 1}",
                 "$at: $place",
--- a/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
@@ -87,7 +87,7 @@
     fun `the deciding rule is named, and how the others stand`() {
         val policy = PolicyReader.read(text, 7)
         assertEquals("rule live", policy.authorize("max", Action.SUBMIT, job("board-matcher")).rule)
-        val told = policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.standing}" }
+        val told = policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.outcome}" }
         assertEquals(listOf("6 CONDITION_FAILS", "7 OTHER_ACTION", "8 OTHER_ACTION", "12 DECIDES", "13 APPLIES"), told)
         assertEquals(true, policy.authorize("lea", Action.SUBMIT, job("rota-solve")).cancelOnRevoke)
     }
--- a/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
@@ -63,11 +63,14 @@
 
     @Test
     fun `announced limits are kept to where they are smaller`() {
-        assertEquals(StateLimits(250.0, 70.0, 2.0, 10), SettingsFile.read(TomlMapper().readTree(next)).stateTight)
+        assertEquals(
+            StateLimits(250.0, 70.0, 2.0, 10),
+            SettingsFile.read(TomlMapper().readTree(next)).strictestStateLimits,
+        )
         val larger = next.replace("value_kb = 2.0", "value_kb = 32.0")
-        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(larger)).stateTight.valueKb)
+        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(larger)).strictestStateLimits.valueKb)
         val unchanged = SettingsFile.read(TomlMapper().readTree(good))
-        assertEquals(unchanged.state, unchanged.stateTight)
+        assertEquals(unchanged.state, unchanged.strictestStateLimits)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
@@ -65,7 +65,7 @@
         world.cloud.bootFactor = 8.0
         world.cloud.bootFailureShare = 0.3
         for (n in 1..10) world.clock.after(2.0) { world.submit(SimulatedCluster.job(n, tasks = 16, runS = 30.0)) }
-        world.clock.after(45.0) { world.nodes.first { it.leading }.crash(60.0) }
+        world.clock.after(45.0) { world.nodes.first { it.isLeader }.crash(60.0) }
         world.clock.runUntil(110.0)
         assertTrue(
             world.cloud.instancesCreated <= 80,
--- a/src/test/kotlin/plankwall/core/autoscaling/EstimatorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/EstimatorTest.kt
@@ -42,7 +42,7 @@
             running = listOf(m),
             arriving = List(arriving) { CoreParts.GROUP },
             pending = listOf(waiting),
-            waitingTasks = { it.waiting.size },
+            countWaitingTasks = { it.waiting.size },
         )
         val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG)
             .estimate(demand, ExpandableGroups({ true }) { 0 })
@@ -83,7 +83,7 @@
             running = emptyList(),
             arriving = emptyList(),
             pending = listOf(job),
-            waitingTasks = { it.waiting.size },
+            countWaitingTasks = { it.waiting.size },
             endangered = mapOf(job to placed.take(lost).toSet()),
         )
         val groups = ExpandableGroups({ healthy }, mayExpandForService = { starts }) { if (it == "a") 0 else 5 }
--- a/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -30,7 +30,7 @@
     private fun receive(
         node: String,
         update: CancellationUpdate?,
-        echo: Long? = reachability.report(0, null, null).seq,
+        echo: Long? = reachability.createReport(0, null, null).seq,
         number: Long = ++seq,
         incarnation: Long = 1,
     ) {
@@ -55,10 +55,10 @@
         val node = what.substringBefore('/')
         val seconds = what.substringAfter('/').toDoubleOrNull() ?: 0.0
         when (kind) {
-            "read" -> cancellations.readUpTo(ctx.now)
+            "read" -> cancellations.onStoreRead(ctx.now)
             "wait" -> wait(seconds)
             "whole" -> receive(node, completeList())
-            "slow" -> reachability.report(0, null, null).seq.let { echo ->
+            "slow" -> reachability.createReport(0, null, null).seq.let { echo ->
                 wait(10.0)
                 receive(node, completeList(), echo)
             }
@@ -117,9 +117,9 @@
         what: String,
         sentAgain: String,
     ) {
-        listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::learn)
+        listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::recordCancelled)
         assertEquals(listOf("job-000001", "job-000002"), learned)
-        val frame = reachability.report(0, null, null).seq
+        val frame = reachability.createReport(0, null, null).seq
         assertEquals(2, cancellations.nextUpdate(frame).jobs.size)
         when (what) {
             "echoed" -> listOf("n1", "n2").forEach { receive(it, completeList(), frame) }
@@ -138,7 +138,7 @@
         assertEquals(listOf("job-000007"), learned)
         assertEquals(true, cancellations.isKnown("job-000007"))
         // Confirmed by this node later, it would be missing from a list that claims to be complete.
-        cancellations.learn("job-000007")
+        cancellations.recordCancelled("job-000007")
         assertEquals(listOf("job-000007"), cancellations.nextUpdate(1).jobs)
         cancellations.onJobEnded("job-000007")
         assertEquals(false, cancellations.isKnown("job-000007"))
--- a/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
+++ b/src/test/kotlin/plankwall/core/connectivity/LeaderRoutingTest.kt
@@ -20,7 +20,7 @@
     private val routing = LeaderRouting(ctx, reachability, 2.5)
 
     /** The sequence number of a new frame of this node. */
-    private val newEcho get() = reachability.report(0, null, null).seq
+    private val newEcho get() = reachability.createReport(0, null, null).seq
 
     private fun links(
         seq: Long,
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -47,7 +47,7 @@
             core.schedulerState.release(placement, "ended")
         }
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
-        val live = core.schedulerState.live.sortedBy { it.spec.id }
+        val live = core.schedulerState.liveJobs.sortedBy { it.spec.id }
         assertEquals(jobs, live.filter { it.isSuspected }.joinToString(" ") { it.spec.id.last().toString() }, name)
         live.forEach {
             assertEquals(
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -39,9 +39,9 @@
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = 2))
-        assertFalse(placer.usable(machine), "it may be one that no answer reaches")
+        assertFalse(placer.isUsable(machine), "it may be one that no answer reaches")
         handler.onHeartbeat(heartbeat(session = 2, seq = 10, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @Test
@@ -50,10 +50,10 @@
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = CoreParts.EPOCH))
-        assertFalse(placer.usable(machine))
-        wait(core.ctx.surelyOverS)
+        assertFalse(placer.isUsable(machine))
+        wait(core.ctx.leaseExpiryBoundS)
         handler.onHeartbeat(heartbeat(session = 2, seq = 12, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @ParameterizedTest(name = "the start was in an answer: {0}")
@@ -72,9 +72,9 @@
         wait(0.2)
         handler.releaseExpired()
         assertEquals(commanded, placement.job.placements[0] === placement)
-        assertEquals(commanded, placer.usable(machine), "no more is placed there")
+        assertEquals(commanded, placer.isUsable(machine), "no more is placed there")
         handler.onHeartbeat(heartbeat(session = 1, seq = 8, token = 2))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @Test
--- a/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -42,7 +42,7 @@
 
     /** n1 leads as [epoch]; [late] of its 40 machines in zone a do not reach it directly. */
     private fun leads(epoch: Long, late: Int, known: Int = 40, plan: SessionPlan? = null) {
-        val echo = reachability.report(0, null, null).seq
+        val echo = reachability.createReport(0, null, null).seq
         val links =
             ReachabilityReport(
                 echo,
@@ -109,7 +109,7 @@
             }
             word == "lead" -> relay.onLeadershipGained()
             word.startsWith("reached:") -> relay.onCommandAnswered("i-${word.drop(8)}")
-            word == "unserved" -> return "${relay.unservedWorkers}"
+            word == "unserved" -> return "${relay.unservedWorkerCount}"
             else -> error(word)
         }
         return drainEffects().ifEmpty { "-" }
--- a/src/test/kotlin/plankwall/fuzz/Targets.kt
+++ b/src/test/kotlin/plankwall/fuzz/Targets.kt
@@ -9,8 +9,8 @@
 import plankwall.identity.MalformedKeyException
 import plankwall.identity.Networks
 import plankwall.identity.PeerAuthenticator
+import plankwall.identity.PeerFrameSigner
 import plankwall.identity.PeerKey
-import plankwall.identity.PeerSeal
 import plankwall.identity.PublicKey
 import plankwall.identity.SigningKey
 import plankwall.identity.TokenReader
@@ -33,13 +33,13 @@
     )
     private val peerKey = PeerKey("k", ByteArray(32) { 3 })
     val token: String = Tokens.authorization(Tokens.sign(key, "site", "id", NOW, 30, "f"))
-    val frame: ByteArray = PeerSeal(
+    val frame: ByteArray = PeerFrameSigner(
         "n1",
         1,
         listOf(peerKey),
         false,
         0,
-    ).seal(PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)), NOW)
+    ).sign(PeerCodec.write(PeerStatus("n1", 1, 5, false, 0, true, 0, 2)), NOW)
     val line: String = AuditLines.write(
         3,
         AuditLines.START,
@@ -80,7 +80,7 @@
 
     fun frame(bytes: ByteArray) {
         val message = try {
-            PeerAuthenticator(PeerSeal("n0", 9, listOf(peerKey), false, 0)) { null }.open(bytes, NOW)
+            PeerAuthenticator(PeerFrameSigner("n0", 9, listOf(peerKey), false, 0)) { null }.verify(bytes, NOW)
         } catch (_: MalformedMessageException) {
             null
         }
@@ -106,7 +106,7 @@
         check(!Seals.isSigned(bytes.decodeToString()) { _, _ -> PublicKey.of("k1", key.x) }) { "a seal was believed" }
         for (read in listOf<
             (ByteArray) -> Any,
-            >(AdminCodec::readSegment, AdminCodec::readSeal, AdminCodec::publication, AdminCodec::readRights)) {
+            >(AdminCodec::readSegment, AdminCodec::readSeal, AdminCodec::readPublication, AdminCodec::readRights)) {
             try {
                 read(bytes)
             } catch (_: MalformedMessageException) {
@@ -117,7 +117,7 @@
 
     fun network(text: String) {
         Networks.neighbourhood(text)
-        Networks.sameHost(text, "10.0.0.1:80")
+        Networks.isSameHost(text, "10.0.0.1:80")
         try {
             Networks.of(listOf(text)) { throw MalformedKeyException("no") }.contains(text)
         } catch (_: MalformedKeyException) {
--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -22,7 +22,9 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class AuditLogReplayTest {
     private val world =
-        SimulatedCluster(2026, 7, gatewaySettings = { Callers.settings(it, Callers.rights(red = RED), sealS = 15.0) })
+        SimulatedCluster(2026, 7, gatewaySettings = {
+            Callers.settings(it, Callers.rights(red = RED), checkpointIntervalS = 15.0)
+        })
     private val callers = Callers(world)
 
     init {
@@ -37,8 +39,8 @@
         world.clock.after(100.0) { world.faults.answerLoss = 0.0 }
         world.clock.after(70.0) { world.faults.lateWrites = 0.05 }
         world.clock.after(160.0) { world.faults.lateWrites = 0.0 }
-        for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.up }?.crash(4.0) }
-        world.clock.after(110.0) { world.nodes.filter { it.up }.forEach { it.crash(6.0) } }
+        for (k in 0 until 20) world.clock.after(15.0 + k * 9.0) { world.nodes[k % 7].takeIf { it.isUp }?.crash(4.0) }
+        world.clock.after(110.0) { world.nodes.filter { it.isUp }.forEach { it.crash(6.0) } }
         world.clock.after(150.0) {
             callers.publish("root", 1, Callers.rights(red = RED, more = "rule calm: deny submit to ben;"))
         }
@@ -110,9 +112,9 @@
         val outcome = AuditLogVerifier { node, _ ->
             PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(AuditLogChecker(stored).copy)
-        assertEquals(emptyList<String>(), outcome.broken.map { it.toString() })
-        assertEquals(outcome.entries, outcome.sealed.values.sum())
-        assertTrue(outcome.entries > 10_000, "${outcome.entries}")
+        assertEquals(emptyList<String>(), outcome.failures.map { it.toString() })
+        assertEquals(outcome.entryCount, outcome.sealedCounts.values.sum())
+        assertTrue(outcome.entryCount > 10_000, "${outcome.entryCount}")
     }
 
     /**
--- a/src/test/kotlin/plankwall/gateway/Callers.kt
+++ b/src/test/kotlin/plankwall/gateway/Callers.kt
@@ -123,7 +123,7 @@
         AdminRequest.Publish(base, text),
         "POST",
         "/api/rights",
-        AdminCodec.publish(base, text),
+        AdminCodec.writePublication(base, text),
         node,
     )
 
@@ -177,14 +177,14 @@
         fun settings(
             node: String = "n0",
             rights: String = rights(),
-            sealS: Double = 20.0,
+            checkpointIntervalS: Double = 20.0,
             peerKeys: List<plankwall.identity.PeerKey> = emptyList(),
         ) = GatewaySettings(
             AUDIENCE,
             rights,
             KEYS.getValue(node),
             peerKeys,
-            sealS = sealS,
+            checkpointIntervalS = checkpointIntervalS,
             denialsPerS = 1000.0,
             denialBurst = 1000.0,
             workersAtListedAddress = false,
--- a/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
@@ -132,7 +132,9 @@
     fun `rights longer than a value, trail and seals keep within small limits`() {
         val smaller = StateLimits(250.0, 70.0, 2.0, 10)
         val world =
-            SimulatedCluster(14, 3, stateNext = smaller, gatewaySettings = { Callers.settings(it, sealS = 5.0) })
+            SimulatedCluster(14, 3, stateNext = smaller, gatewaySettings = {
+                Callers.settings(it, checkpointIntervalS = 5.0)
+            })
         val callers = Callers(world)
         world.clock.runUntil(5.0)
         world.state.limits = smaller
@@ -149,7 +151,7 @@
         }
         world.clock.runUntil(60.0)
         assertEquals(listOf(2L, 2L, 2L), world.nodes.map { it.accessGateway?.version })
-        assertEquals(emptyMap<String, Int>(), world.state.rejected)
+        assertEquals(emptyMap<String, Int>(), world.state.rejectionCounts)
         assertEquals(emptyList<String>(), AuditLogChecker.of(world.state).check(callers.asked))
     }
 
--- a/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
@@ -50,7 +50,7 @@
         val verified = AuditLogVerifier { node, _ ->
             plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(checker.copy)
-        assertEquals(emptyList<String>(), verified.broken.map { it.toString() })
+        assertEquals(emptyList<String>(), verified.failures.map { it.toString() })
         assertEquals(emptyList<String>(), this.checker.violations)
     }
 
@@ -306,8 +306,8 @@
         val callers = Callers(world)
         world.clock.runUntil(3.0)
         // The older one leads, so it ends jobs without saying whose they were.
-        while (!world.nodes[0].leading) {
-            world.nodes.first { it.leading }.crash(3.0)
+        while (!world.nodes[0].isLeader) {
+            world.nodes.first { it.isLeader }.crash(3.0)
             world.clock.runUntil(world.clock.now + 6.0)
         }
         val short = SimulatedCluster.job(1, tasks = 1, team = "red", runS = 5.0)
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -45,7 +45,7 @@
         "w1, w1, true",
     )
     fun `one host is one host however it is written`(one: String, other: String, same: Boolean) =
-        assertEquals(same, Networks.sameHost(one, other))
+        assertEquals(same, Networks.isSameHost(one, other))
 
     @ParameterizedTest(name = "{0} is limited as {1}")
     @CsvSource("10.1.2.3, 10.1.2.0/24", "2001:db8::9:1, 2001:db8::/64", "x, unreadable")
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -40,9 +40,9 @@
     ) {
         val world = world(if (signed) listOf(key) else emptyList())
         world.clock.runUntil(10.0)
-        val leader = world.nodes.single { it.leading }
+        val leader = world.nodes.single { it.isLeader }
         leader.onFrame(PeerCodec.write(status("n9", 1L shl 50)))
-        assertEquals(signed, leader.leading, "the frame is believed by nobody but a node without keys")
+        assertEquals(signed, leader.isLeader, "the frame is believed by nobody but a node without keys")
     }
 
     @ParameterizedTest(name = "signed links: {0}")
@@ -53,15 +53,16 @@
         }
         val leadership = Leadership(ctx, {}, {})
         win(ctx, leadership)
-        val seal = PeerSeal("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
+        val seal =
+            PeerFrameSigner("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
         val door = PeerAuthenticator(seal) { null }
         for (peer in listOf("n1", "n2")) {
-            door.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
+            door.verify(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
                 leadership.onPeerStatus(it as PeerStatus)
             }
         }
-        val grace = leadership.wonAt + ctx.outageGraceS
-        assertEquals(if (signed) grace else ctx.time.now, leadership.olderLeadersSilentAt)
+        val grace = leadership.electedAt + ctx.outageGraceS
+        assertEquals(if (signed) grace else ctx.time.now, leadership.olderLeadersStoppedAt)
         if (signed) assertEquals(2L, seal.dropped)
     }
 
@@ -86,22 +87,22 @@
     }
 
     private fun seal(node: String = "n1", life: Long = 5, keys: List<PeerKey> = listOf(key)) =
-        PeerSeal(node, life, keys, false, 100)
+        PeerFrameSigner(node, life, keys, false, 100)
 
     @Test
     fun `what is not believed`() {
         val onFrame = PeerCodec.write(status("n1", 5))
         fun open(bytes: ByteArray, at: Long = now, door: PeerAuthenticator = PeerAuthenticator(seal("n0")) { null }) =
-            door.open(bytes, at)
-        val good = seal().seal(onFrame, now)
+            door.verify(bytes, at)
+        val good = seal().sign(onFrame, now)
         assertNotNull(open(good))
         assertNull(open(onFrame), "not signed")
-        assertNull(open(seal(keys = listOf(newKey)).seal(onFrame, now)), "signed by a key that is not known")
-        assertNull(open(seal("n0").seal(onFrame, now)), "sent back to its sender")
-        assertNull(open(seal("n2").seal(onFrame, now)), "one peer in another's name")
+        assertNull(open(seal(keys = listOf(newKey)).sign(onFrame, now)), "signed by a key that is not known")
+        assertNull(open(seal("n0").sign(onFrame, now)), "sent back to its sender")
+        assertNull(open(seal("n2").sign(onFrame, now)), "one peer in another's name")
         val answer = PeerCodec.write(RelayedAnswer("n1", 7, 200, byteArrayOf(1)))
-        assertNull(open(seal("n2").seal(answer, now)), "an answer to a worker in the leader's name")
-        assertNotNull(open(seal().seal(answer, now)))
+        assertNull(open(seal("n2").sign(answer, now)), "an answer to a worker in the leader's name")
+        assertNotNull(open(seal().sign(answer, now)))
         assertNull(open(good, now + 11_000), "held back for long")
         assertNull(open(good, now - 1_000), "from the future")
         for (n in good.indices) {
@@ -122,14 +123,14 @@
         val onFrame = PeerCodec.write(status("n1", 5))
         val door = PeerAuthenticator(seal("n0")) { null }
         val first = seal(life = 5)
-        val frames = List(3) { first.seal(onFrame, now + it) }
-        assertNotNull(door.open(frames[1], now))
-        assertNull(door.open(frames[1], now), "again")
-        assertNull(door.open(frames[0], now), "an earlier one")
-        assertNotNull(door.open(frames[2], now))
+        val frames = List(3) { first.sign(onFrame, now + it) }
+        assertNotNull(door.verify(frames[1], now))
+        assertNull(door.verify(frames[1], now), "again")
+        assertNull(door.verify(frames[0], now), "an earlier one")
+        assertNotNull(door.verify(frames[2], now))
         // A clock that was set back gives the new life a lower number; it must not be shut out for that.
-        assertNotNull(door.open(seal(life = 3).seal(onFrame, now + 50), now + 60))
-        assertNull(door.open(first.seal(onFrame, now + 40), now + 60), "the old life is over")
+        assertNotNull(door.verify(seal(life = 3).sign(onFrame, now + 50), now + 60))
+        assertNull(door.verify(first.sign(onFrame, now + 40), now + 60), "the old life is over")
     }
 
     @Test
@@ -138,12 +139,16 @@
         val steps = listOf(listOf(key), listOf(key, newKey), listOf(newKey, key), listOf(newKey))
         // At any time two nodes may be one step apart.
         for ((a, b) in steps.zipWithNext() + steps.zipWithNext { x, y -> y to x }) {
-            assertNotNull(PeerAuthenticator(seal("n0", keys = b)) { null }.open(seal(keys = a).seal(onFrame, now), now))
+            assertNotNull(
+                PeerAuthenticator(seal("n0", keys = b)) {
+                    null
+                }.verify(seal(keys = a).sign(onFrame, now), now),
+            )
         }
         assertNull(
             PeerAuthenticator(seal("n0", keys = steps[3])) {
                 null
-            }.open(seal(keys = steps[0]).seal(onFrame, now), now),
+            }.verify(seal(keys = steps[0]).sign(onFrame, now), now),
         )
     }
 
@@ -165,7 +170,7 @@
         world.clock.runUntil(3.0)
         callers.submit("ada", SimulatedCluster.job(1, team = "red", runS = 10.0))
         world.clock.runUntil(15.0)
-        world.nodes.single { it.leading }.crash(5.0)
+        world.nodes.single { it.isLeader }.crash(5.0)
         world.clock.runUntil(80.0)
         assertEquals("done", callers.show("ada", "job-000001").also { world.clock.runUntil(81.0) }.stage)
         assertEquals(emptyList<String>(), world.checker.violations)
--- a/src/test/kotlin/plankwall/load/GatewayCost.kt
+++ b/src/test/kotlin/plankwall/load/GatewayCost.kt
@@ -44,7 +44,7 @@
                     "end" to { AuditChainTail.End(1, 2, segment).size },
                     "txn" to
                         {
-                            StateCodec.txn(
+                            StateCodec.writeTransaction(
                                 StateOp.Txn(listOf(Guard("a", 1)), listOf(Write.Put("trail/n0/1", segment))),
                             ).size
                         },
--- a/src/test/kotlin/plankwall/load/PlacementPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacementPass.kt
@@ -48,7 +48,7 @@
             core.ctx.time.advance(core.ctx.now + 0.1, core.ctx.time.wallMs + 100)
             core.fleet.machines.forEach { it.lastHeartbeatAt = core.ctx.now }
             val began = System.nanoTime()
-            placer.plan()
+            placer.runPass()
             val tookUs = (System.nanoTime() - began) / 1_000
             if (round >= 100) (if (round % 10 == 0) judging else plain).recordValue(tookUs)
         }
--- a/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
@@ -81,7 +81,7 @@
         // The request is under way when its leader dies: stored, sent, its answer lost.
         cluster.clock.runUntil(2.0)
         while (cluster.cloud.instancesCreated == 0) cluster.clock.runUntil(cluster.clock.now + 0.05)
-        cluster.nodes.first { it.leading }.crash(5.0)
+        cluster.nodes.first { it.isLeader }.crash(5.0)
         cluster.clock.runUntil(60.0)
         assertEquals(1, cluster.cloud.instancesCreated)
     }
@@ -91,7 +91,7 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 24)) }
         cluster.clock.runUntil(45.0)
-        cluster.nodes.first { it.leading }.crash(8.0)
+        cluster.nodes.first { it.isLeader }.crash(8.0)
         cluster.clock.runUntil(53.0)
         // The list goes on showing it as running for a while.
         val dead = cluster.cloud.workers.first().also { it.die() }.id
@@ -105,11 +105,11 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 16)) }
         cluster.clock.runUntil(45.0)
-        val first = cluster.nodes.first { it.leading }
+        val first = cluster.nodes.first { it.isLeader }
         cluster.nodes.filter { it !== first }.forEach { it.crash(200.0) }
         cluster.cloud.workers.take(3).forEach { it.die() }
         cluster.clock.runUntil(90.0)
-        assertTrue(first.leading)
+        assertTrue(first.isLeader)
         assertEquals(16 + 12, cluster.checker.starts, "not replaced, or the leader gave up its proof of what is gone")
         assertEquals(emptyList<String>(), cluster.checker.violations)
     }
@@ -123,11 +123,11 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 12)) }
         cluster.clock.runUntil(45.0)
-        val first = cluster.nodes.first { it.leading }
+        val first = cluster.nodes.first { it.isLeader }
         cut.split(' ').forEach { cluster.faults.cuts.add("${first.name}-$it") }
         cluster.clock.runUntil(75.0)
-        assertEquals(stays, first.leading)
-        assertTrue(cluster.nodes.any { it.leading }, "nobody leads")
+        assertEquals(stays, first.isLeader)
+        assertTrue(cluster.nodes.any { it.isLeader }, "nobody leads")
         assertEquals(12, cluster.checker.starts, "replicas were started anew")
         assertEquals(emptyList<String>(), cluster.checker.violations)
     }
--- a/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
@@ -122,7 +122,11 @@
         cluster.clock.runUntil(260.0)
         assertEquals(List(4) { "done" }, cluster.stages(1..4))
         assertEquals(listOf("done", "withdrawn", "done", "withdrawn"), cluster.stages(21..24))
-        assertEquals(emptyMap<String, Int>(), cluster.state.rejected, "nothing beyond the announced limits was tried")
+        assertEquals(
+            emptyMap<String, Int>(),
+            cluster.state.rejectionCounts,
+            "nothing beyond the announced limits was tried",
+        )
         cluster.assertSound()
     }
 }
--- a/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyScenarioTest.kt
@@ -78,7 +78,7 @@
             }
         }
         cluster.clock.after(60.0) { cluster.cancel("job-000001") }
-        cluster.clock.after(60.3) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(60.3) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(60.0 + cluster.settings.workers.cancelS)
         assertTrue(
             cluster.state.keys.none {
--- a/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
+++ b/src/test/kotlin/plankwall/simulation/LargeSiteTest.kt
@@ -23,13 +23,13 @@
             cluster.cloud.instancesCreated in 563..580,
             "${cluster.cloud.instancesCreated} machines for 2250 tasks, four on each",
         )
-        cluster.clock.after(5.0) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(5.0) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(150.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertEquals(2250, cluster.checker.starts)
         assertEquals("done", cluster.stageOf("job-000090"))
-        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
-        assertEquals(0, cluster.state.calls.beyond, "calls beyond the rate")
+        assertEquals(0, cluster.state.writeMeter.exceededCount, "writes beyond the rate")
+        assertEquals(0, cluster.state.requestMeter.exceededCount, "calls beyond the rate")
     }
 
     @Test
@@ -96,7 +96,7 @@
         val cluster = SimulatedCluster(24)
         cluster.cloud.capacity = 20
         cluster.clock.after(1.0) {
-            cluster.submit(SimulatedCluster.job(1, tasks = 100_000, runS = 15.0), cancelAfter = 60.0)
+            cluster.submit(SimulatedCluster.job(1, tasks = 100_000, runS = 15.0), cancelAfterS = 60.0)
         }
         cluster.clock.runUntil(55.0)
         assertEquals("running", cluster.stageOf("job-000001"))
@@ -104,7 +104,7 @@
         cluster.clock.runUntil(110.0)
         assertEquals("withdrawn", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
+        assertEquals(0, cluster.state.writeMeter.exceededCount, "writes beyond the rate")
     }
 
     @Test
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -52,11 +52,16 @@
         val before = cluster.state.value(Keys.page("job-000001", 0))?.let { StateCodec.sizeOf(it) } ?: 0
         assertTrue(announced || before > 2048, "only $before bytes")
         cluster.state.limits = smaller
-        if (crashAfter > 0) cluster.clock.after(crashAfter) { cluster.nodes.first { it.leading }.crash(8.0) }
+        if (crashAfter > 0) cluster.clock.after(crashAfter) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(260.0)
         assertEquals("done", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertTrue(cluster.state.rejected.values.all { it <= 2 }, "repeated unchanged: ${cluster.state.rejected}")
+        assertTrue(
+            cluster.state.rejectionCounts.values.all {
+                it <= 2
+            },
+            "repeated unchanged: ${cluster.state.rejectionCounts}",
+        )
         assertTrue(cluster.state.keys.none { it.startsWith(Keys.PAGES) }, "pages left behind")
     }
 
@@ -76,7 +81,7 @@
             cluster.clock.runUntil(cluster.clock.now + 0.01)
         }
         assertTrue(cluster.clock.now < 120, "never divided")
-        cluster.clock.after(crashAfter) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(crashAfter) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(400.0)
         assertEquals("done", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
@@ -105,7 +110,7 @@
 
     private fun items(key: String, pieces: List<Stored>) = pieces.mapIndexed { i, p ->
         StateItem(
-            if (i == 0) key else Keys.more(key, i),
+            if (i == 0) key else Keys.furtherChunk(key, i),
             p,
             5,
         )
@@ -130,20 +135,20 @@
         returning: Int,
     ) {
         val whole = fleet(instancesCreated, arrivals, returning)
-        val pieces = checkNotNull(ChunkedValue.fleet(whole, smaller.txnOps, 2048))
+        val pieces = checkNotNull(ChunkedValue.splitFleet(whole, smaller.txnOps, 2048))
         assertTrue(pieces.all { StateCodec.sizeOf(it) <= 2048 })
-        assertTrue(ChunkedValue.writes(Keys.FLEET, pieces, smaller.txnOps - 1).size <= smaller.txnOps)
-        assertEquals(whole, ChunkedValue.fleet(items(Keys.FLEET, pieces)))
-        assertEquals(1, ChunkedValue.fleet(whole, 1, 16 * 1024)?.size, "one value where that is enough")
+        assertTrue(ChunkedValue.changesFor(Keys.FLEET, pieces, smaller.txnOps - 1).size <= smaller.txnOps)
+        assertEquals(whole, ChunkedValue.joinFleet(items(Keys.FLEET, pieces)))
+        assertEquals(1, ChunkedValue.splitFleet(whole, 1, 16 * 1024)?.size, "one value where that is enough")
     }
 
     @Test
     fun `further keys that the first does not name count for nothing`() {
-        val pieces = checkNotNull(ChunkedValue.fleet(fleet(2, 300, 100), 10, 2048))
+        val pieces = checkNotNull(ChunkedValue.splitFleet(fleet(2, 300, 100), 10, 2048))
         // The first version rewrites the first key alone, without the count.
         val rewritten = items(Keys.FLEET, listOf(fleet(1, 2, 0)) + pieces.drop(1))
-        assertEquals(fleet(1, 2, 0), ChunkedValue.fleet(rewritten))
-        assertEquals(pieces.size - 1, ChunkedValue.further(Keys.FLEET, rewritten))
+        assertEquals(fleet(1, 2, 0), ChunkedValue.joinFleet(rewritten))
+        assertEquals(pieces.size - 1, ChunkedValue.highestFurtherKey(Keys.FLEET, rewritten))
     }
 
     @Test
@@ -151,10 +156,10 @@
         val types = SimulatedCluster.CATALOG.types.single().let { t ->
             List(40) { t.copy(name = "type-$it", zones = List(4) { z -> "a-zone-of-a-long-name-$z" }) }
         }
-        val pieces = checkNotNull(ChunkedValue.catalog(Catalog(types), 10, 2048))
-        assertEquals(types, ChunkedValue.catalog(items(Keys.CATALOG, pieces))?.types)
-        assertNull(ChunkedValue.catalog(items(Keys.CATALOG, pieces).dropLast(1)))
-        assertNull(ChunkedValue.catalog(Catalog(types), 1, 2048), "no part of it is stored instead")
+        val pieces = checkNotNull(ChunkedValue.splitCatalog(Catalog(types), 10, 2048))
+        assertEquals(types, ChunkedValue.joinCatalog(items(Keys.CATALOG, pieces))?.types)
+        assertNull(ChunkedValue.joinCatalog(items(Keys.CATALOG, pieces).dropLast(1)))
+        assertNull(ChunkedValue.splitCatalog(Catalog(types), 1, 2048), "no part of it is stored instead")
     }
 
     @ParameterizedTest(name = "{0} changes, {1} bytes refused")
@@ -168,11 +173,11 @@
     )
     fun `a refusal teaches the limits`(ops: Int, largest: Int, opsAfter: Int, bytesAfter: Int) {
         val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smaller))
-        assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
+        assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.maxBytesPerKey))
         limits.onRejected(ops, largest)
         assertEquals(
             listOf(opsAfter, bytesAfter, bytesAfter),
-            listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes),
+            listOf(limits.txnOps, limits.valueBytes, limits.maxBytesPerKey),
         )
     }
 
@@ -199,7 +204,7 @@
         val rented = cluster.cloud.instancesCreated
         assertTrue(rented >= 500, "$rented")
         assertTrue(cluster.state.keys.any { it.startsWith("${Keys.FLEET}/") }, "the record was never divided")
-        cluster.nodes.first { it.leading }.crash(6.0)
+        cluster.nodes.first { it.isLeader }.crash(6.0)
         cluster.clock.runUntil(19.0)
         assertTrue(
             cluster.cloud.instancesCreated <= rented * 1.05,
@@ -207,7 +212,7 @@
         )
         cluster.clock.runUntil(200.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertEquals(emptyMap<String, Int>(), cluster.state.rejected)
+        assertEquals(emptyMap<String, Int>(), cluster.state.rejectionCounts)
         assertEquals("done", cluster.stageOf("job-000160"))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
@@ -75,22 +75,29 @@
     @Test
     fun `a record that the first version rewrites loses what it waits for only together with all starts`() {
         // It rewrites a job's record for nothing but a withdrawal, and that is final.
-        val owned = Ownership("meera", cancelOnRevoke = true)
+        val ownership = Ownership("meera", cancelOnRevoke = true)
         val record =
-            JobRecord(spec.copy(dependencies = listOf("job-000001")), 1_700_000_000_000, 1_700_000_009_000, 28, owned)
-        assertEquals(record.copy(spec = spec, owned = null), decode(Keys.job(spec.id), rewrittenByFirst(record)))
+            JobRecord(
+                spec.copy(dependencies = listOf("job-000001")),
+                1_700_000_000_000,
+                1_700_000_009_000,
+                28,
+                ownership,
+            )
+        assertEquals(record.copy(spec = spec, ownership = null), decode(Keys.job(spec.id), rewrittenByFirst(record)))
     }
 
     @Test
     fun `a divided record of the fleet that the first version rewrites leaves further keys that count for nothing`() {
-        val first = fleet.copy(more = 1)
-        val further = StateItem(Keys.more(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
+        val first = fleet.copy(furtherChunks = 1)
+        val further =
+            StateItem(Keys.furtherChunk(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
         assertEquals(
             listOf("i-000009", "i-000777"),
-            ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.machinesBeingScaledIn,
+            ChunkedValue.joinFleet(listOf(StateItem(Keys.FLEET, first, 5), further))?.machinesBeingScaledIn,
         )
         val rewritten = checkNotNull(decode(Keys.FLEET, rewrittenByFirst(first)))
-        assertEquals(fleet, ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
+        assertEquals(fleet, ChunkedValue.joinFleet(listOf(StateItem(Keys.FLEET, rewritten, 6), further)))
     }
 
     @Test
--- a/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -77,7 +77,7 @@
             running = listOf(m),
             arriving = emptyList(),
             pending = listOf(waiting),
-            waitingTasks = { it.waiting.size },
+            countWaitingTasks = { it.waiting.size },
             forecast = DemandForecast(Resources.NONE, SimulatedCluster.CATALOG.types.single().capacity),
         )
         val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG)
@@ -101,7 +101,7 @@
         taken: Double,
         contested: Boolean,
         left: Int,
-    ) = assertEquals(left, LeftoverCapacityScaling.leftAt(fleet, arriving, taken, contested))
+    ) = assertEquals(left, LeftoverCapacityScaling.computeMachineLimit(fleet, arriving, taken, contested))
 
     private fun ready(name: String) = core.machine(name).apply {
         registeredAt = ctx.now
@@ -130,7 +130,7 @@
             it.starving =
                 overlooked
         }
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(placed, job.placements.size, name)
     }
 
@@ -145,7 +145,7 @@
         val there = core.learn(SimulatedCluster.job(1, tasks = 4, team = team, priority = Priority.LOW))
         repeat(4) { core.schedulerState.place(there, it, m, it + 1L).apply { isCommanded = true } }
         core.learn(SimulatedCluster.job(2, tasks = 2, team = "red", priority = Priority.LOW))
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(made, there.placements.values.count { it.stopping == StopCause.PREEMPTED })
     }
 
@@ -171,7 +171,7 @@
     fun `a machine gets no more tasks than its report can show`(exits: Int, placed: Int) {
         ready("i-000001").exitsInHeartbeat = exits
         val job = core.learn(SimulatedCluster.job(1, tasks = 20).copy(need = Resources(1, 0, 1)))
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(placed, job.placements.size)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -31,7 +31,7 @@
         }
         cluster.clock.runUntil(60.0)
         assertEquals(60, cluster.checker.starts)
-        first = cluster.nodes.first { it.leading }
+        first = cluster.nodes.first { it.isLeader }
     }
 
     private fun refuse(node: SimulatedController, forS: Double) {
@@ -128,7 +128,7 @@
         if (how == "twice in a row") {
             cancellations = 2
             cluster.clock.after(100.0) {
-                first = cluster.nodes.first { it.leading }
+                first = cluster.nodes.first { it.isLeader }
                 refuse(first, 14.0)
                 cluster.clock.after(0.5) { cancel(others.last(), 2) }
                 cluster.clock.after(1.5) { outage(50.0) }
@@ -163,7 +163,7 @@
     private fun onSecond(by: SimulatedController, moment: (Effect) -> Boolean) {
         var over = false
         cluster.onEffect = { node, effect ->
-            if (!over && node !== first && node.leading && moment(effect)) {
+            if (!over && node !== first && node.isLeader && moment(effect)) {
                 over = true
                 gap(by)
             }
@@ -197,6 +197,6 @@
         assertEquals(0, cluster.tasksKilledByLease)
         assertEquals(60, cluster.checker.starts)
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertTrue(cluster.nodes.count { it.leading } == 1)
+        assertTrue(cluster.nodes.count { it.isLeader } == 1)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FailoverCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailoverCombinationsTest.kt
@@ -114,7 +114,7 @@
     fun `leaders change ten times in two minutes`(outage: Boolean) {
         startJobs(nodes = 5)
         val before = cluster.elections
-        repeat(12) { n -> after(n * 10.0) { cluster.nodes.firstOrNull { it.leading }?.crash(2.0) } }
+        repeat(12) { n -> after(n * 10.0) { cluster.nodes.firstOrNull { it.isLeader }?.crash(2.0) } }
         if (outage) after(45.0) { outage(20.0) }
         after(30.0) { cancel(1) }
         after(58.0) { cancel(2) }
@@ -142,7 +142,7 @@
         cluster.nodes.forEachIndexed { i, node -> node.crash(if (i == 1) 0.4 else 20.0) }
         after(0.2) { cancel(1) }
         runFor(10.0)
-        assertTrue(cluster.nodes[1].leading)
+        assertTrue(cluster.nodes[1].isLeader)
         runFor(60.0)
         assertEquals(0, cluster.tasksKilledByLease)
         assertNoViolations()
--- a/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FailureDetectorScenarioTest.kt
@@ -20,7 +20,7 @@
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = tasks)) }
         cluster.clock.runUntil(45.0)
         assertEquals(tasks / 4, cluster.cloud.instances.size)
-        return cluster.nodes.first { it.leading }
+        return cluster.nodes.first { it.isLeader }
     }
 
     private fun rented(): Set<String> = cluster.cloud.instances.map { it.id }.toSet()
@@ -83,7 +83,7 @@
         first.crash(8.0)
         cluster.cloud.workers.first().die()
         cluster.clock.after(0.5) { cluster.submit(SimulatedCluster.job(2, tasks = 4)) }
-        while (cluster.nodes.none { it.leading && it !== first }) cluster.clock.runUntil(cluster.clock.now + 0.1)
+        while (cluster.nodes.none { it.isLeader && it !== first }) cluster.clock.runUntil(cluster.clock.now + 0.1)
         cluster.clock.runUntil(cluster.clock.now + 7.0)
         assertEquals(7, cluster.cloud.instancesCreated)
         assertEquals(emptyList<String>(), cluster.checker.violations)
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -48,7 +48,7 @@
         cluster.clock.runUntil(50.0)
         assertEquals(12, cluster.checker.starts)
         cluster.faults.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
-        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         // Reports go on for all this time, and those of the blocked machines never show the new leader's token.
         cluster.clock.runUntil(50.0 + crashAfterS + 2 * cluster.settings.workers.leaseS + 40.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
--- a/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultScenarioTest.kt
@@ -14,23 +14,23 @@
 
     private val days: Map<String, List<ScheduledFault>> = mapOf(
         "quiet" to emptyList(),
-        "one crash" to listOf(ScheduledFault(60.0) { nodes.first { it.leading }.crash(8.0) }),
+        "one crash" to listOf(ScheduledFault(60.0) { nodes.first { it.isLeader }.crash(8.0) }),
         "all crash" to listOf(ScheduledFault(60.0) { nodes.forEach { it.crash(8.0) } }),
         "rolling" to (0..2).map { n -> ScheduledFault(50.0 + 20 * n) { nodes[n].crash(6.0) } },
         "outage" to listOf(ScheduledFault(50.0) { state.outage = true }, ScheduledFault(65.0) { state.outage = false }),
         "long outage" to
             listOf(ScheduledFault(50.0) { state.outage = true }, ScheduledFault(130.0) { state.outage = false }),
         "leader cut from state" to listOf(
-            ScheduledFault(50.0) { nodes.first { it.leading }.let { faults.cuts.add("${it.name}-state") } },
+            ScheduledFault(50.0) { nodes.first { it.isLeader }.let { faults.cuts.add("${it.name}-state") } },
             ScheduledFault(110.0) { faults.cuts.clear() },
         ),
         "leader cut from workers" to listOf(
-            ScheduledFault(50.0) { nodes.first { it.leading }.let { faults.cuts.add("${it.name}-workers") } },
+            ScheduledFault(50.0) { nodes.first { it.isLeader }.let { faults.cuts.add("${it.name}-workers") } },
             ScheduledFault(110.0) { faults.cuts.clear() },
         ),
         "leader cut from state and peers" to listOf(
             ScheduledFault(50.0) {
-                nodes.first { it.leading }.let { faults.cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
+                nodes.first { it.isLeader }.let { faults.cuts.addAll(listOf("${it.name}-state", "${it.name}-peers")) }
             },
             ScheduledFault(120.0) { faults.cuts.clear() },
         ),
@@ -43,7 +43,7 @@
         "everything" to listOf(
             ScheduledFault(25.0) { faults.answerLoss = 0.05 },
             ScheduledFault(30.0) { faults.lateWrites = 0.05 },
-            ScheduledFault(55.0) { nodes.first { it.up }.crash(8.0) },
+            ScheduledFault(55.0) { nodes.first { it.isUp }.crash(8.0) },
             ScheduledFault(75.0) { cloud.instances.take(1).map { it.id }.forEach { cloud.fail(it) } },
             ScheduledFault(90.0) { nodes.forEach { it.crash(10.0) } },
             ScheduledFault(105.0) { state.outage = true },
@@ -68,9 +68,9 @@
         val cluster = SimulatedCluster(seed)
         days.getValue(day).forEach { t -> cluster.clock.after(t.at) { t.act(cluster) } }
         val finishing = ArrayList<String>()
-        fun at(s: Double, number: Int, spec: plankwall.model.JobSpec, cancelAfter: Double? = null) {
-            cluster.clock.after(s) { cluster.submit(spec, cancelAfter) }
-            if (cancelAfter == null && spec.shape != Shape.SERVICE) finishing.add("job-%06d".format(number))
+        fun at(s: Double, number: Int, spec: plankwall.model.JobSpec, cancelAfterS: Double? = null) {
+            cluster.clock.after(s) { cluster.submit(spec, cancelAfterS) }
+            if (cancelAfterS == null && spec.shape != Shape.SERVICE) finishing.add("job-%06d".format(number))
         }
         at(3.0, 1, SimulatedCluster.job(1, Shape.SERVICE, tasks = 2, spread = true, priority = Priority.PRODUCTION))
         at(4.0, 2, SimulatedCluster.job(2, tasks = 6, runS = 30.0))
@@ -80,8 +80,8 @@
             SimulatedCluster.job(3, Shape.GANG, tasks = 3, oneZone = true, runS = 25.0, priority = Priority.HIGH),
         )
         at(6.0, 4, SimulatedCluster.job(4, tasks = 40, team = "red", runS = 8.0))
-        at(7.0, 5, SimulatedCluster.job(5, Shape.SERVICE, tasks = 3, team = "red", spot = true), cancelAfter = 52.0)
-        at(48.0, 6, SimulatedCluster.job(6, tasks = 5, spot = true, priority = Priority.LOW), cancelAfter = 13.0)
+        at(7.0, 5, SimulatedCluster.job(5, Shape.SERVICE, tasks = 3, team = "red", spot = true), cancelAfterS = 52.0)
+        at(48.0, 6, SimulatedCluster.job(6, tasks = 5, spot = true, priority = Priority.LOW), cancelAfterS = 13.0)
         for (n in 10..25) {
             at(
                 20.0 + 5 * (n - 10),
--- a/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
@@ -106,7 +106,7 @@
     @Test
     fun `a zone with workers and a controller is cut off for longer than a lease`() {
         startJobs(nodes = 5)
-        val inside = cluster.nodes.first { !it.leading }
+        val inside = cluster.nodes.first { !it.isLeader }
         cluster.nodes.filter { it !== inside }.forEach {
             cluster.network.cutBoth("zone:a", it.name, LinkCut.HOLD)
             cluster.network.cutBoth(inside.name, it.name, LinkCut.HOLD)
--- a/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MixedFaultDaysTest.kt
@@ -41,14 +41,14 @@
             )
             cluster.faults.pollFactor = 10.0
         }
-        cluster.clock.after(28.0) { cluster.nodes.first { it.leading }.crash(8.0) }
-        cluster.clock.after(36.0) { cluster.nodes.firstOrNull { it.leading }?.freeze(60.0) }
+        cluster.clock.after(28.0) { cluster.nodes.first { it.isLeader }.crash(8.0) }
+        cluster.clock.after(36.0) { cluster.nodes.firstOrNull { it.isLeader }?.freeze(60.0) }
         cluster.clock.runUntil(160.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertEquals("done", cluster.stageOf("job-000002"))
         assertEquals(8 + 4_000, cluster.checker.starts, "something was started twice")
-        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
-        assertEquals(0, cluster.state.calls.beyond, "calls beyond the rate")
+        assertEquals(0, cluster.state.writeMeter.exceededCount, "writes beyond the rate")
+        assertEquals(0, cluster.state.requestMeter.exceededCount, "calls beyond the rate")
     }
 
     /**
--- a/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -21,7 +21,7 @@
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
         cluster.clock.runUntil(45.0)
         assertEquals(20, cluster.cloud.instances.size)
-        first = cluster.nodes.first { it.leading }
+        first = cluster.nodes.first { it.isLeader }
     }
 
     private val others get() = cluster.nodes.filter { it !== first }
@@ -51,7 +51,7 @@
     fun `all but one lose the store, the leader among them, and name the new leader all the same`(how: LinkCut) {
         cut(listOf(first) + others.take(3), "state", how)
         survives()
-        assertTrue(others.last().leading)
+        assertTrue(others.last().isLeader)
     }
 
     @ParameterizedTest
@@ -60,7 +60,7 @@
         // Whoever wins is out of reach; the others are not.
         first.crash(200.0)
         cluster.onEffect =
-            { node, _ -> if (node.leading && cluster.network.cutCount == 0) cut(listOf(node), "workers", how) }
+            { node, _ -> if (node.isLeader && cluster.network.cutCount == 0) cut(listOf(node), "workers", how) }
         survives(60.0)
     }
 
@@ -102,7 +102,7 @@
             else -> first.freeze(9.0)
         }
         cluster.clock.after(2.0) {
-            cut(listOf(cluster.nodes.firstOrNull { it.leading } ?: first), "workers", LinkCut.REFUSE)
+            cut(listOf(cluster.nodes.firstOrNull { it.isLeader } ?: first), "workers", LinkCut.REFUSE)
         }
         cluster.clock.after(25.0) { cluster.faults.answerLoss = 0.0 }
         survives()
@@ -113,10 +113,10 @@
         cut(listOf(first), "workers", LinkCut.REFUSE)
         cluster.clock.after(1.0) { first.crash(30.0) }
         cluster.clock.after(6.0) {
-            cluster.nodes.filter { it.leading }.forEach { cut(listOf(it), "workers", LinkCut.REFUSE) }
+            cluster.nodes.filter { it.isLeader }.forEach { cut(listOf(it), "workers", LinkCut.REFUSE) }
         }
         cluster.clock.after(7.0) {
-            cluster.nodes.filter { it.leading }.forEach { cut(listOf(it), "state", LinkCut.HOLD) }
+            cluster.nodes.filter { it.isLeader }.forEach { cut(listOf(it), "state", LinkCut.HOLD) }
         }
         survives()
     }
@@ -129,7 +129,7 @@
             cluster.clock.runUntil(cluster.clock.now + 5.0)
             cluster.network.healAll()
             cluster.clock.runUntil(cluster.clock.now + 5.0)
-            if (!first.leading) leads++
+            if (!first.isLeader) leads++
         }
         assertEquals(0, leads)
         survives(1.0)
@@ -142,9 +142,9 @@
         val peer = others.first()
         cut(others.drop(1), "workers", LinkCut.REFUSE)
         cluster.clock.runUntil(cluster.clock.now + 25.0)
-        assertTrue(first.leading, "handed over for a passing cut")
+        assertTrue(first.isLeader, "handed over for a passing cut")
         cluster.clock.runUntil(cluster.clock.now + 25.0)
-        assertTrue(peer.leading, "the one that all workers reach does not lead")
+        assertTrue(peer.isLeader, "the one that all workers reach does not lead")
         survives(1.0)
     }
 
@@ -166,9 +166,9 @@
         cut(listOf(first), "workers", LinkCut.REFUSE)
         cluster.clock.runUntil(cluster.clock.now + 12.0)
         assertTrue(
-            !first.leading &&
+            !first.isLeader &&
                 cluster.nodes.any {
-                    it.leading
+                    it.isLeader
                 },
             "the older ones can't pass reports on, so one of them must lead",
         )
@@ -192,7 +192,7 @@
         }
         cluster.network.healAll()
         cluster.clock.runUntil(cluster.clock.now + 3.0)
-        assertTrue(first.leading, "yielded for a token of its own")
+        assertTrue(first.isLeader, "yielded for a token of its own")
         assertTrue(answered != 0)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/RequestCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/RequestCombinationsTest.kt
@@ -40,9 +40,9 @@
             after(s) {
                 when (fault) {
                     "the leader ends" -> leader.crash(3.0)
-                    "a node stands still" -> cluster.nodes.first { !it.leading }.freeze(9.0)
-                    "a node has just started" -> cluster.nodes.first { !it.leading }.crash(0.1)
-                    "a node is cut from the store" -> cluster.nodes.first { !it.leading }.name.let { n ->
+                    "a node stands still" -> cluster.nodes.first { !it.isLeader }.freeze(9.0)
+                    "a node has just started" -> cluster.nodes.first { !it.isLeader }.crash(0.1)
+                    "a node is cut from the store" -> cluster.nodes.first { !it.isLeader }.name.let { n ->
                         cluster.faults.cuts.add("$n-state")
                         after(10.0) { cluster.faults.cuts.remove("$n-state") }
                     }
@@ -147,8 +147,8 @@
         }
         assertTrue(changes / 180.0 < cluster.settings.state.writeRps * 0.75, "${changes / 180.0} changes a second")
         assertTrue(
-            cluster.state.calls.beyond == 0 && cluster.state.writes.beyond == 0,
-            "beyond the settings: ${cluster.state.calls.beyond} calls, ${cluster.state.writes.beyond} changes",
+            cluster.state.requestMeter.exceededCount == 0 && cluster.state.writeMeter.exceededCount == 0,
+            "beyond the settings: ${cluster.state.requestMeter.exceededCount} calls, ${cluster.state.writeMeter.exceededCount} changes",
         )
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/ScarceCapacityTest.kt
@@ -73,12 +73,12 @@
         cluster.clock.runUntil(900.0 + 4 * count)
         assertEquals(emptyList<String>(), jobs.keys.filter { it !in doneAt }, "never done")
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertEquals(0, cluster.state.writes.beyond, "writes beyond the rate")
+        assertEquals(0, cluster.state.writeMeter.exceededCount, "writes beyond the rate")
     }
 
     private fun SimulatedCluster.strike(fault: String) {
         when (fault) {
-            "crash" -> nodes.first { it.leading }.crash(8.0)
+            "crash" -> nodes.first { it.isLeader }.crash(8.0)
             "outage" -> state.outage = true
             "zone" -> faults.cutZones.add("b")
         }
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -51,7 +51,7 @@
             cluster.clock.after(20.0 + n * 1.2) {
                 cluster.submit(
                     SimulatedCluster.job(n, tasks = 6, gpus = 0, runS = 8.0),
-                    cancelAfter = if (n % 7 == 0) {
+                    cancelAfterS = if (n % 7 == 0) {
                         3.0
                     } else {
                         null
@@ -61,9 +61,9 @@
         }
     }
 
-    private fun leader(): SimulatedController = cluster.nodes.first { it.leading }
+    private fun leader(): SimulatedController = cluster.nodes.first { it.isLeader }
 
-    private fun followers(): List<SimulatedController> = cluster.nodes.filter { !it.leading && it.up }
+    private fun followers(): List<SimulatedController> = cluster.nodes.filter { !it.isLeader && it.isUp }
 
     private fun servedHere(node: SimulatedController): Int = servedBy.values.count { it === node }
 
@@ -101,7 +101,7 @@
         small.cloud.addRunning(GroupKey("box", "a", false), MACHINES) { 1.0 }
         small.clock.after(30.0) { small.onHeartbeatServed = { _, node -> at.add(node) } }
         small.clock.runUntil(45.0)
-        assertEquals(setOf(small.nodes.first { it.leading }), at)
+        assertEquals(setOf(small.nodes.first { it.isLeader }), at)
     }
 
     private fun strike(what: String): SimulatedController {
@@ -150,7 +150,7 @@
     private fun everywhere() = cluster.cloud.workers.take(60).forEach { worker ->
         val heartbeat = worker.heartbeat()
         cluster.nodes.filter {
-            it.up
+            it.isUp
         }.forEach { node -> node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> } }
     }
 
@@ -170,8 +170,8 @@
         assertSpread()
         val home = strike(what)
         cluster.clock.runUntil(51.0)
-        if (what.endsWith("ends") || what.endsWith("end")) assertTrue(cluster.nodes.any { !it.up }, "nobody ended")
-        if (what.startsWith("it is cut")) assertTrue(cluster.network.cutCount > 0 && home.up)
+        if (what.endsWith("ends") || what.endsWith("end")) assertTrue(cluster.nodes.any { !it.isUp }, "nobody ended")
+        if (what.startsWith("it is cut")) assertTrue(cluster.network.cutCount > 0 && home.isUp)
         cluster.clock.runUntil(130.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertTrue(cluster.tasksKilledByLease <= killed, "${cluster.tasksKilledByLease} tasks killed")
--- a/src/test/kotlin/plankwall/wire/CodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/CodecTest.kt
@@ -184,12 +184,12 @@
         for (i in 0 until size step 2) done.set(99_000 + i)
         val placements = (1 until size step 2).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
         val worst = if (size > 1) placements else emptyList()
-        val txn = StateCodec.txn(
+        val txn = StateCodec.writeTransaction(
             StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(done, worst)))),
         )
         assertTrue(txn.size <= valueKb * 1024 || size == 8, "page of $size tasks takes ${txn.size} bytes")
         val all = (0 until size).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
-        val full = StateCodec.txn(
+        val full = StateCodec.writeTransaction(
             StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), all)))),
         )
         assertTrue(full.size <= valueKb * 1024, "page of $size placements takes ${full.size} bytes")
@@ -216,7 +216,7 @@
     @ValueSource(strings = ["[\"i-1\",-1]", "[\"i-1\",900000000]", "[3,1]"])
     fun `a run of names that nobody can have written is refused`(run: String) {
         assertThrows(MalformedMessageException::class.java) {
-            StateCodec.item("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
+            StateCodec.readItem("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
         }
     }
 
--- a/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenBytesTest.kt
@@ -9,8 +9,8 @@
 import plankwall.audit.Seals
 import plankwall.fixtures.RecordJson
 import plankwall.fuzz.Targets
+import plankwall.identity.PeerFrameSigner
 import plankwall.identity.PeerKey
-import plankwall.identity.PeerSeal
 import java.util.HexFormat
 
 /**
@@ -55,11 +55,11 @@
 
     @Test
     fun `a sealed frame keeps its bytes and is opened`() {
-        fun seal(node: String) = PeerSeal(node, 1, listOf(PeerKey("k", ByteArray(32) { 3 })), false, 0)
+        fun seal(node: String) = PeerFrameSigner(node, 1, listOf(PeerKey("k", ByteArray(32) { 3 })), false, 0)
         val frame = PeerCodec.write(GoldenValues.frames.getValue("status of the first level"))
         val golden = lines("sealed").single().second
-        assertEquals(golden, HexFormat.of().formatHex(seal("n1").seal(frame, Targets.NOW)))
-        val opened = seal("n0").open(HexFormat.of().parseHex(golden), Targets.NOW)
+        assertEquals(golden, HexFormat.of().formatHex(seal("n1").sign(frame, Targets.NOW)))
+        val opened = seal("n0").verify(HexFormat.of().parseHex(golden), Targets.NOW)
         assertEquals("n1", opened?.sender)
         assertArrayEquals(frame, opened?.frame)
     }
--- a/src/test/kotlin/plankwall/wire/GoldenValues.kt
+++ b/src/test/kotlin/plankwall/wire/GoldenValues.kt
@@ -154,43 +154,47 @@
         }),
         "job done" to Message({ JobCodec.view(JobView("job-000412", JobStage.DONE, 16, 0)) }),
         "error" to Message({ JobCodec.error("unknown team") }),
-        "transaction" to Message({ StateCodec.txn(txn) }, { StateCodec.txn(StateServiceCodec.readTxn(it)) }),
-        "grant" to Message({ StateCodec.grant(2_500) }, { StateCodec.grant(StateServiceCodec.readGrant(it).ttlMs) }),
-        "item" to answer(StateResult.Item(item), StateCodec::item),
-        "items" to answer(StateResult.Items(listOf(item), true, 9), StateCodec::items),
+        "transaction" to
+            Message({
+                StateCodec.writeTransaction(txn)
+            }, { StateCodec.writeTransaction(StateServiceCodec.readTxn(it)) }),
+        "grant" to
+            Message({ StateCodec.writeGrant(2_500) }, { StateCodec.writeGrant(StateServiceCodec.readGrant(it).ttlMs) }),
+        "item" to answer(StateResult.Item(item), StateCodec::readItem),
+        "items" to answer(StateResult.Items(listOf(item), true, 9), StateCodec::readItems),
         "changes" to answer(
             StateResult.News(listOf(StateEvent("leader", item.value, 7), StateEvent("c/d", null, 8)), 9),
-            StateCodec::news,
+            StateCodec::readChanges,
         ),
-        "committed" to answer(StateResult.Committed(9), StateCodec::committed),
-        "conflict" to answer(StateResult.Conflict(setOf("a/b")), StateCodec::conflict),
-        "granted" to answer(StateResult.Granted(7), StateCodec::granted),
+        "committed" to answer(StateResult.Committed(9), StateCodec::readCommitted),
+        "conflict" to answer(StateResult.Conflict(setOf("a/b")), StateCodec::readConflict),
+        "granted" to answer(StateResult.Granted(7), StateCodec::readGranted),
         "machine types" to Message(
-            { CloudServiceCodec.catalog(catalog) },
-            { CloudServiceCodec.catalog(CloudCodec.catalog(it)) },
+            { CloudServiceCodec.writeCatalog(catalog) },
+            { CloudServiceCodec.writeCatalog(CloudCodec.readCatalog(it)) },
         ),
         "scale out" to Message(
-            { CloudCodec.rent(CloudOp.Rent("r-17", group, 12)) },
-            { CloudCodec.rent(CloudServiceCodec.readRent(it)) },
+            { CloudCodec.writeRent(CloudOp.Rent("r-17", group, 12)) },
+            { CloudCodec.writeRent(CloudServiceCodec.readRent(it)) },
         ),
         "scale in" to Message(
-            { CloudCodec.delete(CloudOp.Delete(listOf("i-000231"))) },
-            { CloudCodec.delete(CloudServiceCodec.readDelete(it)) },
+            { CloudCodec.writeDelete(CloudOp.Delete(listOf("i-000231"))) },
+            { CloudCodec.writeDelete(CloudServiceCodec.readDelete(it)) },
         ),
         "machines rented" to Message(
-            { CloudServiceCodec.rented(listOf("i-000231")) },
-            { CloudServiceCodec.rented((CloudCodec.rented(it) as CloudResult.Rented).machines) },
+            { CloudServiceCodec.writeRented(listOf("i-000231")) },
+            { CloudServiceCodec.writeRented((CloudCodec.readRented(it) as CloudResult.Rented).machines) },
         ),
         "machine list" to Message(
-            { CloudServiceCodec.listed(machineList) },
-            { CloudServiceCodec.listed(CloudCodec.listed(it) as CloudResult.Listed) },
+            { CloudServiceCodec.writeListed(machineList) },
+            { CloudServiceCodec.writeListed(CloudCodec.readListed(it) as CloudResult.Listed) },
         ),
-        "rights" to Message({ AdminCodec.rights(3, "root", AT_MS, "person lea { }") }, { bytes ->
-            AdminCodec.readRights(bytes).let { AdminCodec.rights(it.version, it.by, it.atMs, it.text) }
+        "rights" to Message({ AdminCodec.writeRights(3, "root", AT_MS, "person lea { }") }, { bytes ->
+            AdminCodec.readRights(bytes).let { AdminCodec.writeRights(it.version, it.by, it.atMs, it.text) }
         }),
-        "publication" to Message({ AdminCodec.publish(3, "person lea { }") }),
-        "rollback" to Message({ AdminCodec.rollback(3, 2) }),
-        "published" to Message({ AdminCodec.published(4) }),
+        "publication" to Message({ AdminCodec.writePublication(3, "person lea { }") }),
+        "rollback" to Message({ AdminCodec.writeRollback(3, 2) }),
+        "published" to Message({ AdminCodec.writePublished(4) }),
     )
 
     val entry = AuditEntry(
--- a/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/ServerCodecTest.kt
@@ -22,23 +22,26 @@
             listOf(Guard(Keys.LEADER, 3)),
             listOf(Write.Put(Keys.job(record.spec.id), record), Write.Put(Keys.LEADER, leader, 9), Write.Remove("x/1")),
         )
-        assertEquals(txn, StateServiceCodec.readTxn(StateCodec.txn(txn)))
-        assertEquals(StateOp.Grant(2_500), StateServiceCodec.readGrant(StateCodec.grant(2_500)))
+        assertEquals(txn, StateServiceCodec.readTxn(StateCodec.writeTransaction(txn)))
+        assertEquals(StateOp.Grant(2_500), StateServiceCodec.readGrant(StateCodec.writeGrant(2_500)))
         val item = StateItem(Keys.LEADER, leader, 4)
-        assertEquals(StateResult.Item(item), StateCodec.item(StateServiceCodec.write(StateResult.Item(item))))
+        assertEquals(StateResult.Item(item), StateCodec.readItem(StateServiceCodec.write(StateResult.Item(item))))
         val items = StateResult.Items(listOf(item), true, 8)
-        assertEquals(items, StateCodec.items(StateServiceCodec.write(items)))
+        assertEquals(items, StateCodec.readItems(StateServiceCodec.write(items)))
         val news = StateResult.News(
             listOf(StateEvent(Keys.job(record.spec.id), record, 5), StateEvent("j/2", null, 6)),
             6,
         )
-        assertEquals(news, StateCodec.news(StateServiceCodec.write(news)))
-        assertEquals(StateResult.Committed(7), StateCodec.committed(StateServiceCodec.write(StateResult.Committed(7))))
+        assertEquals(news, StateCodec.readChanges(StateServiceCodec.write(news)))
+        assertEquals(
+            StateResult.Committed(7),
+            StateCodec.readCommitted(StateServiceCodec.write(StateResult.Committed(7))),
+        )
         assertEquals(
             StateResult.Conflict(setOf("a")),
-            StateCodec.conflict(StateServiceCodec.write(StateResult.Conflict(setOf("a")))),
+            StateCodec.readConflict(StateServiceCodec.write(StateResult.Conflict(setOf("a")))),
         )
-        assertEquals(StateResult.Granted(3), StateCodec.granted(StateServiceCodec.write(StateResult.Granted(3))))
+        assertEquals(StateResult.Granted(3), StateCodec.readGranted(StateServiceCodec.write(StateResult.Granted(3))))
         assertThrows(
             MalformedMessageException::class.java,
         ) { StateServiceCodec.readTxn("{\"writes\":[{\"set\":\"unknown/1\",\"data\":{}}]}".encodeToByteArray()) }
@@ -47,19 +50,22 @@
     @Test
     fun `the cloud understands requests and is understood`() {
         val rent = CloudOp.Rent("r-1", GroupKey("box", "a", true), 12)
-        assertEquals(rent, CloudServiceCodec.readRent(CloudCodec.rent(rent)))
+        assertEquals(rent, CloudServiceCodec.readRent(CloudCodec.writeRent(rent)))
         val delete = CloudOp.Delete(listOf("i-1", "i-2"))
-        assertEquals(delete, CloudServiceCodec.readDelete(CloudCodec.delete(delete)))
+        assertEquals(delete, CloudServiceCodec.readDelete(CloudCodec.writeDelete(delete)))
         val catalog = LoadTestCluster.catalog(LoadTestPlan())
-        assertEquals(catalog, CloudCodec.catalog(CloudServiceCodec.catalog(catalog)))
+        assertEquals(catalog, CloudCodec.readCatalog(CloudServiceCodec.writeCatalog(catalog)))
         val listed = CloudResult.Listed(
             ListedState.entries.map { ListedMachine("i-$it", "127.0.0.1:9", GroupKey("box", "a", false), it, 1.5) },
             true,
         )
-        assertEquals(listed, CloudCodec.listed(CloudServiceCodec.listed(listed)))
-        assertEquals(CloudResult.Rented(listOf("i-3")), CloudCodec.rented(CloudServiceCodec.rented(listOf("i-3"))))
+        assertEquals(listed, CloudCodec.readListed(CloudServiceCodec.writeListed(listed)))
+        assertEquals(
+            CloudResult.Rented(listOf("i-3")),
+            CloudCodec.readRented(CloudServiceCodec.writeRented(listOf("i-3"))),
+        )
         assertThrows(MalformedMessageException::class.java) {
-            CloudServiceCodec.readRent(CloudCodec.rent(rent.copy(count = 51)))
+            CloudServiceCodec.readRent(CloudCodec.writeRent(rent.copy(count = 51)))
         }
     }
 
