--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -14,7 +14,8 @@
  * it is done. A dependency that is not in [SchedulerState] is looked up in the store; until its final record can be
  * read, it does not count as done.
  *
- * Owns the leader's [DependencyGraph], [Job.needed], and the inherited [Job.priority] and [Job.dueMs]. Stores nothing.
+ * Owns the leader's [DependencyGraph], [Job.hasDependents], and the inherited [Job.priority] and [Job.dueMs]. Stores
+ * nothing.
  */
 internal class DependencyTracker(
     private val ctx: Context,
--- a/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedStore.kt
@@ -55,7 +55,7 @@
 
     /**
      * Whether requests beyond the rates of the settings are refused, as the real service does. If not, they are
-     * executed and only counted in [calls] and [writes].
+     * executed and only counted in [requestMeter] and [writeMeter].
      */
     var refusesBeyondRates = false
 
