--- a/src/main/kotlin/plankwall/core/api/JobCache.kt
+++ b/src/main/kotlin/plankwall/core/api/JobCache.kt
@@ -114,7 +114,7 @@
                 }
             }
             revision = maxOf(revision, result.revision)
-            cancellations?.readUpTo(startedAt)
+            cancellations?.onStoreRead(startedAt)
         } else if (result == StateResult.TooOld) {
             revision = UNREAD
         }
@@ -127,7 +127,7 @@
         dependencies.add(id, record.spec.dependencies)
         if (record.cancelledMs > 0) {
             dependencies.markCancelled(id)
-            cancellations?.learn(id)
+            cancellations?.recordCancelled(id)
         }
     }
 
--- a/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
+++ b/src/main/kotlin/plankwall/core/api/SubmissionCheck.kt
@@ -17,12 +17,12 @@
 /** Checks submissions against the machine types, the team's limit and the size of a stored record. */
 internal class SubmissionCheck(
     private val ctx: Context,
-    private val capacityView: CapacityView,
+    private val catalogCache: CatalogCache,
     private val recordSize: JobRecordSize,
 ) {
     /** Returns why the submission of [record] is rejected, by the machine types known now, or null if it is valid. */
     fun rejectionOf(record: JobRecord): SubmissionRejection? {
-        val catalog = capacityView.catalog
+        val catalog = catalogCache.catalog
         return when {
             catalog == null -> SubmissionRejection(503, "the machine types are not known yet")
             !recordSize.fits(record) -> SubmissionRejection.TOO_LARGE
--- a/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/BootDelayDetector.kt
@@ -16,7 +16,7 @@
  * It needs no stored state of its own: the stored fleet record contains the time at which each machine was requested,
  * so a new leader finds the same groups at once.
  *
- * @param startedAt the time at which this leader took over, in seconds of the steady clock
+ * @param startedAt the time at which this leader took over, in seconds of the monotonic clock
  */
 class BootDelayDetector(
     private val ctx: Context,
@@ -25,7 +25,7 @@
 ) {
     private val log = LoggerFactory.getLogger("autoscaler")
 
-    /** The times at which machines of each group recently registered, in seconds of the steady clock. */
+    /** The times at which machines of each group recently registered, in seconds of the monotonic clock. */
     private val bootTimesByGroup = HashMap<GroupKey, ArrayDeque<Double>>()
 
     /** The names of the overdue machines that no longer count as capacity about to arrive. */
@@ -40,9 +40,9 @@
         bootTimesByGroup.getOrPut(group) { ArrayDeque() }.addLast(ctx.now)
     }
 
-    /** Finds the delayed groups among [arrivals], the booting machines, anew. To be called once in each iteration. */
-    fun refresh(arrivals: Collection<BootingMachine>, catalog: Catalog) {
-        val overdueByGroup = findOverdueByGroup(arrivals, catalog)
+    /** Finds the delayed groups among [bootingMachines] anew. To be called once in each iteration. */
+    fun refresh(bootingMachines: Collection<BootingMachine>, catalog: Catalog) {
+        val overdueByGroup = findOverdueByGroup(bootingMachines, catalog)
         val bootedByGroup = overdueByGroup.keys.associateWith { countRecentBoots(it, catalog) }
         // A new leader does not know which machines came up before the failover. It counts the overdue machines of each
         // group, but not yet their sum over all groups.
@@ -68,13 +68,13 @@
     }
 
     private fun findOverdueByGroup(
-        arrivals: Collection<BootingMachine>,
+        bootingMachines: Collection<BootingMachine>,
         catalog: Catalog,
     ): Map<GroupKey, List<BootingMachine>> {
         val overdueByGroup = LinkedHashMap<GroupKey, ArrayList<BootingMachine>>()
-        for (booting in arrivals) {
+        for (booting in bootingMachines) {
             val type = catalog[booting.group.type] ?: continue
-            if (ctx.now - booting.rentedAt < bootDurations.overdueAfterS(type)) continue
+            if (ctx.now - booting.requestedAt < bootDurations.overdueAfterS(type)) continue
             overdueByGroup.getOrPut(booting.group) { ArrayList() }.add(booting)
         }
         return overdueByGroup
--- a/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/InstanceInventory.kt
@@ -30,7 +30,7 @@
         if (ctx.now >= nextCatalogAt) {
             nextCatalogAt = ctx.now + if (fleet.catalog == null) CATALOG_RETRY_S else CATALOG_INTERVAL_S
             ctx.out.cloud(CloudOp.GetCatalog) { result ->
-                if (store.active && result is CloudResult.CatalogRead) fleet.catalog = result.catalog
+                if (store.isTermActive && result is CloudResult.CatalogRead) fleet.catalog = result.catalog
             }
         }
     }
@@ -41,7 +41,7 @@
      */
     private fun readPage(afterId: String?, foundMachines: ArrayList<ListedMachine>) {
         ctx.out.cloud(CloudOp.ListMachines(afterId, LIST_PAGE_SIZE)) { result ->
-            if (!store.active) return@cloud
+            if (!store.isTermActive) return@cloud
             if (result !is CloudResult.Listed) {
                 endListing(LIST_RETRY_S)
                 return@cloud
@@ -81,12 +81,12 @@
         fleet.describe(machine, listed)
         machine.listed = listed.state
         machine.missingSince = Machine.NEVER
-        if (machine.registered || machine.returning || listed.id in fleet.arrivals) return
+        if (machine.isRegistered || machine.isBeingScaledIn || listed.id in fleet.bootingMachines) return
         if (listed.state != ListedState.BOOTING) return
         // An earlier leader requested it and its record of it was lost. It counts as booting since the time that
         // follows from the age in the list.
         val ageMs = (listed.ageS * 1000).toLong()
-        fleet.arrivals[listed.id] =
+        fleet.bootingMachines[listed.id] =
             BootingMachine(listed.id, listed.group, ctx.now - listed.ageS, ctx.time.wallMs - ageMs)
         autoscalerState.isDirty = true
     }
--- a/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/ScaleOutRequests.kt
@@ -30,7 +30,7 @@
 
     /**
      * By group, the time until which no machine is requested because the cloud lacked capacity, in seconds of the
-     * steady clock.
+     * monotonic clock.
      */
     private val noCapacityUntil = HashMap<GroupKey, Double>()
     private var lastNumber = 0L
@@ -45,8 +45,8 @@
     val unanswered: List<StoredScaleOut> get() = pending.values.map { it.request }
 
     /**
-     * The time at which this leader last requested machines of [group], in seconds of the steady clock; [Machine.NEVER]
-     * if it did not.
+     * The time at which this leader last requested machines of [group], in seconds of the monotonic clock;
+     * [Machine.NEVER] if it did not.
      */
     fun lastRequestedAt(group: GroupKey?): Double = requestedAtByGroup[group] ?: Machine.NEVER
 
@@ -88,13 +88,13 @@
                 countInRequest,
                 requestName,
                 jobsWaiting,
-                fleet.arrivals.size,
+                fleet.bootingMachines.size,
             )
         }
     }
 
     /** Marks the requests in [record], which is stored now, as ready to be sent. */
-    fun onStored(record: FleetRecord) = record.rentals.forEach { pending[it.request]?.isStored = true }
+    fun onStored(record: FleetRecord) = record.scaleOutRequests.forEach { pending[it.request]?.isStored = true }
 
     /** Sends the stored requests that are not under way and whose next attempt is due. */
     fun send() {
@@ -103,7 +103,7 @@
             entry.isSending = true
             val request = entry.request
             ctx.out.cloud(CloudOp.Rent(request.request, request.group, request.count)) { result ->
-                if (store.active) onAnswer(entry, result)
+                if (store.isTermActive) onAnswer(entry, result)
             }
         }
     }
@@ -143,8 +143,8 @@
         if (fleet.isGone(id)) return
         val machine = fleet.machine(id)
         fleet.describe(machine, group, "")
-        if (machine.registered || machine.returning) return
-        fleet.arrivals[id] = BootingMachine(id, group, ctx.now, ctx.time.wallMs)
+        if (machine.isRegistered || machine.isBeingScaledIn) return
+        fleet.bootingMachines[id] = BootingMachine(id, group, ctx.now, ctx.time.wallMs)
     }
 
     private companion object {
--- a/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
+++ b/src/main/kotlin/plankwall/core/autoscaling/UnneededMachines.kt
@@ -11,7 +11,7 @@
  * Steps 8 and 9 of the paper's loop: records since when machines have been unneeded, and removes those that have been
  * unneeded for long enough.
  *
- * @param lastScaleOutAt returns when machines of a group were last requested, in seconds of the steady clock
+ * @param lastScaleOutAt returns when machines of a group were last requested, in seconds of the monotonic clock
  */
 internal class UnneededMachines(
     private val ctx: Context,
@@ -38,12 +38,12 @@
      * Whether [machine] is ready and nothing uses or needs it. Capacity that is held for an incomplete gang or reserved
      * after a preemption is needed.
      */
-    private fun isIdle(machine: Machine): Boolean = machine.registered &&
+    private fun isIdle(machine: Machine): Boolean = machine.isRegistered &&
         fleet.isReady(machine) &&
         machine.placements.isEmpty() &&
         machine.unknownTasks == 0 &&
-        !machine.returning &&
-        machine.held === Resources.NONE &&
+        !machine.isBeingScaledIn &&
+        machine.heldCapacity === Resources.NONE &&
         machine.reservations.isEmpty()
 
     /**
@@ -53,7 +53,7 @@
      */
     fun remove(usable: List<Machine>, forecast: DemandForecast) {
         var spareCapacity = computeSpareCapacity(usable, forecast)
-        val neededImages = schedulerState.live.filter { it.ready && !it.cancelled }.map { it.image.value }.toSet()
+        val neededImages = schedulerState.liveJobs.filter { it.ready && !it.cancelled }.map { it.image.value }.toSet()
         fleet.machines
             .filter { isRemovable(it, neededImages) }
             .take(maxOf(MIN_REMOVALS_PER_ITERATION, fleet.machines.size / FLEET_PER_REMOVAL))
@@ -75,7 +75,7 @@
         fun freeCapacity(spot: Boolean) =
             usable.filter { it.group?.spot == spot }.fold(Resources.NONE) { sum, machine -> sum + machine.free }
         return freeCapacity(spot = false) - forecast.other -
-            (forecast.spot - freeCapacity(spot = true)).atLeastNothing()
+            (forecast.spot - freeCapacity(spot = true)).coerceAtLeastZero()
     }
 
     private fun isRemovable(machine: Machine, neededImages: Set<Int>): Boolean {
--- a/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
+++ b/src/main/kotlin/plankwall/core/failuredetector/FailureDetector.kt
@@ -16,11 +16,11 @@
  * Machines that this leader knows only from the store or the cloud's list, without a heartbeat to it, count like any
  * other. If only those that reconnected counted, each machine of a partitioned zone would look like a single loss.
  *
- * @param startedAt when this leader took over, in seconds of the steady clock
+ * @param startedAt when this leader took over, in seconds of the monotonic clock
  */
 class FailureDetector(private val ctx: Context, private val fleet: Fleet, private val startedAt: Double) {
     /** The interval between the heartbeats of a worker, in seconds. */
-    private val heartbeatS = ctx.settings.workers.reportS
+    private val heartbeatS = ctx.settings.workers.heartbeatIntervalS
 
     /**
      * The longest time a healthy worker takes to find this leader after the failure of the previous one: a heartbeat or
@@ -29,7 +29,7 @@
     private val reconnectTimeS = heartbeatS * RECONNECT_HEARTBEATS + RECONNECT_HOPS_S
 
     /**
-     * By zone, the time at which more than one machine in three last had late heartbeats, in seconds of the steady
+     * By zone, the time at which more than one machine in three last had late heartbeats, in seconds of the monotonic
      * clock.
      */
     private val degradedAtByZone = HashMap<String, Double>()
@@ -60,9 +60,11 @@
         val lateCounts = ZoneCounts()
         for (machine in fleet.machines) {
             val zone = machine.group?.zone ?: continue
-            if (machine.returning) continue
-            if (machine.registered) lateCounts.count(zone, ctx.now - machine.lastHeard > heartbeatS * LATE_HEARTBEATS)
-            if (machine.registered || isReconnectOverdue(machine)) silentCounts.count(zone, isSilent(machine))
+            if (machine.isBeingScaledIn) continue
+            if (machine.isRegistered) {
+                lateCounts.count(zone, ctx.now - machine.lastHeartbeatAt > heartbeatS * LATE_HEARTBEATS)
+            }
+            if (machine.isRegistered || isReconnectOverdue(machine)) silentCounts.count(zone, isSilent(machine))
         }
         for ((zone, count) in lateCounts.affected) {
             if (count > maxOf(1, lateCounts.all.getValue(zone) / DEGRADED_DIVISOR)) degradedAtByZone[zone] = ctx.now
@@ -93,7 +95,7 @@
 
     /**
      * The time at which the heartbeats of more than one machine in three of [zone], and of more than one, were last
-     * late, in seconds of the steady clock; [Machine.NEVER] if they were not.
+     * late, in seconds of the monotonic clock; [Machine.NEVER] if they were not.
      */
     fun degradedAt(zone: String): Double = degradedAtByZone[zone] ?: Machine.NEVER
 
@@ -101,9 +103,9 @@
      * Whether [machine] should be up, by the store or the cloud's list, but has not sent a heartbeat to this leader
      * yet.
      */
-    fun isAwaited(machine: Machine): Boolean = !machine.registered &&
-        !machine.returning &&
-        machine.id !in fleet.arrivals &&
+    fun isAwaited(machine: Machine): Boolean = !machine.isRegistered &&
+        !machine.isBeingScaledIn &&
+        machine.id !in fleet.bootingMachines &&
         machine.listed != ListedState.FAILED
 
     /** Whether [machine] is awaited though a healthy worker would have reconnected by now. */
@@ -112,7 +114,7 @@
 
     /** Whether [machine] has no recent heartbeat: it stopped sending them, or never reconnected to this leader. */
     fun isSilent(machine: Machine): Boolean =
-        if (machine.registered) !fleet.isReady(machine) else isReconnectOverdue(machine)
+        if (machine.isRegistered) !fleet.isReady(machine) else isReconnectOverdue(machine)
 
     /** Whether healthy workers may still be reconnecting to this leader after the failover. */
     val isSettling: Boolean get() = ctx.now < startedAt + reconnectTimeS && fleet.machines.any { isAwaited(it) }
@@ -122,7 +124,7 @@
      * heartbeat. Nearly all of them have arrived by then.
      */
     val heartbeatRoundElapsed: Boolean
-        get() = ctx.now >= startedAt + ctx.settings.workers.longestReportS + HEARTBEAT_HOPS_S
+        get() = ctx.now >= startedAt + ctx.settings.workers.longestHeartbeatIntervalS + HEARTBEAT_HOPS_S
 
     /**
      * Returns the replicas of live services on machines presumed lost, by job. Until there is proof that a replica is
--- a/src/main/kotlin/plankwall/core/placement/Preemptor.kt
+++ b/src/main/kotlin/plankwall/core/placement/Preemptor.kt
@@ -58,7 +58,7 @@
     private fun preemptForTasks(job: Job, usable: List<Machine>) {
         val zones = zonesIncludingReservations(job, usable)
         while (job.waiting.size > capacity.reservedTasks(job)) {
-            if (!schedulerState.withinLimit(job.team, job.spec.need * (1 + capacity.reservedTasks(job)))) return
+            if (!schedulerState.isWithinQuota(job.team, job.spec.need * (1 + capacity.reservedTasks(job)))) return
             val preemption = findPreemption(job, usable, zones, emptySet()) ?: return
             preempt(job, preemption)
             preemption.machine.group?.let { zones.addPlanned(it.zone) }
@@ -70,13 +70,13 @@
      * gathers free capacity for a while before it preempts.
      */
     private fun preemptForGang(job: Job, usable: List<Machine>) {
-        if (ctx.now - job.gatherSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
-        if (!schedulerState.withinLimit(job.team, job.spec.need * job.waiting.size)) return
+        if (ctx.now - job.heldSince < GANG_GATHERING_TIME_S || capacity.reservedTasks(job) > 0) return
+        if (!schedulerState.isWithinQuota(job.team, job.spec.need * job.waiting.size)) return
         val machineSets = if (!job.spec.oneZone) {
             listOf(usable)
         } else {
             usable.groupBy { it.group?.zone }
-                .filterKeys { job.gatherZone == null || it == job.gatherZone }
+                .filterKeys { job.heldZone == null || it == job.heldZone }
                 .values
         }
         val preemptions = machineSets.firstNotNullOfOrNull { findPreemptionsForGang(job, it) } ?: return
@@ -95,7 +95,7 @@
         // gang.
         val withFreeCapacity = machines.filter { capacity.isEligible(job, it, zones) && job.spec.need.fitsIn(it.free) }
         chosen.addAll(withFreeCapacity)
-        repeat(job.waiting.size - withFreeCapacity.sumOf { it.free.holds(job.spec.need) }) {
+        repeat(job.waiting.size - withFreeCapacity.sumOf { it.free.countFitting(job.spec.need) }) {
             val preemption = findPreemption(job, machines, zones, chosen) ?: return null
             preemptions.add(preemption)
             chosen.add(preemption.machine)
@@ -125,7 +125,7 @@
         )
         for (victim in preemption.victims) {
             pendingQueue.onPreempted(victim.job, if (victim.job.isGang) victim.job.placements.size else 1)
-            schedulerState.stopWithSave(victim, StopCause.PREEMPTED)
+            schedulerState.stopWithCheckpoint(victim, StopCause.PREEMPTED)
         }
     }
 
@@ -145,7 +145,7 @@
         var lowestCostS = Double.MAX_VALUE
         for (machine in machines) {
             if (machine in chosen || machine.placements.isEmpty() || !capacity.isEligible(job, machine, zones)) continue
-            val fetchWaitS = machine.fetchWait(job.image, job.spec.imageGb, ctx.now)
+            val fetchWaitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now)
             if (fetchWaitS >= lowestCostS) continue
             val victims = selectVictims(machine, job) ?: continue
             val costS = victims.sumOf { lostWorkS(it) } + fetchWaitS
@@ -189,12 +189,12 @@
      * enough; null if stopping all that may be preempted would not free enough.
      */
     private fun selectVictims(machine: Machine, job: Job): List<Placement>? {
-        var free = if (job.isGang) machine.free else machine.free - machine.held
+        var free = if (job.isGang) machine.free else machine.free - machine.heldCapacity
         var candidates: ArrayList<Placement>? = null
         for (placement in machine.placements.values) {
             if (placement.stopping != null) {
                 free += placement.job.spec.need
-            } else if (!placement.ended && mayPreempt(job, placement.job)) {
+            } else if (!placement.hasExited && mayPreempt(job, placement.job)) {
                 candidates = (candidates ?: ArrayList()).apply { add(placement) }
             }
         }
@@ -244,7 +244,7 @@
     private fun exceedsGuarantee(teamIndex: TeamIndex): Boolean {
         val team = ctx.settings.teams[teamIndex.value]
         if (!team.hasGuarantee) return true
-        val used = schedulerState.used(teamIndex)
+        val used = schedulerState.usedBy(teamIndex)
         return (team.gpus > 0 && used.gpus > team.gpus) || (team.cpus > 0 && used.cpus > team.cpus)
     }
 
--- a/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
+++ b/src/main/kotlin/plankwall/core/sessions/SessionPlanner.kt
@@ -108,7 +108,7 @@
      * only this process was paused for a moment, removing the node would move all workers for no reason.
      */
     private fun availableNodes(): List<SessionNode> {
-        for (status in reachability.freshPeers()) {
+        for (status in reachability.provenFreshPeers()) {
             val capacity = status.sessions?.capacity ?: 0
             if (capacity <= 0) continue
             val node = knownNodes.getOrPut(status.node) { KnownNode(ctx.now) }
@@ -132,8 +132,8 @@
             val zone = machine.group?.zone ?: continue
             // A machine that is up but has not sent a heartbeat yet will do so, whichever node its worker tries first.
             val isUp =
-                machine.registered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
-            if (isUp && !machine.returning) demand.merge(zone, 1, Int::plus)
+                machine.isRegistered || machine.listed == ListedState.RUNNING || machine.placements.isNotEmpty()
+            if (isUp && !machine.isBeingScaledIn) demand.merge(zone, 1, Int::plus)
         }
         return demand
     }
--- a/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
+++ b/src/main/kotlin/plankwall/core/state/DependencyTracker.kt
@@ -14,7 +14,8 @@
  * it is done. A dependency that is not in [SchedulerState] is looked up in the store; until its final record can be
  * read, it does not count as done.
  *
- * Owns the leader's [DependencyGraph], [Job.needed], and the inherited [Job.priority] and [Job.dueMs]. Stores nothing.
+ * Owns the leader's [DependencyGraph], [Job.hasDependents], and the inherited [Job.priority] and [Job.dueMs]. Stores
+ * nothing.
  */
 internal class DependencyTracker(
     private val ctx: Context,
@@ -31,7 +32,7 @@
 
     /**
      * The dependencies of waiting jobs that are not in [SchedulerState], each with the time of its next lookup in
-     * seconds of the steady clock.
+     * seconds of the monotonic clock.
      */
     private val pendingLookups = LinkedHashMap<String, Double>()
     private var readsUnderWay = 0
@@ -40,7 +41,7 @@
     fun add(job: Job) {
         val id = job.spec.id
         pendingLookups.remove(id)
-        if (graph.dependentsOf(id).isNotEmpty()) job.needed = true
+        if (graph.dependentsOf(id).isNotEmpty()) job.hasDependents = true
         val dependencyIds = job.spec.dependencies
         inheritance.recompute(job)
         if (dependencyIds.isEmpty()) {
@@ -48,7 +49,7 @@
             return
         }
         cancelAll(graph.add(id, dependencyIds), id)
-        dependencyIds.mapNotNull(findJob).forEach { it.needed = true }
+        dependencyIds.mapNotNull(findJob).forEach { it.hasDependents = true }
         dependencyIds.filter { findJob(it) == null }.forEach { pendingLookups[it] = ctx.now }
         inheritance.raiseDependenciesOf(job)
     }
--- a/src/main/kotlin/plankwall/core/state/Job.kt
+++ b/src/main/kotlin/plankwall/core/state/Job.kt
@@ -16,20 +16,20 @@
  * Several classes set its fields: [SchedulerState] the state of the tasks ([done], [placements], [waiting]),
  * cancellation and readiness; [DependencyTracker] the effective [priority] and [dueMs]; [StateWriter] and the classes
  * that it uses the versions, [storedDone] and [finishing]; fault attribution the fields about failures; gang placement
- * [gatherZone] and [gatherSince]; the queue [guaranteed]; scale-out [starving].
+ * [heldZone] and [heldSince]; the queue [guaranteed]; scale-out [starving].
  *
  * The store holds the job's record (written when the job is submitted or cancelled), its pages of [done] and
  * [placements], and in the end its final record. Each leader derives everything else anew.
  *
- * @property ix the number of the job, which is only valid as long as this node leads
+ * @property index the number of the job, which is only valid as long as this node leads
  * @property pageSize the number of tasks in a stored page
- * @property submittedMs the time at which the job was submitted, in milliseconds of the time of day
- * @property learnedAt the time at which this leader first read the job's record, in seconds of the steady clock
+ * @property submittedMs the time at which the job was submitted, in milliseconds of wall-clock time
+ * @property learnedAt the time at which this leader first read the job's record, in seconds of the monotonic clock
  * @property hasServiceObjective whether a service-level objective or its team's guarantee applies to the job; such a
  * job is never [bestEffort]
  */
 class Job(
-    val ix: JobIndex,
+    val index: JobIndex,
     val spec: JobSpec,
     val team: TeamIndex,
     val image: ImageIndex,
@@ -50,7 +50,7 @@
     /** Whether the job's user cancelled it, or it depends on a cancelled job. No more of its tasks are started. */
     var cancelled = false
 
-    /** The time at which the job was cancelled, in milliseconds of the time of day; 0 if it was not. */
+    /** The time at which the job was cancelled, in milliseconds of wall-clock time; 0 if it was not. */
     var cancelledMs = 0L
 
     /** Whether the write of the job's final record is in progress. */
@@ -67,16 +67,16 @@
     var ready = false
 
     /**
-     * The time at which the job's waiting time began, in milliseconds of the time of day: its submission, or the end of
+     * The time at which the job's waiting time began, in milliseconds of wall-clock time: its submission, or the end of
      * the last job that it depends on.
      */
     var readyMs = submittedMs
 
-    /** The time at which this leader found the job ready, in seconds of the steady clock. */
+    /** The time at which this leader found the job ready, in seconds of the monotonic clock. */
     var readyAt = learnedAt
 
     /** Whether another job depends on it. */
-    var needed = false
+    var hasDependents = false
         set(value) {
             field = value
             equivalenceClass = equivalenceClassFor(priority)
@@ -90,7 +90,7 @@
      */
     val bestEffort: Boolean
         get() = !hasServiceObjective &&
-            !needed &&
+            !hasDependents &&
             spec.shape != Shape.SERVICE &&
             spec.deadlineS == null &&
             dueMs == Long.MAX_VALUE &&
@@ -107,7 +107,7 @@
         }
 
     /** The position of the job in the order in which jobs became ready, or [NO_DEMAND]. */
-    var demandIx = NO_DEMAND
+    var demandIndex = NO_DEMAND
 
     /** The highest of its own priority and those of the jobs that depend on it. */
     var priority = spec.priority
@@ -116,7 +116,7 @@
             equivalenceClass = equivalenceClassFor(value)
         }
 
-    /** The job's own deadline in milliseconds of the time of day, or [Long.MAX_VALUE] if it has none. */
+    /** The job's own deadline in milliseconds of wall-clock time, or [Long.MAX_VALUE] if it has none. */
     val ownDueMs: Long = spec.deadlineS?.let { submittedMs + (it * 1000).toLong() } ?: Long.MAX_VALUE
 
     /**
@@ -143,17 +143,17 @@
     /** The tasks that are neither done nor placed, in the order in which they are to be placed. */
     val waiting = ArrayDeque<Int>()
 
-    /** The time before which no task of it is placed, in seconds of the steady clock. */
+    /** The time before which no task of it is placed, in seconds of the monotonic clock. */
     var backoffUntil = 0.0
 
     /** Whether a task was placed and cannot start before its page is written. */
     var urgent = false
 
-    /** The time at which the oldest change that is not written yet was made, in seconds of the steady clock. */
+    /** The time at which the oldest change that is not written yet was made, in seconds of the monotonic clock. */
     var dirtySince = 0.0
 
     /** The indices of the machines on which a task of it failed, except those known to be faulty themselves. */
-    val failedOn = HashSet<Int>()
+    val failedMachines = HashSet<Int>()
 
     /**
      * Whether a task of it finished, or ran for long where others failed at once. Failures from then on are not
@@ -162,17 +162,17 @@
     var provenSound = false
 
     /** The longest time, in seconds, for which a task of it ran before it failed. */
-    var longestFailS = 0.0
+    var longestFailedRunS = 0.0
 
-    /** The number of attempts that failed in a row since the job became [suspect]. */
-    var failedProbes = 0
+    /** The number of attempts that failed in a row since the job became [isSuspected]. */
+    var failedRetries = 0
 
     /**
      * Whether it failed on at least [SUSPECT_MACHINES] machines and ran well nowhere, probably because it was submitted
      * with a mistake. It is then retried one task at a time with a growing backoff. Until it runs well, it causes no
      * scale-out and no preemption, and its failures are not attributed to machines.
      */
-    val suspect: Boolean get() = !provenSound && failedOn.size >= SUSPECT_MACHINES
+    val isSuspected: Boolean get() = !provenSound && failedMachines.size >= SUSPECT_MACHINES
 
     /** Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs. */
     var guaranteed = false
@@ -197,10 +197,10 @@
      * The zone in which capacity is held for this gang; null if none was chosen, or if its tasks may be in several
      * zones.
      */
-    var gatherZone: String? = null
+    var heldZone: String? = null
 
-    /** The time at which holding capacity in [gatherZone] began, in seconds of the steady clock. */
-    var gatherSince = 0.0
+    /** The time at which holding capacity in [heldZone] began, in seconds of the monotonic clock. */
+    var heldSince = 0.0
 
     /** Returns the page, or the part of a split page, that holds [task]. */
     fun pageOf(task: Int): TaskPage {
@@ -215,7 +215,7 @@
      */
     fun page(number: Int): TaskPage = pages.getOrPut(number) {
         TaskPage(number).apply {
-            val wholePageNumber = Keys.wholeOf(number)
+            val wholePageNumber = Keys.pageOf(number)
             val pageStart = wholePageNumber * pageSize
             if (number == wholePageNumber) {
                 cover(pageStart, minOf(pageStart + pageSize, spec.tasks))
@@ -227,7 +227,7 @@
 
     private fun TaskPage.coverPart(wholePage: TaskPage, pageStart: Int) {
         if (wholePage.partSize == 0) return
-        val partStart = pageStart + Keys.partOf(number) * wholePage.partSize
+        val partStart = pageStart + Keys.partIndexOf(number) * wholePage.partSize
         cover(partStart, minOf(partStart + wholePage.partSize, pageStart + pageSize, spec.tasks))
     }
 
@@ -244,23 +244,23 @@
 
     /** The numbers of tasks that are done and that run now. */
     val progress: JobProgress
-        get() = JobProgress(spec.id, doneCount, placements.values.count { it.runningSince > 0.0 && !it.ended })
+        get() = JobProgress(spec.id, doneCount, placements.values.count { it.runningSince > 0.0 && !it.hasExited })
 
     /** Whether all tasks are done. */
-    val complete: Boolean get() = doneCount == spec.tasks
+    val isComplete: Boolean get() = doneCount == spec.tasks
 
     /**
      * Whether its final record may be written: it is complete or cancelled, no task of it is placed, and no page of it
      * is being read or written.
      */
     val isFinalizable: Boolean
-        get() = (complete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
+        get() = (isComplete || cancelled) && placements.isEmpty() && pages.values.none { it.inFlight }
 
     private companion object {
         /** The number of machines on which a job must have failed for the failures to be attributed to the job. */
         const val SUSPECT_MACHINES = 2
 
-        /** The [demandIx] of a job that is not ready yet and so does not count as demand. */
+        /** The [demandIndex] of a job that is not ready yet and so does not count as demand. */
         const val NO_DEMAND = -1
     }
 }
--- a/src/main/kotlin/plankwall/core/state/JobListeners.kt
+++ b/src/main/kotlin/plankwall/core/state/JobListeners.kt
@@ -11,6 +11,6 @@
 
 /** A listener that is notified of the end of each job once its final record is stored. */
 internal fun interface JobEndListener {
-    /** Handles the end of [job] in [stage] at [endedMs], in milliseconds of the time of day; 0 if that is not known. */
+    /** Handles the end of [job] in [stage] at [endedMs], in milliseconds of wall-clock time; 0 if that is not known. */
     fun onJobEnded(job: Job, stage: JobStage, endedMs: Long)
 }
--- a/src/main/kotlin/plankwall/core/state/Machine.kt
+++ b/src/main/kotlin/plankwall/core/state/Machine.kt
@@ -10,16 +10,17 @@
 
 /**
  * The leader's state of one machine, from its heartbeats, the cloud's list of machines and the placements on it. Times
- * are in seconds of the steady clock, or [NEVER].
+ * are in seconds of the monotonic clock, or [NEVER].
  *
  * [Fleet] creates it and sets the fields that describe it; [SchedulerState] adds and removes placements; the heartbeat
  * handler sets the fields that heartbeats show, the autoscaler those that concern scale-in, and the placement code
- * [held] and [reservations]. The store only holds which machines are to be scaled in; the autoscaler writes that.
+ * [heldCapacity] and [reservations]. The store only holds which machines are to be scaled in; the autoscaler writes
+ * that.
  *
- * @property ix the number of the machine, which is only valid as long as this node leads
+ * @property index the number of the machine, which is only valid as long as this node leads
  * @property id the name that the cloud gave it
  */
-class Machine(val ix: MachineIndex, val id: String) {
+class Machine(val index: MachineIndex, val id: String) {
     /**
      * The machine's type and zone and whether it is a spot machine; null until a heartbeat or the cloud's list states
      * them.
@@ -43,10 +44,10 @@
     var session = 0L
 
     /** The highest sequence number within [session] of a heartbeat or of an answer to a direct command. */
-    var seq = 0L
+    var statusSeq = 0L
 
     /**
-     * The sequence number of the newest heartbeat alone. [seq] may be higher: the answer to a direct command may
+     * The sequence number of the newest heartbeat alone. [statusSeq] may be higher: the answer to a direct command may
      * overtake a heartbeat that is in flight.
      */
     var heartbeatSeq = 0L
@@ -55,19 +56,19 @@
     var token = 0L
 
     /** The time at which the worker was last sent a direct command only to make it send a heartbeat at once. */
-    var lastWokenAt = NEVER
+    var heartbeatRequestedAt = NEVER
 
     /** The time at which the last heartbeat arrived that was not out of date. */
-    var lastHeard = NEVER
+    var lastHeartbeatAt = NEVER
 
     /**
      * The time at which the last heartbeat arrived that this leader answered or may have answered; the worker's lease
      * starts then at the latest.
      */
-    var lastAnswered = NEVER
+    var lastAnsweredAt = NEVER
 
     /** Whether the worker has seen this leader's fencing token, so that no older leader can command it any more. */
-    var confirmed = false
+    var hasSeenToken = false
 
     /** The time at which this leader first learned of the machine. */
     var firstSeen = 0.0
@@ -82,16 +83,16 @@
     var missingSince = NEVER
 
     /** Whether the machine is to be scaled in. It gets no more tasks from then on. */
-    var returning = false
+    var isBeingScaledIn = false
 
     /** Whether the store holds that the machine is to be scaled in. */
-    var returnStored = false
+    var isScaleInStored = false
 
     /** Whether the call to the cloud that deletes the machine is in progress. */
-    var deleting = false
+    var isDeletionPending = false
 
     /** The time at which the cloud reclaims the machine according to its termination notice. */
-    var noticeAt = NEVER
+    var terminationNoticeAt = NEVER
 
     /** The time since which the autoscaler has found the machine's capacity to be unneeded. */
     var unneededSince = NEVER
@@ -109,14 +110,14 @@
      * The number of exited tasks in the last heartbeat. Heartbeats repeat an exit until the worker is ordered to forget
      * it, which happens only once the end of the task is stored.
      */
-    var exitsShown = 0
+    var exitsInHeartbeat = 0
 
     /**
      * Whether one more task fits into the worker's heartbeat. A heartbeat may have 64 KiB: no node could read a longer
      * one, and the worker would lose its lease with all its tasks. Hundreds of small tasks of an array, along with as
      * many exits, come close to that.
      */
-    val fitsReport: Boolean get() = placements.size + exitsShown < MAX_TASKS_IN_HEARTBEAT
+    val fitsHeartbeat: Boolean get() = placements.size + exitsInHeartbeat < MAX_TASKS_IN_HEARTBEAT
 
     /** The resources that the [placements] use. */
     var used = Resources.NONE
@@ -141,13 +142,13 @@
     var blockedUntil = NEVER
 
     /** The time at which this leader last announced its fencing token to the worker by a direct command. */
-    var lastAnnounced = NEVER
+    var lastAnnouncedAt = NEVER
 
     /**
      * Whether the worker's session ended although its heartbeats were answered, and the worker has not yet shown that
      * it receives this leader's answers.
      */
-    var unresponsive = false
+    var isNotReceivingAnswers = false
 
     /**
      * Whether placements that were never commanded were released here. Nothing more is placed before the next
@@ -156,7 +157,7 @@
     var awaitingHeartbeat = false
 
     /** Whether the start or the stop of a task on this machine may still have to be sent. */
-    var unsent = false
+    var hasUnsentOrders = false
 
     /** The session that the worker named when it refused an announcement of the fencing token; 0 if it refused none. */
     var announceSession = 0L
@@ -174,16 +175,18 @@
      * The capacity that the last placement pass held for gangs that are not complete yet. Any object other than
      * [Resources.NONE] itself means that the machine is held, even where none of its capacity is free yet.
      */
-    var held = Resources.NONE
+    var heldCapacity = Resources.NONE
 
-    /** Capacity for one task of [job], which other jobs may not use before [until], in seconds of the steady clock. */
+    /**
+     * Capacity for one task of [job], which other jobs may not use before [until], in seconds of the monotonic clock.
+     */
     class Reservation(val job: Job, val until: Double)
 
     /** An image of [gb] gigabytes that should be in the cache from [readyAt] on. */
     class CachedImage(val gb: Double, val readyAt: Double)
 
     /** Whether a heartbeat of it has reached this leader. */
-    val registered: Boolean get() = registeredAt > NEVER
+    val isRegistered: Boolean get() = registeredAt > NEVER
 
     private val capacity: Resources get() = type?.capacity ?: Resources.NONE
 
@@ -191,7 +194,7 @@
     private var usedByServices = Resources.NONE
 
     /** The share of the machine's capacity that service tasks take. */
-    val lastingShare: Double get() = usedByServices.partOf(capacity)
+    val serviceShare: Double get() = usedByServices.dominantShareOf(capacity)
 
     /**
      * The capacity that no placement takes. It is kept up to date rather than computed on demand, because a placement
@@ -223,10 +226,10 @@
 
     private fun keyOf(placement: Placement) = keyOf(placement.job, placement.task)
 
-    private fun keyOf(job: Job, task: Int) = (job.ix.value.toLong() shl TASK_BITS) or task.toLong()
+    private fun keyOf(job: Job, task: Int) = (job.index.value.toLong() shl TASK_BITS) or task.toLong()
 
     /** Returns the seconds until [image] would be on the machine if a task that needs it were placed now. */
-    fun fetchWait(image: ImageIndex, gb: Double, now: Double): Double {
+    fun fetchWaitS(image: ImageIndex, gb: Double, now: Double): Double {
         val cached = images[image.value]
         if (cached != null) return (cached.readyAt - now).coerceAtLeast(0.0)
         return (fetchBusyUntil - now).coerceAtLeast(0.0) + fetchS(gb)
@@ -236,7 +239,7 @@
      * Returns the seconds by which fetching [image] as well would delay, on average, the tasks here that wait for other
      * images.
      */
-    fun fetchDelay(image: ImageIndex, gb: Double, now: Double): Double {
+    fun fetchDelayS(image: ImageIndex, gb: Double, now: Double): Double {
         if (images[image.value] != null) return 0.0
         return minOf((fetchBusyUntil - now).coerceAtLeast(0.0), fetchS(gb)) * 0.5
     }
@@ -250,7 +253,7 @@
      */
     fun scheduleFetch(image: ImageIndex, gb: Double, now: Double) {
         val cached = images[image.value]
-        if (cached == null) fetchBusyUntil = now + fetchWait(image, gb, now)
+        if (cached == null) fetchBusyUntil = now + fetchWaitS(image, gb, now)
         recordImage(image, gb, cached?.readyAt ?: fetchBusyUntil)
     }
 
@@ -273,7 +276,7 @@
     }
 
     companion object {
-        /** A time before any time of the steady clock, for what has not happened. */
+        /** A time before any time of the monotonic clock, for what has not happened. */
         const val NEVER = -1e12
 
         /** The number of bits that the task takes in the keys of [placements]. */
--- a/src/main/kotlin/plankwall/core/state/Placement.kt
+++ b/src/main/kotlin/plankwall/core/state/Placement.kt
@@ -21,10 +21,10 @@
      * Whether an answer of this leader ordered the worker to start the task, or one of an earlier leader may have done
      * so.
      */
-    var commanded = false
+    var isCommanded = false
 
     /** Whether the worker has reported the task. */
-    var seen = false
+    var isReported = false
 
     /** The stage of the task that the worker reported last; null if it has reported none. */
     var stage: TaskStage? = null
@@ -32,20 +32,20 @@
     /** The reason why the task is being stopped; null while it may continue to run. */
     var stopping: StopCause? = null
 
-    /** The time at which the stop was decided, in seconds of the steady clock. */
+    /** The time at which the stop was decided, in seconds of the monotonic clock. */
     var stopSince = 0.0
 
     /** Whether the stop was sent by a direct command, which is done once; answers to heartbeats repeat it. */
-    var stopPosted = false
+    var isStopSentDirectly = false
 
     /**
-     * The time at which the worker reported that the task had begun to run, in seconds of the steady clock; 0 before
+     * The time at which the worker reported that the task had begun to run, in seconds of the monotonic clock; 0 before
      * that.
      */
     var runningSince = 0.0
 
     /**
-     * The time at which the placement was planned, or read from the store by this leader, in seconds of the steady
+     * The time at which the placement was planned, or read from the store by this leader, in seconds of the monotonic
      * clock.
      */
     var plannedAt = 0.0
@@ -54,7 +54,7 @@
     var graceS = 0.0
 
     /** Whether the worker has reported the end of the task, which then only has to be stored. */
-    var ended = false
+    var hasExited = false
 
     /** The job, the task and the attempt, as log lines show them. */
     val id: String get() = "${job.spec.id}/$task#$attempt"
@@ -63,7 +63,7 @@
      * Returns the seconds from [now] until the task should end, or null if that is unknown. The estimates of owners are
      * often wrong by half.
      */
-    fun endsIn(now: Double): Double? {
+    fun secondsUntilEnd(now: Double): Double? {
         val spec = job.spec
         if (stopping != null) return STOP_DURATION_S
         if (spec.shape == Shape.SERVICE || runningSince <= 0.0) return null
--- a/src/main/kotlin/plankwall/core/state/SchedulerState.kt
+++ b/src/main/kotlin/plankwall/core/state/SchedulerState.kt
@@ -42,23 +42,23 @@
     private var lastAttempt = 0L
 
     /** All jobs that have not ended, in the order in which this leader learned of them. */
-    val live: Collection<Job> get() = jobs.values
+    val liveJobs: Collection<Job> get() = jobs.values
 
     /** Returns the live job [id], or null if there is none. */
     fun find(id: String): Job? = jobs[id]
 
     /** Returns the resources that the placements of [team] take; each counts until its task is proven gone. */
-    fun used(team: TeamIndex): Resources = usedByTeam[team.value]
+    fun usedBy(team: TeamIndex): Resources = usedByTeam[team.value]
 
     /** Returns whether the quota of [team] allows it to use [extra] in addition to what it uses now. */
-    fun withinLimit(team: TeamIndex, extra: Resources): Boolean =
-        ctx.settings.teams[team.value].allows(used(team) + extra)
+    fun isWithinQuota(team: TeamIndex, extra: Resources): Boolean =
+        ctx.settings.teams[team.value].allows(usedBy(team) + extra)
 
     /**
      * The number of times that a job was added, became ready or ended. A change of it shows callers that they have to
      * recompute.
      */
-    var changes = 0
+    var changeCount = 0
         private set
 
     /**
@@ -87,7 +87,7 @@
         val job = factory.create(record) ?: return null
         val spec = job.spec
         jobs[spec.id] = job
-        changes++
+        changeCount++
         dependencies.add(job)
         log.debug("job added job={} shape={} tasks={} team={}", spec.id, spec.shape, spec.tasks, spec.team)
         return job
@@ -114,12 +114,12 @@
         for (stored in record.placements) {
             val placement = Placement(job, stored.task, stored.attempt, fleet.machine(stored.machine), stored.session)
             placement.stored = true
-            placement.commanded = true
+            placement.isCommanded = true
             placement.plannedAt = ctx.now
             attach(placement)
             if (job.cancelled) stop(placement, StopCause.CANCELLED, 0.0)
         }
-        if (job.complete) writer.markDirty(job)
+        if (job.isComplete) writer.markDirty(job)
     }
 
     /**
@@ -166,16 +166,16 @@
         placement.stopping = cause
         placement.graceS = graceS
         placement.stopSince = ctx.now
-        placement.machine.unsent = true
+        placement.machine.hasUnsentOrders = true
         log.info("task stopping task={} machine={} cause={}", placement.id, placement.machine.id, cause)
-        if (!placement.commanded) release(placement, "never commanded")
+        if (!placement.isCommanded) release(placement, "never commanded")
     }
 
     /**
      * Stops [placement] with time for a checkpoint if its job writes checkpoints. If the job is a gang, all its tasks
      * are stopped.
      */
-    fun stopWithSave(placement: Placement, cause: StopCause) {
+    fun stopWithCheckpoint(placement: Placement, cause: StopCause) {
         val job = placement.job
         val graceS = if (job.spec.checkpointS > 0) job.spec.saveS + SAVE_MARGIN_S else 0.0
         // All tasks of a gang must get the stop within a short time, or the checkpoint fails.
@@ -213,8 +213,8 @@
     private fun onReady(job: Job) {
         job.ready = true
         job.readyAt = ctx.now
-        job.demandIx = nextDemandIndex++
-        changes++
+        job.demandIndex = nextDemandIndex++
+        changeCount++
     }
 
     private fun cancelByDependency(job: Job, dependency: String) {
@@ -255,7 +255,7 @@
     /** Removes [job], whose final record is stored and states [stage], and updates the jobs that depend on it. */
     private fun onJobEnded(job: Job, stage: JobStage, endedMs: Long) {
         if (jobs.remove(job.spec.id) == null) return
-        changes++
+        changeCount++
         writer.forget(job)
         log.info("job ended job={} stage={} done={} tasks={}", job.spec.id, stage, job.doneCount, job.spec.tasks)
         dependencies.onEnded(job.spec.id, stage, endedMs)
--- a/src/main/kotlin/plankwall/gateway/AccessGateway.kt
+++ b/src/main/kotlin/plankwall/gateway/AccessGateway.kt
@@ -18,9 +18,9 @@
  * This class only connects the components that do this work; each of them holds its own state.
  */
 class AccessGateway(private val ctx: Context, private val settings: GatewaySettings) : AccessCheck {
-    private val policies = PolicyStore(ctx, settings.firstRights)
-    private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.trailShare)
-    private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.sealS)
+    private val policies = PolicyStore(ctx, settings.initialPolicyText)
+    private val auditLog = AuditLogWriter(ctx, ctx.settings.node, settings.auditLogWriteShare)
+    private val sealer = AuditLogSealer(ctx, settings.nodeKey, settings.checkpointIntervalS)
     private val entryFactory = AuditEntryFactory(ctx, policies)
     private val denials = DenialLimits(
         byPrincipal = DenialLimiter(ctx.time, settings.denialsPerS, settings.denialBurst),
@@ -70,11 +70,11 @@
         }
     }
 
-    override fun authenticate(request: RequestId, credentials: Credentials, then: (Caller) -> Unit) =
-        authenticator.authenticate(request, credentials) { then(it) }
+    override fun authenticate(request: RequestId, credentials: Credentials, onAuthenticated: (Caller) -> Unit) =
+        authenticator.authenticate(request, credentials) { onAuthenticated(it) }
 
-    override fun handleAdmin(request: RequestId, credentials: Credentials, asked: AdminRequest) =
-        admin.handle(request, credentials, asked)
+    override fun handleAdmin(request: RequestId, credentials: Credentials, adminRequest: AdminRequest) =
+        admin.handle(request, credentials, adminRequest)
 
     override fun heartbeatRefusal(address: String, claimed: String, listed: String?): String? {
         val ranges = policies.policy.workerNetworks
@@ -82,7 +82,7 @@
             ranges != null && !ranges.contains(address) -> "workers may not report from this network"
             !settings.workersAtListedAddress || listed.isNullOrEmpty() -> null
             listed != claimed -> "the machine is listed at another address"
-            !Networks.sameHost(listed, address) -> "the report comes from another address than the machine's"
+            !Networks.isSameHost(listed, address) -> "the report comes from another address than the machine's"
             else -> null
         }
     }
--- a/src/main/kotlin/plankwall/io/Daemon.kt
+++ b/src/main/kotlin/plankwall/io/Daemon.kt
@@ -52,7 +52,7 @@
     private val routes = ApiRoutes(authenticated = accessComponents != null, ::awaitReply)
     private val workerCommands = WorkerCommands(scope, selector, ::processInput)
     private val peerLinks =
-        PeerLinks(scope, selector, settings.peers, accessComponents?.createFrameSeal?.invoke(incarnation)) {
+        PeerLinks(scope, selector, settings.peers, accessComponents?.createFrameSigner?.invoke(incarnation)) {
             processInput(Input.PeerMessageReceived(it))
         }
 
@@ -100,7 +100,7 @@
     }
 
     private fun completeReply(effect: Effect.Answer) {
-        val reply = HttpReply(effect.status, effect.body, effect.retryAfterS, close = effect.close)
+        val reply = HttpReply(effect.status, effect.body, effect.retryAfterS, closeConnection = effect.closeConnection)
         pendingReplies.remove(effect.request)?.complete(reply)
     }
 
--- a/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
+++ b/src/main/kotlin/plankwall/loadtest/WorkerTransport.kt
@@ -108,7 +108,7 @@
         onAnswer: (status: Int, body: JsonNode) -> Unit,
     ) {
         val sentAtS = cluster.clock.now
-        val body = WorkerCodec.writeReport(heartbeat)
+        val body = WorkerCodec.writeHeartbeat(heartbeat)
         cluster.meters.nodes[node].heartbeats++
         val ioThread = ioThreadOf(slotOf(worker.id))
         ioThread.scope.launch {
@@ -133,7 +133,7 @@
         val existing = links[worker.id]
         if (existing != null && existing.node == node) return existing.client
         existing?.client?.closeIdle()
-        val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxWaiting = 2)
+        val client = HttpClient(ioThread.selector, apiAddresses[node], maxConnections = 1, maxCallsInProgress = 2)
         links[worker.id] = ControllerLink(node, client)
         return client
     }
@@ -169,7 +169,7 @@
             val worker = workersBySlot[slot]?.takeIf { it.group.zone !in zonesLosingAnswers }
             if (command == null) worker?.let { 200 to it.heartbeat() } else worker?.command(command)
         } ?: awaitCancellation()
-        return HttpReply(answer.first, WorkerCodec.writeReport(answer.second))
+        return HttpReply(answer.first, WorkerCodec.writeHeartbeat(answer.second))
     }
 
     companion object {
--- a/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
+++ b/src/main/kotlin/plankwall/simulation/SimulatedCluster.kt
@@ -95,11 +95,11 @@
     /** Sends a frame from one controller to another; it can be lost or arrive a second time, as [faults] say. */
     internal fun sendFrame(from: SimulatedController, to: SimulatedController, bytes: ByteArray) {
         if (faults.frameLoss > 0 && random.nextDouble() < faults.frameLoss) return faults.count("frames lost")
-        network.carry(from.name, to.name) { if (to.up) to.onFrame(bytes) }
+        network.carry(from.name, to.name) { if (to.isUp) to.onFrame(bytes) }
         if (faults.lateFrameCopies == 0.0 || random.nextDouble() >= faults.lateFrameCopies) return
         clock.after(random.nextDouble() * MAX_FRAME_DELAY_S) {
             faults.count("late frames")
-            if (to.up) to.onFrame(bytes)
+            if (to.isUp) to.onFrame(bytes)
         }
     }
 
@@ -166,8 +166,8 @@
         worker: SimulatedWorker,
         node: Int,
         heartbeat: HeartbeatStatus,
-        then: (status: Int, body: JsonNode) -> Unit,
-    ) = heartbeats.send(worker, nodes[node], heartbeat, then)
+        onAnswer: (status: Int, body: JsonNode) -> Unit,
+    ) = heartbeats.send(worker, nodes[node], heartbeat, onAnswer)
 
     /** The workers that are reachable and can run tasks, with the capacity of their machines. */
     private fun healthyWorkers(): Map<SimulatedWorker, Resources> = cloud.workers
@@ -205,7 +205,7 @@
     }
 
     /** Submits [spec] as [SimulatedUsers.submit] does. */
-    fun submit(spec: JobSpec, cancelAfter: Double? = null) = users.submit(spec, cancelAfter)
+    fun submit(spec: JobSpec, cancelAfterS: Double? = null) = users.submit(spec, cancelAfterS)
 
     /** Cancels the job [id] as [SimulatedUsers.cancel] does. */
     fun cancel(id: String) = users.cancel(id)
@@ -216,7 +216,7 @@
      */
     fun stageOf(id: String): String? {
         var reportedStage: String? = null
-        nodes.first { it.up }.sendRequest({ Input.Show(it, id) }) { status, body ->
+        nodes.first { it.isUp }.sendRequest({ Input.Show(it, id) }) { status, body ->
             reportedStage =
                 if (status == 200) SimulatedWorker.json.readTree(body).get("stage").asText() else "status $status"
         }
--- a/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
+++ b/src/test/kotlin/plankwall/audit/AuditLogVerifierTest.kt
@@ -26,7 +26,9 @@
         number % 3 != 0, "rule x", 2, 200, "q$number",
     )
 
-    /** Returns a log of three chains of 40 entries in segments of 4, with a seal after every 10 entries of each chain. */
+    /**
+     * Returns a log of three chains of 40 entries in segments of 4, with a seal after every 10 entries of each chain.
+     */
     private fun auditLog(): AuditLogCopy {
         val nodes = listOf("n0", "n1", "n2")
         val chains = nodes.associateWith { LinkedHashMap<Long, AuditSegment>() }
@@ -72,9 +74,9 @@
     @Test
     fun `an intact audit log is verified without a failure, also against a checkpoint`() {
         val outcome = verifier.verify(auditLog(), listOf(auditLog().seals.getValue(1)))
-        assertEquals(emptyList<VerificationFailure>(), outcome.broken)
-        assertEquals(120L, outcome.entries)
-        assertEquals(setOf(40L), outcome.sealed.values.toSet())
+        assertEquals(emptyList<VerificationFailure>(), outcome.failures)
+        assertEquals(120L, outcome.entryCount)
+        assertEquals(setOf(40L), outcome.sealedCounts.values.toSet())
     }
 
     /** Returns a forged chain of [entries] whose segments, numbers and hashes are consistent with each other. */
@@ -177,7 +179,7 @@
                         node,
                         entries.mapIndexed { number, entry ->
                             if (number == entryNumber) {
-                                entry.copy(who = "eve")
+                                entry.copy(principal = "eve")
                             } else {
                                 entry
                             }
@@ -224,7 +226,7 @@
         repeat(70) { round ->
             val (tampered, expectedPlaces) = tamper(kind, random, intact)
             // The last seal was kept elsewhere and serves as the checkpoint.
-            val broken = verifier.verify(tampered, listOf(intact.seals.getValue(3))).broken
+            val broken = verifier.verify(tampered, listOf(intact.seals.getValue(3))).failures
             assertTrue(broken.isNotEmpty(), "kind $kind, round $round: nothing found")
             assertTrue(
                 broken.first().place in expectedPlaces,
@@ -250,7 +252,7 @@
                         },
                     )
             }
-            val place = verifier.verify(tampered).broken.first().place
+            val place = verifier.verify(tampered).failures.first().place
             assertTrue(
                 place == "trail of n1, entry ${entryNumber + 1}" ||
                     place == "trail of n1, segment ${entryNumber / 4 + 1}",
--- a/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
@@ -93,7 +93,7 @@
         val policy = PolicyReader.read(text, 7)
         assertEquals("rule live", policy.authorize("max", Action.SUBMIT, job("board-matcher")).rule)
         val explanation =
-            policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.standing}" }
+            policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.outcome}" }
         assertEquals(
             listOf("6 CONDITION_FAILS", "7 OTHER_ACTION", "8 OTHER_ACTION", "12 DECIDES", "13 APPLIES"),
             explanation,
--- a/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
+++ b/src/test/kotlin/plankwall/cli/settings/SettingsTest.kt
@@ -66,12 +66,12 @@
     fun `an announced limit of the state service already applies if it is lower than the present one`() {
         assertEquals(
             StateLimits(250.0, 70.0, 2.0, 10),
-            SettingsFile.read(TomlMapper().readTree(announcedToml)).stateTight,
+            SettingsFile.read(TomlMapper().readTree(announcedToml)).strictestStateLimits,
         )
         val largerToml = announcedToml.replace("value_kb = 2.0", "value_kb = 32.0")
-        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(largerToml)).stateTight.valueKb)
+        assertEquals(8.0, SettingsFile.read(TomlMapper().readTree(largerToml)).strictestStateLimits.valueKb)
         val settingsWithoutNext = SettingsFile.read(TomlMapper().readTree(validToml))
-        assertEquals(settingsWithoutNext.state, settingsWithoutNext.stateTight)
+        assertEquals(settingsWithoutNext.state, settingsWithoutNext.strictestStateLimits)
     }
 
     @ParameterizedTest
--- a/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/AutoscalerTest.kt
@@ -55,6 +55,6 @@
         val failedMachine = core.machine("i-000001").apply { listed = ListedState.FAILED }
         ctx.time.advance(ctx.now + afterS, 0)
         autoscaler.tick()
-        assertEquals(returned, failedMachine.returning)
+        assertEquals(returned, failedMachine.isBeingScaledIn)
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/BootDelayDetectorTest.kt
@@ -72,7 +72,7 @@
         cluster.cloud.bootFactor = 8.0
         cluster.cloud.bootFailureShare = 0.3
         for (n in 1..10) cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(n, tasks = 16, runS = 30.0)) }
-        cluster.clock.after(45.0) { cluster.nodes.first { it.leading }.crash(60.0) }
+        cluster.clock.after(45.0) { cluster.nodes.first { it.isLeader }.crash(60.0) }
         cluster.clock.runUntil(110.0)
         assertTrue(
             cluster.cloud.instancesCreated <= 80,
--- a/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
@@ -28,8 +28,8 @@
         val machine = fleet.machine("i-%06d".format(nextNumber++))
         fleet.describe(machine, GroupKey("box", zone, false), "")
         machine.registeredAt = 1.0
-        machine.lastHeard = ctx.now - silentS
-        machine.returning = returning
+        machine.lastHeartbeatAt = ctx.now - silentS
+        machine.isBeingScaledIn = returning
     }
 
     @ParameterizedTest(name = "{0}")
--- a/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
+++ b/src/test/kotlin/plankwall/core/cancellations/CancellationsTest.kt
@@ -33,7 +33,7 @@
     private fun receive(
         node: String,
         update: CancellationUpdate?,
-        echo: Long? = reachability.report(0, null, null).seq,
+        echo: Long? = reachability.createReport(0, null, null).seq,
         frameSeq: Long = ++lastSeq,
         incarnation: Long = 1,
     ) {
@@ -66,10 +66,10 @@
         val node = argument.substringBefore('/')
         val seconds = argument.substringAfter('/').toDoubleOrNull() ?: 0.0
         when (kind) {
-            "read" -> cancellations.readUpTo(ctx.now)
+            "read" -> cancellations.onStoreRead(ctx.now)
             "wait" -> advanceTime(seconds)
             "whole" -> receive(node, completeList())
-            "slow" -> reachability.report(0, null, null).seq.let { echo ->
+            "slow" -> reachability.createReport(0, null, null).seq.let { echo ->
                 advanceTime(10.0)
                 receive(node, completeList(), echo)
             }
@@ -133,9 +133,9 @@
         event: String,
         jobsSentAgain: String,
     ) {
-        listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::learn)
+        listOf("job-000001", "job-000002", "job-000001").forEach(cancellations::recordCancelled)
         assertEquals(listOf("job-000001", "job-000002"), learned)
-        val frameSeq = reachability.report(0, null, null).seq
+        val frameSeq = reachability.createReport(0, null, null).seq
         assertEquals(2, cancellations.nextUpdate(frameSeq).jobs.size)
         when (event) {
             "echoed" -> listOf("n1", "n2").forEach { receive(it, completeList(), frameSeq) }
@@ -157,7 +157,7 @@
         assertEquals(listOf("job-000007"), learned)
         assertEquals(true, cancellations.isKnown("job-000007"))
         // This node may confirm the cancellation itself later. Its list claims to be complete, so it must name the job.
-        cancellations.learn("job-000007")
+        cancellations.recordCancelled("job-000007")
         assertEquals(listOf("job-000007"), cancellations.nextUpdate(1).jobs)
         cancellations.onJobEnded("job-000007")
         assertEquals(false, cancellations.isKnown("job-000007"))
--- a/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/FaultAttributionTest.kt
@@ -55,10 +55,14 @@
             core.schedulerState.release(placement, "ended")
         }
         assertEquals(machines, core.fleet.machines.filter { it.faulty }.joinToString(" ") { it.id }, name)
-        val liveJobs = core.schedulerState.live.sortedBy { it.spec.id }
-        assertEquals(jobs, liveJobs.filter { it.suspect }.joinToString(" ") { it.spec.id.last().toString() }, name)
+        val liveJobs = core.schedulerState.liveJobs.sortedBy { it.spec.id }
+        assertEquals(jobs, liveJobs.filter { it.isSuspected }.joinToString(" ") { it.spec.id.last().toString() }, name)
         liveJobs.forEach {
-            assertEquals(it.suspect, it.backoffUntil > core.ctx.now, "${it.spec.id} is delayed only while suspected")
+            assertEquals(
+                it.isSuspected,
+                it.backoffUntil > core.ctx.now,
+                "${it.spec.id} is delayed only while suspected",
+            )
         }
     }
 
@@ -90,6 +94,6 @@
             runningSince = core.ctx.now - ranS
         }
         faultAttribution.onTaskRunning(placement)
-        assertEquals(suspected, job.suspect)
+        assertEquals(suspected, job.isSuspected)
     }
 }
--- a/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
+++ b/src/test/kotlin/plankwall/core/heartbeat/HeartbeatHandlerTest.kt
@@ -39,9 +39,9 @@
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = 2))
-        assertFalse(placer.usable(machine), "the machine may be one that no answer reaches")
+        assertFalse(placer.isUsable(machine), "the machine may be one that no answer reaches")
         handler.onHeartbeat(heartbeat(session = 2, seq = 10, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @Test
@@ -50,10 +50,10 @@
         val machine = core.machine("i-1")
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = CoreParts.EPOCH))
         handler.onHeartbeat(heartbeat(session = 2, seq = 9, token = CoreParts.EPOCH))
-        assertFalse(placer.usable(machine))
-        advanceTime(core.ctx.surelyOverS)
+        assertFalse(placer.isUsable(machine))
+        advanceTime(core.ctx.leaseExpiryBoundS)
         handler.onHeartbeat(heartbeat(session = 2, seq = 12, token = CoreParts.EPOCH))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @ParameterizedTest(name = "the start was sent in an answer: {0}")
@@ -66,15 +66,15 @@
         handler.onHeartbeat(heartbeat(session = 1, seq = 5, token = 2))
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply { stored = true }
         if (commanded) handler.onHeartbeat(heartbeat(session = 1, seq = 6, token = 2))
-        advanceTime(core.ctx.settings.workers.missedS - 0.1)
+        advanceTime(core.ctx.settings.workers.missedHeartbeatS - 0.1)
         handler.releaseExpired()
         assertTrue(placement.job.placements[0] === placement, "the heartbeat is not late yet")
         advanceTime(0.2)
         handler.releaseExpired()
         assertEquals(commanded, placement.job.placements[0] === placement)
-        assertEquals(commanded, placer.usable(machine), "no more tasks are placed there after a release")
+        assertEquals(commanded, placer.isUsable(machine), "no more tasks are placed there after a release")
         handler.onHeartbeat(heartbeat(session = 1, seq = 8, token = 2))
-        assertTrue(placer.usable(machine))
+        assertTrue(placer.isUsable(machine))
     }
 
     @Test
@@ -83,7 +83,7 @@
         val machine = core.machine("i-1").apply { session = 1 }
         val placement = schedulerState.place(core.learn(SimulatedCluster.job(1)), 0, machine, 7).apply {
             stored = true
-            commanded = true
+            isCommanded = true
         }
         schedulerState.stop(placement, StopCause.CANCELLED, 0.0)
         handler.onHeartbeat(heartbeat(session = 1, seq = 3, token = 2))
@@ -119,7 +119,9 @@
         }
         handler.onHeartbeat(heartbeat("i-1", 2, listOf(TaskStatus(spec.id, 0, 7, TaskStage.WAITING, null, false))))
         when (otherTask) {
-            "stopping" -> placed[1].apply { commanded = true }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
+            "stopping" -> placed[1].apply {
+                isCommanded = true
+            }.let { schedulerState.stop(it, StopCause.PREEMPTED, 0.0) }
             "gone" -> job.placements.remove(1)
         }
         val answer = handler.onHeartbeat(
--- a/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
+++ b/src/test/kotlin/plankwall/core/relay/WorkerRelayTest.kt
@@ -45,7 +45,7 @@
      * reach it directly. [plan]: how it spreads the workers' sessions.
      */
     private fun receiveLeaderStatus(epoch: Long, late: Int, known: Int = 40, plan: SessionPlan? = null) {
-        val echo = reachability.report(0, null, null).seq
+        val echo = reachability.createReport(0, null, null).seq
         val links =
             ReachabilityReport(
                 echo,
@@ -68,8 +68,8 @@
             is Effect.PeerSend -> when (val message = it.message) {
                 is RelayedHeartbeat -> "to:${it.to}".also { lastHeartbeatId = message.id }
                 is HeartbeatBatch -> {
-                    lastHeartbeatId = message.reports.last().id
-                    "batch:${it.to}:${message.epoch}:${message.reports.joinToString(",", transform = ::kindOf)}"
+                    lastHeartbeatId = message.heartbeats.last().id
+                    "batch:${it.to}:${message.epoch}:${message.heartbeats.joinToString(",", transform = ::kindOf)}"
                 }
                 else -> error("$message")
             }
@@ -132,7 +132,7 @@
             }
             event == "lead" -> relay.onLeadershipGained()
             event.startsWith("reached:") -> relay.onCommandAnswered("i-${event.drop(8)}")
-            event == "unserved" -> return "${relay.unservedWorkers}"
+            event == "unserved" -> return "${relay.unservedWorkerCount}"
             else -> error(event)
         }
         return drainEffects().ifEmpty { "-" }
--- a/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
+++ b/src/test/kotlin/plankwall/core/sessions/HeartbeatBatchTest.kt
@@ -45,7 +45,7 @@
     private fun sendInBatch(heartbeat: HeartbeatStatus, id: Long, recipient: LeadershipClaim = leader) = batcher.run {
         add(id, recipient, "", heartbeat)
         ctx.time.advance(ctx.now + 0.3, 0)
-        takeDue(recipient.epoch) { true }.single().reports.single()
+        takeDue(recipient.epoch) { true }.single().heartbeats.single()
     }
 
     private fun changedHeartbeat(change: String): HeartbeatStatus = when (change) {
@@ -110,7 +110,7 @@
         batcher.add(2, leader, "", baseline.copy(seq = 11))
         assertEquals(0, batcher.takeDue(5) { true }.size)
         batcher.add(3, leader, "", baseline.copy(machine = "i-000002"))
-        assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().reports.map { it.id })
+        assertEquals(listOf(3L), batcher.takeDue(5) { it == 3L }.single().heartbeats.map { it.id })
         batcher.add(4, leader, "", baseline)
         assertEquals(0, batcher.takeDue(6) { true }.size, "the heartbeat was added for another epoch")
     }
@@ -120,7 +120,7 @@
         val tasks = List(100) { task.copy(task = it) }
         repeat(40) { batcher.add(it.toLong(), leader, "", baseline.copy(machine = "i-%06d".format(it), tasks = tasks)) }
         val frames = batcher.takeDue(5) { true }
-        assertEquals(40, frames.sumOf { it.reports.size })
+        assertEquals(40, frames.sumOf { it.heartbeats.size })
         frames.forEach { assertEquals(true, PeerCodec.write(it).size <= PeerCodec.MAX_FRAME) }
         assertEquals(true, frames.size in 2..20, "${frames.size} frames")
     }
--- a/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
+++ b/src/test/kotlin/plankwall/gateway/AuditLogReplayTest.kt
@@ -24,7 +24,7 @@
 class AuditLogReplayTest {
     private val cluster =
         SimulatedCluster(2026, 7, gatewaySettings = {
-            Callers.settings(it, Callers.rights(redRules = RED_RULES), sealS = 15.0)
+            Callers.settings(it, Callers.rights(redRules = RED_RULES), checkpointIntervalS = 15.0)
         })
     private val callers = Callers(cluster)
 
@@ -40,8 +40,12 @@
         cluster.clock.after(100.0) { cluster.faults.answerLoss = 0.0 }
         cluster.clock.after(70.0) { cluster.faults.lateWrites = 0.05 }
         cluster.clock.after(160.0) { cluster.faults.lateWrites = 0.0 }
-        for (n in 0 until 20) cluster.clock.after(15.0 + n * 9.0) { cluster.nodes[n % 7].takeIf { it.up }?.crash(4.0) }
-        cluster.clock.after(110.0) { cluster.nodes.filter { it.up }.forEach { it.crash(6.0) } }
+        for (n in 0 until 20) {
+            cluster.clock.after(15.0 + n * 9.0) {
+                cluster.nodes[n % 7].takeIf { it.isUp }?.crash(4.0)
+            }
+        }
+        cluster.clock.after(110.0) { cluster.nodes.filter { it.isUp }.forEach { it.crash(6.0) } }
         cluster.clock.after(150.0) {
             callers.publish(
                 "root",
@@ -119,9 +123,9 @@
         val outcome = AuditLogVerifier { node, _ ->
             PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(AuditLogChecker(stored).copy)
-        assertEquals(emptyList<String>(), outcome.broken.map { it.toString() })
-        assertEquals(outcome.entries, outcome.sealed.values.sum())
-        assertTrue(outcome.entries > 10_000, "${outcome.entries}")
+        assertEquals(emptyList<String>(), outcome.failures.map { it.toString() })
+        assertEquals(outcome.entryCount, outcome.sealedCounts.values.sum())
+        assertTrue(outcome.entryCount > 10_000, "${outcome.entryCount}")
     }
 
     /** Plants one fault into the stored values or the recorded answers. [fault] names it and selects it below. */
--- a/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayLimitsTest.kt
@@ -137,7 +137,9 @@
     fun `rights longer than a stored value, the audit log and its seals stay within lowered state service limits`() {
         val loweredLimits = StateLimits(250.0, 70.0, 2.0, 10)
         val cluster =
-            SimulatedCluster(14, 3, stateNext = loweredLimits, gatewaySettings = { Callers.settings(it, sealS = 5.0) })
+            SimulatedCluster(14, 3, stateNext = loweredLimits, gatewaySettings = {
+                Callers.settings(it, checkpointIntervalS = 5.0)
+            })
         val callers = Callers(cluster)
         cluster.clock.runUntil(5.0)
         cluster.state.limits = loweredLimits
@@ -154,7 +156,7 @@
         }
         cluster.clock.runUntil(60.0)
         assertEquals(listOf(2L, 2L, 2L), cluster.nodes.map { it.accessGateway?.version })
-        assertEquals(emptyMap<String, Int>(), cluster.state.rejected)
+        assertEquals(emptyMap<String, Int>(), cluster.state.rejectionCounts)
         assertEquals(emptyList<String>(), AuditLogChecker.of(cluster.state).check(callers.sentRequests))
     }
 
@@ -176,16 +178,16 @@
         val cluster = SimulatedCluster(15, 3, gatewaySettings = { Callers.settings(it) })
         val callers = Callers(cluster)
         cluster.clock.runUntil(5.0)
-        val firstRights = Callers.rights(moreText = "# one\n" + "# filling\n".repeat(900))
+        val initialPolicyText = Callers.rights(moreText = "# one\n" + "# filling\n".repeat(900))
         val secondRights = Callers.rights(moreText = "# two\n" + "# stuffing\n".repeat(900))
         val concurrent =
             listOf(
-                callers.publish("root", 1, firstRights, cluster.nodes[0]),
+                callers.publish("root", 1, initialPolicyText, cluster.nodes[0]),
                 callers.publish("root", 1, secondRights, cluster.nodes[1]),
             )
         cluster.clock.runUntil(7.0)
         assertTrue(concurrent.count { it.status == 200 } <= 1, "${concurrent.map { it.status }}")
-        val later = callers.publish("root", 1, firstRights, cluster.nodes[2]).also { cluster.clock.runUntil(9.0) }
+        val later = callers.publish("root", 1, initialPolicyText, cluster.nodes[2]).also { cluster.clock.runUntil(9.0) }
         // These rights would leave no principal who may administer rights.
         val out = callers.publish(
             "root",
@@ -194,7 +196,7 @@
         ).also {
             cluster.clock.runUntil(11.0)
         }
-        val unauthorized = callers.publish("ada", 1, firstRights).also { cluster.clock.runUntil(13.0) }
+        val unauthorized = callers.publish("ada", 1, initialPolicyText).also { cluster.clock.runUntil(13.0) }
         assertEquals(
             listOf(
                 if (concurrent.any {
--- a/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
+++ b/src/test/kotlin/plankwall/gateway/GatewayScenarioTest.kt
@@ -52,7 +52,7 @@
         val verified = AuditLogVerifier { node, _ ->
             plankwall.identity.PublicKey.of("k1", Callers.KEYS.getValue(node).x)
         }.verify(checker.copy)
-        assertEquals(emptyList<String>(), verified.broken.map { it.toString() })
+        assertEquals(emptyList<String>(), verified.failures.map { it.toString() })
         assertEquals(emptyList<String>(), this.checker.violations)
     }
 
@@ -333,8 +333,8 @@
         val callers = Callers(cluster)
         cluster.clock.runUntil(3.0)
         // Makes the older node the leader, so that it stores the end of jobs without their owners.
-        while (!cluster.nodes[0].leading) {
-            cluster.nodes.first { it.leading }.crash(3.0)
+        while (!cluster.nodes[0].isLeader) {
+            cluster.nodes.first { it.isLeader }.crash(3.0)
             cluster.clock.runUntil(cluster.clock.now + 6.0)
         }
         val shortJob = SimulatedCluster.job(1, tasks = 1, team = "red", runS = 5.0)
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -52,7 +52,7 @@
         first: String,
         second: String,
         expectedSame: Boolean,
-    ) = assertEquals(expectedSame, Networks.sameHost(first, second))
+    ) = assertEquals(expectedSame, Networks.isSameHost(first, second))
 
     @ParameterizedTest(name = "{0} belongs to {1}")
     @CsvSource("10.1.2.3, 10.1.2.0/24", "2001:db8::9:1, 2001:db8::/64", "x, unreadable")
--- a/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
+++ b/src/test/kotlin/plankwall/identity/PeerFramesTest.kt
@@ -41,9 +41,9 @@
     fun `a forged status with a higher epoch makes a leader resign only if frames are not signed`(signed: Boolean) {
         val cluster = clusterWithPeerKeys(if (signed) listOf(key) else emptyList())
         cluster.clock.runUntil(10.0)
-        val leader = cluster.nodes.single { it.leading }
+        val leader = cluster.nodes.single { it.isLeader }
         leader.onFrame(PeerCodec.write(status("n9", 1L shl 50)))
-        assertEquals(signed, leader.leading, "only a node without peer keys accepts the unsigned frame")
+        assertEquals(signed, leader.isLeader, "only a node without peer keys accepts the unsigned frame")
     }
 
     @ParameterizedTest(name = "frames are signed: {0}")
@@ -55,15 +55,15 @@
         val leadership = Leadership(ctx, {}, {})
         win(ctx, leadership)
         val frameSeal =
-            PeerSeal("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
+            PeerFrameSigner("n0", 1, if (signed) listOf(key) else emptyList(), allowUnsigned = false, toleranceMs = 100)
         val authenticator = PeerAuthenticator(frameSeal) { null }
         for (peer in listOf("n1", "n2")) {
-            authenticator.open(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
+            authenticator.verify(PeerCodec.write(status(peer, leadership.epoch)), now)?.let {
                 leadership.onPeerStatus(it as PeerStatus)
             }
         }
-        val graceEnd = leadership.wonAt + ctx.outageGraceS
-        assertEquals(if (signed) graceEnd else ctx.time.now, leadership.olderLeadersSilentAt)
+        val graceEnd = leadership.electedAt + ctx.outageGraceS
+        assertEquals(if (signed) graceEnd else ctx.time.now, leadership.olderLeadersStoppedAt)
         if (signed) assertEquals(2L, frameSeal.dropped)
     }
 
@@ -90,7 +90,7 @@
 
     /** Returns the seal of [node], which signs with the first of [keys]. */
     private fun seal(node: String = "n1", incarnation: Long = 5, keys: List<PeerKey> = listOf(key)) =
-        PeerSeal(node, incarnation, keys, false, 100)
+        PeerFrameSigner(node, incarnation, keys, false, 100)
 
     @Test
     fun `a frame is rejected if it is unsigned, changed, truncated, too old, early or in a wrong name`() {
@@ -99,16 +99,16 @@
             bytes: ByteArray,
             wallMs: Long = now,
             authenticator: PeerAuthenticator = PeerAuthenticator(seal("n0")) { null },
-        ) = authenticator.open(bytes, wallMs)
-        val signedFrame = seal().seal(statusFrame, now)
+        ) = authenticator.verify(bytes, wallMs)
+        val signedFrame = seal().sign(statusFrame, now)
         assertNotNull(open(signedFrame))
         assertNull(open(statusFrame), "not signed")
-        assertNull(open(seal(keys = listOf(newKey)).seal(statusFrame, now)), "signed with an unknown key")
-        assertNull(open(seal("n0").seal(statusFrame, now)), "reflected to its sender")
-        assertNull(open(seal("n2").seal(statusFrame, now)), "a status sent by one peer in the name of another")
+        assertNull(open(seal(keys = listOf(newKey)).sign(statusFrame, now)), "signed with an unknown key")
+        assertNull(open(seal("n0").sign(statusFrame, now)), "reflected to its sender")
+        assertNull(open(seal("n2").sign(statusFrame, now)), "a status sent by one peer in the name of another")
         val answer = PeerCodec.write(RelayedAnswer("n1", 7, 200, byteArrayOf(1)))
-        assertNull(open(seal("n2").seal(answer, now)), "a relayed answer sent by one peer in the name of another")
-        assertNotNull(open(seal().seal(answer, now)))
+        assertNull(open(seal("n2").sign(answer, now)), "a relayed answer sent by one peer in the name of another")
+        assertNotNull(open(seal().sign(answer, now)))
         assertNull(open(signedFrame, now + 11_000), "delivered too late")
         assertNull(open(signedFrame, now - 1_000), "from the future")
         for (n in signedFrame.indices) {
@@ -129,15 +129,15 @@
         val statusFrame = PeerCodec.write(status("n1", 5))
         val authenticator = PeerAuthenticator(seal("n0")) { null }
         val sealBeforeRestart = seal(incarnation = 5)
-        val frames = List(3) { sealBeforeRestart.seal(statusFrame, now + it) }
-        assertNotNull(authenticator.open(frames[1], now))
-        assertNull(authenticator.open(frames[1], now), "a replayed frame")
-        assertNull(authenticator.open(frames[0], now), "a frame sent before an accepted one")
-        assertNotNull(authenticator.open(frames[2], now))
+        val frames = List(3) { sealBeforeRestart.sign(statusFrame, now + it) }
+        assertNotNull(authenticator.verify(frames[1], now))
+        assertNull(authenticator.verify(frames[1], now), "a replayed frame")
+        assertNull(authenticator.verify(frames[0], now), "a frame sent before an accepted one")
+        assertNotNull(authenticator.verify(frames[2], now))
         // If the sender's clock was set back, its incarnation after the restart is lower. It must still be accepted.
-        assertNotNull(authenticator.open(seal(incarnation = 3).seal(statusFrame, now + 50), now + 60))
+        assertNotNull(authenticator.verify(seal(incarnation = 3).sign(statusFrame, now + 50), now + 60))
         assertNull(
-            authenticator.open(sealBeforeRestart.seal(statusFrame, now + 40), now + 60),
+            authenticator.verify(sealBeforeRestart.sign(statusFrame, now + 40), now + 60),
             "a frame from before the restart",
         )
     }
@@ -150,13 +150,13 @@
         for ((senderKeys, receiverKeys) in steps.zipWithNext() + steps.zipWithNext { old, new -> new to old }) {
             assertNotNull(
                 PeerAuthenticator(seal("n0", keys = receiverKeys)) { null }
-                    .open(seal(keys = senderKeys).seal(statusFrame, now), now),
+                    .verify(seal(keys = senderKeys).sign(statusFrame, now), now),
             )
         }
         assertNull(
             PeerAuthenticator(seal("n0", keys = steps[3])) {
                 null
-            }.open(seal(keys = steps[0]).seal(statusFrame, now), now),
+            }.verify(seal(keys = steps[0]).sign(statusFrame, now), now),
         )
     }
 
@@ -178,7 +178,7 @@
         cluster.clock.runUntil(3.0)
         callers.submit("ada", SimulatedCluster.job(1, team = "red", runS = 10.0))
         cluster.clock.runUntil(15.0)
-        cluster.nodes.single { it.leading }.crash(5.0)
+        cluster.nodes.single { it.isLeader }.crash(5.0)
         cluster.clock.runUntil(80.0)
         assertEquals("done", callers.show("ada", "job-000001").also { cluster.clock.runUntil(81.0) }.stage)
         assertEquals(emptyList<String>(), cluster.checker.violations)
--- a/src/test/kotlin/plankwall/io/PeerLinksTest.kt
+++ b/src/test/kotlin/plankwall/io/PeerLinksTest.kt
@@ -42,8 +42,8 @@
     }
 
     /**
-     * The peer closes only its sending direction. Writes still succeed although nobody processes them, so only the end of
-     * the incoming stream shows that the connection is lost.
+     * The peer closes only its sending direction. Writes still succeed although nobody processes them, so only the end
+     * of the incoming stream shows that the connection is lost.
      */
     @Test
     fun `a connection whose peer closed only its sending direction is replaced by a new one`() {
--- a/src/test/kotlin/plankwall/load/PlacementPass.kt
+++ b/src/test/kotlin/plankwall/load/PlacementPass.kt
@@ -48,9 +48,9 @@
         val (ordinaryPasses, evaluatingPasses) = List(2) { Histogram(60_000_000, 3) }
         repeat(400) { round ->
             core.ctx.time.advance(core.ctx.now + 0.1, core.ctx.time.wallMs + 100)
-            core.fleet.machines.forEach { it.lastHeard = core.ctx.now }
+            core.fleet.machines.forEach { it.lastHeartbeatAt = core.ctx.now }
             val startedNs = System.nanoTime()
-            placer.plan()
+            placer.runPass()
             val durationUs = (System.nanoTime() - startedNs) / 1_000
             if (round >= 100) (if (round % 10 == 0) evaluatingPasses else ordinaryPasses).recordValue(durationUs)
         }
--- a/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/AutoscalingScenarioTest.kt
@@ -84,7 +84,7 @@
         // When the leader crashes, the request has been stored and sent, and its answer is lost.
         cluster.clock.runUntil(2.0)
         while (cluster.cloud.instancesCreated == 0) cluster.clock.runUntil(cluster.clock.now + 0.05)
-        cluster.nodes.first { it.leading }.crash(5.0)
+        cluster.nodes.first { it.isLeader }.crash(5.0)
         cluster.clock.runUntil(60.0)
         assertEquals(1, cluster.cloud.instancesCreated)
     }
@@ -94,7 +94,7 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 24)) }
         cluster.clock.runUntil(45.0)
-        cluster.nodes.first { it.leading }.crash(8.0)
+        cluster.nodes.first { it.isLeader }.crash(8.0)
         cluster.clock.runUntil(53.0)
         // The cloud's list shows the dead machine as running for a while.
         val deadId = cluster.cloud.workers.first().also { it.die() }.id
@@ -108,11 +108,11 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 16)) }
         cluster.clock.runUntil(45.0)
-        val firstLeader = cluster.nodes.first { it.leading }
+        val firstLeader = cluster.nodes.first { it.isLeader }
         cluster.nodes.filter { it !== firstLeader }.forEach { it.crash(200.0) }
         cluster.cloud.workers.take(3).forEach { it.die() }
         cluster.clock.runUntil(90.0)
-        assertTrue(firstLeader.leading)
+        assertTrue(firstLeader.isLeader)
         assertEquals(
             16 + 12,
             cluster.checker.starts,
@@ -130,11 +130,11 @@
         val cluster = cluster()
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 12)) }
         cluster.clock.runUntil(45.0)
-        val firstLeader = cluster.nodes.first { it.leading }
+        val firstLeader = cluster.nodes.first { it.isLeader }
         cutLinks.split(' ').forEach { cluster.faults.cuts.add("${firstLeader.name}-$it") }
         cluster.clock.runUntil(75.0)
-        assertEquals(staysLeader, firstLeader.leading)
-        assertTrue(cluster.nodes.any { it.leading }, "no node leads")
+        assertEquals(staysLeader, firstLeader.isLeader)
+        assertTrue(cluster.nodes.any { it.isLeader }, "no node leads")
         assertEquals(12, cluster.checker.starts, "replicas were started again")
         assertEquals(emptyList<String>(), cluster.checker.violations)
     }
--- a/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/DependencyFaultsTest.kt
@@ -138,7 +138,7 @@
         assertEquals(listOf("done", "withdrawn", "done", "withdrawn"), cluster.stages(21..24))
         assertEquals(
             emptyMap<String, Int>(),
-            cluster.state.rejected,
+            cluster.state.rejectionCounts,
             "requests beyond the announced limits were rejected",
         )
         cluster.assertSound()
--- a/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/SmallerLimitsTest.kt
@@ -61,15 +61,15 @@
         val pageBytesBefore = cluster.state.value(Keys.page("job-000001", 0))?.let { StateCodec.sizeOf(it) } ?: 0
         assertTrue(announced || pageBytesBefore > 2048, "the stored page has only $pageBytesBefore bytes")
         cluster.state.limits = smallerLimits
-        if (crashAfterS > 0) cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
+        if (crashAfterS > 0) cluster.clock.after(crashAfterS) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(260.0)
         assertEquals("done", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertTrue(
-            cluster.state.rejected.values.all {
+            cluster.state.rejectionCounts.values.all {
                 it <= 2
             },
-            "rejected transactions were repeated unchanged: ${cluster.state.rejected}",
+            "rejected transactions were repeated unchanged: ${cluster.state.rejectionCounts}",
         )
         assertTrue(cluster.state.keys.none { it.startsWith(Keys.PAGES) }, "pages of the finished job are left")
     }
@@ -91,7 +91,7 @@
             cluster.clock.runUntil(cluster.clock.now + 0.01)
         }
         assertTrue(cluster.clock.now < 120, "the page was never split")
-        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         cluster.clock.runUntil(400.0)
         assertEquals("done", cluster.stageOf("job-000001"))
         assertEquals(emptyList<String>(), cluster.checker.violations)
@@ -120,7 +120,7 @@
 
     private fun items(key: String, chunks: List<Stored>) = chunks.mapIndexed { i, chunk ->
         StateItem(
-            if (i == 0) key else Keys.more(key, i),
+            if (i == 0) key else Keys.furtherChunk(key, i),
             chunk,
             5,
         )
@@ -145,24 +145,24 @@
         returningCount: Int,
     ) {
         val record = fleet(scaleOutCount, arrivingCount, returningCount)
-        val chunks = checkNotNull(ChunkedValue.fleet(record, smallerLimits.txnOps, 2048))
+        val chunks = checkNotNull(ChunkedValue.splitFleet(record, smallerLimits.txnOps, 2048))
         assertTrue(chunks.all { StateCodec.sizeOf(it) <= 2048 })
-        assertTrue(ChunkedValue.writes(Keys.FLEET, chunks, smallerLimits.txnOps - 1).size <= smallerLimits.txnOps)
-        assertEquals(record, ChunkedValue.fleet(items(Keys.FLEET, chunks)))
+        assertTrue(ChunkedValue.changesFor(Keys.FLEET, chunks, smallerLimits.txnOps - 1).size <= smallerLimits.txnOps)
+        assertEquals(record, ChunkedValue.joinFleet(items(Keys.FLEET, chunks)))
         assertEquals(
             1,
-            ChunkedValue.fleet(record, 1, 16 * 1024)?.size,
+            ChunkedValue.splitFleet(record, 1, 16 * 1024)?.size,
             "the record is one value if the limit allows it",
         )
     }
 
     @Test
     fun `further chunks that the first chunk does not count are ignored`() {
-        val chunks = checkNotNull(ChunkedValue.fleet(fleet(2, 300, 100), 10, 2048))
+        val chunks = checkNotNull(ChunkedValue.splitFleet(fleet(2, 300, 100), 10, 2048))
         // The first version of the scheduler rewrites only the first key, without the number of further keys.
         val rewritten = items(Keys.FLEET, listOf(fleet(1, 2, 0)) + chunks.drop(1))
-        assertEquals(fleet(1, 2, 0), ChunkedValue.fleet(rewritten))
-        assertEquals(chunks.size - 1, ChunkedValue.further(Keys.FLEET, rewritten))
+        assertEquals(fleet(1, 2, 0), ChunkedValue.joinFleet(rewritten))
+        assertEquals(chunks.size - 1, ChunkedValue.highestFurtherKey(Keys.FLEET, rewritten))
     }
 
     @Test
@@ -170,11 +170,11 @@
         val types = SimulatedCluster.CATALOG.types.single().let { type ->
             List(40) { type.copy(name = "type-$it", zones = List(4) { zone -> "a-zone-of-a-long-name-$zone" }) }
         }
-        val chunks = checkNotNull(ChunkedValue.catalog(Catalog(types), 10, 2048))
-        assertEquals(types, ChunkedValue.catalog(items(Keys.CATALOG, chunks))?.types)
-        assertNull(ChunkedValue.catalog(items(Keys.CATALOG, chunks).dropLast(1)))
+        val chunks = checkNotNull(ChunkedValue.splitCatalog(Catalog(types), 10, 2048))
+        assertEquals(types, ChunkedValue.joinCatalog(items(Keys.CATALOG, chunks))?.types)
+        assertNull(ChunkedValue.joinCatalog(items(Keys.CATALOG, chunks).dropLast(1)))
         assertNull(
-            ChunkedValue.catalog(Catalog(types), 1, 2048),
+            ChunkedValue.splitCatalog(Catalog(types), 1, 2048),
             "no part of a catalogue that exceeds the limits is stored",
         )
     }
@@ -197,11 +197,11 @@
         bytesAfter: Int,
     ) {
         val limits = StoreLimits(SimulatedCluster.settings("n0", 3).copy(stateNext = smallerLimits))
-        assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes))
+        assertEquals(listOf(10, 2048, 8192), listOf(limits.txnOps, limits.valueBytes, limits.maxBytesPerKey))
         limits.onRejected(changes, largestBytes)
         assertEquals(
             listOf(changesAfter, bytesAfter, bytesAfter),
-            listOf(limits.txnOps, limits.valueBytes, limits.wholeBytes),
+            listOf(limits.txnOps, limits.valueBytes, limits.maxBytesPerKey),
         )
     }
 
@@ -228,7 +228,7 @@
         val requestedMachines = cluster.cloud.instancesCreated
         assertTrue(requestedMachines >= 500, "$requestedMachines")
         assertTrue(cluster.state.keys.any { it.startsWith("${Keys.FLEET}/") }, "the fleet record was never split")
-        cluster.nodes.first { it.leading }.crash(6.0)
+        cluster.nodes.first { it.isLeader }.crash(6.0)
         cluster.clock.runUntil(19.0)
         assertTrue(
             cluster.cloud.instancesCreated <= requestedMachines * 1.05,
@@ -236,7 +236,7 @@
         )
         cluster.clock.runUntil(200.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertEquals(emptyMap<String, Int>(), cluster.state.rejected)
+        assertEquals(emptyMap<String, Int>(), cluster.state.rejectionCounts)
         assertEquals("done", cluster.stageOf("job-000160"))
     }
 }
--- a/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
+++ b/src/test/kotlin/plankwall/simulation/VersionCompatibilityTest.kt
@@ -78,23 +78,32 @@
     fun `a job record that the first version rewrites on cancellation loses its dependencies and owner`() {
         // The first version rewrites a job record only to cancel the job. That is final: no task can start any more, so
         // the lost dependencies do no harm.
-        val owned = Ownership("meera", cancelOnRevoke = true)
+        val ownership = Ownership("meera", cancelOnRevoke = true)
         val record =
-            JobRecord(spec.copy(dependencies = listOf("job-000001")), 1_700_000_000_000, 1_700_000_009_000, 28, owned)
-        assertEquals(record.copy(spec = spec, owned = null), decode(Keys.job(spec.id), rewriteAsFirstVersion(record)))
+            JobRecord(
+                spec.copy(dependencies = listOf("job-000001")),
+                1_700_000_000_000,
+                1_700_000_009_000,
+                28,
+                ownership,
+            )
+        assertEquals(
+            record.copy(spec = spec, ownership = null),
+            decode(Keys.job(spec.id), rewriteAsFirstVersion(record)),
+        )
     }
 
     @Test
     fun `further chunks of a fleet record are ignored after the first version rewrites the first chunk`() {
-        val firstChunk = fleet.copy(more = 1)
+        val firstChunk = fleet.copy(furtherChunks = 1)
         val furtherChunk =
-            StateItem(Keys.more(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
+            StateItem(Keys.furtherChunk(Keys.FLEET, 1), FleetRecord(emptyList(), emptyList(), listOf("i-000777")), 5)
         assertEquals(
             listOf("i-000009", "i-000777"),
-            ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, firstChunk, 5), furtherChunk))?.returning,
+            ChunkedValue.joinFleet(listOf(StateItem(Keys.FLEET, firstChunk, 5), furtherChunk))?.machinesBeingScaledIn,
         )
         val rewritten = checkNotNull(decode(Keys.FLEET, rewriteAsFirstVersion(firstChunk)))
-        assertEquals(fleet, ChunkedValue.fleet(listOf(StateItem(Keys.FLEET, rewritten, 6), furtherChunk)))
+        assertEquals(fleet, ChunkedValue.joinFleet(listOf(StateItem(Keys.FLEET, rewritten, 6), furtherChunk)))
     }
 
     @Test
--- a/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/BestEffortJobsTest.kt
@@ -80,7 +80,7 @@
             running = listOf(machine),
             arriving = emptyList(),
             pending = listOf(waiting),
-            waitingTasks = { it.waiting.size },
+            countWaitingTasks = { it.waiting.size },
             forecast = DemandForecast(Resources.NONE, SimulatedCluster.CATALOG.types.single().capacity),
         )
         val wanted = Estimator(ctx, core.schedulerState, SimulatedCluster.CATALOG)
@@ -104,11 +104,14 @@
         usedByBestEffort: Double,
         isContested: Boolean,
         expectedLeft: Int,
-    ) = assertEquals(expectedLeft, LeftoverCapacityScaling.leftAt(fleetSize, arriving, usedByBestEffort, isContested))
+    ) = assertEquals(
+        expectedLeft,
+        LeftoverCapacityScaling.computeMachineLimit(fleetSize, arriving, usedByBestEffort, isContested),
+    )
 
     private fun readyMachine(name: String) = core.machine(name).apply {
         registeredAt = ctx.now
-        lastHeard = ctx.now
+        lastHeartbeatAt = ctx.now
     }
 
     @ParameterizedTest(name = "{0}")
@@ -133,7 +136,7 @@
             it.starving =
                 starving
         }
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(expectedPlacements, job.placements.size, name)
     }
 
@@ -149,9 +152,9 @@
     ) {
         val machine = readyMachine("i-000001")
         val runningJob = core.learn(SimulatedCluster.job(1, tasks = 4, team = team, priority = Priority.LOW))
-        repeat(4) { core.schedulerState.place(runningJob, it, machine, it + 1L).apply { commanded = true } }
+        repeat(4) { core.schedulerState.place(runningJob, it, machine, it + 1L).apply { isCommanded = true } }
         core.learn(SimulatedCluster.job(2, tasks = 2, team = "red", priority = Priority.LOW))
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(expectedPreempted, runningJob.placements.values.count { it.stopping == StopCause.PREEMPTED })
     }
 
@@ -181,9 +184,9 @@
     @ParameterizedTest(name = "{0} exits in the last heartbeat, {1} tasks placed")
     @CsvSource("0, 20", "690, 10", "700, 0")
     fun `a machine gets no more tasks than its heartbeat can hold`(exits: Int, expectedPlacements: Int) {
-        readyMachine("i-000001").exitsShown = exits
+        readyMachine("i-000001").exitsInHeartbeat = exits
         val job = core.learn(SimulatedCluster.job(1, tasks = 20).copy(need = Resources(1, 0, 1)))
-        Placer(ctx, core.schedulerState, core.fleet).plan()
+        Placer(ctx, core.schedulerState, core.fleet).runPass()
         assertEquals(expectedPlacements, job.placements.size)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/CancellationGapTest.kt
@@ -33,7 +33,7 @@
         }
         cluster.clock.runUntil(60.0)
         assertEquals(60, cluster.checker.starts)
-        firstLeader = cluster.nodes.first { it.leading }
+        firstLeader = cluster.nodes.first { it.isLeader }
     }
 
     private fun refuseStoreCalls(node: SimulatedController, durationS: Double) {
@@ -137,7 +137,7 @@
         if (circumstance == "twice in a row") {
             cancellations = 2
             cluster.clock.after(100.0) {
-                firstLeader = cluster.nodes.first { it.leading }
+                firstLeader = cluster.nodes.first { it.isLeader }
                 refuseStoreCalls(firstLeader, 14.0)
                 cluster.clock.after(0.5) { cancel(others.last(), 2) }
                 cluster.clock.after(1.5) { outage(50.0) }
@@ -172,7 +172,7 @@
     private fun onSecondLeader(by: SimulatedController, isTrigger: (Effect) -> Boolean) {
         var triggered = false
         cluster.onEffect = { node, effect ->
-            if (!triggered && node !== firstLeader && node.leading && isTrigger(effect)) {
+            if (!triggered && node !== firstLeader && node.isLeader && isTrigger(effect)) {
                 triggered = true
                 cancelBeforeOutage(by)
             }
@@ -206,6 +206,6 @@
         assertEquals(0, cluster.tasksKilledByLease)
         assertEquals(60, cluster.checker.starts)
         assertEquals(emptyList<String>(), cluster.checker.violations)
-        assertTrue(cluster.nodes.count { it.leading } == 1)
+        assertTrue(cluster.nodes.count { it.isLeader } == 1)
     }
 }
--- a/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/FaultCombinationScenarioTest.kt
@@ -51,7 +51,7 @@
         cluster.clock.runUntil(50.0)
         assertEquals(12, cluster.checker.starts)
         cluster.faults.inboundBlocked.addAll(cluster.cloud.workers.take(inboundBlocked).map { it.id })
-        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.leading }.crash(8.0) }
+        cluster.clock.after(crashAfterS) { cluster.nodes.first { it.isLeader }.crash(8.0) }
         // Heartbeats go on all this time, but those of the blocked machines never show the new leader's token.
         cluster.clock.runUntil(50.0 + crashAfterS + 2 * cluster.settings.workers.leaseS + 40.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
--- a/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/MachineFaultCombinationsTest.kt
@@ -115,7 +115,7 @@
     @Test
     fun `jobs run on after a zone with a controller was cut off for longer than a lease`() {
         startJobs(nodes = 5)
-        val isolatedNode = cluster.nodes.first { !it.leading }
+        val isolatedNode = cluster.nodes.first { !it.isLeader }
         cluster.nodes.filter { it !== isolatedNode }.forEach {
             cluster.network.cutBoth("zone:a", it.name, LinkCut.HOLD)
             cluster.network.cutBoth(isolatedNode.name, it.name, LinkCut.HOLD)
--- a/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/PartialPartitionTest.kt
@@ -24,7 +24,7 @@
         cluster.clock.after(2.0) { cluster.submit(SimulatedCluster.job(1, Shape.SERVICE, tasks = 80, spread = true)) }
         cluster.clock.runUntil(45.0)
         assertEquals(20, cluster.cloud.instances.size)
-        firstLeader = cluster.nodes.first { it.leading }
+        firstLeader = cluster.nodes.first { it.isLeader }
     }
 
     private val others get() = cluster.nodes.filter { it !== firstLeader }
@@ -54,7 +54,7 @@
     fun `the only node that still reaches the store becomes leader and no task is lost`(linkCut: LinkCut) {
         cutLinks(listOf(firstLeader) + others.take(3), "state", linkCut)
         assertNoTaskLost()
-        assertTrue(others.last().leading)
+        assertTrue(others.last().isLeader)
     }
 
     @ParameterizedTest
@@ -63,7 +63,13 @@
         // The node that wins the election is cut off from the workers at once; the other nodes are not.
         firstLeader.crash(200.0)
         cluster.onEffect =
-            { node, _ -> if (node.leading && cluster.network.cutCount == 0) cutLinks(listOf(node), "workers", linkCut) }
+            { node, _ ->
+                if (node.isLeader &&
+                    cluster.network.cutCount == 0
+                ) {
+                    cutLinks(listOf(node), "workers", linkCut)
+                }
+            }
         assertNoTaskLost(60.0)
     }
 
@@ -109,7 +115,7 @@
             else -> firstLeader.freeze(9.0)
         }
         cluster.clock.after(2.0) {
-            cutLinks(listOf(cluster.nodes.firstOrNull { it.leading } ?: firstLeader), "workers", LinkCut.REFUSE)
+            cutLinks(listOf(cluster.nodes.firstOrNull { it.isLeader } ?: firstLeader), "workers", LinkCut.REFUSE)
         }
         cluster.clock.after(25.0) { cluster.faults.answerLoss = 0.0 }
         assertNoTaskLost()
@@ -120,10 +126,10 @@
         cutLinks(listOf(firstLeader), "workers", LinkCut.REFUSE)
         cluster.clock.after(1.0) { firstLeader.crash(30.0) }
         cluster.clock.after(6.0) {
-            cluster.nodes.filter { it.leading }.forEach { cutLinks(listOf(it), "workers", LinkCut.REFUSE) }
+            cluster.nodes.filter { it.isLeader }.forEach { cutLinks(listOf(it), "workers", LinkCut.REFUSE) }
         }
         cluster.clock.after(7.0) {
-            cluster.nodes.filter { it.leading }.forEach { cutLinks(listOf(it), "state", LinkCut.HOLD) }
+            cluster.nodes.filter { it.isLeader }.forEach { cutLinks(listOf(it), "state", LinkCut.HOLD) }
         }
         assertNoTaskLost()
     }
@@ -136,7 +142,7 @@
             cluster.clock.runUntil(cluster.clock.now + 5.0)
             cluster.network.healAll()
             cluster.clock.runUntil(cluster.clock.now + 5.0)
-            if (!firstLeader.leading) leaderChanges++
+            if (!firstLeader.isLeader) leaderChanges++
         }
         assertEquals(0, leaderChanges)
         assertNoTaskLost(1.0)
@@ -150,9 +156,9 @@
         val peer = others.first()
         cutLinks(others.drop(1), "workers", LinkCut.REFUSE)
         cluster.clock.runUntil(cluster.clock.now + 25.0)
-        assertTrue(firstLeader.leading, "the leader handed over although the cut had lasted for only 25 s")
+        assertTrue(firstLeader.isLeader, "the leader handed over although the cut had lasted for only 25 s")
         cluster.clock.runUntil(cluster.clock.now + 25.0)
-        assertTrue(peer.leading, "the peer that all workers reach does not lead")
+        assertTrue(peer.isLeader, "the peer that all workers reach does not lead")
         assertNoTaskLost(1.0)
     }
 
@@ -174,9 +180,9 @@
         cutLinks(listOf(firstLeader), "workers", LinkCut.REFUSE)
         cluster.clock.runUntil(cluster.clock.now + 12.0)
         assertTrue(
-            !firstLeader.leading &&
+            !firstLeader.isLeader &&
                 cluster.nodes.any {
-                    it.leading
+                    it.isLeader
                 },
             "nodes of the previous version can't relay heartbeats, so one of them must lead",
         )
@@ -201,7 +207,7 @@
         ) { status, _ -> answerStatus = status }
         cluster.network.healAll()
         cluster.clock.runUntil(cluster.clock.now + 3.0)
-        assertTrue(firstLeader.leading, "the leader resigned because of a token of its own")
+        assertTrue(firstLeader.isLeader, "the leader resigned because of a token of its own")
         assertTrue(answerStatus != 0)
     }
 
--- a/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
+++ b/src/test/kotlin/plankwall/simulation/faults/SpreadSessionsTest.kt
@@ -52,7 +52,7 @@
             cluster.clock.after(20.0 + n * 1.2) {
                 cluster.submit(
                     SimulatedCluster.job(n, tasks = 6, gpus = 0, runS = 8.0),
-                    cancelAfter = if (n % 7 == 0) {
+                    cancelAfterS = if (n % 7 == 0) {
                         3.0
                     } else {
                         null
@@ -62,9 +62,9 @@
         }
     }
 
-    private fun leader(): SimulatedController = cluster.nodes.first { it.leading }
+    private fun leader(): SimulatedController = cluster.nodes.first { it.isLeader }
 
-    private fun followers(): List<SimulatedController> = cluster.nodes.filter { !it.leading && it.up }
+    private fun followers(): List<SimulatedController> = cluster.nodes.filter { !it.isLeader && it.isUp }
 
     private fun workersServedBy(node: SimulatedController): Int = servedBy.values.count { it === node }
 
@@ -111,7 +111,7 @@
                 { _, node -> servingNodes.add(node) }
         }
         clusterBelowThreshold.clock.runUntil(45.0)
-        assertEquals(setOf(clusterBelowThreshold.nodes.first { it.leading }), servingNodes)
+        assertEquals(setOf(clusterBelowThreshold.nodes.first { it.isLeader }), servingNodes)
     }
 
     private fun injectFault(fault: String): SimulatedController {
@@ -165,7 +165,7 @@
     private fun sendHeartbeatsToAllNodes() = cluster.cloud.workers.take(60).forEach { worker ->
         val heartbeat = worker.heartbeat()
         cluster.nodes.filter {
-            it.up
+            it.isUp
         }.forEach { node -> node.sendRequest({ Input.Heartbeat(it, heartbeat) }) { _, _ -> } }
     }
 
@@ -185,8 +185,12 @@
         assertSessionsSpread()
         val busiestFollower = injectFault(fault)
         cluster.clock.runUntil(51.0)
-        if (fault.endsWith("ends") || fault.endsWith("end")) assertTrue(cluster.nodes.any { !it.up }, "no node is down")
-        if (fault.startsWith("it is cut")) assertTrue(cluster.network.cutCount > 0 && busiestFollower.up)
+        if (fault.endsWith("ends") ||
+            fault.endsWith("end")
+        ) {
+            assertTrue(cluster.nodes.any { !it.isUp }, "no node is down")
+        }
+        if (fault.startsWith("it is cut")) assertTrue(cluster.network.cutCount > 0 && busiestFollower.isUp)
         cluster.clock.runUntil(130.0)
         assertEquals(emptyList<String>(), cluster.checker.violations)
         assertTrue(cluster.tasksKilledByLease <= maxKilled, "${cluster.tasksKilledByLease} tasks killed")
--- a/src/test/kotlin/plankwall/wire/CodecTest.kt
+++ b/src/test/kotlin/plankwall/wire/CodecTest.kt
@@ -183,7 +183,7 @@
     )
     fun `a heartbeat that can't be read completely is refused`(body: String) {
         // If it were read in part, a task could seem absent, and a task's absence proves that it has stopped.
-        assertThrows(Exception::class.java) { WorkerCodec.readReport(body.encodeToByteArray()) }
+        assertThrows(Exception::class.java) { WorkerCodec.readHeartbeat(body.encodeToByteArray()) }
     }
 
     @ParameterizedTest
@@ -194,12 +194,12 @@
         for (i in 0 until size step 2) doneTasks.set(99_000 + i)
         val halfPlaced = (1 until size step 2).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
         val placedTasks = if (size > 1) halfPlaced else emptyList()
-        val mixedPage = StateCodec.txn(
+        val mixedPage = StateCodec.writeTransaction(
             StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(doneTasks, placedTasks)))),
         )
         assertTrue(mixedPage.size <= valueKb * 1024 || size == 8, "page of $size tasks takes ${mixedPage.size} bytes")
         val allPlaced = (0 until size).map { StoredPlacement(99_000 + it, 99_999_999_999_999, "i-9999999", 99) }
-        val placedPage = StateCodec.txn(
+        val placedPage = StateCodec.writeTransaction(
             StateOp.Txn(emptyList(), listOf(Write.Put("t/job-000001/000001", PageRecord(BitSet(), allPlaced)))),
         )
         assertTrue(placedPage.size <= valueKb * 1024, "page of $size placements takes ${placedPage.size} bytes")
@@ -227,7 +227,7 @@
     @ValueSource(strings = ["[\"i-1\",-1]", "[\"i-1\",900000000]", "[3,1]"])
     fun `a run of machine names with an invalid start or length is refused`(run: String) {
         assertThrows(MalformedMessageException::class.java) {
-            StateCodec.item("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
+            StateCodec.readItem("""{"key":"fleet","data":{"returning":$run},"stamp":7}""".encodeToByteArray())
         }
     }
 
