--- a/src/main/kotlin/plankwall/cli/WarmUp.kt
+++ b/src/main/kotlin/plankwall/cli/WarmUp.kt
@@ -53,8 +53,8 @@
                         client.call("GET", "/up", null, CALL_TIMEOUT_MS)
                     }
                 }
-                // The stand-in never answers with items, so their reader is run here.
-                StateCodec.readItems(ITEMS)
+                // The stand-in never answers with stored items, so the code that reads a page of them is run here.
+                StateCodec.readItems(ITEMS_PAGE)
             }
         }
         return 0
@@ -62,19 +62,22 @@
 
     private fun freePort(): Int = ServerSocket(0).use { it.localPort }
 
-    /** Returns the settings of a node. [front], [internal]: its ports; [services]: the port of the stand-in. */
-    private fun settingsToml(front: Int, internal: Int, services: Int) = """
+    /**
+     * Returns the settings of a node as TOML. [frontPort]: its port for clients and workers; [internal]: its port for
+     * peers; [standInPort]: the port of the stand-in for state service and cloud.
+     */
+    private fun settingsToml(frontPort: Int, internal: Int, standInPort: Int) = """
         node = "n0"
         site = "z"
-        front = "127.0.0.1:$front"
+        front = "127.0.0.1:$frontPort"
         internal_addr = "127.0.0.1:$internal"
         [[known]]
         node = "n1"
         site = "z"
         address = "127.0.0.1:$internal"
         [external]
-        cloud = "127.0.0.1:$services"
-        state = "127.0.0.1:$services"
+        cloud = "127.0.0.1:$standInPort"
+        state = "127.0.0.1:$standInPort"
         [settings]
         zones = ["z"]
         [[settings.teams]]
@@ -99,13 +102,18 @@
         const val CALL_TIMEOUT_MS = 500L
         const val STATUS_OK = 200
         val EMPTY_OBJECT = "{}".encodeToByteArray()
+
+        // The field names and the fixed values in the texts below are those of the protocols with workers, users and
+        // the state service.
         val HEARTBEAT = """{"berth":"i-1","address":"127.0.0.1:9","build":"b","yard":"z","loaners":false,"watch":1,"tally":1,
             "baton":0,"recall_s":null,"pieces":[{"piece":"job-000001/0","try":1,"stage":"running"}]}"""
             .encodeToByteArray()
         val JOB = """{"id":"job-000001","docket":"c","crew":"t","shape":"sweep","urgency":"low","pieces":1,"cores":1.0,
             "accelerators":0.0,"ram_gb":1.0,"mould":"m","size_gb":1.0,"guess_s":1.0,"snapshot_s":0.0,"stow_s":0.0}"""
             .encodeToByteArray()
-        val ITEMS =
+
+        /** One page of stored items, as the state service answers it. */
+        val ITEMS_PAGE =
             """{"items":[{"key":"f/job-000001","data":{"stage":"DONE","done":1},"stamp":3}],
             "has_next":false,"ledger":3}"""
                 .encodeToByteArray()
--- a/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
+++ b/src/main/kotlin/plankwall/core/api/ResubmissionResponder.kt
@@ -21,26 +21,27 @@
 
     /** Answers [pending] with the outcome of job [id]. */
     fun answerEnded(pending: PendingRequest, id: String, record: FinalRecord) {
-        val requested = pending.authorize(Action.RESUBMIT, id, record.facts) ?: return
-        pending.recordAndAnswer(requested, 200, views.ofEnded(id, record))
+        val authorizedAction = pending.authorize(Action.RESUBMIT, id, record.facts) ?: return
+        pending.recordAndAnswer(authorizedAction, 200, views.ofEnded(id, record))
     }
 
     /**
-     * Answers [pending] with the state of a live job. Another node may already have answered a user that the job is
-     * cancelled because of a dependency, so for a job with dependencies this uses a read that began after the request.
+     * Answers [pending] with the state of the live job [id]. Another node may already have told a user that the job is
+     * cancelled because of a dependency, and a later answer must not contradict that. So the answer for a job with
+     * dependencies uses a read of the store that began after the request arrived.
      */
     private fun answerLive(pending: PendingRequest, id: String, found: JobLookupResult.Live) {
-        val requested = pending.authorize(Action.RESUBMIT, id, found.facts) ?: return
+        val authorizedAction = pending.authorize(Action.RESUBMIT, id, found.facts) ?: return
         val isCancelled = found.record.cancelledMs > 0
         if (isCancelled || found.record.spec.dependencies.isEmpty()) {
-            pending.recordAndAnswer(requested, 200, views.ofAccepted(id, isCancelled))
+            pending.recordAndAnswer(authorizedAction, 200, views.ofAccepted(id, isCancelled))
             return
         }
         jobCache.whenFresh { fresh ->
             when {
                 !fresh -> pending.rejectUnreadable()
                 jobCache.isLive(id) -> cancellationResolver.resolve(pending, id) { isCancelledNow ->
-                    pending.recordAndAnswer(requested, 200, views.ofAccepted(id, isCancelledNow))
+                    pending.recordAndAnswer(authorizedAction, 200, views.ofAccepted(id, isCancelledNow))
                 }
                 else -> lookup.readFinalRecord(id) { result ->
                     if (result is JobLookupResult.Final) answer(pending, id, result) else pending.rejectUnreadable()
--- a/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
+++ b/src/main/kotlin/plankwall/core/placement/CachedImageCapacity.kt
@@ -7,10 +7,11 @@
 import plankwall.model.Shape
 
 /**
- * Machines that have an image in their cache and should soon have free capacity. Where fetching an image takes as long
- * as running the task, a task that waits for such a machine starts no later than one that fetches the image onto
- * another machine, and the fleet costs less. Service jobs never wait: their replicas are needed at once, and how long
- * the tasks on the machines with their images still run is not known.
+ * Decides whether a task waits for a machine that has its image cached, although another machine has free capacity. A
+ * task waits if the machine with the image should have free capacity clearly sooner than the other machine would have
+ * fetched the image. Where a fetch takes as long as running the task, the task then starts no later than it would with
+ * a fetch, and the fleet costs less. Tasks of service jobs never wait: their replicas are needed at once, and it is not
+ * known how long the tasks on the machines with their images still run.
  */
 class CachedImageCapacity(private val ctx: Context, private val capacity: FreeCapacity) {
     /** Machines whose next free capacity the current pass has promised to a waiting task. */
@@ -32,29 +33,29 @@
     fun keepsWaiting(job: Job): Boolean = job in jobsKeptWaiting
 
     /**
-     * Looks among the [usable] machines for one that has the image of [job] cached and should have free capacity
-     * clearly sooner than [machine] would have fetched the image. If there is one, promises it to one task of [job] and
-     * returns true: that task is to wait.
+     * Looks among the usable [machines] for one that has the image of [job] cached and should have free capacity
+     * clearly sooner than [otherMachine], on which the task would otherwise be placed, would have fetched the image. If
+     * there is one, promises it to one task of [job] and returns true: that task is to wait.
      */
-    fun promiseSoonerMachine(job: Job, machine: Machine, usable: List<Machine>, zones: ZoneConstraint): Boolean {
+    fun promiseSoonerMachine(job: Job, otherMachine: Machine, machines: List<Machine>, zones: ZoneConstraint): Boolean {
         if (job.spec.shape == Shape.SERVICE) return false
-        val limitS = machine.fetchWaitS(job.image, job.spec.imageGb, ctx.now) * CLEARLY_SOONER_PART
+        val limitS = otherMachine.fetchWaitS(job.image, job.spec.imageGb, ctx.now) * MAX_WAIT_PER_FETCH_TIME
         val waitedS = (ctx.time.wallMs - job.readyMs) / 1000.0
-        if (limitS < MIN_GAIN_S || waitedS >= limitS) return false
-        val soonest = findSoonestFree(job, usable, zones, limitS - waitedS) ?: return false
+        if (limitS < MIN_WAIT_LIMIT_S || waitedS >= limitS) return false
+        val soonest = findSoonestFree(job, machines, zones, limitS - waitedS) ?: return false
         promisedMachines.add(soonest)
         jobsKeptWaiting.add(job)
         return true
     }
 
     /**
-     * Returns the machine with the image of [job] that should have free capacity first, if that is within [limitS]
-     * seconds and no other task was promised it; otherwise null.
+     * Returns the one of the usable [machines] that should have free capacity for a task of [job] first, among those
+     * that have its image cached and are not promised to another task; null if none should within [limitS] seconds.
      */
-    private fun findSoonestFree(job: Job, usable: List<Machine>, zones: ZoneConstraint, limitS: Double): Machine? {
+    private fun findSoonestFree(job: Job, machines: List<Machine>, zones: ZoneConstraint, limitS: Double): Machine? {
         var soonest: Machine? = null
         var soonestS = limitS
-        for (machine in usable) {
+        for (machine in machines) {
             val cached = machine.images[job.image.value] ?: continue
             if (cached.readyAt > ctx.now || machine in promisedMachines || machine.surplus) continue
             if (!capacity.isEligible(job, machine, zones)) continue
@@ -69,14 +70,15 @@
 
     private companion object {
         /**
-         * The part of the fetch time within which capacity must come free: estimates of run times are often too low.
+         * The longest wait for free capacity on a machine with the image, as a share of the time in which the other
+         * machine would fetch the image. Well below 1, because estimates of run times are often too low.
          */
-        const val CLEARLY_SOONER_PART = 0.5
+        const val MAX_WAIT_PER_FETCH_TIME = 0.5
 
         /**
-         * The shortest limit of the wait, in seconds, for which a task waits at all. With a shorter limit it fetches
-         * the image at once, since waiting would gain little.
+         * The least value, in seconds, that the longest permitted wait must have for a task to wait at all. Below it
+         * the image is fetched so fast that waiting would gain little, so the task fetches it at once.
          */
-        const val MIN_GAIN_S = 4.0
+        const val MIN_WAIT_LIMIT_S = 4.0
     }
 }
--- a/src/main/kotlin/plankwall/core/placement/Placer.kt
+++ b/src/main/kotlin/plankwall/core/placement/Placer.kt
@@ -193,7 +193,7 @@
 
     /** Returns the number of waiting tasks of [job] for which no capacity is reserved or held. */
     fun countUnreservedTasks(job: Job): Int =
-        (job.waiting.size - capacity.reservedTasks(job) - gangPlacer.heldTasks(job)).coerceAtLeast(0)
+        (job.waiting.size - capacity.reservedTasks(job) - gangPlacer.tasksWithHeldCapacity(job)).coerceAtLeast(0)
 
     companion object {
         private const val MAX_PLACEMENTS_PER_PASS = 64
--- a/src/main/kotlin/plankwall/core/state/InheritedUrgency.kt
+++ b/src/main/kotlin/plankwall/core/state/InheritedUrgency.kt
@@ -3,9 +3,10 @@
 import plankwall.model.Priority
 
 /**
- * Derives the priority and the deadline of a job from the jobs that depend on it: a stage of a pipeline is as important
- * as the job that its user waits for, and must end early enough for what comes after it. Changes propagate from a job
- * to its dependencies, to their dependencies, and so on. Only this class changes [Job.priority] and [Job.dueMs].
+ * Derives the urgency of a job, which is its priority and its deadline together, from the jobs that depend on it: a
+ * stage of a pipeline is as important as the job that its user waits for, and must end early enough for the stages
+ * after it. Changes propagate from a job to its dependencies, to their dependencies, and so on. Only this class changes
+ * [Job.priority] and [Job.dueMs].
  */
 internal class InheritedUrgency(
     val graph: DependencyGraph,
@@ -33,8 +34,9 @@
         dependents.maxOfOrNull { it.priority }?.let { maxOf(it, job.spec.priority) } ?: job.spec.priority
 
     /**
-     * Raises the jobs that [newDependent] depends on to at least its urgency. Another dependent can only raise them, so
-     * their other dependents need not be considered.
+     * Raises the urgency of the jobs that [newDependent] depends on, directly or through others: their priority to at
+     * least its own, and their deadline to be early enough for it. Adding a dependent never lowers the urgency of a
+     * job, so the dependents that a job already had need not be considered again.
      */
     fun raiseDependenciesOf(newDependent: Job) {
         val queue = ArrayDeque(listOf(newDependent))
--- a/src/main/kotlin/plankwall/io/ApiRoutes.kt
+++ b/src/main/kotlin/plankwall/io/ApiRoutes.kt
@@ -87,7 +87,7 @@
         serve: suspend () -> HttpReply,
     ): HttpReply {
         if (request.method == allowed) return serve()
-        return HttpReply(HttpStatus.METHOD_NOT_ALLOWED, JobCodec.error("only $allowed"), allow = allowed)
+        return HttpReply(HttpStatus.METHOD_NOT_ALLOWED, JobCodec.error("only $allowed"), allowHeader = allowed)
     }
 
     private fun notFoundReply() = HttpReply(HttpStatus.NOT_FOUND, JobCodec.error("not found"))
--- a/src/main/kotlin/plankwall/io/Http.kt
+++ b/src/main/kotlin/plankwall/io/Http.kt
@@ -18,20 +18,20 @@
  * The answer to an HTTP request.
  *
  * @property body JSON, or empty
- * @property retryAfterS the value of `Retry-After` in seconds; null for no such header
- * @property allow the value of `Allow`; null for no such header
+ * @property retryAfterS the value of the header `Retry-After` in seconds; null for no such header
+ * @property allowHeader the value of the header `Allow`; null for no such header
  * @property closeConnection whether the connection is closed after the answer
  */
 class HttpReply(
     val status: Int,
     val body: ByteArray,
     val retryAfterS: Int? = null,
-    val allow: String? = null,
+    val allowHeader: String? = null,
     val closeConnection: Boolean = false,
 )
 
 /** An HTTP request that was read completely. Properties that only authentication needs are computed on access. */
-class HttpRequest(private val head: Request, val body: ByteArray, private val socketAddress: SocketAddress) {
+class HttpRequest(private val head: Request, val body: ByteArray, private val callerSocketAddress: SocketAddress) {
     val method: String = head.method.value
 
     /** The path without the query. */
@@ -54,7 +54,7 @@
 
     /** The caller's IP address without the port; empty if it is unknown. */
     val clientAddress: String
-        get() = (socketAddress.toJavaAddress() as? InetSocketAddress)?.address?.hostAddress.orEmpty()
+        get() = (callerSocketAddress.toJavaAddress() as? InetSocketAddress)?.address?.hostAddress.orEmpty()
 }
 
 /** A message could not be read to its end; its connection can't be used any more. [problem]: why it can't be read. */
--- a/src/main/kotlin/plankwall/io/HttpServer.kt
+++ b/src/main/kotlin/plankwall/io/HttpServer.kt
@@ -107,7 +107,7 @@
         ).append(reply.status).append(' ').append(HttpStatus.reasonPhrase(reply.status)).append("\r\n")
         append("Content-Type: application/json\r\nContent-Length: ").append(reply.body.size).append("\r\n")
         if (reply.retryAfterS != null) append("Retry-After: ").append(reply.retryAfterS).append("\r\n")
-        if (reply.allow != null) append("Allow: ").append(reply.allow).append("\r\n")
+        if (reply.allowHeader != null) append("Allow: ").append(reply.allowHeader).append("\r\n")
         if (!keepAlive) append("Connection: close\r\n")
         append("\r\n")
     }
--- a/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
+++ b/src/main/kotlin/plankwall/loadtest/CloudEndpoint.kt
@@ -25,7 +25,7 @@
         val op = readOp(request) ?: return HttpReply(404, JobCodec.error("no such path"))
         return cluster.runCaughtUp {
             if (rateLimit.tryConsume(cluster.clock.now, 1)) {
-                replyTo(cluster.cloud.run(op))
+                replyFor(cluster.cloud.run(op))
             } else {
                 HttpReply(429, JobCodec.error("too many requests"), 1)
             }
@@ -37,11 +37,12 @@
         request.path == "/catalog" -> CloudOp.GetCatalog
         request.path == "/machines/delete" -> CloudServiceCodec.readDelete(request.body)
         request.path == "/machines" && request.method == "POST" -> CloudServiceCodec.readRent(request.body)
-        request.path == "/machines" -> readListMachines(request.query)
+        request.path == "/machines" -> readMachineListRequest(request.query)
         else -> null
     }
 
-    private fun readListMachines(query: String): CloudOp {
+    /** Returns the request for one page of the list of machines that [query] describes. */
+    private fun readMachineListRequest(query: String): CloudOp {
         val fields = query.split('&').associate { it.substringBefore('=') to it.substringAfter('=', "") }
         return CloudOp.ListMachines(
             fields["from"],
@@ -49,7 +50,11 @@
         )
     }
 
-    private fun replyTo(result: CloudResult): HttpReply = when (result) {
+    /**
+     * Returns the HTTP answer for [result]. In the bodies of errors, "malformed" means that the request could not be
+     * read and "trouble" that it was refused or not answered; "none" means no error.
+     */
+    private fun replyFor(result: CloudResult): HttpReply = when (result) {
         is CloudResult.CatalogRead -> HttpReply(200, CloudServiceCodec.writeCatalog(result.catalog))
         is CloudResult.Rented -> HttpReply(200, CloudServiceCodec.writeRented(result.machines))
         is CloudResult.Listed -> HttpReply(200, CloudServiceCodec.writeListed(result))
--- a/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
+++ b/src/test/kotlin/plankwall/authorization/PolicyReaderTest.kt
@@ -13,8 +13,8 @@
 
 /** Tests that policies are parsed, that they decide as written, and that errors are reported at their place. */
 class PolicyReaderTest {
-    private val text = """
-        # The ward lead may have the nightly solve run, and must not cancel another canton's.
+    private val policyText = """
+        # The leads may submit the nightly solver job and cancel only the jobs that they own.
         person lea { }   person max { }   service renders { network "10.2.0.0/16", "2001:db8::/32"; }
         person gone { disabled; }
         group leads { lea, max }
@@ -30,7 +30,7 @@
         workers network "10.1.0.0/16";
     """.trimIndent()
 
-    private fun job(
+    private fun jobFacts(
         jobClass: String,
         owner: String? = null,
         priority: Priority = Priority.NORMAL,
@@ -65,9 +65,15 @@
         team: String,
         expectedAllowed: Boolean,
     ) {
-        val policy = PolicyReader.read(text, 7)
+        val policy = PolicyReader.read(policyText, 7)
         val facts =
-            job(jobClass, owner, PolicyWords.priorities.getValue(priority), PolicyWords.shapes.getValue(shape), team)
+            jobFacts(
+                jobClass,
+                owner,
+                PolicyWords.priorities.getValue(priority),
+                PolicyWords.shapes.getValue(shape),
+                team,
+            )
         assertEquals(
             expectedAllowed,
             policy.authorize(principal, Action.entries.first { it.word == action }, facts).allowed,
@@ -76,7 +82,7 @@
 
     @Test
     fun `only rules without a condition apply to an unknown job`() {
-        val policy = PolicyReader.read(text, 7)
+        val policy = PolicyReader.read(policyText, 7)
         assertTrue(policy.authorize("lea", Action.SHOW, null).allowed)
         assertEquals(
             listOf(false, false),
@@ -89,16 +95,16 @@
     }
 
     @Test
-    fun `a decision names its rule, and an explanation lists the outcome of each rule`() {
-        val policy = PolicyReader.read(text, 7)
-        assertEquals("rule live", policy.authorize("max", Action.SUBMIT, job("board-matcher")).rule)
+    fun `a decision names its rule and its revoke effect, and an explanation lists each rule's outcome`() {
+        val policy = PolicyReader.read(policyText, 7)
+        assertEquals("rule live", policy.authorize("max", Action.SUBMIT, jobFacts("board-matcher")).rule)
         val explanation =
-            policy.explain("max", Action.SUBMIT, job("board-matcher")).map { "${it.rule.line} ${it.outcome}" }
+            policy.explain("max", Action.SUBMIT, jobFacts("board-matcher")).map { "${it.rule.line} ${it.outcome}" }
         assertEquals(
             listOf("6 CONDITION_FAILS", "7 OTHER_ACTION", "8 OTHER_ACTION", "12 DECIDES", "13 APPLIES"),
             explanation,
         )
-        assertEquals(true, policy.authorize("lea", Action.SUBMIT, job("rota-solve")).cancelOnRevoke)
+        assertEquals(true, policy.authorize("lea", Action.SUBMIT, jobFacts("rota-solve")).cancelOnRevoke)
     }
 
     @ParameterizedTest(name = "{0}")
@@ -126,13 +132,13 @@
             "person a { } § | a character that means nothing",
         ],
     )
-    fun `an invalid policy is refused with line, column and problem`(invalidText: String, expected: String) {
+    fun `an invalid policy is refused with line, column and problem`(invalidText: String, expectedError: String) {
         val error = assertThrows(InvalidPolicyException::class.java) { PolicyReader.read(invalidText, 1) }
-        val (expectedPlace, expectedProblem) = if (expected[0].isDigit()) {
-            expected.substringBefore(' ') to
-                expected.substringAfter(' ', "")
+        val (expectedPlace, expectedProblem) = if (expectedError[0].isDigit()) {
+            expectedError.substringBefore(' ') to
+                expectedError.substringAfter(' ', "")
         } else {
-            "" to expected
+            "" to expectedError
         }
         if (expectedPlace.isNotEmpty()) assertEquals(expectedPlace, "${error.line}:${error.column}", error.message)
         assertTrue(expectedProblem in error.message.orEmpty(), error.message)
--- a/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
+++ b/src/test/kotlin/plankwall/core/api/JobCacheTest.kt
@@ -20,7 +20,7 @@
     private val jobCache = JobCache(ctx) {}
     private val openCalls = ArrayDeque<Effect.StateCall>()
     private val record = SimulatedCluster.job(1).let { JobRecord(it, 1, 0, 100) }
-    private val key = Keys.job(JOB)
+    private val key = Keys.job(JOB_ID)
     private var now = 100.0
 
     private fun advanceTime(seconds: Double) {
@@ -46,7 +46,7 @@
             answers.add(
                 when {
                     !fresh -> "unread"
-                    jobCache.isLive(JOB) -> "${jobCache.isCancelled(JOB)}"
+                    jobCache.isLive(JOB_ID) -> "${jobCache.isCancelled(JOB_ID)}"
                     else -> "null"
                 },
             )
@@ -87,7 +87,7 @@
     }
 
     @Test
-    fun `after the changes were compacted all jobs are read anew, and a job that has ended is not live`() {
+    fun `when changes were compacted the waiting request is unread and the next one reads all jobs`() {
         loadJobs()
         val answers = ArrayList<String>()
         advanceTime(1.0)
@@ -98,10 +98,11 @@
         advanceTime(1.0)
         answerCall(StateResult.Items(emptyList(), false, 20))
         answerCall(StateResult.News(emptyList(), 20))
+        // The job was not among those that were read, so it has ended and is not live.
         assertEquals(listOf("unread", "null"), answers)
     }
 
     private companion object {
-        const val JOB = "job-000001"
+        const val JOB_ID = "job-000001"
     }
 }
--- a/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
+++ b/src/test/kotlin/plankwall/core/autoscaling/ClusterStateRegistryTest.kt
@@ -13,7 +13,10 @@
 import java.util.Random
 
 /**
- * Tests the registry's answers to the questions S1 to S3 of the paper, on fleets that are given as numbers of machines.
+ * Tests the answers of [ClusterStateRegistry] on fleets that are given as numbers of machines. S1 to S3 are questions
+ * that the registry answers in the paper "Cluster State Registry: Handling unready nodes" (the Kubernetes
+ * cluster autoscaler): whether the cluster is in good shape (S1), whether each group is (S2), and which machines should
+ * arrive soon (S3). UC1 to UC8 are the use cases of that paper, such as one silent machine (UC6) or many (UC8).
  */
 class ClusterStateRegistryTest {
     private val ctx = Context(SimulatedCluster.settings("n0", 3), Tuning(), 1, Random(1)).apply {
@@ -24,50 +27,51 @@
     private var nextNumber = 0
 
     /** Adds [count] registered machines that sent their last heartbeat [silentS] seconds ago. */
-    private fun addMachines(zone: String, count: Int, silentS: Double, returning: Boolean = false) = repeat(count) {
+    private fun addMachines(zone: String, count: Int, silentS: Double, beingScaledIn: Boolean = false) = repeat(count) {
         val machine = fleet.machine("i-%06d".format(nextNumber++))
         fleet.describe(machine, GroupKey("box", zone, false), "")
         machine.registeredAt = 1.0
         machine.lastHeartbeatAt = ctx.now - silentS
-        machine.isBeingScaledIn = returning
+        machine.isBeingScaledIn = beingScaledIn
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, machines of zone a that are ready, silent, silent while being returned, machines of zone b that are
-        // ready, silent, whether the cluster is in good shape, partitioned zones
+        // Columns: name; the numbers of machines of zone a that are ready, silent, and silent while being scaled in;
+        // the numbers of machines of zone b that are ready and silent; whether the cluster is expected to be in good
+        // shape; the zones that are expected to count as partitioned.
         "'S1 the cluster is in good shape when all machines are ready', 5, 0, 0, 5, 0, true, ''",
         "'UC6 the cluster is in good shape when one machine is silent', 5, 1, 0, 5, 0, true, ''",
         "'UC8 the cluster is in bad shape when many machines of all zones are silent', 5, 3, 0, 5, 3, false, ''",
-        "'UC7 the cluster is in good shape when the silent machines are being returned', 5, 0, 4, 5, 0, true, ''",
+        "'UC7 the cluster is in good shape when the silent machines are being scaled in', 5, 0, 4, 5, 0, true, ''",
         "'the cluster is in good shape when only two machines are silent, even two of three', 1, 2, 0, 0, 0, true, ''",
         "'the cluster is in good shape when the silent machines are in a partitioned zone', 6, 0, 0, 0, 5, true, b",
-        "'the leader is cut off from all zones when all machines are silent', 0, 5, 0, 0, 5, true, 'a b'",
+        "'the cluster is in good shape when the leader is cut off from all zones', 0, 5, 0, 0, 5, true, 'a b'",
     )
     fun `the cluster is in bad shape when many machines are silent without a known reason`(
         name: String,
         readyA: Int,
         silentA: Int,
-        returningA: Int,
+        beingScaledInA: Int,
         readyB: Int,
         silentB: Int,
         goodShape: Boolean,
-        partitioned: String,
+        partitionedZones: String,
     ) {
         addMachines("a", readyA, 1.0)
         addMachines("a", silentA, 60.0)
-        addMachines("a", returningA, 60.0, returning = true)
+        addMachines("a", beingScaledInA, 60.0, beingScaledIn = true)
         addMachines("b", readyB, 1.0)
         addMachines("b", silentB, 60.0)
         registry.refresh(emptyMap())
         assertEquals(goodShape, registry.inGoodShape, name)
-        assertEquals(partitioned, registry.partitionedZones.sorted().joinToString(" "), name)
+        assertEquals(partitionedZones, registry.partitionedZones.sorted().joinToString(" "), name)
     }
 
     @ParameterizedTest(name = "{0}")
     @CsvSource(
-        // name, ready machines, silent machines, machines requested 10 s ago, machines requested 200 s ago, whether the
-        // group is healthy, arriving machines, late machines
+        // Columns: name; the numbers of ready machines, of silent machines, and of machines requested 10 s and 200 s
+        // ago; whether the group is expected to be healthy; the expected numbers of arriving and of late machines.
         "'S2 a group is healthy when all its machines are ready', 5, 0, 0, 0, true, 0, 0",
         "'UC1 and S3 a group is healthy when its machines were just requested', 0, 0, 4, 0, true, 4, 0",
         "'UC3 a group is unhealthy when three of its machines fail to come up', 1, 0, 0, 3, false, 0, 3",
@@ -88,12 +92,14 @@
         addMachines("a", silent, 60.0)
         addMachines("b", 30, 1.0)
         val key = GroupKey("box", "a", false)
-        val arrivals = (List(requestedLately) { 10.0 } + List(requestedLongAgo) { 200.0 }).mapIndexed { index, age ->
-            "i-9$index" to BootingMachine("i-9$index", key, ctx.now - age, 0)
-        }.toMap()
-        registry.refresh(arrivals)
+        val bootingMachines = (List(requestedLately) { 10.0 } + List(requestedLongAgo) { 200.0 })
+            .mapIndexed { index, age ->
+                "i-9$index" to BootingMachine("i-9$index", key, ctx.now - age, 0)
+            }.toMap()
+        registry.refresh(bootingMachines)
         val group = registry.groupHealth(key)
-        // A partitioned zone would explain the silent machines, so none of the groups tested here is wholly silent.
+        // Silent machines count as unready for a known reason if their zone is partitioned, which means that nearly all
+        // of its machines are silent. In no case here are nearly all machines of the tested group silent.
         assertEquals(Triple(healthy, arriving, late), Triple(group.healthy, group.arriving, group.late), name)
     }
 }
--- a/src/test/kotlin/plankwall/identity/NetworksTest.kt
+++ b/src/test/kotlin/plankwall/identity/NetworksTest.kt
@@ -54,10 +54,10 @@
         expectedSame: Boolean,
     ) = assertEquals(expectedSame, Networks.isSameHost(first, second))
 
-    @ParameterizedTest(name = "{0} belongs to {1}")
+    @ParameterizedTest(name = "requests from {0} are rate limited as {1}")
     @CsvSource("10.1.2.3, 10.1.2.0/24", "2001:db8::9:1, 2001:db8::/64", "x, unreadable")
-    fun `an address is mapped to the network whose requests are limited together`(
+    fun `addresses share a rate limit by network, and all unreadable addresses share one`(
         address: String,
-        expectedName: String,
-    ) = assertEquals(expectedName, Networks.neighbourhood(address))
+        expectedNetworkName: String,
+    ) = assertEquals(expectedNetworkName, Networks.neighbourhood(address))
 }
